--- a/src/sim/dependent_days.rs
+++ b/src/sim/dependent_days.rs
@@ -51,29 +51,8 @@
 /// Each trouble alone, with pipelines all day.
 #[test]
 fn rules_hold_for_pipelines_under_each_trouble() {
-    type Set = fn(&mut Trouble);
-    let troubles: [(&str, Set); 18] = [
-        ("crashes", |t| t.crashes = true),
-        ("lost", |t| t.lost_answers = true),
-        ("machines", |t| t.machines = true),
-        ("cuts", |t| t.store_cuts = true),
-        ("deaf", |t| t.deaf = true),
-        ("copies", |t| t.copies = true),
-        ("apart", |t| t.apart = true),
-        ("flaps", |t| t.flaps = true),
-        ("crowd", |t| t.crowd = true),
-        ("freezes", |t| t.freezes = true),
-        ("zone", |t| t.zone = true),
-        ("repeats", |t| t.repeats = true),
-        ("gap", |t| t.gap = true),
-        ("mute", |t| t.mute = true),
-        ("slow", |t| t.slow = true),
-        ("leaders", |t| t.leaders = true),
-        ("away", |t| t.away = true),
-        ("ends", |t| t.ends = true),
-    ];
     let mut sum = PipelineCounts::default();
-    for (seed, (name, set)) in (510..).step_by(4).zip(troubles) {
+    for (seed, (name, set)) in (510..).step_by(4).zip(super::SINGLE_TROUBLES) {
         let mut trouble = PIPELINES;
         set(&mut trouble);
         let counts = days(name, SMALL, seed..seed + 3, trouble);
--- a/src/sim/mod.rs
+++ b/src/sim/mod.rs
@@ -5,6 +5,7 @@
 mod cancel;
 mod checks;
 mod dependent_days;
+mod digest;
 mod ends;
 mod growth;
 mod outside;
@@ -387,32 +388,36 @@
     }
 }
 
+/// Adds one trouble to those of a day.
+type AddTrouble = fn(&mut Trouble);
+
+/// Every trouble that days with two of them draw from, with its name.
+const SINGLE_TROUBLES: [(&str, AddTrouble); 18] = [
+    ("crashes", |t| t.crashes = true),
+    ("lost", |t| t.lost_answers = true),
+    ("machines", |t| t.machines = true),
+    ("cuts", |t| t.store_cuts = true),
+    ("deaf", |t| t.deaf = true),
+    ("copies", |t| t.copies = true),
+    ("apart", |t| t.apart = true),
+    ("flaps", |t| t.flaps = true),
+    ("crowd", |t| t.crowd = true),
+    ("freezes", |t| t.freezes = true),
+    ("zone", |t| t.zone = true),
+    ("repeats", |t| t.repeats = true),
+    ("gap", |t| t.gap = true),
+    ("mute", |t| t.mute = true),
+    ("slow", |t| t.slow = true),
+    ("leaders", |t| t.leaders = true),
+    ("away", |t| t.away = true),
+    ("ends", |t| t.ends = true),
+];
+
 /// Every two troubles at once.
 fn pairs() -> Vec<(String, Trouble)> {
-    type Set = fn(&mut Trouble);
-    let kinds: [(&str, Set); 18] = [
-        ("crashes", |t| t.crashes = true),
-        ("lost", |t| t.lost_answers = true),
-        ("machines", |t| t.machines = true),
-        ("cuts", |t| t.store_cuts = true),
-        ("deaf", |t| t.deaf = true),
-        ("copies", |t| t.copies = true),
-        ("apart", |t| t.apart = true),
-        ("flaps", |t| t.flaps = true),
-        ("crowd", |t| t.crowd = true),
-        ("freezes", |t| t.freezes = true),
-        ("zone", |t| t.zone = true),
-        ("repeats", |t| t.repeats = true),
-        ("gap", |t| t.gap = true),
-        ("mute", |t| t.mute = true),
-        ("slow", |t| t.slow = true),
-        ("leaders", |t| t.leaders = true),
-        ("away", |t| t.away = true),
-        ("ends", |t| t.ends = true),
-    ];
     let mut pairs = Vec::new();
-    for (i, (one, set)) in kinds.iter().enumerate() {
-        for (other, set_other) in &kinds[i + 1..] {
+    for (i, (one, set)) in SINGLE_TROUBLES.iter().enumerate() {
+        for (other, set_other) in &SINGLE_TROUBLES[i + 1..] {
             let mut trouble = Trouble::default();
             set(&mut trouble);
             set_other(&mut trouble);
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -1,5 +1,6 @@
 //! Simulated time, the network between the parts, the troubles, and the checks.
 
+use super::digest::Digest;
 use super::outside::{StoreModel, Worker, WorkerTask};
 use super::pipelines::PipelineCounts;
 use crate::cancellation::RoundId;
@@ -357,6 +358,8 @@
     pub stood_still_until: Time,
     pub scale: Option<Scale>,
     pub pipelines: PipelineCounts,
+    /// Of all that left the controllers.
+    pub digest: Digest,
 }
 
 /// As many of them as there are controllers.
@@ -437,6 +440,7 @@
             stood_still_until: Time(0),
             scale: None,
             pipelines: PipelineCounts::default(),
+            digest: Digest::default(),
         };
         for _ in 0..4 {
             let id = world.new_machine(false);
@@ -820,6 +824,7 @@
         let life = self.nodes[node].life;
         self.count_dependents(&effects);
         for effect in effects {
+            self.digest.add_effect(node, &effect);
             match effect {
                 Effect::Txn {
                     owner: TxnOwner::CancelledDependents(_),
@@ -1133,6 +1138,7 @@
             return;
         };
         let (mut answer, effects) = c.on_checkin(now, &report);
+        self.digest.add_answer(node, &answer);
         self.carry_out(node, effects);
         let ms = self.pick(1, 4);
         if let CheckinAnswer::Elsewhere(Some(holder)) = &answer
--- a/src/sim/zones.rs
+++ b/src/sim/zones.rs
@@ -87,6 +87,9 @@
         let controller = self.nodes[to].controller.as_mut().filter(|_| reached)?;
         let (answer, effects) = controller.on_relayed_checkin(now, report);
         self.carry_out(to, effects);
+        if let Some(answer) = &answer {
+            self.digest.add_answer(to, answer);
+        }
         self.relayed += u64::from(answer.is_some());
         answer
     }
