--- a/src/admin/settings.rs
+++ b/src/admin/settings.rs
@@ -1,7 +1,7 @@
 //! The operators' own settings: kept in the state service, changed through the API only, and
 //! taken up by every controller as the mirror brings them.
 
-use crate::ids::Span;
+use crate::ids::Millis;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
@@ -85,8 +85,8 @@
         Ok(())
     }
 
-    pub fn lease(&self) -> Span {
-        Span::from_secs(self.lease_s)
+    pub fn lease(&self) -> Millis {
+        Millis::from_secs(self.lease_s)
     }
 }
 
--- a/src/cancellation/rounds.rs
+++ b/src/cancellation/rounds.rs
@@ -1,6 +1,6 @@
 //! The decision: rounds of telling the others, and what their answers amount to.
 
-use crate::ids::{BlockId, JobId, Member, Revision};
+use crate::ids::{JobId, Member, Revision, ShardId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     pub revision: Revision,
     /// The blocks with machines on whose records the job stands, and the fence of each, if it is
     /// held at present.
-    pub carriers: BTreeMap<BlockId, Option<Revision>>,
+    pub carriers: BTreeMap<ShardId, Option<Revision>>,
 }
 
 /// The telling of one cancellation, and who has answered.
@@ -23,7 +23,7 @@
     job: JobId,
     /// The change that cancelled it.
     cancelled: Revision,
-    answers: BTreeMap<Member, BTreeMap<BlockId, Revision>>,
+    answers: BTreeMap<Member, BTreeMap<ShardId, Revision>>,
 }
 
 #[derive(Debug, Default)]
@@ -63,12 +63,12 @@
         id: RoundId,
         job: &JobId,
         from: &Member,
-        settled: Vec<(BlockId, Revision)>,
+        settled: Vec<(ShardId, Revision)>,
     ) {
         if let Some(round) = self.open.get_mut(&id).filter(|r| r.job == *job) {
             let known = round.answers.entry(from.clone()).or_default();
-            for (block, fence) in settled {
-                let highest = known.entry(block).or_default();
+            for (shard, fence) in settled {
+                let highest = known.entry(shard).or_default();
                 *highest = fence.max(*highest);
             }
         }
@@ -81,12 +81,12 @@
         let Some(round) = self.open.get(&id) else {
             return false;
         };
-        let gone = |block: &BlockId, fence: &Revision| {
+        let gone = |shard: &ShardId, fence: &Revision| {
             let mut answers = round.answers.values();
-            answers.any(|named| named.get(block).is_some_and(|f| f >= fence))
+            answers.any(|named| named.get(shard).is_some_and(|f| f >= fence))
         };
         let mut carriers = view.carriers.iter();
         view.revision >= round.cancelled
-            && carriers.all(|(block, fence)| fence.as_ref().is_some_and(|f| gone(block, f)))
+            && carriers.all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
     }
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -2,10 +2,10 @@
 //! the mirror's changes and a change of holder can come.
 
 use super::{Rounds, View};
-use crate::ids::{BlockId, JobId, Member, Revision};
+use crate::ids::{JobId, Member, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-const BLOCK: BlockId = BlockId(1);
+const BLOCK: ShardId = ShardId(1);
 /// The block is leased to `c1`, and by a later record to `c2`.
 const FIRST: Revision = Revision(5);
 const LATER: Revision = Revision(20);
@@ -39,7 +39,7 @@
     Member::from(name)
 }
 
-fn orders(rest: &[Step]) -> Vec<Vec<Step>> {
+fn commands(rest: &[Step]) -> Vec<Vec<Step>> {
     if rest.is_empty() {
         return vec![Vec::new()];
     }
@@ -47,7 +47,7 @@
     for (at, first) in rest.iter().enumerate() {
         let mut left = rest.to_vec();
         left.remove(at);
-        for mut order in orders(&left) {
+        for mut order in commands(&left) {
             order.insert(0, *first);
             all.push(order);
         }
@@ -118,11 +118,11 @@
 #[test]
 fn nobody_is_told_before_all_tasks_are_gone_and_everybody_is_in_the_end() {
     let mut told = 0;
-    for order in orders(&STEPS) {
+    for order in commands(&STEPS) {
         told += play(&order, false) + play(&order, true);
     }
     assert!(
-        told > 2 * orders(&STEPS).len(),
+        told > 2 * commands(&STEPS).len(),
         "only at the very end: {told}"
     );
 }
@@ -148,7 +148,7 @@
 
 /// A block that nobody holds at present: whoever held it may still answer its machines.
 #[test]
-fn a_block_without_a_holder_is_not_settled() {
+fn shard_without_an_owner_is_not_settled() {
     let mut rounds = Rounds::default();
     let job = JobId::from("job-1");
     let round = rounds.open(&job, Revision(10));
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -2,11 +2,11 @@
 //! as gets each done by its deadline.
 
 use crate::config::Config;
-use crate::ids::Wall;
+use crate::ids::UnixTime;
 use crate::placement::service_order;
 use crate::planning::predicted_s;
-use crate::store::replica::{LiveJob, Replica};
-use crate::wire::Kind;
+use crate::protocol::JobKind;
+use crate::store::watch_cache::{LiveJob, WatchCache};
 
 /// CPUs, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -81,8 +81,8 @@
 
 /// How long a place is taken by one task of a job, on average, with the time until the next one.
 /// The image's fetch counts half: later tasks find it there.
-pub fn task_time(job: &LiveJob, replica: &Replica, turnaround_s: f64) -> f64 {
-    let types = replica.catalog.iter().flat_map(|c| &c.value.types);
+pub fn task_time(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
+    let types = cache.catalog.iter().flat_map(|c| &c.value.types);
     let fetch = types
         .map(|t| t.fetch_gb_per_s)
         .fold(1.0, f64::min)
@@ -92,11 +92,11 @@
 
 /// In how many seconds an array is due: by its deadline or by those of the jobs that depend on it,
 /// else by the operators' objective for its pipeline. Without either there is no hurry, but an end.
-fn due_s(wall: Wall, job: &LiveJob, task: f64, config: &Config) -> f64 {
+fn due_s(unix_time: UnixTime, job: &LiveJob, task: f64, config: &Config) -> f64 {
     if let Some(finish_by) = job.urgency.finish_by {
-        return (finish_by.0 as f64 - wall.0 as f64) / 1000.0;
+        return (finish_by.0 as f64 - unix_time.0 as f64) / 1000.0;
     }
-    let age = wall.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
+    let age = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
     let objective = config.finish_within.get(&job.spec.pipeline);
     let due = objective.map_or(4.0 * task + 60.0, |s| s.secs());
     due - age
@@ -104,27 +104,27 @@
 
 /// The load, and the batches that it is made of.
 pub fn load(
-    wall: Wall,
-    replica: &Replica,
+    unix_time: UnixTime,
+    cache: &WatchCache,
     config: &Config,
     turnaround_s: f64,
 ) -> (Load, Vec<Batch>) {
     let mut load = Load::default();
     let mut batches = Vec::new();
     let mut busy = 0.0;
-    for (_, job) in service_order(config, replica) {
+    for (_, job) in service_order(config, cache) {
         let spec = &job.spec;
         let need = spec.need();
-        if spec.kind != Kind::Array {
+        if spec.kind != JobKind::Array {
             load.services += need.cpus * u64::from(spec.tasks);
             continue;
         }
         let limit = config.teams.get(&spec.team).map_or(0, |t| t.limit().cpus);
         let left = spec.tasks.saturating_sub(job.done_count());
         let running = (job.placed.len() as u32).min(left);
-        let task = task_time(job, replica, turnaround_s);
+        let task = task_time(job, cache, turnaround_s);
         let width = need.cpus.saturating_mul(left.into()).min(limit) as f64;
-        let due = due_s(wall, job, task, config);
+        let due = due_s(unix_time, job, task, config);
         let cpus = need.cpus as f64;
         // What runs holds its place whatever comes first; on average half of it is left.
         busy += 0.5 * f64::from(running) * cpus * task;
@@ -139,7 +139,7 @@
     if let Some(first) = batches.first_mut() {
         first.work += busy;
     }
-    let spare = 1.0 + replica.settings().array_spare;
+    let spare = 1.0 + cache.settings().array_spare;
     batches.iter_mut().for_each(|b| b.work *= spare);
     load.arrays = required(&batches) as u64;
     (load, batches)
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::config::tests::sample_config;
-use crate::ids::Span;
+use crate::ids::Millis;
+use crate::protocol::store::Item;
 use crate::store::keys;
 use crate::store::records::JobRecord;
-use crate::wire::state::Item;
 use proptest::prelude::*;
 
 prop_compose! {
@@ -42,31 +42,31 @@
 }
 
 /// The load of one array, accepted just now.
-fn load_of(deadline_s: Option<f64>, objective: Option<Span>) -> u64 {
+fn load_of(deadline_s: Option<f64>, objective: Option<Millis>) -> u64 {
     let mut config = sample_config();
-    let mut spec = crate::wire::tests::spec("job-000001");
+    let mut spec = crate::protocol::tests::spec("job-000001");
     spec.tasks = 40;
     spec.estimate_s = 20.0;
     spec.deadline_s = deadline_s;
     let objective = objective.map(|within| (spec.pipeline.clone(), within));
     config.finish_within.extend(objective);
-    let accepted = Wall(1_000_000);
+    let accepted = UnixTime(1_000_000);
     let record = JobRecord::new(spec, accepted);
-    let mut replica = Replica::new(&config);
-    replica.load(Item {
+    let mut cache = WatchCache::new(&config);
+    cache.load(Item {
         key: keys::job(&record.spec.id),
         value: serde_json::to_value(&record).expect("json"),
         revision: crate::ids::Revision(5),
-        grant: None,
+        lease: None,
     });
-    load(accepted, &replica, &config, 3.0).0.arrays
+    load(accepted, &cache, &config, 3.0).0.arrays
 }
 
 /// Arrays without deadlines asked for nothing more than was there, while half of them missed what
 /// their operators want (Altamaha dredging: the fleet grew from second 60 on only).
 #[test]
 fn an_array_without_a_deadline_is_due_by_the_operators_objective() {
-    let (soon, late) = (Span(60_000), Span(400_000));
+    let (soon, late) = (Millis(60_000), Millis(400_000));
     assert!(load_of(None, Some(soon)) > load_of(None, None));
     assert!(load_of(None, Some(late)) < load_of(None, None));
     assert_eq!(
--- a/src/cloud/fleet.rs
+++ b/src/cloud/fleet.rs
@@ -7,10 +7,12 @@
 use super::demand::{self, Batch, Load};
 use super::flow::Flow;
 use crate::config::Config;
-use crate::ids::{Amounts, MachineId, Revision, Span, Time, TypeName, Wall, Zone};
+use crate::ids::{MachineId, Millis, MonotonicTime, Resources, Revision, TypeName, UnixTime, Zone};
 use crate::placement::{Scheduler, Shortage, replicas, spare_replicas};
-use crate::store::replica::Replica;
-use crate::wire::{Catalog, JobSpec, Kind, ListedMachine, MachineState, MachineType, RentRequest};
+use crate::protocol::{
+    Catalog, JobKind, JobSpec, ListedMachine, MachineState, MachineType, RentRequest,
+};
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
@@ -32,10 +34,10 @@
     Malformed,
 }
 
-const LIST: Span = Span(2500);
-const CATALOG: Span = Span(60_000);
-const NO_CAPACITY: Span = Span(15_000);
-const RETRY: Span = Span(1500);
+const LIST: Millis = Millis(2500);
+const CATALOG: Millis = Millis(60_000);
+const NO_CAPACITY: Millis = Millis(15_000);
+const RETRY: Millis = Millis(1500);
 const MOST_DELETED: usize = 100;
 
 #[derive(Clone, Debug)]
@@ -43,34 +45,34 @@
     type_name: TypeName,
     zone: Zone,
     spot: bool,
-    rented: Time,
-    seen: Time,
+    rented: MonotonicTime,
+    seen: MonotonicTime,
 }
 
 #[derive(Debug)]
 struct Rental {
     request: RentRequest,
     sent: bool,
-    retry_at: Time,
-    since: Time,
+    retry_at: MonotonicTime,
+    since: MonotonicTime,
 }
 
 pub struct Fleet {
     config: Config,
     term: Revision,
-    term_since: Time,
+    term_since: MonotonicTime,
     counter: u64,
     booting: BTreeMap<MachineId, Boot>,
     failed: BTreeSet<MachineId>,
     rentals: Vec<Rental>,
-    no_capacity: BTreeMap<(TypeName, Zone, bool), Time>,
-    deleting: BTreeMap<MachineId, Time>,
+    no_capacity: BTreeMap<(TypeName, Zone, bool), MonotonicTime>,
+    deleting: BTreeMap<MachineId, MonotonicTime>,
     /// Since when a machine gets nothing new.
-    left: BTreeMap<MachineId, Time>,
+    left: BTreeMap<MachineId, MonotonicTime>,
     /// Deleted lately: the list still shows them for a while.
-    deleted: BTreeMap<MachineId, Time>,
+    deleted: BTreeMap<MachineId, MonotonicTime>,
     /// The load of the last while, its latest, and what the usable machines hold.
-    recent: VecDeque<(Time, Load)>,
+    recent: VecDeque<(MonotonicTime, Load)>,
     load: Load,
     flow: Flow,
     batches: Vec<Batch>,
@@ -78,13 +80,13 @@
     /// What ordinary machines hold of it, and what is kept for the next replicas.
     steady: u64,
     spare: u64,
-    pub wall: Wall,
+    pub unix_time: UnixTime,
     /// How many changes the state service takes in a second from all controllers.
     pub change_rate: f64,
-    next_list: Time,
+    next_list: MonotonicTime,
     listing: bool,
-    next_catalog: Time,
-    next_return: Time,
+    next_catalog: MonotonicTime,
+    next_return: MonotonicTime,
     catalog: Option<Catalog>,
 }
 
@@ -93,7 +95,7 @@
         Self {
             config: config.clone(),
             term: Revision(0),
-            term_since: Time::default(),
+            term_since: MonotonicTime::default(),
             counter: 0,
             booting: BTreeMap::new(),
             failed: BTreeSet::new(),
@@ -109,22 +111,22 @@
             capacity: 0,
             steady: 0,
             spare: 0,
-            wall: Wall(0),
+            unix_time: UnixTime(0),
             change_rate: config.state.rates.changes,
-            next_list: Time::default(),
+            next_list: MonotonicTime::default(),
             listing: false,
-            next_catalog: Time::default(),
-            next_return: Time::default(),
+            next_catalog: MonotonicTime::default(),
+            next_return: MonotonicTime::default(),
             catalog: None,
         }
     }
 
-    pub fn on_catalog(&mut self, now: Time, catalog: Option<Catalog>) {
+    pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
         self.next_catalog = now
             + if catalog.is_some() {
                 CATALOG
             } else {
-                Span(1000)
+                Millis(1000)
             };
         if catalog.is_some() {
             self.catalog = catalog;
@@ -133,7 +135,7 @@
 
     /// The catalog to write, if the stored one is another; prices move all the time and are
     /// only stored along with a change of substance.
-    pub fn catalog_to_store(&self, replica: &Replica) -> Option<&Catalog> {
+    pub fn catalog_to_store(&self, cache: &WatchCache) -> Option<&Catalog> {
         let new = self.catalog.as_ref()?;
         let plain = |c: &Catalog| -> Vec<MachineType> {
             let strip = |t: &MachineType| MachineType {
@@ -143,14 +145,19 @@
             };
             c.types.iter().map(strip).collect()
         };
-        let same = replica
+        let same = cache
             .catalog
             .as_ref()
             .is_some_and(|old| plain(&old.value) == plain(new));
         (!same).then_some(new)
     }
 
-    pub fn on_list(&mut self, now: Time, machines: Option<Vec<ListedMachine>>, replica: &Replica) {
+    pub fn on_list(
+        &mut self,
+        now: MonotonicTime,
+        machines: Option<Vec<ListedMachine>>,
+        cache: &WatchCache,
+    ) {
         self.listing = false;
         self.next_list = now + LIST;
         let Some(machines) = machines else { return };
@@ -160,12 +167,12 @@
             }
             if m.state == MachineState::Failed {
                 self.failed.insert(m.id);
-            } else if !replica.machines.contains_key(&m.id) {
+            } else if !cache.machines.contains_key(&m.id) {
                 let boot = Boot {
                     type_name: m.type_name,
                     zone: m.zone,
                     spot: m.spot,
-                    rented: now - Span::from_secs(m.age_s),
+                    rented: now - Millis::from_secs(m.age_s),
                     seen: now,
                 };
                 self.booting
@@ -176,7 +183,7 @@
         }
     }
 
-    pub fn on_rent(&mut self, now: Time, request: &RentRequest, outcome: RentOutcome) {
+    pub fn on_rent(&mut self, now: MonotonicTime, request: &RentRequest, outcome: RentOutcome) {
         let Some(at) = self
             .rentals
             .iter()
@@ -216,14 +223,20 @@
                 rental.retry_at = now + RETRY;
                 // Demand has changed since; the name is never used again, and what the request
                 // may still rent is found in the list.
-                if now.since(rental.since) > Span(20_000) {
+                if now.since(rental.since) > Millis(20_000) {
                     self.rentals.remove(at);
                 }
             }
         }
     }
 
-    pub fn on_deleted(&mut self, now: Time, ids: &[MachineId], ok: bool, out: &mut Vec<Effect>) {
+    pub fn on_deleted(
+        &mut self,
+        now: MonotonicTime,
+        ids: &[MachineId],
+        ok: bool,
+        out: &mut Vec<Effect>,
+    ) {
         for id in ids {
             if ok {
                 self.deleting.remove(id);
@@ -237,7 +250,7 @@
         }
     }
 
-    fn enter(&mut self, term: Revision, now: Time) {
+    fn enter(&mut self, term: Revision, now: MonotonicTime) {
         if self.term != term {
             self.term = term;
             self.term_since = now;
@@ -252,9 +265,9 @@
 
     pub fn drive(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         term: Revision,
-        replica: &Replica,
+        cache: &WatchCache,
         scheduler: &mut Scheduler,
         out: &mut Vec<Effect>,
     ) {
@@ -264,21 +277,21 @@
             out.push(Effect::List);
         }
         if now >= self.next_catalog {
-            self.next_catalog = now + Span(5000);
+            self.next_catalog = now + Millis(5000);
             out.push(Effect::Catalog);
         }
         self.booting
-            .retain(|id, b| !replica.machines.contains_key(id) && now.since(b.seen) < Span(30_000));
-        self.deleted.retain(|_, at| now.since(*at) < Span(60_000));
+            .retain(|id, b| !cache.machines.contains_key(id) && now.since(b.seen) < Millis(30_000));
+        self.deleted.retain(|_, at| now.since(*at) < Millis(60_000));
         self.no_capacity.retain(|_, until| now < *until);
         // A machine whose record can't be removed yet is gone all the same: once is enough.
-        let silent = self.given_up(now, replica, scheduler);
+        let silent = self.given_up(now, cache, scheduler);
         self.give_up(now, silent);
-        let needless = self.unused(now, replica, scheduler);
+        let needless = self.unused(now, cache, scheduler);
         self.give_up(now, needless);
         // A record that came back with a late report, or whose removal failed, goes as well.
         for id in self.deleted.keys() {
-            if replica.machines.contains_key(id) {
+            if cache.machines.contains_key(id) {
                 out.push(Effect::DropRecord(id.clone()));
             }
         }
@@ -291,12 +304,12 @@
             .collect();
         if !due.is_empty() {
             for id in &due {
-                self.deleting.insert(id.clone(), now + Span(8000));
+                self.deleting.insert(id.clone(), now + Millis(8000));
                 scheduler.leaving.insert(id.clone());
             }
             out.push(Effect::Delete(due));
         }
-        self.rent(now, replica, scheduler);
+        self.rent(now, cache, scheduler);
         for rental in &mut self.rentals {
             if !rental.sent && now >= rental.retry_at {
                 rental.sent = true;
@@ -305,14 +318,15 @@
         }
     }
 
-    fn boot_time(&self, type_name: &TypeName, replica: &Replica) -> f64 {
-        replica.machine_type(type_name).map_or(60.0, |t| t.boot_s)
+    fn boot_time(&self, type_name: &TypeName, cache: &WatchCache) -> f64 {
+        cache.machine_type(type_name).map_or(60.0, |t| t.boot_s)
     }
 
     /// How long a machine may be silent before nothing is hoped for any more.
-    pub fn patience(&self, replica: &Replica) -> Span {
-        Span::from_secs(replica.settings().silent_s)
-            .max(self.config.report + Span(self.config.report.0 / 4 + 2500))
+    pub fn patience(&self, cache: &WatchCache) -> Millis {
+        Millis::from_secs(cache.settings().silent_s).max(
+            self.config.heartbeat_interval + Millis(self.config.heartbeat_interval.0 / 4 + 2500),
+        )
     }
 
     /// The cloud has answered its deletion.
@@ -321,7 +335,7 @@
     }
 
     /// These machines are deleted, whatever else is thought of them.
-    pub fn give_up(&mut self, now: Time, machines: Vec<MachineId>) {
+    pub fn give_up(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
         for id in machines {
             if !self.deleted.contains_key(&id) {
                 self.deleting.entry(id).or_insert(now);
--- a/src/cloud/fleet/rentals.rs
+++ b/src/cloud/fleet/rentals.rs
@@ -13,46 +13,51 @@
     type_name: TypeName,
     zone: Zone,
     spot: bool,
-    room: Amounts,
+    room: Resources,
 }
 
 impl Fleet {
-    pub(super) fn rent(&mut self, now: Time, replica: &Replica, scheduler: &mut Scheduler) {
+    pub(super) fn rent(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        scheduler: &mut Scheduler,
+    ) {
         // What an earlier leader has just rented shows in the list only after its lag: until
         // then a new one would rent it all again.
-        if now.since(self.term_since) < self.config.list_lag + Span(1500) {
+        if now.since(self.term_since) < self.config.list_lag + Millis(1500) {
             return;
         }
-        let stored = replica.catalog.as_ref().map(|c| &c.value);
+        let stored = cache.catalog.as_ref().map(|c| &c.value);
         let Some(catalog) = self.catalog.as_ref().or(stored).cloned() else {
             return;
         };
-        let mut coming = self.coming(now, &catalog, replica);
+        let mut coming = self.coming(now, &catalog, cache);
         let mut lack = self.lack(&catalog, &coming);
         if scheduler.shortages.iter().any(|s| s.together) || lack > 0 {
             let mut wanted = lack.max(1);
-            self.stay(&mut wanted, replica, scheduler);
+            self.stay(&mut wanted, cache, scheduler);
             lack = lack.min(wanted);
         }
         tracing::debug!(load = ?self.load, capacity = self.capacity, on_the_way = cpus(&coming), lack, shortages = scheduler.shortages.len(), leaving = scheduler.leaving.len(), "fleet");
-        for shortage in self.wanted(&coming, replica, scheduler) {
-            let left = lacking_tasks(&shortage, &mut lack, &mut coming, replica);
-            if !self.rent_for(now, &shortage, left, &mut coming, &catalog, replica) {
+        for shortage in self.wanted(&coming, cache, scheduler) {
+            let left = lacking_tasks(&shortage, &mut lack, &mut coming, cache);
+            if !self.rent_for(now, &shortage, left, &mut coming, &catalog, cache) {
                 return;
             }
         }
     }
 
     /// Machines that boot in time, and those that were asked for.
-    fn coming(&self, now: Time, catalog: &Catalog, replica: &Replica) -> Vec<Coming> {
+    fn coming(&self, now: MonotonicTime, catalog: &Catalog, cache: &WatchCache) -> Vec<Coming> {
         let room = |name: &TypeName| {
             let machine_type = catalog.types.iter().find(|t| t.name == *name);
             machine_type.map(MachineType::room)
         };
         let mut coming = Vec::new();
         for boot in self.booting.values() {
-            let late = BOOT_LATE * self.boot_time(&boot.type_name, replica);
-            let in_time = now.since(boot.rented) < Span::from_secs(late);
+            let late = BOOT_LATE * self.boot_time(&boot.type_name, cache);
+            let in_time = now.since(boot.rented) < Millis::from_secs(late);
             coming.extend(
                 room(&boot.type_name)
                     .filter(|_| in_time)
@@ -82,19 +87,24 @@
         let boot = catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let capacity = (self.capacity + cpus(coming)).saturating_sub(self.load.services);
         let lack = demand::lacking(&self.batches, capacity as f64, boot) as u64;
-        lack.max(self.flow.cpus(self.wall).saturating_sub(capacity))
+        lack.max(self.flow.cpus(self.unix_time).saturating_sub(capacity))
     }
 
     /// The shortages to rent for. What must run all at once comes first: the rest shares what is
     /// left.
-    fn wanted(&self, coming: &[Coming], replica: &Replica, scheduler: &Scheduler) -> Vec<Shortage> {
+    fn wanted(
+        &self,
+        coming: &[Coming],
+        cache: &WatchCache,
+        scheduler: &Scheduler,
+    ) -> Vec<Shortage> {
         let mut shortages = scheduler.shortages.clone();
         let steady_coming: u64 = coming.iter().filter(|c| !c.spot).map(|c| c.room.cpus).sum();
         let steady = self.steady + steady_coming;
         // The next replicas must not wait for a machine to boot.
         if steady < self.load.services + self.spare && !shortages.iter().any(|s| s.together) {
-            let mut jobs = replica.jobs.iter();
-            let service = jobs.find(|(_, j)| j.spec.kind == Kind::Service);
+            let mut jobs = cache.jobs.iter();
+            let service = jobs.find(|(_, j)| j.spec.kind == JobKind::Service);
             shortages.extend(service.map(|(id, job)| Shortage {
                 job: id.clone(),
                 need: job.spec.need(),
@@ -106,22 +116,22 @@
             }));
         }
         shortages.sort_by_key(|s| !s.together);
-        merged(shortages, replica)
+        merged(shortages, cache)
     }
 
     /// Asks for machines for so many tasks, of the cheapest kinds that the cloud may have.
     /// `false`: no more may be asked for now.
     fn rent_for(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         shortage: &Shortage,
         mut left: u64,
         coming: &mut Vec<Coming>,
         catalog: &Catalog,
-        replica: &Replica,
+        cache: &WatchCache,
     ) -> bool {
         while left > 0 {
-            let Some((machine_type, zone, spot)) = self.cheapest(catalog, replica, shortage, left)
+            let Some((machine_type, zone, spot)) = self.cheapest(catalog, cache, shortage, left)
             else {
                 break;
             };
@@ -163,11 +173,11 @@
     pub(super) fn cheapest<'a>(
         &self,
         catalog: &'a Catalog,
-        replica: &Replica,
+        cache: &WatchCache,
         shortage: &Shortage,
         left: u64,
     ) -> Option<(&'a MachineType, Zone, bool)> {
-        let spec = &replica.jobs.get(&shortage.job)?.spec;
+        let spec = &cache.jobs.get(&shortage.job)?.spec;
         let mut best: Option<(f64, usize, &MachineType, Zone, bool)> = None;
         for machine_type in &catalog.types {
             let per = shortage.need.count_in(machine_type.room());
@@ -195,7 +205,7 @@
                     // Others will join a replica; a batch leaves with its last task.
                     let tasks = if shortage.together { per } else { left };
                     let cost = price * tasks.div_ceil(per) as f64 / tasks as f64;
-                    let here = replica
+                    let here = cache
                         .machines
                         .values()
                         .filter(|m| m.record.zone == *zone)
@@ -224,13 +234,13 @@
     shortage: &Shortage,
     lack: &mut u64,
     coming: &mut [Coming],
-    replica: &Replica,
+    cache: &WatchCache,
 ) -> u64 {
-    let Some(job) = replica.jobs.get(&shortage.job) else {
+    let Some(job) = cache.jobs.get(&shortage.job) else {
         return 0;
     };
     let spec = &job.spec;
-    let at_once = shortage.together || !is_served(shortage, spec, coming, replica);
+    let at_once = shortage.together || !is_served(shortage, spec, coming, cache);
     if !at_once {
         let cpus = shortage.need.cpus;
         let tasks = lack.div_ceil(cpus.max(1)).min(shortage.tasks);
@@ -250,23 +260,23 @@
 
 /// Whether any machine of the fleet, or on its way, may run a shortage's tasks, however busy it
 /// is. Otherwise it needs one, however idle the others are.
-fn is_served(shortage: &Shortage, spec: &JobSpec, coming: &[Coming], replica: &Replica) -> bool {
+fn is_served(shortage: &Shortage, spec: &JobSpec, coming: &[Coming], cache: &WatchCache) -> bool {
     let fits = |type_name: &TypeName, zone: &Zone, spot: bool| {
-        let machine_type = replica.machine_type(type_name);
+        let machine_type = cache.machine_type(type_name);
         spec.allows(type_name, zone, spot)
             && machine_type.is_some_and(|t| shortage.need.fits(t.room()))
     };
-    let mut there = replica.machines.values().map(|m| &m.record);
+    let mut there = cache.machines.values().map(|m| &m.record);
     coming.iter().any(|c| fits(&c.type_name, &c.zone, c.spot))
         || there.any(|r| fits(&r.type_name, &r.zone, r.spot))
 }
 
 /// Arrays that may use the same machines rent together: calls are few, and each may bring many
 /// machines. They keep the place of the first of them.
-fn merged(shortages: Vec<Shortage>, replica: &Replica) -> Vec<Shortage> {
+fn merged(shortages: Vec<Shortage>, cache: &WatchCache) -> Vec<Shortage> {
     let mut list: Vec<Shortage> = Vec::new();
     for shortage in shortages {
-        let spec = |s: &Shortage| replica.jobs.get(&s.job).map(|j| j.spec.clone());
+        let spec = |s: &Shortage| cache.jobs.get(&s.job).map(|j| j.spec.clone());
         let same = |other: &&mut Shortage| {
             let alike = match (spec(&shortage), spec(other)) {
                 (Some(a), Some(b)) => (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot),
--- a/src/cloud/fleet/returns.rs
+++ b/src/cloud/fleet/returns.rs
@@ -6,7 +6,7 @@
 /// At most one in so many machines is emptied at a time.
 const RETURN_PART: usize = 50;
 /// The time between two rounds of it.
-const RETURN_PAUSE: Span = Span(800);
+const RETURN_PAUSE: Millis = Millis(800);
 
 /// A machine that could be emptied, in the order in which that is done.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -19,17 +19,17 @@
 }
 
 /// For so long a load counts that has passed.
-fn idle_window(replica: &Replica) -> Span {
-    Span::from_secs(replica.settings().idle_s)
+fn idle_window(cache: &WatchCache) -> Millis {
+    Millis::from_secs(cache.settings().idle_s)
 }
 
 /// Whether something that waits for room may run on a machine.
-fn may_serve_waiting(id: &MachineId, replica: &Replica, scheduler: &Scheduler) -> bool {
-    let Some(record) = replica.machines.get(id).map(|m| &m.record) else {
+fn may_serve_waiting(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+    let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
     };
     let waiting = scheduler.shortages.iter();
-    let mut jobs = waiting.filter_map(|s| replica.jobs.get(&s.job));
+    let mut jobs = waiting.filter_map(|s| cache.jobs.get(&s.job));
     jobs.any(|job| {
         job.spec
             .allows(&record.type_name, &record.zone, record.spot)
@@ -41,22 +41,22 @@
     /// those that are empty. What runs on them may finish; replicas are moved.
     pub(super) fn unused(
         &mut self,
-        now: Time,
-        replica: &Replica,
+        now: MonotonicTime,
+        cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) -> Vec<MachineId> {
-        self.measure_load(now, replica);
+        self.measure_load(now, cache);
         scheduler
             .leaving
-            .retain(|id| replica.machines.contains_key(id));
-        let movable = self.measure_capacity(now, replica, scheduler);
-        let emptied = self.emptied(now, replica, scheduler);
-        if self.has_looked_on(now, replica) && now >= self.next_return {
+            .retain(|id| cache.machines.contains_key(id));
+        let movable = self.measure_capacity(now, cache, scheduler);
+        let emptied = self.emptied(now, cache, scheduler);
+        if self.has_looked_on(now, cache) && now >= self.next_return {
             let short = scheduler.shortages.iter().any(|s| s.tasks > 0);
             if !short {
                 self.send_away(now, movable, scheduler);
-            } else if self.is_blocked(replica, scheduler) {
-                self.send_useless_away(now, movable, replica, scheduler);
+            } else if self.is_blocked(cache, scheduler) {
+                self.send_useless_away(now, movable, cache, scheduler);
             }
         }
         emptied
@@ -64,40 +64,40 @@
 
     /// Takes the load as it is now, and forgets what is older than the time for which a machine
     /// may idle.
-    fn measure_load(&mut self, now: Time, replica: &Replica) {
-        let turnaround = turnaround_s(replica, self.change_rate);
-        let (mut load, batches) = demand::load(self.wall, replica, &self.config, turnaround);
-        self.flow.look(self.wall, replica, turnaround);
-        load.arrays = load.arrays.max(self.flow.cpus(self.wall));
+    fn measure_load(&mut self, now: MonotonicTime, cache: &WatchCache) {
+        let turnaround = turnaround_s(cache, self.change_rate);
+        let (mut load, batches) = demand::load(self.unix_time, cache, &self.config, turnaround);
+        self.flow.look(self.unix_time, cache, turnaround);
+        load.arrays = load.arrays.max(self.flow.cpus(self.unix_time));
         self.recent.push_back((now, load));
-        let window = idle_window(replica);
-        let old = |at: Time| now.since(at) > window;
+        let window = idle_window(cache);
+        let old = |at: MonotonicTime| now.since(at) > window;
         while self.recent.front().is_some_and(|(at, _)| old(*at)) {
             self.recent.pop_front();
         }
         self.load = load;
         self.batches = batches;
-        self.spare = spare_replicas(replica).map_or(0, |(need, count)| need.cpus * count);
+        self.spare = spare_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
     }
 
     /// Takes what the machines hold that are there, and returns those that could be emptied.
     fn measure_capacity(
         &mut self,
-        now: Time,
-        replica: &Replica,
+        now: MonotonicTime,
+        cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<Movable> {
         (self.capacity, self.steady) = (0, 0);
         let mut movable = Vec::new();
-        let present = replica.machines.iter();
+        let present = cache.machines.iter();
         for (id, machine) in present.filter(|(id, _)| scheduler.present(now, id)) {
             let spot = machine.record.spot;
-            let room = replica
+            let room = cache
                 .machine_type(&machine.record.type_name)
                 .map_or(0, |t| t.room().cpus);
             self.capacity += room;
             self.steady += if spot { 0 } else { room };
-            let (replicas, in_use) = replicas(machine, replica);
+            let (replicas, in_use) = replicas(machine, cache);
             // Moving replicas costs them a moment: only where little is moved for much.
             if 4 * in_use.cpus > room {
                 continue;
@@ -114,17 +114,22 @@
     }
 
     /// Those that are leaving go once nothing is on them, or can be on its way to them any more.
-    fn emptied(&mut self, now: Time, replica: &Replica, scheduler: &Scheduler) -> Vec<MachineId> {
+    fn emptied(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        scheduler: &Scheduler,
+    ) -> Vec<MachineId> {
         self.left.retain(|id, _| scheduler.leaving.contains(id));
         for id in &scheduler.leaving {
             self.left.entry(id.clone()).or_insert(now);
         }
         let empty = |id: &&MachineId| {
-            let machine = replica.machines.get(*id);
-            let block = id.block(self.config.blocks());
+            let machine = cache.machines.get(*id);
+            let shard = id.shard(self.config.shards());
             let left = self.left.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && left.is_some_and(|at| !scheduler.allotted_before(block, *at))
+                && left.is_some_and(|at| !scheduler.allotted_before(shard, *at))
         };
         scheduler
             .leaving
@@ -136,14 +141,19 @@
     }
 
     /// A new leader first looks on for a while.
-    fn has_looked_on(&self, now: Time, replica: &Replica) -> bool {
+    fn has_looked_on(&self, now: MonotonicTime, cache: &WatchCache) -> bool {
         let first = self.recent.front();
-        first.is_some_and(|(at, _)| now.since(*at) + Span(1000) > idle_window(replica))
+        first.is_some_and(|(at, _)| now.since(*at) + Millis(1000) > idle_window(cache))
     }
 
     /// Lets machines leave that the highest load of the last while did not need: a part of the
     /// fleet at a time, a small one gives up one, a large one several.
-    fn send_away(&mut self, now: Time, mut movable: Vec<Movable>, scheduler: &mut Scheduler) {
+    fn send_away(
+        &mut self,
+        now: MonotonicTime,
+        mut movable: Vec<Movable>,
+        scheduler: &mut Scheduler,
+    ) {
         let peak = self
             .recent
             .iter()
@@ -167,21 +177,21 @@
     }
 
     /// Takes machines back that were to leave, when they are needed again after all.
-    pub(super) fn stay(&mut self, lack: &mut u64, replica: &Replica, scheduler: &mut Scheduler) {
+    pub(super) fn stay(&mut self, lack: &mut u64, cache: &WatchCache, scheduler: &mut Scheduler) {
         let none_waits = scheduler.shortages.is_empty();
         while *lack > 0 {
             let back = scheduler
                 .leaving
                 .iter()
-                .filter(|id| !self.deleting.contains_key(*id) && replica.machines.contains_key(*id))
-                .find(|id| none_waits || may_serve_waiting(id, replica, scheduler))
+                .filter(|id| !self.deleting.contains_key(*id) && cache.machines.contains_key(*id))
+                .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
                 .cloned();
             let Some(id) = back else { return };
             scheduler.leaving.remove(&id);
-            let room = replica
+            let room = cache
                 .machines
                 .get(&id)
-                .and_then(|m| replica.machine_type(&m.record.type_name))
+                .and_then(|m| cache.machine_type(&m.record.type_name))
                 .map_or(0, |t| t.room().cpus);
             *lack = lack.saturating_sub(room.max(1));
         }
@@ -189,14 +199,14 @@
 
     /// Whether something that must run all at once waits for a machine that the cloud has not got,
     /// with none on its way.
-    fn is_blocked(&self, replica: &Replica, scheduler: &Scheduler) -> bool {
-        let stored = replica.catalog.as_ref().map(|c| &c.value);
+    fn is_blocked(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+        let stored = cache.catalog.as_ref().map(|c| &c.value);
         let Some(catalog) = self.catalog.as_ref().or(stored) else {
             return false;
         };
         let together = scheduler.shortages.iter().filter(|s| s.together);
         together.into_iter().any(|shortage| {
-            let Some(job) = replica.jobs.get(&shortage.job) else {
+            let Some(job) = cache.jobs.get(&shortage.job) else {
                 return false;
             };
             let spec = &job.spec;
@@ -206,7 +216,7 @@
             asked.next().is_none()
                 && !booting.any(|b| spec.allows(&b.type_name, &b.zone, b.spot))
                 && self
-                    .cheapest(catalog, replica, shortage, shortage.tasks)
+                    .cheapest(catalog, cache, shortage, shortage.tasks)
                     .is_none()
         })
     }
@@ -215,13 +225,13 @@
     /// could give instead.
     fn send_useless_away(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         movable: Vec<Movable>,
-        replica: &Replica,
+        cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
         let is_useless = |machine: &Movable| {
-            machine.used == 0 && !may_serve_waiting(&machine.id, replica, scheduler)
+            machine.used == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
         };
         let most = 1 + movable.len() / RETURN_PART;
         let useless: Vec<MachineId> = movable
--- a/src/cloud/fleet/silence.rs
+++ b/src/cloud/fleet/silence.rs
@@ -12,21 +12,21 @@
     /// also the proof that their tasks are gone.
     pub(super) fn given_up(
         &self,
-        now: Time,
-        replica: &Replica,
+        now: MonotonicTime,
+        cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
         let mut list: Vec<MachineId> = self.failed.iter().cloned().collect();
-        list.extend(self.never_up(now, replica));
-        list.extend(self.silent(now, replica, scheduler));
+        list.extend(self.never_up(now, cache));
+        list.extend(self.silent(now, cache, scheduler));
         list
     }
 
     /// Machines that have taken far too long to boot.
-    fn never_up(&self, now: Time, replica: &Replica) -> Vec<MachineId> {
+    fn never_up(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
         let limit = |boot: &Boot| {
-            let boot_time = self.boot_time(&boot.type_name, replica);
-            Span::from_secs(BOOT_GIVEN_UP * boot_time.max(SHORTEST_BOOT))
+            let boot_time = self.boot_time(&boot.type_name, cache);
+            Millis::from_secs(BOOT_GIVEN_UP * boot_time.max(SHORTEST_BOOT))
         };
         let late = self
             .booting
@@ -37,34 +37,43 @@
 
     /// Machines of which nothing has been heard for too long, but for those where it is rather
     /// the holder that hears nothing.
-    fn silent(&self, now: Time, replica: &Replica, scheduler: &Scheduler) -> Vec<MachineId> {
+    fn silent(
+        &self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        scheduler: &Scheduler,
+    ) -> Vec<MachineId> {
         let mut list = Vec::new();
-        let patience = self.patience(replica);
-        let overdue = self.config.report + Span(self.config.report.0 / 4 + 500);
-        let mut by_holder: BTreeMap<&str, Quiet<'_>> = BTreeMap::new();
+        let patience = self.patience(cache);
+        let overdue =
+            self.config.heartbeat_interval + Millis(self.config.heartbeat_interval.0 / 4 + 500);
+        let mut by_owner: BTreeMap<&str, Quiet<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
-            let lease = replica.blocks.get(&id.block(self.config.blocks()));
-            let Some(lease) = lease.filter(|l| l.revision == health.last.fence) else {
+            let shard_record = cache.shards.get(&id.shard(self.config.shards()));
+            let Some(shard_record) = shard_record.filter(|l| l.revision == health.last.fence)
+            else {
                 continue;
             };
-            let entry = by_holder.entry(lease.value.holder.as_str()).or_default();
+            let entry = by_owner
+                .entry(shard_record.value.owner.as_str())
+                .or_default();
             entry.count += 1;
             entry.overdue += usize::from(health.last.silent >= overdue);
-            if health.last.silent >= patience && now.since(health.at) < Span(3000) {
+            if health.last.silent >= patience && now.since(health.at) < Millis(3000) {
                 entry.silent.push(id);
             }
         }
-        let all = by_holder.values().fold((0, 0), |(count, overdue), q| {
+        let all = by_owner.values().fold((0, 0), |(count, overdue), q| {
             (count + q.count, overdue + q.overdue)
         });
-        for quiet in by_holder.into_values() {
+        for quiet in by_owner.into_values() {
             let rest = (all.0 - quiet.count, all.1 - quiet.overdue);
             let doubtful = quiet.is_doubtful(rest);
             let silent = quiet.silent;
             // But most may really be gone: after a while they are given up all the same, or
             // their work would wait for ever (simulated seed 45).
             let given_up = silent.into_iter().filter(|id| {
-                !doubtful || scheduler.health[*id].last.silent >= Span(4 * patience.0)
+                !doubtful || scheduler.health[*id].last.silent >= Millis(4 * patience.0)
             });
             list.extend(given_up.cloned());
         }
--- a/src/cloud/fleet/tests.rs
+++ b/src/cloud/fleet/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::peers::MachineHealth;
+use crate::protocol::store::Item;
 use crate::store::keys;
-use crate::store::records::{BlockRecord, MachineRecord};
-use crate::wire::state::Item;
+use crate::store::records::{MachineRecord, ShardRecord};
 
 #[test]
 fn a_holder_that_alone_misses_many_machines_is_doubted_and_a_cut_off_zone_is_not() {
@@ -25,49 +25,49 @@
 #[test]
 fn a_silent_machine_is_deleted_once_however_long_its_record_stays() {
     let config = sample_config();
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let id = MachineId::from("vm-0001");
-    let block = id.block(config.blocks());
-    let lease = BlockRecord {
-        holder: "c0".into(),
+    let shard = id.shard(config.shards());
+    let shard_record = ShardRecord {
+        owner: "c0".into(),
         incarnation: crate::ids::Incarnation(1),
         term: Revision(1),
     };
     let machine = MachineRecord::new("1.1.1.1:1", &"t".into(), &"a".into(), false);
     let values = [
-        (keys::block(block), serde_json::to_value(&lease)),
+        (keys::shard(shard), serde_json::to_value(&shard_record)),
         (keys::machine(&id), serde_json::to_value(&machine)),
     ];
     for (key, value) in values {
         let value = value.expect("json");
-        replica.load(Item {
+        cache.load(Item {
             key,
             value,
             revision: Revision(5),
-            grant: None,
+            lease: None,
         });
     }
     let mut scheduler = Scheduler::new(&config);
     let mut fleet = Fleet::new(&config);
     let mut deletions = 0;
     for turn in 0..50 {
-        let now = Time(10_000 + turn * 400);
+        let now = MonotonicTime(10_000 + turn * 400);
         scheduler.on_health(
             now,
             vec![MachineHealth {
                 machine: id.clone(),
                 fence: Revision(5),
-                silent: Span(30_000),
-                missed: Span(30_000),
+                silent: Millis(30_000),
+                missed: Millis(30_000),
                 confirmed: true,
                 notice: None,
                 unrecorded: None,
                 gangs: Vec::new(),
             }],
-            &replica,
+            &cache,
         );
         let mut out = Vec::new();
-        fleet.drive(now, Revision(1), &replica, &mut scheduler, &mut out);
+        fleet.drive(now, Revision(1), &cache, &mut scheduler, &mut out);
         for effect in out {
             if let Effect::Delete(ids) = effect {
                 deletions += 1;
--- a/src/cloud/flow/tests.rs
+++ b/src/cloud/flow/tests.rs
@@ -1,42 +1,42 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::Revision;
+use crate::protocol::store::{Event, Item};
 use crate::store::keys;
 use crate::store::records::JobRecord;
-use crate::wire::state::{Event, Item};
 
 /// Jobs come evenly and end at once: what they need on average is seen all the same, and is
 /// forgotten when no more come.
 #[test]
 fn work_that_is_over_still_counts_until_its_window_has_passed() {
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let mut flow = Flow::default();
     let mut seen = Vec::new();
     for second in 0..200u64 {
-        let now = Wall(1_000_000 + 1000 * second);
+        let now = UnixTime(1_000_000 + 1000 * second);
         let id = format!("job-{second:06}");
         if second < 120 {
-            let mut spec = crate::wire::tests::spec(&id);
+            let mut spec = crate::protocol::tests::spec(&id);
             spec.tasks = 10;
             let record = JobRecord::new(spec, now);
-            replica.load(Item {
+            cache.load(Item {
                 key: keys::job(&id.as_str().into()),
                 value: serde_json::to_value(&record).expect("json"),
                 revision: Revision(2 * second + 1),
-                grant: None,
+                lease: None,
             });
         }
-        flow.look(now, &replica, 3.0);
+        flow.look(now, &cache, 3.0);
         let gone = Event {
             delete: Some(keys::job(&id.as_str().into())),
             put: None,
             value: serde_json::Value::Null,
             revision: Revision(2 * second + 2),
         };
-        replica.apply(Revision(2 * second + 2), vec![gone]);
+        cache.apply(Revision(2 * second + 2), vec![gone]);
         seen.push(flow.cpus(now));
     }
-    let spec = crate::wire::tests::spec("job-1");
+    let spec = crate::protocol::tests::spec("job-1");
     let least = 10.0 * spec.need().cpus as f64 * spec.estimate_s;
     assert_eq!(seen[30], 0, "too early to tell");
     assert!(seen[100] as f64 >= least, "{} of {least}", seen[100]);
--- a/src/cloud/overdue.rs
+++ b/src/cloud/overdue.rs
@@ -5,22 +5,22 @@
 //! That a job is gone from the mirror does not say how it ended, and most end done; deleting
 //! machines for those would throw away healthy work. So the state service is asked first.
 
-use crate::ids::{JobId, MachineId, Run, Span, Time};
-use crate::store::replica::Replica;
-use crate::wire::JobState;
+use crate::ids::{JobId, MachineId, Millis, MonotonicTime, TaskAttempt};
+use crate::protocol::JobState;
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The part of the time for a cancellation that is kept for asking and deleting: the cloud may be
 /// out, and a deletion be refused and asked again.
 const RESERVE: u64 = 2;
 /// A question without an answer is asked again after this.
-const ASK_AGAIN: Span = Span(2000);
+const ASK_AGAIN: Millis = Millis(2000);
 
 #[derive(Debug)]
-struct Ended {
+struct EndedJob {
     /// Not known for those that were over when this process began: that may be long ago.
-    since: Option<Time>,
-    asked: Option<Time>,
+    since: Option<MonotonicTime>,
+    asked: Option<MonotonicTime>,
     state: Option<JobState>,
 }
 
@@ -28,7 +28,7 @@
 /// controller keeps it, so that the next leader knows the times as well.
 #[derive(Debug, Default)]
 pub struct Overdue {
-    ended: BTreeMap<JobId, Ended>,
+    ended: BTreeMap<JobId, EndedJob>,
     begun: bool,
 }
 
@@ -43,18 +43,18 @@
 
 impl Overdue {
     /// Notes which jobs are over. A process that has just begun can't know for how long.
-    pub fn look(&mut self, now: Time, replica: &Replica) {
+    pub fn look(&mut self, now: MonotonicTime, cache: &WatchCache) {
         let since = self.begun.then_some(now);
         self.begun = true;
-        let groups = replica.machines.values().flat_map(|m| &m.record.jobs);
+        let groups = cache.machines.values().flat_map(|m| &m.record.jobs);
         let over: BTreeSet<&JobId> = groups
             .map(|g| &g.job)
-            .filter(|job| !replica.jobs.contains_key(*job))
+            .filter(|job| !cache.jobs.contains_key(*job))
             .collect();
         self.ended.retain(|job, _| over.contains(job));
         for job in over {
             if !self.ended.contains_key(job) {
-                let ended = Ended {
+                let ended = EndedJob {
                     since,
                     asked: None,
                     state: None,
@@ -65,9 +65,9 @@
     }
 
     /// A job was cancelled so long ago: known for certain, with no need to ask.
-    pub fn cancelled(&mut self, now: Time, job: &JobId, age: Span) {
-        let at = Time(now.0.saturating_sub(age.0));
-        let ended = self.ended.entry(job.clone()).or_insert(Ended {
+    pub fn cancelled(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
+        let at = MonotonicTime(now.0.saturating_sub(age.0));
+        let ended = self.ended.entry(job.clone()).or_insert(EndedJob {
             since: None,
             asked: None,
             state: None,
@@ -77,7 +77,7 @@
     }
 
     /// How long ago a job was cancelled, if it is known and has tasks on record.
-    pub fn age(&self, now: Time, job: &JobId) -> Option<Span> {
+    pub fn age(&self, now: MonotonicTime, job: &JobId) -> Option<Millis> {
         let ended = self.ended.get(job)?;
         let cancelled = ended.state == Some(JobState::Cancelled);
         ended.since.filter(|_| cancelled).map(|at| now.since(at))
@@ -93,24 +93,24 @@
     /// for so long that no command can be hoped to arrive, without the tasks that are `freed`.
     pub fn due(
         &mut self,
-        now: Time,
-        cancel: Span,
-        replica: &Replica,
+        now: MonotonicTime,
+        cancel: Millis,
+        cache: &WatchCache,
         silent: impl Fn(&MachineId) -> bool,
-        freed: impl Fn(&Run) -> bool,
+        freed: impl Fn(&TaskAttempt) -> bool,
     ) -> Due {
         let mut due = Due::default();
-        let limit = Span(cancel.0 - cancel.0 / RESERVE);
-        for (id, machine) in &replica.machines {
+        let limit = Millis(cancel.0 - cancel.0 / RESERVE);
+        for (id, machine) in &cache.machines {
             if self.ended.is_empty() || !silent(id) {
                 continue;
             }
-            for (run, _) in machine.record.runs() {
-                let Some(ended) = self.ended.get_mut(&run.task.job) else {
+            for (attempt, _) in machine.record.runs() {
+                let Some(ended) = self.ended.get_mut(&attempt.task.job) else {
                     continue;
                 };
                 let early = ended.since.is_some_and(|at| now.since(at) < limit);
-                if early || freed(&run) {
+                if early || freed(&attempt) {
                     continue;
                 }
                 match ended.state {
@@ -121,7 +121,7 @@
                     Some(_) => {}
                     None if ended.asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) => {
                         ended.asked = Some(now);
-                        due.ask.push(run.task.job.clone());
+                        due.ask.push(attempt.task.job.clone());
                     }
                     None => {}
                 }
--- a/src/cloud/turnaround.rs
+++ b/src/cloud/turnaround.rs
@@ -6,18 +6,21 @@
 
 use crate::placement::RECORDS_SHARE;
 use crate::planning::predicted_s;
-use crate::store::replica::Replica;
-use crate::wire::Kind;
+use crate::protocol::JobKind;
+use crate::store::watch_cache::WatchCache;
 
 /// The way there and back, where changes are plenty.
 const LEAST: f64 = 3.0;
 
 /// In seconds, on average. `changes`: what the state service takes in a second.
-pub fn turnaround_s(replica: &Replica, changes: f64) -> f64 {
-    let arrays = replica.jobs.values().filter(|j| j.spec.kind == Kind::Array);
+pub fn turnaround_s(cache: &WatchCache, changes: f64) -> f64 {
+    let arrays = cache
+        .jobs
+        .values()
+        .filter(|j| j.spec.kind == JobKind::Array);
     let ends = arrays.map(|job| job.placed.len() as f64 / predicted_s(job).max(1.0));
     let wait = wait_s(
-        replica.machines.len() as f64,
+        cache.machines.len() as f64,
         ends.sum(),
         changes * RECORDS_SHARE,
     );
--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -7,7 +7,7 @@
 mod old_records;
 mod samples;
 
-use crate::ids::{GrantId, Incarnation, Wall};
+use crate::ids::{Incarnation, LeaseId, UnixTime};
 use crate::peers::encode_frame;
 use crate::store::records::{JobRecord, MemberRecord, PlanRecord, ProgramVersion};
 use samples::{JOB, machine_record, messages, records};
@@ -69,14 +69,14 @@
 /// What this version writes is read by production's types, new fields and all.
 #[test]
 fn records_of_this_version_are_read_by_the_version_in_production() {
-    let member = MemberRecord::new(Incarnation(12), GrantId(7));
+    let member = MemberRecord::new(Incarnation(12), LeaseId(7));
     let read: old_records::Member = read_by_old(json!(member));
     assert_eq!((read.incarnation, read.grant), (12, 7));
-    let mut spec = crate::wire::tests::spec(JOB);
+    let mut spec = crate::protocol::tests::spec(JOB);
     let plain: old_records::Job = read_by_old(golden("job"));
     spec.dependencies = vec!["job-000001".into()];
-    let mut record = JobRecord::new(spec, Wall(plain.accepted));
-    record.released = Some(Wall(1_700_000_000_500));
+    let mut record = JobRecord::new(spec, UnixTime(plain.accepted));
+    record.released = Some(UnixTime(1_700_000_000_500));
     assert_eq!(read_by_old::<old_records::Job>(json!(record)), plain);
     let plan = PlanRecord {
         type_name: Some("t8".into()),
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -3,27 +3,27 @@
 use crate::admin::Settings;
 use crate::cancellation::RoundId;
 use crate::ids::{
-    Attempt, BlockId, GrantId, Incarnation, JobId, MachineId, Member, Revision, Run, Span, TaskId,
-    Wall,
+    AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, ShardId,
+    TaskAttempt, TaskId, UnixTime,
 };
-use crate::peers::{Allotment, End, Ended, MachineHealth, Message};
+use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message};
+use crate::protocol::{Catalog, ExitReason, JobState};
 use crate::store::records::{
-    Bitmap, BlockRecord, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, OverRecord,
-    PlanBatch, PlanRecord,
+    Bitmap, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, OverRecord, PlanBatch,
+    PlanRecord, ShardRecord,
 };
-use crate::wire::{Catalog, JobState, Why};
 use serde::Serialize;
 use serde_json::{Value, json};
 
 pub const JOB: &str = "job-000412";
 
-fn run(index: u32) -> Run {
-    Run {
+fn run(index: u32) -> TaskAttempt {
+    TaskAttempt {
         task: TaskId {
             job: JOB.into(),
             index,
         },
-        attempt: Attempt((77 << 20) + u64::from(index)),
+        number: AttemptNumber((77 << 20) + u64::from(index)),
     }
 }
 
@@ -34,23 +34,23 @@
 /// A machine with running and finished tasks of one job.
 pub fn machine_record() -> MachineRecord {
     let mut record = MachineRecord::new("10.1.0.232:9000", &"t8".into(), &"a".into(), true);
-    let spec = crate::wire::tests::spec(JOB);
+    let spec = crate::protocol::tests::spec(JOB);
     record.add(&run(2), &spec);
     record.add(&run(3), &spec);
     record.count(&JOB.into(), 0, 1);
     record
 }
 
-fn ended(end: End) -> Message {
-    Message::Ended(Ended {
-        run: run(2),
+fn ended(end: AttemptOutcome) -> Message {
+    Message::EndedAttempt(EndedAttempt {
+        attempt: run(2),
         machine: machine(),
         revision: Revision(431),
         type_name: "t8".into(),
         pipeline: Some("batch".into()),
         end,
         estimate_s: 30.0,
-        ran: Some(Span(28_500)),
+        ran: Some(Millis(28_500)),
     })
 }
 
@@ -58,12 +58,12 @@
     Message::Health(vec![MachineHealth {
         machine: machine(),
         fence: Revision(41),
-        silent: Span(1200),
-        missed: Span(3000),
+        silent: Millis(1200),
+        missed: Millis(3000),
         confirmed: true,
-        notice: Some(Span(8000)),
+        notice: Some(Millis(8000)),
         unrecorded: Some(machine_record()),
-        gangs: vec![(JOB.into(), Attempt(9))],
+        gangs: vec![(JOB.into(), AttemptNumber(9))],
     }])
 }
 
@@ -82,10 +82,10 @@
         (
             "Allot",
             Message::Allot(Allotment {
-                block: BlockId(4),
+                shard: ShardId(4),
                 fence: Revision(41),
                 job_revision: Revision(400),
-                runs: vec![run(0), run(1)],
+                attempts: vec![run(0), run(1)],
                 preferred: vec![machine()],
             }),
         ),
@@ -93,19 +93,22 @@
             "Refused",
             Message::Refused {
                 fence: Revision(41),
-                runs: vec![run(0)],
+                attempts: vec![run(0)],
             },
         ),
-        ("EndedDone", ended(End::Done)),
-        ("EndedExited", ended(End::Exited(Why::NoRoom))),
-        ("EndedAbsent", ended(End::Absent)),
+        ("EndedDone", ended(AttemptOutcome::Done)),
+        (
+            "EndedExited",
+            ended(AttemptOutcome::Exited(ExitReason::NoRoom)),
+        ),
+        ("EndedAbsent", ended(AttemptOutcome::Absent)),
         ("Freed", Message::Freed(vec![(machine(), run(2), true)])),
         (
             "Stop",
             Message::Stop {
                 machine: machine(),
-                run: run(2),
-                grace: Span(4000),
+                attempt: run(2),
+                grace: Millis(4000),
             },
         ),
         (
@@ -114,7 +117,7 @@
                 round: RoundId(3),
                 job: job(),
                 revision: Revision(500),
-                age: Span(20),
+                age: Millis(20),
             },
         ),
         (
@@ -122,7 +125,7 @@
             Message::CancelledKnown {
                 round: RoundId(3),
                 job: job(),
-                settled: vec![(BlockId(4), Revision(41))],
+                settled: vec![(ShardId(4), Revision(41))],
             },
         ),
         (
@@ -205,16 +208,19 @@
         member: "mooring-1".into(),
         incarnation: Incarnation(12),
     };
-    let block = BlockRecord {
-        holder: "mooring-1".into(),
+    let shard = ShardRecord {
+        owner: "mooring-1".into(),
         incarnation: Incarnation(12),
         term: Revision(40),
     };
-    let job = JobRecord::new(crate::wire::tests::spec(JOB), Wall(1_700_000_000_000));
+    let job = JobRecord::new(
+        crate::protocol::tests::spec(JOB),
+        UnixTime(1_700_000_000_000),
+    );
     let over = |state, tasks| OverRecord { state, tasks };
     vec![
         ("leader", json_of(&leader)),
-        ("block", json_of(&block)),
+        ("block", json_of(&shard)),
         ("job", json_of(&job)),
         ("segment", json_of(&segment())),
         ("over-done", json_of(&over(JobState::Done, 4))),
@@ -224,6 +230,6 @@
         ("history", json_of(&history())),
         ("catalog", json_of(&catalog())),
         ("settings", json_of(&Settings::default())),
-        ("grant", json_of(&GrantId(7))),
+        ("grant", json_of(&LeaseId(7))),
     ]
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -6,7 +6,7 @@
 pub use state_limits::{StateLimits, StateRates};
 pub use team::Team;
 
-use crate::ids::{Amounts, Member, Pipeline, Span, TeamId, Zone};
+use crate::ids::{Member, Millis, Pipeline, Resources, TeamId, Zone};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,21 +39,21 @@
     pub state_addr: SocketAddr,
     pub controllers: u32,
     pub teams: BTreeMap<TeamId, Team>,
-    pub report: Span,
+    pub heartbeat_interval: Millis,
     /// Without an answer for so long a worker drops its tasks.
-    pub lease: Span,
-    pub gang_wait: Span,
+    pub worker_lease: Millis,
+    pub gang_wait: Millis,
     /// Within this time all tasks of a cancelled job must be gone.
-    pub cancel: Span,
+    pub cancel: Millis,
     /// How long work within a guarantee waits before room is made for it: half of what the
     /// operators are held to.
-    pub guarantee_patience: Span,
+    pub guarantee_patience: Millis,
     /// Within this time the operators want the jobs of a pipeline done: the shortest of their
     /// objectives for it.
-    pub finish_within: BTreeMap<Pipeline, Span>,
+    pub finish_within: BTreeMap<Pipeline, Millis>,
     pub state: StateLimits,
     pub cloud_rps: f64,
-    pub list_lag: Span,
+    pub list_lag: Millis,
     pub sockets: usize,
     /// The largest answer of the state service that is read at once.
     pub answer_bytes: usize,
@@ -178,13 +178,13 @@
 }
 
 /// The shortest time for each pipeline among the objectives that say when its jobs should be done.
-fn finish_within(objectives: &[FileObjective]) -> BTreeMap<Pipeline, Span> {
-    let mut shortest: BTreeMap<Pipeline, Span> = BTreeMap::new();
+fn finish_within(objectives: &[FileObjective]) -> BTreeMap<Pipeline, Millis> {
+    let mut shortest: BTreeMap<Pipeline, Millis> = BTreeMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "finished") {
         let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) else {
             continue;
         };
-        let within = Span::from_secs(within_s);
+        let within = Millis::from_secs(within_s);
         let entry = shortest.entry(class.as_str().into()).or_insert(within);
         *entry = within.min(*entry);
     }
@@ -233,8 +233,8 @@
                 }
             }
             let team_amounts = Team::new(
-                Amounts::room(team.cpus, team.gpus, 0.0),
-                Amounts::room(team.cpus_max, team.gpus_max, 0.0),
+                Resources::room(team.cpus, team.gpus, 0.0),
+                Resources::room(team.cpus_max, team.gpus_max, 0.0),
             );
             if teams
                 .insert(TeamId::from(team.name.as_str()), team_amounts)
@@ -262,18 +262,21 @@
             cloud_addr: address("services.cloud", &file.services.cloud)?,
             state_addr: address("services.state", &file.services.state)?,
             teams,
-            lease: Span::from_secs(positive("params.workers.lease_s", workers.lease_s)?),
-            report: Span::from_secs(positive("params.workers.report_s", workers.report_s)?),
+            worker_lease: Millis::from_secs(positive("params.workers.lease_s", workers.lease_s)?),
+            heartbeat_interval: Millis::from_secs(positive(
+                "params.workers.report_s",
+                workers.report_s,
+            )?),
             finish_within: finish_within(&params.objectives),
-            guarantee_patience: Span::from_secs(within.unwrap_or(10.0) / 2.0),
-            cancel: Span::from_secs(positive("params.workers.cancel_s", workers.cancel_s)?),
-            gang_wait: Span::from_secs(positive(
+            guarantee_patience: Millis::from_secs(within.unwrap_or(10.0) / 2.0),
+            cancel: Millis::from_secs(positive("params.workers.cancel_s", workers.cancel_s)?),
+            gang_wait: Millis::from_secs(positive(
                 "params.workers.gang_wait_s",
                 workers.gang_wait_s,
             )?),
             state: StateLimits::check(&params.state)?,
             cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
-            list_lag: Span::from_secs(not_negative(
+            list_lag: Millis::from_secs(not_negative(
                 "params.cloud.list_lag_s",
                 params.cloud.list_lag_s,
             )?),
@@ -287,7 +290,7 @@
     }
 
     /// Two blocks for each controller: when one ends, its machines spread over the others.
-    pub fn blocks(&self) -> u32 {
+    pub fn shards(&self) -> u32 {
         self.controllers * 2
     }
 
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -1,6 +1,6 @@
 //! What a team is guaranteed and may use.
 
-use crate::ids::Amounts;
+use crate::ids::Resources;
 
 /// Of each kind of room an amount, or none. Without a limit a team may use any amount of that
 /// kind. Without a guarantee of a kind, what a job takes of that kind does not count: a guarantee
@@ -12,17 +12,17 @@
 }
 
 /// The kinds that guarantees and limits are given in. Memory has neither.
-fn kinds(amounts: Amounts) -> [u64; 2] {
+fn kinds(amounts: Resources) -> [u64; 2] {
     [amounts.cpus, amounts.gpus]
 }
 
-fn above_zero(amounts: Amounts) -> [Option<u64>; 2] {
+fn above_zero(amounts: Resources) -> [Option<u64>; 2] {
     kinds(amounts).map(|a| (a > 0).then_some(a))
 }
 
 impl Team {
     /// A value of 0 means none.
-    pub fn new(guarantee: Amounts, limit: Amounts) -> Self {
+    pub fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
             guarantee: above_zero(guarantee),
             limit: above_zero(limit),
@@ -30,9 +30,9 @@
     }
 
     /// What it may use; all there is of a kind without a limit.
-    pub fn limit(&self) -> Amounts {
+    pub fn limit(&self) -> Resources {
         let [cpus, gpus] = self.limit.map(|l| l.unwrap_or(u64::MAX));
-        Amounts {
+        Resources {
             cpus,
             gpus,
             memory: u64::MAX,
@@ -40,20 +40,20 @@
     }
 
     /// Whether the guarantee speaks of anything that a task takes.
-    pub fn guarantees(&self, need: Amounts) -> bool {
+    pub fn guarantees(&self, need: Resources) -> bool {
         let named = self.guarantee.iter().zip(kinds(need));
         named.into_iter().any(|(g, need)| g.is_some() && need > 0)
     }
 
     /// Whether a use goes beyond the guarantee in any kind, those that it does not speak of
     /// included.
-    pub fn is_exceeded(&self, used: Amounts) -> bool {
+    pub fn is_exceeded(&self, used: Resources) -> bool {
         let each = self.guarantee.iter().zip(kinds(used));
         each.into_iter().any(|(g, used)| used > g.unwrap_or(0))
     }
 
     /// Whether a sum of needs stays within the guarantee.
-    pub fn covers(&self, sum: Amounts) -> bool {
+    pub fn covers(&self, sum: Resources) -> bool {
         let each = self.guarantee.iter().zip(kinds(sum));
         each.into_iter()
             .all(|(g, used)| g.is_none_or(|g| used <= g))
@@ -64,9 +64,9 @@
 impl Team {
     /// With so many CPUs, in thousandths.
     pub fn of_cpus(guarantee: u64, limit: u64) -> Self {
-        let cpus = |cpus| Amounts {
+        let cpus = |cpus| Resources {
             cpus,
-            ..Amounts::default()
+            ..Resources::default()
         };
         Self::new(cpus(guarantee), cpus(limit))
     }
--- a/src/config/team/tests.rs
+++ b/src/config/team/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn amounts(cpus: u64, gpus: u64) -> Amounts {
-    Amounts {
+fn amounts(cpus: u64, gpus: u64) -> Resources {
+    Resources {
         cpus,
         gpus,
         memory: 7,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -9,27 +9,28 @@
 use crate::cloud::{self, Fleet, Overdue, RentOutcome};
 use crate::config::Config;
 use crate::ids::{
-    BlockId, GrantId, Incarnation, JobId, MachineId, Member, Revision, Run, Span, Time, Token,
+    FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, Millis, MonotonicTime, Revision,
+    ShardId, TaskAttempt,
 };
 use crate::leadership::{Hearing, Leadership};
-use crate::peers::{End, Message};
+use crate::peers::{AttemptOutcome, Message};
 use crate::placement::{self, Scheduler};
 use crate::planning::{History, counter, plan_job};
+use crate::protocol::store::{Event, Txn};
+use crate::protocol::{Catalog, Command, Heartbeat, JobState, ListedMachine, RentRequest};
 use crate::store::TxnOutcome;
 use crate::store::keys;
 use crate::store::records::{PlanBatch, PlanRecord};
-use crate::store::replica::Replica;
 use crate::store::tokens::Class;
-use crate::wire::state::{Event, Txn};
-use crate::wire::{Catalog, JobState, ListedMachine, Order, RentRequest, Report};
-use crate::workers::{self, CallOutcome, CheckinAnswer, Holder};
+use crate::store::watch_cache::WatchCache;
+use crate::workers::{self, CallOutcome, HeartbeatAnswer, ShardOwner};
 use dependents::Dependents;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Whom a transaction's outcome concerns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TxnOwner {
-    Holder(MachineId),
+pub enum TxnRequester {
+    ShardOwner(MachineId),
     Leadership,
     /// A batch of plans, by their jobs.
     Plans(Vec<JobId>),
@@ -47,16 +48,16 @@
 #[derive(Debug)]
 pub enum Effect {
     Txn {
-        owner: TxnOwner,
+        requester: TxnRequester,
         class: Class,
         txn: Txn,
     },
     Call {
         machine: MachineId,
         addr: String,
-        token: Token,
-        session: crate::ids::Session,
-        orders: Vec<Order>,
+        token: FencingToken,
+        epoch: crate::ids::WorkerEpoch,
+        commands: Vec<Command>,
     },
     Peer(Member, Message),
     Rent(RentRequest),
@@ -67,78 +68,78 @@
     Standing(JobId),
 }
 
-const SCHEDULE_PAUSE: Span = Span(15);
-const SCHEDULE_EVERY: Span = Span(500);
-const FLEET_EVERY: Span = Span(400);
-const SYNC_EVERY: Span = Span(200);
-const HISTORY_EVERY: Span = Span(5000);
-const CLEAN_EVERY: Span = Span(2000);
-const OVERDUE_EVERY: Span = Span(1000);
+const SCHEDULE_PAUSE: Millis = Millis(15);
+const SCHEDULE_EVERY: Millis = Millis(500);
+const FLEET_EVERY: Millis = Millis(400);
+const SYNC_EVERY: Millis = Millis(200);
+const HISTORY_EVERY: Millis = Millis(5000);
+const CLEAN_EVERY: Millis = Millis(2000);
+const OVERDUE_EVERY: Millis = Millis(1000);
 /// A holder's own deletion that was not carried out is asked for again after this.
-const GIVE_UP_AGAIN: Span = Span(3000);
+const GIVE_UP_AGAIN: Millis = Millis(3000);
 /// Plans gather for so long, or until a record is half full, to be written in one change.
-const PLANS_GATHER: Span = Span(1000);
+const PLANS_GATHER: Millis = Millis(1000);
 /// Counters that are brought up to date at once.
 const FOLDS: usize = 4;
 /// A release without an outcome is tried again after this.
-const RELEASE_AGAIN: Span = Span(4000);
+const RELEASE_AGAIN: Millis = Millis(4000);
 /// Machine types that the state service refused for their size are offered again after this.
-const CATALOG_AGAIN: Span = Span(60_000);
+const CATALOG_AGAIN: Millis = Millis(60_000);
 /// The removal of a machine's record is tried again after this.
-const DROP_AGAIN: Span = Span(1000);
+const DROP_AGAIN: Millis = Millis(1000);
 /// For so long at the most it waits for jobs that are counted there.
-const COUNTED_FOR: Span = Span(60_000);
-const UNHEARD: Span = Span(10_000);
+const COUNTED_FOR: Millis = Millis(60_000);
+const UNHEARD: Millis = Millis(10_000);
 /// The turns of a large fleet lie further apart, by so many machines for a millisecond.
 const MACHINES_PER_MS: usize = 4;
 
 pub struct Controller {
     config: Config,
-    pub replica: Replica,
+    pub cache: WatchCache,
     pub leadership: Leadership,
-    pub holder: Holder,
+    pub shard_owner: ShardOwner,
     pub scheduler: Scheduler,
     pub fleet: Fleet,
     hearing: Hearing,
     overdue: Overdue,
-    next_overdue: Time,
+    next_overdue: MonotonicTime,
     /// Machines whose deletion was asked for without leading, and when.
-    giving_up: BTreeMap<MachineId, Time>,
+    giving_up: BTreeMap<MachineId, MonotonicTime>,
     rounds: Rounds,
     history: History,
     /// Plans that are made and not yet written.
     plans: BTreeMap<JobId, PlanRecord>,
     plans_in_flight: bool,
-    plans_since: Time,
-    plans_again: Time,
+    plans_since: MonotonicTime,
+    plans_again: MonotonicTime,
     plan_batch: u64,
-    releasing: BTreeMap<JobId, Time>,
+    releasing: BTreeMap<JobId, MonotonicTime>,
     dependents: Dependents,
     catalog_in_flight: bool,
-    catalog_again: Time,
-    dropping: BTreeMap<MachineId, Time>,
+    catalog_again: MonotonicTime,
+    dropping: BTreeMap<MachineId, MonotonicTime>,
     /// Since when machines are gone whose records still stand.
-    gone_since: BTreeMap<MachineId, Time>,
+    gone_since: BTreeMap<MachineId, MonotonicTime>,
     /// Since when no holder has spoken of a machine without a record.
-    unheard: BTreeMap<MachineId, Time>,
+    unheard: BTreeMap<MachineId, MonotonicTime>,
     dirty: bool,
-    next_schedule: Time,
-    last_schedule: Time,
-    next_fleet: Time,
-    assured: Time,
-    next_sync: Time,
-    next_history: Time,
-    next_clean: Time,
+    next_schedule: MonotonicTime,
+    last_schedule: MonotonicTime,
+    next_fleet: MonotonicTime,
+    assured: MonotonicTime,
+    next_sync: MonotonicTime,
+    next_history: MonotonicTime,
+    next_clean: MonotonicTime,
 }
 
 impl Controller {
     pub fn new(config: &Config, incarnation: Incarnation) -> Self {
-        let zero = Time::default();
+        let zero = MonotonicTime::default();
         Self {
             config: config.clone(),
-            replica: Replica::new(config),
+            cache: WatchCache::new(config),
             leadership: Leadership::new(config, incarnation),
-            holder: Holder::new(config, incarnation),
+            shard_owner: ShardOwner::new(config, incarnation),
             scheduler: Scheduler::new(config),
             fleet: Fleet::new(config),
             hearing: Hearing::new(config),
@@ -172,20 +173,20 @@
 
     /// The grant holds at least until then. Whoever can't say so may lead no longer without
     /// knowing it: it then stops nothing and leaves the cloud alone, since others place by now.
-    pub fn assure(&mut self, until: Time) {
+    pub fn assure(&mut self, until: MonotonicTime) {
         self.assured = until;
     }
 
-    pub fn set_grant(&mut self, now: Time, grant: Option<GrantId>) -> Vec<Effect> {
-        self.leadership.set_grant(grant, &self.replica);
+    pub fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
+        self.leadership.set_lease(lease, &self.cache);
         self.turn(now)
     }
 
     /// A mirror read anew takes the old one's place.
-    pub fn on_snapshot(&mut self, now: Time, mut replica: Replica) -> Vec<Effect> {
-        replica.keep_cancelled(&self.replica);
-        self.replica = replica;
-        self.holder.look_again();
+    pub fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
+        cache.keep_cancelled(&self.cache);
+        self.cache = cache;
+        self.shard_owner.look_again();
         self.dirty = true;
         self.next_sync = now;
         self.turn(now)
@@ -194,7 +195,7 @@
     /// The next changes of the stream; also the jobs that ended by them.
     pub fn on_events(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         revision: Revision,
         events: Vec<Event>,
     ) -> (Vec<Effect>, Vec<JobId>) {
@@ -202,78 +203,87 @@
             .iter()
             .filter_map(|e| keys::machine_of(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
-        let ended = self.replica.apply(revision, events);
+        let ended = self.cache.apply(revision, events);
         self.dirty = true;
         let mut out = Vec::new();
-        self.holder
-            .on_changed(now, &touched, &self.replica, &mut out);
+        self.shard_owner
+            .on_changed(now, &touched, &self.cache, &mut out);
         (self.finish(now, out), ended)
     }
 
-    pub fn on_checkin(&mut self, now: Time, report: &Report) -> (CheckinAnswer, Vec<Effect>) {
-        self.take_report(now, report, false)
+    pub fn on_heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        heartbeat: &Heartbeat,
+    ) -> (HeartbeatAnswer, Vec<Effect>) {
+        self.process_heartbeat(now, heartbeat, false)
     }
 
-    fn take_report(
+    fn process_heartbeat(
         &mut self,
-        now: Time,
-        report: &Report,
+        now: MonotonicTime,
+        heartbeat: &Heartbeat,
         relayed: bool,
-    ) -> (CheckinAnswer, Vec<Effect>) {
+    ) -> (HeartbeatAnswer, Vec<Effect>) {
         let mut out = Vec::new();
         let answer = self
-            .holder
-            .on_checkin(now, report, relayed, &self.replica, &mut out);
+            .shard_owner
+            .on_heartbeat(now, heartbeat, relayed, &self.cache, &mut out);
         (answer, self.finish(now, out))
     }
 
     /// A report that its worker could not bring here itself. `None`: it should try.
-    pub fn on_relayed_checkin(
+    pub fn on_relayed_heartbeat(
         &mut self,
-        now: Time,
-        report: &Report,
-    ) -> (Option<CheckinAnswer>, Vec<Effect>) {
-        if !self.holder.takes_relayed(now, &report.machine) {
+        now: MonotonicTime,
+        heartbeat: &Heartbeat,
+    ) -> (Option<HeartbeatAnswer>, Vec<Effect>) {
+        if !self.shard_owner.takes_relayed(now, &heartbeat.machine) {
             return (None, Vec::new());
         }
-        let (answer, effects) = self.take_report(now, report, true);
+        let (answer, effects) = self.process_heartbeat(now, heartbeat, true);
         (Some(answer), effects)
     }
 
     /// Machines held here whose reports have not come straight for so long that they may be cut
     /// off.
-    pub fn misses(&self, now: Time) -> Vec<MachineId> {
-        self.holder.misses(now)
+    pub fn misses(&self, now: MonotonicTime) -> Vec<MachineId> {
+        self.shard_owner.misses(now)
     }
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
     pub fn set_cut(&mut self, cut: bool) {
-        self.holder.cut = cut;
+        self.shard_owner.cut = cut;
     }
 
     pub fn on_call(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         machine: &MachineId,
-        token: Token,
+        token: FencingToken,
         outcome: CallOutcome,
     ) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.holder
-            .on_call(now, machine, token, outcome, &self.replica, &mut out);
+        self.shard_owner
+            .on_call(now, machine, token, outcome, &self.cache, &mut out);
         self.finish(now, out)
     }
 
-    pub fn on_txn(&mut self, now: Time, owner: &TxnOwner, outcome: &TxnOutcome) -> Vec<Effect> {
+    pub fn on_txn(
+        &mut self,
+        now: MonotonicTime,
+        requester: &TxnRequester,
+        outcome: &TxnOutcome,
+    ) -> Vec<Effect> {
         let mut out = Vec::new();
-        match owner {
-            TxnOwner::Holder(machine) => {
-                self.holder
-                    .on_txn(now, machine, outcome, &mut self.replica, &mut out);
+        match requester {
+            TxnRequester::ShardOwner(machine) => {
+                self.shard_owner
+                    .on_txn(now, machine, outcome, &mut self.cache, &mut out);
                 self.dirty = true;
             }
-            TxnOwner::Leadership => self.leadership.on_txn(now, outcome),
-            TxnOwner::Plans(jobs) => {
+            TxnRequester::Leadership => self.leadership.on_txn(now, outcome),
+            TxnRequester::Plans(jobs) => {
                 self.plans_in_flight = false;
                 // Under any other outcome they are written, or somebody else leads. A refusal
                 // for want of tokens comes back at once: without a pause it would go round and
@@ -281,11 +291,11 @@
                 self.plans_again = now + PLANS_GATHER;
                 let again = matches!(outcome, TxnOutcome::Refused);
                 for job in jobs.iter().filter(|_| again) {
-                    let plan = self.replica.plan(job).cloned();
+                    let plan = self.cache.plan(job).cloned();
                     self.plans.extend(plan.map(|p| (job.clone(), p)));
                 }
             }
-            TxnOwner::Release(job) => {
+            TxnRequester::Release(job) => {
                 let known = !matches!(outcome, TxnOutcome::Unknown);
                 if known && !matches!(outcome, TxnOutcome::Committed(_)) {
                     self.releasing.remove(job);
@@ -294,13 +304,13 @@
                     self.learn_outcome(job, JobState::Done);
                 }
             }
-            TxnOwner::Dependent(job) => self.on_release(now, job, outcome),
-            TxnOwner::CancelledDependents(jobs) => {
+            TxnRequester::Dependent(job) => self.on_release(now, job, outcome),
+            TxnRequester::CancelledDependents(jobs) => {
                 if let TxnOutcome::Committed(revision) = outcome {
                     self.dependents_cancelled(jobs, *revision);
                 }
             }
-            TxnOwner::Catalog => {
+            TxnRequester::Catalog => {
                 self.catalog_in_flight = false;
                 if matches!(outcome, TxnOutcome::Invalid) {
                     tracing::error!(
@@ -309,12 +319,12 @@
                     self.catalog_again = now + CATALOG_AGAIN;
                 }
             }
-            TxnOwner::Nobody => {}
+            TxnRequester::Nobody => {}
         }
         self.finish(now, out)
     }
 
-    pub fn on_peer(&mut self, now: Time, from: &Member, message: Message) -> Vec<Effect> {
+    pub fn on_peer(&mut self, now: MonotonicTime, from: &Member, message: Message) -> Vec<Effect> {
         let mut effects = Vec::new();
         match message {
             Message::Cancelled {
@@ -343,19 +353,23 @@
         effects
     }
 
-    pub fn on_catalog(&mut self, now: Time, catalog: Option<Catalog>) -> Vec<Effect> {
+    pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) -> Vec<Effect> {
         self.fleet.on_catalog(now, catalog);
         self.turn(now)
     }
 
-    pub fn on_list(&mut self, now: Time, machines: Option<Vec<ListedMachine>>) -> Vec<Effect> {
-        self.fleet.on_list(now, machines, &self.replica);
+    pub fn on_list(
+        &mut self,
+        now: MonotonicTime,
+        machines: Option<Vec<ListedMachine>>,
+    ) -> Vec<Effect> {
+        self.fleet.on_list(now, machines, &self.cache);
         self.turn(now)
     }
 
     pub fn on_rent(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         request: &RentRequest,
         outcome: RentOutcome,
     ) -> Vec<Effect> {
@@ -363,7 +377,7 @@
         self.turn(now)
     }
 
-    pub fn on_deleted(&mut self, now: Time, ids: &[MachineId], ok: bool) -> Vec<Effect> {
+    pub fn on_deleted(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) -> Vec<Effect> {
         let mut cloud = Vec::new();
         self.fleet.on_deleted(now, ids, ok, &mut cloud);
         let mut effects = self.cloud_effects(now, cloud);
@@ -371,28 +385,28 @@
         effects
     }
 
-    pub fn on_standing(&mut self, now: Time, job: &JobId, state: JobState) -> Vec<Effect> {
+    pub fn on_standing(&mut self, now: MonotonicTime, job: &JobId, state: JobState) -> Vec<Effect> {
         self.overdue.learn(job, state);
         self.learn_outcome(job, state);
         self.next_overdue = now;
         self.turn(now)
     }
 
-    pub fn tick(&mut self, now: Time, wall: crate::ids::Wall) -> Vec<Effect> {
-        self.fleet.wall = wall;
-        self.scheduler.wall = wall;
+    pub fn tick(&mut self, now: MonotonicTime, unix_time: crate::ids::UnixTime) -> Vec<Effect> {
+        self.fleet.unix_time = unix_time;
+        self.scheduler.unix_time = unix_time;
         self.turn(now)
     }
 
     /// How many changes the state service takes in a second from all controllers.
     pub fn set_change_rate(&mut self, changes: f64) {
-        self.holder.set_change_rate(changes);
+        self.shard_owner.set_change_rate(changes);
         self.scheduler.set_change_rate(changes);
         self.fleet.change_rate = changes;
     }
 
     /// When the next tick is due; events may ask for an earlier one.
-    pub fn wants_turn_at(&self, now: Time) -> Time {
+    pub fn wants_turn_at(&self, now: MonotonicTime) -> MonotonicTime {
         let schedule = if self.dirty {
             self.next_schedule
         } else {
@@ -401,20 +415,25 @@
         schedule.min(self.next_sync)
     }
 
-    fn finish(&mut self, now: Time, out: Vec<workers::Effect>) -> Vec<Effect> {
+    fn finish(&mut self, now: MonotonicTime, out: Vec<workers::Effect>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.holder_effects(now, out, &mut effects);
+        self.apply_owner_effects(now, out, &mut effects);
         effects.extend(self.turn(now));
         effects
     }
 
     /// Carries messages between this controller's own duties, and turns the rest into effects.
-    fn holder_effects(&mut self, now: Time, out: Vec<workers::Effect>, effects: &mut Vec<Effect>) {
+    fn apply_owner_effects(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<workers::Effect>,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut queue = VecDeque::from(out);
         while let Some(effect) = queue.pop_front() {
             match effect {
                 workers::Effect::Txn { machine, txn } => effects.push(Effect::Txn {
-                    owner: TxnOwner::Holder(machine),
+                    requester: TxnRequester::ShardOwner(machine),
                     class: Class::Place,
                     txn,
                 }),
@@ -422,17 +441,17 @@
                     machine,
                     addr,
                     token,
-                    session,
-                    orders,
+                    epoch,
+                    commands,
                 } => effects.push(Effect::Call {
                     machine,
                     addr,
                     token,
-                    session,
-                    orders,
+                    epoch,
+                    commands,
                 }),
                 workers::Effect::ToLeader(message) => {
-                    let Some(leader) = &self.replica.leader else {
+                    let Some(leader) = &self.cache.leader else {
                         continue;
                     };
                     if leader.value.member == self.config.member {
@@ -442,61 +461,62 @@
                     }
                 }
                 workers::Effect::Found(id, record) => {
-                    self.replica.discover(id, record);
-                    self.holder.look_again();
+                    self.cache.discover(id, record);
+                    self.shard_owner.look_again();
                     self.next_sync = now;
                 }
-                workers::Effect::Lost(id) => self.replica.forget(&id),
-                workers::Effect::RenewBlock(block) => self.renew(block, effects),
+                workers::Effect::Lost(id) => self.cache.forget(&id),
+                workers::Effect::RenewShard(shard) => self.renew(shard, effects),
             }
         }
     }
 
-    fn renew(&self, block: crate::ids::BlockId, effects: &mut Vec<Effect>) {
-        if let Some(txn) = self.leadership.renew_block(block, &self.replica) {
+    fn renew(&self, shard: crate::ids::ShardId, effects: &mut Vec<Effect>) {
+        if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
             effects.push(Effect::Txn {
-                owner: TxnOwner::Nobody,
+                requester: TxnRequester::Nobody,
                 class: Class::Place,
                 txn,
             });
         }
     }
 
-    fn deliver(&mut self, now: Time, message: Message, effects: &mut Vec<Effect>) {
+    fn deliver(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
         let mut out = Vec::new();
         match message {
             Message::Allot(allotment) => {
-                self.holder
-                    .on_allot(now, allotment, &self.replica, &mut out);
+                self.shard_owner
+                    .on_allot(now, allotment, &self.cache, &mut out);
             }
             Message::Stop {
                 machine,
-                run,
+                attempt,
                 grace,
             } => self
-                .holder
-                .on_stop(now, &machine, run, grace, &self.replica, &mut out),
-            Message::Freed(runs) => {
-                for (_, run, done) in &runs {
-                    if let Some(job) = self.replica.jobs.get_mut(&run.task.job).filter(|_| *done) {
-                        job.tell(run.task.index);
+                .shard_owner
+                .on_stop(now, &machine, attempt, grace, &self.cache, &mut out),
+            Message::Freed(attempts) => {
+                for (_, attempt, done) in &attempts {
+                    if let Some(job) = self.cache.jobs.get_mut(&attempt.task.job).filter(|_| *done)
+                    {
+                        job.tell(attempt.task.index);
                     }
                 }
-                self.scheduler.on_freed(runs);
+                self.scheduler.on_freed(attempts);
                 self.dirty = true;
             }
-            Message::Refused { fence, runs } => {
-                self.scheduler.on_refused(fence, &runs);
+            Message::Refused { fence, attempts } => {
+                self.scheduler.on_refused(fence, &attempts);
                 self.dirty = true;
             }
-            Message::Ended(ended) => {
-                if ended.end == End::Done
+            Message::EndedAttempt(ended) => {
+                if ended.end == AttemptOutcome::Done
                     && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.ran)
                 {
                     self.history
                         .add(pipeline, &ended.type_name, ended.estimate_s, ran);
                 }
-                self.scheduler.on_ended(now, &ended, &self.replica);
+                self.scheduler.on_ended(now, &ended, &self.cache);
                 self.dirty = true;
             }
             Message::Strays(machines) => self.hearing.on_strays(now, machines),
@@ -504,10 +524,10 @@
                 let urgent = health.len() == 1;
                 for h in &health {
                     if let Some(record) = &h.unrecorded {
-                        self.replica.discover(h.machine.clone(), record.clone());
+                        self.cache.discover(h.machine.clone(), record.clone());
                     }
                 }
-                self.scheduler.on_health(now, health, &self.replica);
+                self.scheduler.on_health(now, health, &self.cache);
                 self.dirty |= urgent;
             }
             // Dealt with before they get here.
@@ -519,37 +539,37 @@
             | Message::Cancelled { .. }
             | Message::CancelledKnown { .. } => {}
         }
-        self.holder_effects(now, out, effects);
+        self.apply_owner_effects(now, out, effects);
     }
 
     /// Does whatever is due. Called after every input.
-    fn turn(&mut self, now: Time) -> Vec<Effect> {
+    fn turn(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
         if now >= self.next_sync {
             self.next_sync = now + SYNC_EVERY;
             let mut out = Vec::new();
-            self.holder.sync(now, &self.replica, &mut out);
-            self.holder_effects(now, out, &mut effects);
+            self.shard_owner.sync(now, &self.cache, &mut out);
+            self.apply_owner_effects(now, out, &mut effects);
         }
-        if let Some(txn) = self.leadership.drive(now, &self.replica) {
+        if let Some(txn) = self.leadership.drive(now, &self.cache) {
             effects.push(Effect::Txn {
-                owner: TxnOwner::Leadership,
-                class: Class::Grant,
+                requester: TxnRequester::Leadership,
+                class: Class::Lease,
                 txn,
             });
         }
         let overdue = now >= self.next_overdue;
         if overdue {
             self.next_overdue = now + OVERDUE_EVERY;
-            self.overdue.look(now, &self.replica);
+            self.overdue.look(now, &self.cache);
         }
-        match self.leadership.settled_term(&self.replica) {
+        match self.leadership.settled_term(&self.cache) {
             Some(term) if now < self.assured => {
                 if overdue {
                     self.give_up_overdue(now, &mut effects);
                     let health = self.scheduler.health.values().map(|h| &h.last);
-                    let blocks = self.config.blocks();
-                    self.hearing.judge(now, blocks, health, &self.replica);
+                    let shards = self.config.shards();
+                    self.hearing.judge(now, shards, health, &self.cache);
                     self.leadership.resting = self.hearing.resting();
                 }
                 self.lead(now, term, &mut effects);
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -7,10 +7,10 @@
     /// user may hear of it.
     pub fn announce(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         job: &JobId,
         revision: Revision,
-        age: Span,
+        age: Millis,
     ) -> (RoundId, Vec<Effect>) {
         let mut effects = Vec::new();
         self.learn_cancelled(now, job, revision, age, &mut effects);
@@ -21,7 +21,7 @@
     }
 
     /// Asks the others, once more if need be: what they answered first was perhaps not proved yet.
-    pub fn ask_round(&self, now: Time, round: RoundId) -> Vec<Effect> {
+    pub fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
         let Some((job, revision)) = self.rounds.asks(round) else {
             return Vec::new();
         };
@@ -38,20 +38,20 @@
             .collect()
     }
 
-    pub fn is_settled(&mut self, now: Time, round: RoundId) -> bool {
+    pub fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
         let Some(job) = self.rounds.asks(round).map(|(job, _)| job.clone()) else {
             return false;
         };
         let settled = self.settled(now, &job);
         self.rounds
             .on_known(round, &job, &self.config.member, settled);
-        let carriers = self.replica.carriers(&job).map(|id| {
-            let block = id.block(self.config.blocks());
-            let lease = self.replica.blocks.get(&block);
-            (block, lease.map(|l| l.revision))
+        let carriers = self.cache.carriers(&job).map(|id| {
+            let shard = id.shard(self.config.shards());
+            let shard_record = self.cache.shards.get(&shard);
+            (shard, shard_record.map(|l| l.revision))
         });
         let view = View {
-            revision: self.replica.revision,
+            revision: self.cache.revision,
             carriers: carriers.collect(),
         };
         self.rounds.is_settled(round, &view)
@@ -60,11 +60,11 @@
     /// The blocks held here in which a cancelled job's tasks are proved gone. Where neither a stop
     /// nor a deletion was answered for as long as users allow, it has to do that this holder
     /// knows: a user is not left without an answer for longer.
-    pub(super) fn settled(&self, now: Time, job: &JobId) -> Vec<(BlockId, Revision)> {
+    pub(super) fn settled(&self, now: MonotonicTime, job: &JobId) -> Vec<(ShardId, Revision)> {
         let age = self.overdue.age(now, job);
         let long = age.is_some_and(|a| a >= self.config.cancel);
         let gone = |id: &MachineId| self.fleet.is_deleted(id);
-        self.holder.settled(job, long, gone, &self.replica)
+        self.shard_owner.settled(job, long, gone, &self.cache)
     }
 
     pub fn close_round(&mut self, round: RoundId) {
@@ -74,30 +74,30 @@
     /// Acts on a cancellation as the stream would: its tasks are stopped and none is started.
     pub(super) fn learn_cancelled(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         job: &JobId,
         revision: Revision,
-        age: Span,
+        age: Millis,
         effects: &mut Vec<Effect>,
     ) {
-        self.replica.cancel(job, revision);
-        let carriers = self.replica.carriers(job).cloned().collect();
+        self.cache.cancel(job, revision);
+        let carriers = self.cache.carriers(job).cloned().collect();
         self.overdue.cancelled(now, job, age);
         let mut out = Vec::new();
-        self.holder
-            .on_changed(now, &carriers, &self.replica, &mut out);
-        self.holder_effects(now, out, effects);
+        self.shard_owner
+            .on_changed(now, &carriers, &self.cache, &mut out);
+        self.apply_owner_effects(now, out, effects);
         self.dirty = true;
     }
 
     /// Gives up machines on which a cancelled job's tasks could not be stopped in time.
-    pub(super) fn give_up_overdue(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let patience = self.fleet.patience(&self.replica);
-        let silent = |id: &MachineId| self.scheduler.is_silent(now, id, patience, &self.replica);
-        let freed = |run: &Run| self.scheduler.is_freed(run);
+    pub(super) fn give_up_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        let patience = self.fleet.patience(&self.cache);
+        let silent = |id: &MachineId| self.scheduler.is_silent(now, id, patience, &self.cache);
+        let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let due = self
             .overdue
-            .due(now, self.config.cancel, &self.replica, silent, freed);
+            .due(now, self.config.cancel, &self.cache, silent, freed);
         effects.extend(due.ask.into_iter().map(Effect::Standing));
         if !due.give_up.is_empty() {
             tracing::info!(machines = ?due.give_up, "cancelled work can't be stopped there");
@@ -108,17 +108,17 @@
 
     /// The same by a holder that does not lead, or does not know that it still does: a deletion
     /// needs the cloud and no fence. In an outage of the state service nobody leads for certain.
-    pub(super) fn give_up_own(&mut self, now: Time, due: bool, effects: &mut Vec<Effect>) {
+    pub(super) fn give_up_own(&mut self, now: MonotonicTime, due: bool, effects: &mut Vec<Effect>) {
         if !due {
             return;
         }
-        let patience = self.fleet.patience(&self.replica);
-        let holder = &self.holder;
-        let silent = |id: &MachineId| holder.is_silent(now, id, patience);
-        let freed = |run: &Run| holder.is_gone(run);
+        let patience = self.fleet.patience(&self.cache);
+        let shard_owner = &self.shard_owner;
+        let silent = |id: &MachineId| shard_owner.is_silent(now, id, patience);
+        let freed = |attempt: &TaskAttempt| shard_owner.is_gone(attempt);
         let due = self
             .overdue
-            .due(now, self.config.cancel, &self.replica, silent, freed);
+            .due(now, self.config.cancel, &self.cache, silent, freed);
         self.giving_up
             .retain(|_, at| now.since(*at) < GIVE_UP_AGAIN);
         let (asked, fleet) = (&self.giving_up, &self.fleet);
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -11,23 +11,23 @@
 use crate::store::waiting::Outcome;
 
 /// A question, or a write, without an outcome is repeated after this.
-const AGAIN: Span = Span(1000);
+const AGAIN: Millis = Millis(1000);
 /// A write that certainly was not executed.
-const REFUSED_AGAIN: Span = Span(200);
+const REFUSED_AGAIN: Millis = Millis(200);
 /// Questions and releases under way at the most, so that a new leader that finds thousands of
 /// waiting jobs leaves requests for everything else.
 const UNDER_WAY: usize = 16;
 /// Whoever cancels a job cancels its dependents too, before its user is told. The leader leaves
 /// them alone for so long, and then does what that controller did not get to.
-const CANCELLER_FIRST: Span = Span(1500);
+const CANCELLER_FIRST: Millis = Millis(1500);
 
 /// What the leader has asked and written, until when it waits for the outcome.
 #[derive(Debug, Default)]
 pub(super) struct Dependents {
-    asked: BTreeMap<JobId, Time>,
-    releasing: BTreeMap<JobId, Time>,
+    asked: BTreeMap<JobId, MonotonicTime>,
+    releasing: BTreeMap<JobId, MonotonicTime>,
     /// When dependents of cancelled jobs are looked at next.
-    cancel_at: Option<Time>,
+    cancel_at: Option<MonotonicTime>,
 }
 
 impl Dependents {
@@ -35,7 +35,7 @@
         *self = Self::default();
     }
 
-    fn expire(&mut self, now: Time) {
+    fn expire(&mut self, now: MonotonicTime) {
         self.asked.retain(|_, until| *until > now);
         self.releasing.retain(|_, until| *until > now);
     }
@@ -43,8 +43,8 @@
 
 impl Controller {
     /// Does whatever dependent jobs need now.
-    pub(super) fn drive_dependents(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if self.replica.waiting.len() == 0 {
+    pub(super) fn drive_dependents(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        if self.cache.waiting.len() == 0 {
             self.dependents.clear();
             return;
         }
@@ -55,9 +55,9 @@
     }
 
     /// Has the final records read of jobs that others need and that have left the mirror.
-    fn ask_outcomes(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn ask_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let room = UNDER_WAY.saturating_sub(self.dependents.asked.len());
-        let unasked = self.replica.waiting.unknown();
+        let unasked = self.cache.waiting.unknown();
         let unasked = unasked.filter(|id| !self.dependents.asked.contains_key(*id));
         let ids: Vec<JobId> = unasked.take(room).cloned().collect();
         for id in ids {
@@ -67,19 +67,19 @@
     }
 
     /// Releases jobs that need nothing more, the most urgent first.
-    fn release_ready(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn release_ready(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let room = UNDER_WAY.saturating_sub(self.dependents.releasing.len());
         if room == 0 {
             return;
         }
-        let waiting = &self.replica.waiting;
+        let waiting = &self.cache.waiting;
         let ready = waiting.ready();
         let idle = ready.filter(|id| !self.dependents.releasing.contains_key(*id));
         let mut ids: Vec<JobId> = idle.cloned().collect();
         ids.sort_by_cached_key(|id| {
             let urgency = waiting.urgency(id);
             let finish_by = urgency.and_then(|u| u.finish_by);
-            let latest = finish_by.unwrap_or(crate::ids::Wall(u64::MAX));
+            let latest = finish_by.unwrap_or(crate::ids::UnixTime(u64::MAX));
             (std::cmp::Reverse(urgency.map(|u| u.priority)), latest)
         });
         for id in ids.into_iter().take(room) {
@@ -91,7 +91,7 @@
             txn.put(keys::job(&id), &record, None);
             self.dependents.releasing.insert(id.clone(), now + AGAIN);
             effects.push(Effect::Txn {
-                owner: TxnOwner::Dependent(id),
+                requester: TxnRequester::Dependent(id),
                 class: Class::Accept,
                 txn,
             });
@@ -100,14 +100,14 @@
 
     /// A waiting job's revision, and its record as released now.
     fn released(&self, id: &JobId) -> Option<(Revision, JobRecord)> {
-        let job = self.replica.waiting.get(id)?;
-        let now = self.scheduler.wall.max(job.accepted);
+        let job = self.cache.waiting.get(id)?;
+        let now = self.scheduler.unix_time.max(job.accepted);
         let mut record = JobRecord::new((*job.spec).clone(), job.accepted);
         record.released = Some(now);
         Some((job.revision, record))
     }
 
-    pub(super) fn on_release(&mut self, now: Time, id: &JobId, outcome: &TxnOutcome) {
+    pub(super) fn on_release(&mut self, now: MonotonicTime, id: &JobId, outcome: &TxnOutcome) {
         match outcome {
             TxnOutcome::Committed(revision) => {
                 self.dependents.releasing.remove(id);
@@ -127,16 +127,16 @@
         let Some((_, record)) = self.released(id) else {
             return;
         };
-        let group = self.replica.waiting.group_machines(id).to_vec();
-        self.replica.put_job(id.clone(), record, revision);
+        let group = self.cache.waiting.group_machines(id).to_vec();
+        self.cache.put_job(id.clone(), record, revision);
         self.prefer(id, group);
         self.dirty = true;
-        self.next_schedule = Time::default();
+        self.next_schedule = MonotonicTime::default();
     }
 
     /// Puts the machines of the placement group that a job joins before those that have its image.
     fn prefer(&mut self, id: &JobId, group: Vec<MachineId>) {
-        let plan = self.replica.jobs.get_mut(id).and_then(|j| j.plan.as_mut());
+        let plan = self.cache.jobs.get_mut(id).and_then(|j| j.plan.as_mut());
         if let Some(plan) = plan.filter(|_| !group.is_empty()) {
             let own = std::mem::replace(&mut plan.machines, group);
             let more = own.into_iter().filter(|m| !plan.machines.contains(m));
@@ -154,12 +154,12 @@
             JobState::Queued | JobState::Running => return,
         };
         self.dependents.asked.remove(job);
-        self.replica.note_outcome(job, outcome);
+        self.cache.note_outcome(job, outcome);
     }
 
     /// Cancels what needs a cancelled job, where the controller that cancelled it has not done so.
-    fn pass_cancellations_on(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let Some(cancelled) = self.replica.waiting.cancelled().next() else {
+    fn pass_cancellations_on(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        let Some(cancelled) = self.cache.waiting.cancelled().next() else {
             self.dependents.cancel_at = None;
             return;
         };
@@ -173,9 +173,9 @@
         }
         self.dependents.cancel_at = Some(now + REFUSED_AGAIN);
         let ops = self.config.state.txn_ops;
-        if let Some((txn, jobs)) = cancel_dependents(cancelled, &self.replica, ops) {
+        if let Some((txn, jobs)) = cancel_dependents(cancelled, &self.cache, ops) {
             effects.push(Effect::Txn {
-                owner: TxnOwner::CancelledDependents(jobs),
+                requester: TxnRequester::CancelledDependents(jobs),
                 class: Class::Accept,
                 txn,
             });
@@ -185,7 +185,7 @@
     /// These jobs were cancelled because others that they need were.
     pub fn dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
         for job in jobs {
-            self.replica.cancel(job, revision);
+            self.cache.cancel(job, revision);
         }
         self.dirty = true;
     }
--- a/src/controller/lead.rs
+++ b/src/controller/lead.rs
@@ -4,29 +4,29 @@
 use crate::planning::counter::Layout;
 
 impl Controller {
-    pub(super) fn lead(&mut self, now: Time, term: Revision, effects: &mut Vec<Effect>) {
+    pub(super) fn lead(&mut self, now: MonotonicTime, term: Revision, effects: &mut Vec<Effect>) {
         self.drive_dependents(now, effects);
         let due = (self.dirty && now >= self.next_schedule)
             || now.since(self.last_schedule) >= SCHEDULE_EVERY;
         if due {
             self.dirty = false;
             self.last_schedule = now;
-            let pause = Span((self.replica.machines.len() / MACHINES_PER_MS) as u64);
+            let pause = Millis((self.cache.machines.len() / MACHINES_PER_MS) as u64);
             self.next_schedule = now + SCHEDULE_PAUSE + pause;
             self.plan(now);
             self.release(now, effects);
             let mut out = Vec::new();
-            self.scheduler.drive(now, term, &self.replica, &mut out);
+            self.scheduler.drive(now, term, &self.cache, &mut out);
             for effect in out {
                 match effect {
-                    placement::Effect::ToHolder(member, message) => {
+                    placement::Effect::ToShardOwner(member, message) => {
                         if member == self.config.member {
                             self.deliver(now, *message, effects);
                         } else {
                             effects.push(Effect::Peer(member, *message));
                         }
                     }
-                    placement::Effect::RenewBlock(block) => self.renew(block, effects),
+                    placement::Effect::RenewShard(shard) => self.renew(shard, effects),
                 }
             }
         }
@@ -35,7 +35,7 @@
             self.next_fleet = now + FLEET_EVERY;
             let mut out = Vec::new();
             self.fleet
-                .drive(now, term, &self.replica, &mut self.scheduler, &mut out);
+                .drive(now, term, &self.cache, &mut self.scheduler, &mut out);
             effects.extend(self.cloud_effects(now, out));
             self.store_catalog(now, effects);
         }
@@ -43,13 +43,13 @@
             self.next_history = now + HISTORY_EVERY;
             if let Some((pipeline, record)) = self
                 .history
-                .next(&self.replica, self.config.state.value_bytes)
+                .next(&self.cache, self.config.state.value_bytes)
             {
                 let mut txn = Txn::default();
                 txn.require(keys::LEADER, term);
                 txn.put(keys::history(&pipeline), &record, None);
                 effects.push(Effect::Txn {
-                    owner: TxnOwner::Nobody,
+                    requester: TxnRequester::Nobody,
                     class: Class::Record,
                     txn,
                 });
@@ -60,12 +60,12 @@
             self.forget_lost(now);
             self.fold(effects);
             let mut txn = Txn::default();
-            for key in self.replica.orphans(self.config.state.txn_ops) {
+            for key in self.cache.orphans(self.config.state.txn_ops) {
                 txn.delete(key);
             }
             if !txn.changes.is_empty() {
                 effects.push(Effect::Txn {
-                    owner: TxnOwner::Nobody,
+                    requester: TxnRequester::Nobody,
                     class: Class::Record,
                     txn,
                 });
@@ -74,15 +74,15 @@
     }
 
     /// Plans what was accepted. The plan serves at once; its record follows.
-    pub(super) fn plan(&mut self, now: Time) {
-        let jobs = self.replica.jobs.iter();
+    pub(super) fn plan(&mut self, now: MonotonicTime) {
+        let jobs = self.cache.jobs.iter();
         let unplanned = jobs.filter(|(_, job)| job.plan.is_none());
         let unplanned = unplanned.map(|(id, _)| id);
-        let unplanned = unplanned.chain(self.replica.waiting.unplanned());
+        let unplanned = unplanned.chain(self.cache.waiting.unplanned());
         let new: Vec<JobId> = unplanned.cloned().collect();
         for id in new {
-            for (planned, plan) in plan_job(&id, &self.replica) {
-                self.replica.set_plan(&planned, plan.clone());
+            for (planned, plan) in plan_job(&id, &self.cache) {
+                self.cache.set_plan(&planned, plan.clone());
                 if self.plans.is_empty() {
                     self.plans_since = now;
                 }
@@ -92,7 +92,12 @@
     }
 
     /// Writes plans in batches: one change for many. The batch goes once all its jobs are over.
-    pub(super) fn write_plans(&mut self, now: Time, term: Revision, effects: &mut Vec<Effect>) {
+    pub(super) fn write_plans(
+        &mut self,
+        now: MonotonicTime,
+        term: Revision,
+        effects: &mut Vec<Effect>,
+    ) {
         let room = self.config.state.value_bytes / 2;
         let full = 600 * self.plans.len() > room;
         let due = full || now.since(self.plans_since) >= PLANS_GATHER;
@@ -105,7 +110,7 @@
         while size < room
             && let Some((id, plan)) = self.plans.pop_first()
         {
-            if self.replica.job_revision(&id).is_some() {
+            if self.cache.job_revision(&id).is_some() {
                 let machines = plan.machines.iter().map(|m| 4 + m.as_str().len());
                 let joins = plan.joins.as_ref().map_or(0, |j| 12 + j.as_str().len());
                 size += 80 + id.as_str().len() + machines.sum::<usize>() + joins;
@@ -124,23 +129,23 @@
         txn.put(keys::plans(&name), &batch, None);
         self.plans_in_flight = true;
         effects.push(Effect::Txn {
-            owner: TxnOwner::Plans(batch.into_keys().collect()),
+            requester: TxnRequester::Plans(batch.into_keys().collect()),
             class: Class::Record,
             txn,
         });
     }
 
     /// Ends jobs all of whose tasks are counted as done.
-    pub(super) fn release(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(super) fn release(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         self.releasing
-            .retain(|id, at| self.replica.jobs.contains_key(id) && now.since(*at) < RELEASE_AGAIN);
-        for (id, job) in &self.replica.jobs {
+            .retain(|id, at| self.cache.jobs.contains_key(id) && now.since(*at) < RELEASE_AGAIN);
+        for (id, job) in &self.cache.jobs {
             if !self.releasing.contains_key(id)
                 && let Some(txn) = counter::release(id, job, &Layout::new(&self.config))
             {
                 self.releasing.insert(id.clone(), now);
                 effects.push(Effect::Txn {
-                    owner: TxnOwner::Release(id.clone()),
+                    requester: TxnRequester::Release(id.clone()),
                     class: Class::Accept,
                     txn,
                 });
@@ -151,8 +156,8 @@
     /// Forgets machines without a record of which no holder has spoken for a while: what is there
     /// will be found again. Not at once: a holder speaks of a new one only after a moment, and
     /// forgotten before that it was never used (simulated seed 557 of the crowded days).
-    pub(super) fn forget_lost(&mut self, now: Time) {
-        let unrecorded = self.replica.machines.iter();
+    pub(super) fn forget_lost(&mut self, now: MonotonicTime) {
+        let unrecorded = self.cache.machines.iter();
         let unheard: Vec<MachineId> = unrecorded
             .filter(|(id, m)| m.revision == Revision(0) && !self.scheduler.heard_of(now, id))
             .map(|(id, _)| id.clone())
@@ -161,7 +166,7 @@
         for id in unheard {
             let since = *self.unheard.entry(id.clone()).or_insert(now);
             if now.since(since) >= UNHEARD {
-                self.replica.forget(&id);
+                self.cache.forget(&id);
             }
         }
     }
@@ -169,19 +174,19 @@
     /// Moves what machines' records count into the jobs' own counters where a record grows long.
     pub(super) fn fold(&mut self, effects: &mut Vec<Effect>) {
         let most = self.config.state.value_bytes;
-        let records = self.replica.machines.values().map(|m| &m.record);
+        let records = self.cache.machines.values().map(|m| &m.record);
         // Where there is room beside them they cost nothing, and go when their jobs end.
         let full = records.filter(|r| r.done_size() > most / 4 && r.size() > most / 2);
         let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
         for id in jobs.into_iter().take(FOLDS) {
             let mut txn = Txn::default();
-            if let Some(job) = self.replica.jobs.get(id) {
+            if let Some(job) = self.cache.jobs.get(id) {
                 let room = self.config.state.txn_ops;
                 counter::fold(&mut txn, id, job, &Layout::new(&self.config), room);
             }
             if !txn.changes.is_empty() {
                 effects.push(Effect::Txn {
-                    owner: TxnOwner::Nobody,
+                    requester: TxnRequester::Nobody,
                     class: Class::Place,
                     txn,
                 });
@@ -189,23 +194,27 @@
         }
     }
 
-    pub(super) fn store_catalog(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(super) fn store_catalog(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         if self.catalog_in_flight || now < self.catalog_again {
             return;
         }
-        if let Some(catalog) = self.fleet.catalog_to_store(&self.replica) {
+        if let Some(catalog) = self.fleet.catalog_to_store(&self.cache) {
             self.catalog_in_flight = true;
             let mut txn = Txn::default();
             txn.put(keys::CATALOG, catalog, None);
             effects.push(Effect::Txn {
-                owner: TxnOwner::Catalog,
+                requester: TxnRequester::Catalog,
                 class: Class::Place,
                 txn,
             });
         }
     }
 
-    pub(super) fn cloud_effects(&mut self, now: Time, out: Vec<cloud::Effect>) -> Vec<Effect> {
+    pub(super) fn cloud_effects(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<cloud::Effect>,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         for effect in out {
             match effect {
@@ -220,18 +229,18 @@
     }
 
     /// Removes the record of a machine that is gone.
-    fn drop_record(&mut self, now: Time, id: &MachineId, effects: &mut Vec<Effect>) {
+    fn drop_record(&mut self, now: MonotonicTime, id: &MachineId, effects: &mut Vec<Effect>) {
         self.dropping.retain(|_, at| now.since(*at) < DROP_AGAIN);
         if self.dropping.contains_key(id) || self.waits_for_counted(now, id) {
             return;
         }
-        let Some(machine) = self.replica.machines.get(id) else {
+        let Some(machine) = self.cache.machines.get(id) else {
             return;
         };
         // The holder may have placed something meanwhile: then this fails, and is built anew on
         // what stands.
         if machine.revision == Revision(0) {
-            self.replica.forget(id);
+            self.cache.forget(id);
             return;
         }
         self.dropping.insert(id.clone(), now);
@@ -243,7 +252,7 @@
         let mut all = true;
         for done in &machine.record.done {
             let room = layout.txn_ops - 1 - txn.changes.len();
-            if let Some(job) = self.replica.jobs.get(&done.job) {
+            if let Some(job) = self.cache.jobs.get(&done.job) {
                 all &= counter::fold(&mut txn, &done.job, job, &layout, room);
             }
         }
@@ -251,7 +260,7 @@
             txn.delete(keys::machine(id));
         }
         effects.push(Effect::Txn {
-            owner: TxnOwner::Nobody,
+            requester: TxnRequester::Nobody,
             class: Class::Place,
             txn,
         });
@@ -259,15 +268,15 @@
 
     /// Whether the record of a machine that is gone waits for the jobs that it still counts tasks
     /// of: once they are over it goes with a single change, and those are scarce.
-    fn waits_for_counted(&mut self, now: Time, id: &MachineId) -> bool {
-        let machines = &self.replica.machines;
+    fn waits_for_counted(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+        let machines = &self.cache.machines;
         self.gone_since.retain(|id, _| machines.contains_key(id));
         let since = *self.gone_since.entry(id.clone()).or_insert(now);
         let Some(record) = machines.get(id).map(|m| &m.record) else {
             return false;
         };
         let mut counted = record.done.iter();
-        let counts = counted.any(|done| self.replica.jobs.contains_key(&done.job));
+        let counts = counted.any(|done| self.cache.jobs.contains_key(&done.job));
         counts
             && record.jobs.is_empty()
             && now.since(since) < COUNTED_FOR
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,40 +1,40 @@
 use super::*;
 use crate::config::tests::sample_config;
-use crate::ids::{Attempt, BlockId, Seq, Session, TaskId};
-use crate::store::records::{BlockRecord, LeaderRecord, MachineRecord, MemberRecord};
-use crate::wire::state::Item;
+use crate::ids::{AttemptNumber, HeartbeatSequence, ShardId, TaskId, WorkerEpoch};
+use crate::protocol::store::Item;
+use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
 
 /// A controller that leads and holds every block, in a mirror that never changes again.
 fn alone() -> Controller {
     let config = sample_config();
     let (me, incarnation) = (config.member.clone(), Incarnation(1));
-    let mut replica = Replica::new(&config);
+    let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: &dyn erased::Json| {
-        replica.load(Item {
+        cache.load(Item {
             key,
             value: value.json(),
             revision: Revision(5),
-            grant: None,
+            lease: None,
         });
     };
-    let grant = GrantId(3);
-    put(keys::member(&me), &MemberRecord::new(incarnation, grant));
+    let lease = LeaseId(3);
+    put(keys::member(&me), &MemberRecord::new(incarnation, lease));
     let leader = LeaderRecord {
         member: me.clone(),
         incarnation,
     };
     put(keys::LEADER.to_owned(), &leader);
-    for block in 0..config.blocks() {
-        let record = BlockRecord {
-            holder: me.clone(),
+    for shard in 0..config.shards() {
+        let record = ShardRecord {
+            owner: me.clone(),
             incarnation,
             term: Revision(5),
         };
-        put(keys::block(BlockId(block)), &record);
+        put(keys::shard(ShardId(shard)), &record);
     }
-    replica.revision = Revision(5);
+    cache.revision = Revision(5);
     let mut controller = Controller::new(&config, incarnation);
-    controller.on_snapshot(Time(1), replica);
+    controller.on_snapshot(MonotonicTime(1), cache);
     controller
 }
 
@@ -49,16 +49,16 @@
     }
 }
 
-fn report(token: u64) -> Report {
-    Report {
+fn heartbeat(token: u64) -> Heartbeat {
+    Heartbeat {
         machine: "vm-1".into(),
         addr: "1.1.1.1:1".into(),
         type_name: "t".into(),
         zone: "a".into(),
         spot: false,
-        session: Session(1),
-        seq: Seq(1),
-        token: Token::of(Revision(token), 0),
+        epoch: WorkerEpoch(1),
+        sequence: HeartbeatSequence(1),
+        token: FencingToken::of(Revision(token), 0),
         notice_s: None,
         tasks: Vec::new(),
     }
@@ -68,13 +68,18 @@
 #[test]
 fn a_machine_that_answers_gets_its_desk_though_the_mirror_stands_still() {
     let mut controller = alone();
-    let (_, effects) = controller.on_checkin(Time(1000), &report(0));
+    let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
     let asked = effects.iter().any(|e| matches!(e, Effect::Call { .. }));
-    assert!(asked && controller.holder.desk_count() == 0);
-    let done = CallOutcome::Done(report(5));
-    controller.on_call(Time(1010), &"vm-1".into(), Token::of(Revision(5), 0), done);
-    controller.tick(Time(1500), crate::ids::Wall(1500));
-    assert_eq!(controller.holder.desk_count(), 1);
+    assert!(asked && controller.shard_owner.desk_count() == 0);
+    let done = CallOutcome::Done(heartbeat(5));
+    controller.on_call(
+        MonotonicTime(1010),
+        &"vm-1".into(),
+        FencingToken::of(Revision(5), 0),
+        done,
+    );
+    controller.tick(MonotonicTime(1500), crate::ids::UnixTime(1500));
+    assert_eq!(controller.shard_owner.desk_count(), 1);
 }
 
 /// A leader that the state service refuses alone went on renting, and emptied machines that
@@ -83,50 +88,54 @@
 fn a_leader_that_is_not_sure_of_its_grant_leaves_the_cloud_alone() {
     let mut controller = alone();
     let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::List));
-    controller.assure(Time(2000));
-    assert!(calls(controller.tick(Time(1000), crate::ids::Wall(1000))));
+    controller.assure(MonotonicTime(2000));
+    assert!(calls(
+        controller.tick(MonotonicTime(1000), crate::ids::UnixTime(1000))
+    ));
     let mut later = alone();
-    later.assure(Time(2000));
-    assert!(!calls(later.tick(Time(3000), crate::ids::Wall(3000))));
+    later.assure(MonotonicTime(2000));
+    assert!(!calls(
+        later.tick(MonotonicTime(3000), crate::ids::UnixTime(3000))
+    ));
 }
 
 /// A machine with a task of a job that is cancelled, held by a controller that the state service
 /// refuses from then on. Returns how many deletions are asked for in the time for a cancellation. `seen` is the token that a later report carries.
 fn deleted_while_refused(seen: Option<u64>) -> usize {
     let mut controller = alone();
-    let spec = crate::wire::tests::spec("job-000001");
+    let spec = crate::protocol::tests::spec("job-000001");
     let task = TaskId {
         job: spec.id.clone(),
         index: 0,
     };
-    let run = Run {
+    let attempt = TaskAttempt {
         task,
-        attempt: Attempt(1),
+        number: AttemptNumber(1),
     };
     let mut record = MachineRecord::new("1.1.1.1:1", &"t".into(), &"a".into(), false);
-    record.add(&run, &spec);
+    record.add(&attempt, &spec);
     let event = Event {
         put: Some(keys::machine(&"vm-1".into())),
         delete: None,
         value: serde_json::to_value(&record).expect("json"),
         revision: Revision(6),
     };
-    controller.on_events(Time(1000), Revision(6), vec![event]);
+    controller.on_events(MonotonicTime(1000), Revision(6), vec![event]);
     let cancelled = Message::Cancelled {
         round: RoundId(1),
         job: spec.id,
         revision: Revision(7),
-        age: Span(0),
+        age: Millis(0),
     };
-    controller.on_peer(Time(1200), &"c1".into(), cancelled);
+    controller.on_peer(MonotonicTime(1200), &"c1".into(), cancelled);
     if let Some(token) = seen {
-        controller.on_checkin(Time(2000), &report(token));
+        controller.on_heartbeat(MonotonicTime(2000), &heartbeat(token));
     }
     let cancel = sample_config().cancel.0;
     let mut deleted = 0;
     for second in 3..cancel / 1000 {
         let now = 1000 * second;
-        let effects = controller.tick(Time(now), crate::ids::Wall(now));
+        let effects = controller.tick(MonotonicTime(now), crate::ids::UnixTime(now));
         deleted += effects
             .iter()
             .filter(|e| matches!(e, Effect::Delete(_)))
--- a/src/daemon/cancellations.rs
+++ b/src/daemon/cancellations.rs
@@ -1,7 +1,7 @@
 //! Tells the other controllers of cancellations and waits until the tasks are proved gone.
 
 use super::Node;
-use crate::ids::Span;
+use crate::ids::Millis;
 use crate::intake::Cancellation;
 use crate::runtime::{self, Receiver};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     let begun = Instant::now();
     let age = cancellation.since.map_or(Duration::ZERO, |at| at.elapsed());
     let (job, revision) = (&cancellation.job, cancellation.revision);
-    let age = Span(age.as_millis() as u64);
+    let age = Millis(age.as_millis() as u64);
     let (round, effects) = node
         .controller
         .borrow_mut()
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -2,11 +2,11 @@
 
 use crate::cloud::RentOutcome;
 use crate::http::{Client, Method, Response};
-use crate::ids::{MachineId, Time};
-use crate::store::tokens::{Bucket, Class};
-use crate::wire::{
+use crate::ids::{MachineId, MonotonicTime};
+use crate::protocol::{
     Catalog, ListedMachine, MachineList, MachineNames, RentRequest, machines_path, path,
 };
+use crate::store::tokens::{Bucket, Class};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
         path: &str,
         body: &impl serde::Serialize,
     ) -> Option<Response> {
-        let now = Time(self.started.elapsed().as_millis() as u64);
+        let now = MonotonicTime(self.started.elapsed().as_millis() as u64);
         if !self.bucket.borrow_mut().try_take(now, 1.0, class) {
             return None;
         }
@@ -105,7 +105,7 @@
             machines: ids.to_vec(),
         };
         let answer = self
-            .call(Class::Grant, Method::Post, path::DELETE_MACHINES, &names)
+            .call(Class::Lease, Method::Post, path::DELETE_MACHINES, &names)
             .await;
         answer.is_some_and(|r| r.status == 200)
     }
--- a/src/daemon/forward.rs
+++ b/src/daemon/forward.rs
@@ -5,8 +5,8 @@
 use crate::http::{Method, Request, Response};
 use crate::ids::{MachineId, Member};
 use crate::peers::Message;
+use crate::protocol::path;
 use crate::runtime::{self, Sender, oneshot};
-use crate::wire::path;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -42,17 +42,17 @@
 }
 
 /// Hands a worker's report on to the holder of its machine, which it perhaps can't reach.
-pub async fn hand_on_report(
+pub async fn forward_heartbeat(
     node: &Rc<Node>,
-    holder: &Member,
+    owner: &Member,
     machine: &MachineId,
     request: &Request,
 ) -> Option<Response> {
     let now = node.now();
-    if !node.routes.borrow().may_miss(now, holder, machine) {
+    if !node.routes.borrow().may_miss(now, owner, machine) {
         return None;
     }
-    let response = ask_of(node, holder, request).await;
+    let response = ask_of(node, owner, request).await;
     response.filter(|r| r.status == 200)
 }
 
@@ -87,8 +87,8 @@
 ) {
     let method = if post { Method::Post } else { Method::Get };
     let request = Request { method, path, body };
-    let response = if post && request.path == path::REPORT {
-        routes::relayed_report(&node, &request.body)
+    let response = if post && request.path == path::HEARTBEAT {
+        routes::relayed_heartbeat(&node, &request.body)
     } else {
         routes::user_request(&node, &request)
             .await
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,18 +6,18 @@
 mod routes;
 
 use crate::config::Config;
-use crate::controller::{Controller, Effect, TxnOwner};
+use crate::controller::{Controller, Effect, TxnRequester};
 use crate::http::{self, Client, Failure, Method};
-use crate::ids::{Incarnation, MachineId, Session, Time, Token, Wall};
+use crate::ids::{FencingToken, Incarnation, MachineId, MonotonicTime, UnixTime, WorkerEpoch};
 use crate::intake::Intake;
-use crate::leadership::keep_grant;
+use crate::leadership::keep_lease;
 use crate::peers::{Links, Message, Routes, listen};
+use crate::protocol::store::Txn;
+use crate::protocol::{self, Command, Heartbeat, path};
 use crate::runtime::{self, Scope, TcpListener, channel};
 use crate::store::records::ProgramVersion;
-use crate::store::replica::Replica;
+use crate::store::watch_cache::WatchCache;
 use crate::store::{Store, StoreError, keys};
-use crate::wire::state::Txn;
-use crate::wire::{self, Order, Report, path};
 use crate::workers::CallOutcome;
 use cloud_calls::CloudCalls;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 const FOLLOW_PAUSE: Duration = Duration::from_millis(120);
 const TELL: Duration = Duration::from_millis(700);
 /// Largest report that is read: a worker's lines are bounded, its list of tasks is not.
-const REPORT_LIMIT: usize = 1024 * 1024;
+const HEARTBEAT_BODY_LIMIT: usize = 1024 * 1024;
 
 pub struct Node {
     config: Config,
@@ -82,7 +82,7 @@
     let node = Rc::new(Node {
         intake: Intake::new(&config, store.clone(), controller.clone(), cancellations),
         cloud: CloudCalls::new(config.cloud_addr, config.cloud_rps, started),
-        workers: Client::new(REPORT_LIMIT, config.sockets / 5),
+        workers: Client::new(HEARTBEAT_BODY_LIMIT, config.sockets / 5),
         loaded: Cell::new(false),
         peers_served: RefCell::default(),
         forwarded: forward::Forwarded::default(),
@@ -97,7 +97,7 @@
     });
     let version = ProgramVersion::CURRENT.0;
     tracing::info!(member = %node.config.member, %incarnation, version, "controller started");
-    scope.spawn(grants(node.clone()));
+    scope.spawn(leases(node.clone()));
     scope.spawn(mirror(node.clone()));
     scope.spawn(ticker(node.clone()));
     scope.spawn(teller(node.clone()));
@@ -116,37 +116,30 @@
     Ok(())
 }
 
-async fn grants(node: Rc<Node>) {
+async fn leases(node: Rc<Node>) {
     // Whoever holds a grant is given blocks: not before the mirror shows what is in them.
     while !node.loaded.get() {
         runtime::sleep(Duration::from_millis(10)).await;
     }
     let life = {
         let node = node.clone();
-        move || {
-            node.controller
-                .borrow()
-                .replica
-                .settings()
-                .lease()
-                .duration()
-        }
+        move || node.controller.borrow().cache.settings().lease().duration()
     };
     let told = node.clone();
     let assured = node.clone();
-    keep_grant(
+    keep_lease(
         node.store.clone(),
         node.config.member.clone(),
         node.incarnation,
         life,
-        move |grant| {
-            tracing::info!(held = grant.is_some(), "grant");
-            let effects = told.controller.borrow_mut().set_grant(told.now(), grant);
+        move |lease| {
+            tracing::info!(held = lease.is_some(), "grant");
+            let effects = told.controller.borrow_mut().set_lease(told.now(), lease);
             told.carry_out(effects);
         },
         move |until| {
             let until = until.saturating_duration_since(assured.started);
-            let until = Time(until.as_millis() as u64);
+            let until = MonotonicTime(until.as_millis() as u64);
             assured.controller.borrow_mut().assure(until);
         },
     )
@@ -157,14 +150,11 @@
 async fn mirror(node: Rc<Node>) {
     loop {
         match snapshot(&node.store, &node.config).await {
-            Ok(replica) => {
-                let mut revision = replica.revision;
-                tracing::info!(%revision, jobs = replica.jobs.len(), machines = replica.machines.len(), "mirror read");
+            Ok(cache) => {
+                let mut revision = cache.revision;
+                tracing::info!(%revision, jobs = cache.jobs.len(), machines = cache.machines.len(), "mirror read");
                 node.loaded.set(true);
-                let effects = node
-                    .controller
-                    .borrow_mut()
-                    .on_snapshot(node.now(), replica);
+                let effects = node.controller.borrow_mut().on_snapshot(node.now(), cache);
                 node.carry_out(effects);
                 loop {
                     match node.store.follow(keys::LIVE, revision, FOLLOW).await {
@@ -197,8 +187,8 @@
 
 /// Reads everything. Pages may be of different revisions: following from the first one's brings
 /// whatever changed in between.
-async fn snapshot(store: &Store, config: &Config) -> Result<Replica, StoreError> {
-    let mut replica = Replica::new(config);
+async fn snapshot(store: &Store, config: &Config) -> Result<WatchCache, StoreError> {
+    let mut cache = WatchCache::new(config);
     let mut first = None;
     let mut after: Option<String> = None;
     loop {
@@ -207,14 +197,14 @@
         after = page.items.last().map(|i| i.key.clone());
         let more = page.more && after.is_some();
         for item in page.items {
-            replica.load(item);
+            cache.load(item);
         }
         if !more {
             break;
         }
     }
-    replica.revision = first.unwrap_or_default();
-    Ok(replica)
+    cache.revision = first.unwrap_or_default();
+    Ok(cache)
 }
 
 async fn ticker(node: Rc<Node>) {
@@ -225,7 +215,7 @@
         runtime::sleep(Duration::from_millis(wait)).await;
         let mut controller = node.controller.borrow_mut();
         controller.set_change_rate(node.store.rates().changes);
-        let effects = controller.tick(node.now(), Wall::now());
+        let effects = controller.tick(node.now(), UnixTime::now());
         drop(controller);
         node.carry_out(effects);
     }
@@ -251,8 +241,8 @@
 }
 
 impl Node {
-    fn now(&self) -> Time {
-        Time(self.started.elapsed().as_millis() as u64)
+    fn now(&self) -> MonotonicTime {
+        MonotonicTime(self.started.elapsed().as_millis() as u64)
     }
 
     fn on_peer(self: &Rc<Self>, from: &crate::ids::Member, message: Message) {
@@ -336,17 +326,21 @@
             let node = self.clone();
             match effect {
                 Effect::Peer(member, message) => self.send(&member, message),
-                Effect::Txn { owner, class, txn } => runtime::spawn(async move {
-                    node.run_txn(owner, class, txn).await;
+                Effect::Txn {
+                    requester,
+                    class,
+                    txn,
+                } => runtime::spawn(async move {
+                    node.run_txn(requester, class, txn).await;
                 }),
                 Effect::Call {
                     machine,
                     addr,
                     token,
-                    session,
-                    orders,
+                    epoch,
+                    commands,
                 } => runtime::spawn(async move {
-                    node.run_call(machine, &addr, token, session, orders).await;
+                    node.run_call(machine, &addr, token, epoch, commands).await;
                 }),
                 Effect::Rent(request) => runtime::spawn(async move {
                     let outcome = node.cloud.rent(&request).await;
@@ -389,16 +383,16 @@
 
     async fn run_txn(
         self: Rc<Self>,
-        owner: TxnOwner,
+        requester: TxnRequester,
         class: crate::store::tokens::Class,
         txn: Txn,
     ) {
         let outcome = self.store.txn(class, &txn).await;
-        tracing::debug!(?owner, ?outcome, "transaction");
+        tracing::debug!(?requester, ?outcome, "transaction");
         let effects = self
             .controller
             .borrow_mut()
-            .on_txn(self.now(), &owner, &outcome);
+            .on_txn(self.now(), &requester, &outcome);
         self.carry_out(effects);
     }
 
@@ -406,25 +400,25 @@
         self: Rc<Self>,
         machine: MachineId,
         addr: &str,
-        token: Token,
-        session: Session,
-        orders: Vec<Order>,
+        token: FencingToken,
+        epoch: WorkerEpoch,
+        commands: Vec<Command>,
     ) {
         let outcome = match addr.parse::<SocketAddr>() {
             Err(_) => CallOutcome::NotSent,
             Ok(addr) => {
-                let body = wire::orders(token, Some(session), &orders);
+                let body = protocol::commands(token, Some(epoch), &commands);
                 let answer = self
                     .workers
                     .call(addr, Method::Post, path::COMMANDS, &body, CALL)
                     .await;
                 match answer {
                     Ok(response) => {
-                        let report = Report::parse(&response.body).ok();
-                        match (response.status, report) {
-                            (200, Some(report)) => CallOutcome::Done(report),
+                        let heartbeat = Heartbeat::parse(&response.body).ok();
+                        match (response.status, heartbeat) {
+                            (200, Some(heartbeat)) => CallOutcome::Done(heartbeat),
                             (200, None) => CallOutcome::Unknown,
-                            (409 | 400, report) => CallOutcome::Rejected(report),
+                            (409 | 400, heartbeat) => CallOutcome::Rejected(heartbeat),
                             _ => CallOutcome::Unknown,
                         }
                     }
@@ -444,6 +438,6 @@
     /// to a peer, and in an outage no node is better than another: in both cases leaving the load
     /// balancer's sight would only cost the time until it is seen again.
     fn is_ready(&self) -> bool {
-        self.loaded.get() && self.controller.borrow().replica.catalog.is_some()
+        self.loaded.get() && self.controller.borrow().cache.catalog.is_some()
     }
 }
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -3,12 +3,12 @@
 use super::{Node, forward};
 use crate::admin::Settings;
 use crate::http::{Method, Request, Response};
-use crate::ids::Token;
+use crate::ids::FencingToken;
+use crate::protocol::store::Txn;
+use crate::protocol::{self, Heartbeat, path};
 use crate::store::tokens::Class;
 use crate::store::{TxnOutcome, keys};
-use crate::wire::state::Txn;
-use crate::wire::{self, Report, path};
-use crate::workers::CheckinAnswer;
+use crate::workers::HeartbeatAnswer;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -74,14 +74,14 @@
 async fn dispatch(node: &Rc<Node>, request: &Request) -> (&'static str, Response) {
     let path = request.path.split('?').next().unwrap_or("");
     match (request.method, path) {
-        (Method::Post, path::REPORT) => ("report", report(node, request).await),
-        (_, path::REPORT) => ("other", Response::wrong_method("POST")),
+        (Method::Post, path::HEARTBEAT) => ("report", heartbeat(node, request).await),
+        (_, path::HEARTBEAT) => ("other", Response::wrong_method("POST")),
         (Method::Get, path::READY) => ("ready", ready(node)),
         (_, path::READY) => ("other", Response::wrong_method("GET")),
         (Method::Get, ADMIN_STATUS) => ("admin", status(node)),
         (_, ADMIN_STATUS) => ("other", Response::wrong_method("GET")),
         (Method::Get, ADMIN_SETTINGS) => {
-            let settings = node.controller.borrow().replica.settings();
+            let settings = node.controller.borrow().cache.settings();
             ("admin", Response::json(200, &settings))
         }
         (Method::Put, ADMIN_SETTINGS) => ("admin", change(node, &request.body).await),
@@ -126,47 +126,50 @@
     }
 }
 
-async fn report(node: &Rc<Node>, request: &Request) -> Response {
-    let report = match Report::parse(&request.body) {
-        Ok(report) => report,
+async fn heartbeat(node: &Rc<Node>, request: &Request) -> Response {
+    let heartbeat = match Heartbeat::parse(&request.body) {
+        Ok(heartbeat) => heartbeat,
         Err(message) => return Response::error(400, &message),
     };
     if !node.loaded.get() {
         return Response::later("not ready yet", 1);
     }
-    let (answer, effects) = node.controller.borrow_mut().on_checkin(node.now(), &report);
+    let (answer, effects) = node
+        .controller
+        .borrow_mut()
+        .on_heartbeat(node.now(), &heartbeat);
     node.carry_out(effects);
-    if let CheckinAnswer::Elsewhere(Some(holder)) = &answer {
-        let machine = &report.machine;
-        let answer = forward::hand_on_report(node, holder, machine, request).await;
+    if let HeartbeatAnswer::Redirect(Some(owner)) = &answer {
+        let machine = &heartbeat.machine;
+        let answer = forward::forward_heartbeat(node, owner, machine, request).await;
         if let Some(response) = answer {
             return response;
         }
     }
-    report_answer(answer)
+    heartbeat_response(answer)
 }
 
-fn report_answer(answer: CheckinAnswer) -> Response {
+fn heartbeat_response(answer: HeartbeatAnswer) -> Response {
     match answer {
-        CheckinAnswer::Orders(token, orders) => {
-            Response::new(200, wire::orders(token, None, &orders))
+        HeartbeatAnswer::Commands(token, commands) => {
+            Response::new(200, protocol::commands(token, None, &commands))
         }
-        CheckinAnswer::Elsewhere(holder) => Response::new(421, wire::redirect(holder.as_ref())),
+        HeartbeatAnswer::Redirect(owner) => Response::new(421, protocol::redirect(owner.as_ref())),
     }
 }
 
 /// A report that a peer hands on.
-pub fn relayed_report(node: &Rc<Node>, body: &[u8]) -> Response {
-    let Ok(report) = Report::parse(body) else {
+pub fn relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
+    let Ok(heartbeat) = Heartbeat::parse(body) else {
         return Response::error(400, "unreadable report");
     };
     let now = node.now();
     let (answer, effects) = node
         .controller
         .borrow_mut()
-        .on_relayed_checkin(now, &report);
+        .on_relayed_heartbeat(now, &heartbeat);
     node.carry_out(effects);
-    report_answer(answer.unwrap_or(CheckinAnswer::Elsewhere(None)))
+    heartbeat_response(answer.unwrap_or(HeartbeatAnswer::Redirect(None)))
 }
 
 fn ready(node: &Node) -> Response {
@@ -185,9 +188,9 @@
     };
     let (settings, revision) = {
         let controller = node.controller.borrow();
-        let stored = controller.replica.settings.as_ref();
+        let stored = controller.cache.settings.as_ref();
         let revision = stored.map_or(crate::ids::Revision(0), |s| s.revision);
-        (controller.replica.settings(), revision)
+        (controller.cache.settings(), revision)
     };
     let new: Settings = match settings.change(&change) {
         Ok(new) => new,
@@ -205,16 +208,16 @@
 
 fn status(node: &Node) -> Response {
     let controller = node.controller.borrow();
-    let replica = &controller.replica;
-    let blocks: BTreeMap<String, Value> = replica
-        .blocks
+    let cache = &controller.cache;
+    let shards: BTreeMap<String, Value> = cache
+        .shards
         .iter()
         .map(|(id, b)| {
-            let entry = json!({"holder": b.value.holder, "token": Token::of(b.revision, 0)});
+            let entry = json!({"holder": b.value.owner, "token": FencingToken::of(b.revision, 0)});
             (id.to_string(), entry)
         })
         .collect();
-    let machines: Vec<Value> = replica
+    let machines: Vec<Value> = cache
         .machines
         .iter()
         .map(|(id, m)| {
@@ -228,19 +231,19 @@
         "member": node.config.member,
         "zone": node.config.zone,
         "ready": node.is_ready(),
-        "leader": replica.leader.as_ref().map(|l| &l.value.member),
-        "members": replica.members.keys().collect::<Vec<_>>(),
-        "versions": replica.members.iter().map(|(m, r)| (m, r.version)).collect::<BTreeMap<_, _>>(),
-        "revision": replica.revision,
-        "blocks": blocks,
+        "leader": cache.leader.as_ref().map(|l| &l.value.member),
+        "members": cache.members.keys().collect::<Vec<_>>(),
+        "versions": cache.members.iter().map(|(m, r)| (m, r.version)).collect::<BTreeMap<_, _>>(),
+        "revision": cache.revision,
+        "blocks": shards,
         "machines": machines,
         "booting": controller.fleet.booting(),
-        "teams": replica.team_usage(),
-        "jobs": replica.jobs.len(),
-        "waiting_jobs": replica.waiting.len(),
+        "teams": cache.team_usage(),
+        "jobs": cache.jobs.len(),
+        "waiting_jobs": cache.waiting.len(),
         "waiting_tasks": controller.scheduler.shortages.iter().map(|s| s.tasks).sum::<u64>(),
         "allotted": controller.scheduler.allotted_count(),
-        "held_machines": controller.holder.desk_count(),
+        "held_machines": controller.shard_owner.desk_count(),
         "state_service": {
             "up": node.store.is_up(), "request_tokens": requests, "write_tokens": writes,
             "calls": counters.calls.get(), "refused": counters.refused.get(),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -132,14 +132,14 @@
     Revision,
     /// Who may command a machine: the revision of its block's record, and how often that
     /// revision's holder has raised it for this machine alone.
-    Token,
+    FencingToken,
     /// Tells one start of a task from another. Never used twice.
-    Attempt,
+    AttemptNumber,
     /// A worker's life between two expiries of its lease.
-    Session,
+    WorkerEpoch,
     /// Orders the messages of one session.
-    Seq,
-    GrantId,
+    HeartbeatSequence,
+    LeaseId,
     /// A process's life; a restarted controller has another.
     Incarnation,
 }
@@ -147,7 +147,7 @@
 /// Bits of a token that count a holder's own rises; the block's revision stands above them.
 const RISE_BITS: u32 = 20;
 
-impl Token {
+impl FencingToken {
     /// The token of a machine under a block's record. Any later record of the block outranks all
     /// rises under an earlier one, so they need no record of their own.
     pub fn of(fence: Revision, rise: u32) -> Self {
@@ -168,9 +168,9 @@
 /// A block of machines that is leased as one. A machine's block follows from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BlockId(pub u32);
+pub struct ShardId(pub u32);
 
-impl fmt::Display for BlockId {
+impl fmt::Display for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -179,7 +179,7 @@
 impl MachineId {
     /// Machines never move between blocks, so a block's token rises only when its holder
     /// changes. The cloud numbers machines in their order: the remainder deals them out evenly.
-    pub fn block(&self, blocks: u32) -> BlockId {
+    pub fn shard(&self, shards: u32) -> ShardId {
         let numbered = self.as_str().bytes().any(|b| b.is_ascii_digit());
         let (base, digits) = if numbered { (10, true) } else { (31, false) };
         let bytes = self
@@ -190,7 +190,7 @@
             let value = if digits { b - b'0' } else { b };
             n.wrapping_mul(base).wrapping_add(value.into())
         });
-        BlockId((number % u64::from(blocks.max(1))) as u32)
+        ShardId((number % u64::from(shards.max(1))) as u32)
     }
 }
 
@@ -219,27 +219,27 @@
 
 /// One start of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Run {
+pub struct TaskAttempt {
     pub task: TaskId,
-    pub attempt: Attempt,
+    pub number: AttemptNumber,
 }
 
-impl fmt::Display for Run {
+impl fmt::Display for TaskAttempt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{}", self.task, self.attempt)
+        write!(f, "{}#{}", self.task, self.number)
     }
 }
 
 /// A moment of this process's steady clock, in milliseconds since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Time(pub u64);
+pub struct MonotonicTime(pub u64);
 
 /// A length of time in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Span(pub u64);
+pub struct Millis(pub u64);
 
-impl Span {
+impl Millis {
     pub fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
@@ -251,30 +251,30 @@
     }
 }
 
-impl Time {
+impl MonotonicTime {
     /// The time since an earlier moment; none if that is later.
-    pub fn since(self, earlier: Self) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: Self) -> Millis {
+        Millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add for Span {
+impl Add for Millis {
     type Output = Self;
     fn add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 }
 
-impl Add<Span> for Time {
+impl Add<Millis> for MonotonicTime {
     type Output = Self;
-    fn add(self, span: Span) -> Self {
+    fn add(self, span: Millis) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Time {
+impl Sub<Millis> for MonotonicTime {
     type Output = Self;
-    fn sub(self, span: Span) -> Self {
+    fn sub(self, span: Millis) -> Self {
         Self(self.0.saturating_sub(span.0))
     }
 }
@@ -282,9 +282,9 @@
 /// The time of day in milliseconds; only as good as the settings' bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Wall(pub u64);
+pub struct UnixTime(pub u64);
 
-impl Wall {
+impl UnixTime {
     pub fn now() -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Self(since.map_or(0, |d| d.as_millis() as u64))
@@ -293,13 +293,13 @@
 
 /// What a task takes and a machine has, in thousandths: sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Amounts {
+pub struct Resources {
     pub cpus: u64,
     pub gpus: u64,
     pub memory: u64,
 }
 
-impl Amounts {
+impl Resources {
     /// Needs are rounded up, so that a sum never understates them.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |v: f64| (v.max(0.0) * 1000.0 - 1e-6).ceil().max(0.0) as u64;
@@ -341,7 +341,7 @@
     }
 }
 
-impl Add for Amounts {
+impl Add for Resources {
     type Output = Self;
     fn add(self, other: Self) -> Self {
         Self {
@@ -352,7 +352,7 @@
     }
 }
 
-impl Sub for Amounts {
+impl Sub for Resources {
     type Output = Self;
     fn sub(self, other: Self) -> Self {
         Self {
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -2,18 +2,18 @@
 
 #[test]
 fn needs_round_up_and_room_rounds_down() {
-    let need = Amounts::need(0.1, 0.0, 1.00001);
+    let need = Resources::need(0.1, 0.0, 1.00001);
     assert_eq!((need.cpus, need.memory), (100, 1001));
-    assert_eq!(Amounts::room(4.0, 0.0, 15.9999).memory, 15_999);
-    assert_eq!(need.count_in(Amounts::room(1.0, 0.0, 64.0)), 10);
+    assert_eq!(Resources::room(4.0, 0.0, 15.9999).memory, 15_999);
+    assert_eq!(need.count_in(Resources::room(1.0, 0.0, 64.0)), 10);
 }
 
 #[test]
 fn machines_are_dealt_out_evenly_in_the_order_of_their_names() {
-    let blocks: Vec<u32> = (230..236)
-        .map(|n| MachineId::from(format!("vm-{n:06}").as_str()).block(6).0)
+    let shards: Vec<u32> = (230..236)
+        .map(|n| MachineId::from(format!("vm-{n:06}").as_str()).shard(6).0)
         .collect();
-    let mut sorted = blocks.clone();
+    let mut sorted = shards.clone();
     sorted.sort_unstable();
     assert_eq!(sorted, vec![0, 1, 2, 3, 4, 5]);
 }
--- a/src/intake/dependencies.rs
+++ b/src/intake/dependencies.rs
@@ -2,16 +2,16 @@
 
 mod decision;
 
-pub use decision::{Cascade, CascadeStep, Dependencies, Named, named_in_mirror, new_job};
+pub use decision::{Cascade, CascadeStep, Dependencies, Named, named_in_cache, new_job};
 
 use super::service::{Found, Intake, later, status};
 use crate::http::Response;
-use crate::ids::{JobId, Revision, Wall};
+use crate::ids::{JobId, Revision, UnixTime};
+use crate::protocol::{JobSpec, JobState};
 use crate::runtime;
 use crate::store::records::JobRecord;
 use crate::store::tokens::Class;
 use crate::store::{TxnOutcome, keys};
-use crate::wire::{JobSpec, JobState};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
     pub(super) async fn submit_dependent(&self, spec: JobSpec) -> Response {
         let id = spec.id.clone();
         // It would start the job at once.
-        if !self.controller.borrow().replica.all_know_dependencies() {
+        if !self.controller.borrow().cache.all_know_dependencies() {
             return later("a controller of an earlier version takes part");
         }
         let mut changed = BTreeSet::new();
@@ -36,7 +36,7 @@
                 return self.refuse(&id, why).await;
             }
             let ops = self.config.state.txn_ops;
-            let Some((txn, state)) = dependencies.accept(&spec, Wall::now(), ops) else {
+            let Some((txn, state)) = dependencies.accept(&spec, UnixTime::now(), ops) else {
                 return later("the jobs that it names can't be read");
             };
             match self.store.txn(Class::Accept, &txn).await {
@@ -71,7 +71,7 @@
     }
 
     async fn named(&self, id: &JobId, changed: bool) -> Named {
-        let shown = named_in_mirror(id, &self.controller.borrow().replica);
+        let shown = named_in_cache(id, &self.controller.borrow().cache);
         if let Some(live) = shown.filter(|_| !changed) {
             return live;
         }
@@ -96,7 +96,7 @@
         let mut cascade = Cascade::new(id, revision);
         let ops = self.config.state.txn_ops;
         while Instant::now() < until {
-            let step = cascade.next(&self.controller.borrow().replica, ops);
+            let step = cascade.next(&self.controller.borrow().cache, ops);
             let (txn, jobs) = match step {
                 CascadeStep::Complete => return true,
                 CascadeStep::Wait => {
--- a/src/intake/dependencies/decision.rs
+++ b/src/intake/dependencies/decision.rs
@@ -1,13 +1,13 @@
 //! What a submission that names other jobs amounts to, and the transactions that follow: decided
 //! without I/O.
 
-use crate::ids::{JobId, Revision, Wall};
+use crate::ids::{JobId, Revision, UnixTime};
 use crate::planning::cancel_dependents;
+use crate::protocol::store::Txn;
+use crate::protocol::{JobKind, JobSpec, JobState};
 use crate::store::keys;
 use crate::store::records::{JobRecord, OverRecord};
-use crate::store::replica::Replica;
-use crate::wire::state::Txn;
-use crate::wire::{JobSpec, JobState, Kind};
+use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
 /// Conditions that a submission needs beside those on the jobs that it names.
@@ -20,7 +20,7 @@
 pub enum Named {
     /// Accepted and not over.
     Live {
-        kind: Kind,
+        kind: JobKind,
         revision: Revision,
     },
     Done,
@@ -52,7 +52,7 @@
             }
             match standing {
                 Named::Live {
-                    kind: Kind::Service,
+                    kind: JobKind::Service,
                     ..
                 } => return Self::Refused(format!("{id} is a service: it is never done")),
                 Named::Never => return Self::Refused(format!("{id} was never accepted")),
@@ -77,7 +77,7 @@
     /// condition that the jobs it waits for stand as they were found, so whoever cancels one of
     /// these finds, once the mirror has come up to that change, every job that needs it. Of a very
     /// long list only the first are checked there; the leader finds out about the others.
-    pub fn accept(&self, spec: &JobSpec, now: Wall, max_ops: usize) -> Option<(Txn, JobState)> {
+    pub fn accept(&self, spec: &JobSpec, now: UnixTime, max_ops: usize) -> Option<(Txn, JobState)> {
         let mut txn = new_job(&spec.id);
         let open = match self {
             Self::Refused(_) | Self::Unknown => return None,
@@ -112,10 +112,10 @@
 }
 
 /// How a job stands that the mirror shows. That one is missing there proves nothing.
-pub fn named_in_mirror(id: &JobId, replica: &Replica) -> Option<Named> {
+pub fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<Named> {
     Some(Named::Live {
-        kind: replica.job_spec(id)?.kind,
-        revision: replica.job_revision(id)?,
+        kind: cache.job_spec(id)?.kind,
+        revision: cache.job_revision(id)?,
     })
 }
 
@@ -148,16 +148,16 @@
 
     /// No job that needs a cancelled one is accepted as waiting after the change that cancelled it,
     /// and the mirror shows all that were before, once it has come up to that change.
-    pub fn next(&mut self, replica: &Replica, max_ops: usize) -> CascadeStep {
+    pub fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
         let mut cancelled = self.cancelled.iter();
-        let next = cancelled.find_map(|id| cancel_dependents(id, replica, max_ops));
+        let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
         let found = self.cancelled.iter();
-        let found = found.flat_map(|id| replica.waiting.descendants(id));
+        let found = found.flat_map(|id| cache.waiting.descendants(id));
         let new: BTreeSet<JobId> = found.filter(|id| !self.cancelled.contains(id)).collect();
         self.cancelled.extend(new);
         match next {
             Some((txn, jobs)) => CascadeStep::Write(txn, jobs),
-            None if replica.revision >= self.revision => CascadeStep::Complete,
+            None if cache.revision >= self.revision => CascadeStep::Complete,
             None => CascadeStep::Wait,
         }
     }
--- a/src/intake/dependencies/decision/tests.rs
+++ b/src/intake/dependencies/decision/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::wire::tests::spec;
+use crate::protocol::tests::spec;
 
 const OPS: usize = 4;
 
-fn live(kind: Kind) -> Named {
+fn live(kind: JobKind) -> Named {
     let revision = Revision(7);
     Named::Live { kind, revision }
 }
@@ -18,7 +18,7 @@
 /// What is final outweighs what is not known, and what can be waited for comes last.
 #[test]
 fn named_jobs_are_summed_up_by_the_worst_of_them() {
-    let array = live(Kind::Array);
+    let array = live(JobKind::Array);
     let cases = [
         (vec![("job-1", Named::Done), ("job-2", Named::Done)], "done"),
         (vec![("job-1", array), ("job-2", Named::Done)], "open"),
@@ -35,7 +35,7 @@
             "refused",
         ),
         (
-            vec![("job-1", array), ("job-2", live(Kind::Service))],
+            vec![("job-1", array), ("job-2", live(JobKind::Service))],
             "refused",
         ),
         (
@@ -68,13 +68,13 @@
     let mut job = spec("job-9");
     job.dependencies = vec!["job-1".into()];
     let record = |txn: &Txn| -> JobRecord {
-        let crate::wire::state::Change::Put { value, .. } = &txn.changes[0] else {
+        let crate::protocol::store::Change::Put { value, .. } = &txn.changes[0] else {
             panic!("a record is written");
         };
         serde_json::from_value(value.clone()).expect("record")
     };
-    let open = decide(&[("job-1", live(Kind::Gang))]);
-    let (txn, state) = open.accept(&job, Wall(5), OPS).expect("accepted");
+    let open = decide(&[("job-1", live(JobKind::Gang))]);
+    let (txn, state) = open.accept(&job, UnixTime(5), OPS).expect("accepted");
     assert_eq!(state, JobState::Queued);
     assert!(record(&txn).is_waiting());
     let parent = txn
@@ -83,22 +83,31 @@
         .find(|c| c.key == keys::job(&"job-1".into()));
     assert_eq!(parent.map(|c| c.revision), Some(Revision(7)));
     let (txn, _) = Dependencies::Done
-        .accept(&job, Wall(5), OPS)
+        .accept(&job, UnixTime(5), OPS)
         .expect("accepted");
     assert!(!record(&txn).is_waiting());
     let (txn, state) = Dependencies::Cancelled
-        .accept(&job, Wall(5), OPS)
+        .accept(&job, UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!((state, txn.changes.len()), (JobState::Cancelled, 1));
-    assert!(Dependencies::Unknown.accept(&job, Wall(5), OPS).is_none());
+    assert!(
+        Dependencies::Unknown
+            .accept(&job, UnixTime(5), OPS)
+            .is_none()
+    );
 }
 
 #[test]
 fn a_long_list_of_open_jobs_keeps_to_the_conditions_of_a_transaction() {
-    let named = (0..100).map(|n| (JobId::from(format!("job-{n}").as_str()), live(Kind::Array)));
+    let named = (0..100).map(|n| {
+        (
+            JobId::from(format!("job-{n}").as_str()),
+            live(JobKind::Array),
+        )
+    });
     let open = Dependencies::of(&"job-1000".into(), named.collect());
     let (txn, _) = open
-        .accept(&spec("job-1000"), Wall(5), OPS)
+        .accept(&spec("job-1000"), UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!(txn.conditions.len(), CONDITIONS_PER_CHANGE * OPS);
 }
--- a/src/intake/dependencies/tests.rs
+++ b/src/intake/dependencies/tests.rs
@@ -1,13 +1,13 @@
 //! Submissions that name other jobs, over HTTP against a stand-in of the state service.
 
 use crate::http::Response;
-use crate::ids::{GrantId, Incarnation, Member};
+use crate::ids::{Incarnation, LeaseId, Member};
 use crate::intake::Intake;
 use crate::intake::service::tests::{Scene, body, stand};
+use crate::protocol::JobState;
 use crate::runtime;
 use crate::store::keys;
 use crate::store::records::{MemberRecord, OverRecord, ProgramVersion};
-use crate::wire::JobState;
 use serde_json::{Value, json};
 
 async fn submit(intake: &Intake, id: &str, awaits: Value) -> Response {
@@ -140,7 +140,7 @@
         let write = |version| {
             let record = MemberRecord {
                 version,
-                ..MemberRecord::new(Incarnation(3), GrantId(4))
+                ..MemberRecord::new(Incarnation(3), LeaseId(4))
             };
             let mut held = scene.state.borrow_mut();
             held.revision += 1;
--- a/src/intake/over/tests.rs
+++ b/src/intake/over/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::JobState;
+use crate::protocol::JobState;
 
 #[test]
 fn the_cache_is_bounded_and_keeps_the_latest() {
--- a/src/intake/service.rs
+++ b/src/intake/service.rs
@@ -6,13 +6,13 @@
 use crate::config::Config;
 use crate::controller::Controller;
 use crate::http::Response;
-use crate::ids::{JobId, Revision, Wall, Zone};
+use crate::ids::{JobId, Revision, UnixTime, Zone};
+use crate::protocol::store::{Item, Txn};
+use crate::protocol::{Catalog, JobKind, JobSpec, JobState, JobStatus, submitted_id, valid_job_id};
 use crate::runtime::{Sender, oneshot};
 use crate::store::records::{JobRecord, OverRecord};
 use crate::store::tokens::Class;
 use crate::store::{Store, StoreError, TxnOutcome, keys};
-use crate::wire::state::{Item, Txn};
-use crate::wire::{Catalog, JobSpec, JobState, JobStatus, Kind, submitted_id, valid_job_id};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -80,8 +80,8 @@
 /// The size of a job's record once it is stored, with the time of its release.
 fn record_size(spec: &JobSpec) -> usize {
     let record = JobRecord {
-        released: Some(Wall(u64::MAX)),
-        ..JobRecord::new(spec.clone(), Wall(u64::MAX))
+        released: Some(UnixTime(u64::MAX)),
+        ..JobRecord::new(spec.clone(), UnixTime(u64::MAX))
     };
     serde_json::to_vec(&record).map_or(usize::MAX, |bytes| bytes.len())
 }
@@ -104,13 +104,13 @@
         return Some("a task fits no allowed machine type");
     }
     // Those that stand all at once, of which one zone may have no more than half.
-    let at_once = spec.kind != Kind::Array && spec.spread && spec.tasks > 1;
+    let at_once = spec.kind != JobKind::Array && spec.spread && spec.tasks > 1;
     if at_once && (spec.one_zone || zones.len() < 2) {
         return Some("its tasks may not be in one zone, nor in several");
     }
     let at_once = match spec.kind {
-        Kind::Array => 1,
-        Kind::Gang | Kind::Service => spec.tasks.into(),
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks.into(),
     };
     (!need.times(at_once).fits(team.limit())).then_some("needs more than the team's limit")
 }
@@ -142,8 +142,8 @@
         let id = spec.id.clone();
         let (known, catalog) = {
             let controller = self.controller.borrow();
-            let catalog = controller.replica.catalog.as_ref().map(|c| c.value.clone());
-            (controller.replica.job_revision(&id).is_some(), catalog)
+            let catalog = controller.cache.catalog.as_ref().map(|c| c.value.clone());
+            (controller.cache.job_revision(&id).is_some(), catalog)
         };
         if known || self.over.borrow().get(&id).is_some() {
             return self.poll_known(&id).await;
@@ -163,7 +163,7 @@
         if !spec.dependencies.is_empty() {
             return self.submit_dependent(spec).await;
         }
-        let record = JobRecord::new(spec, Wall::now());
+        let record = JobRecord::new(spec, UnixTime::now());
         let mut txn = new_job(&id);
         txn.put(keys::job(&id), &record, None);
         match self.store.txn(Class::Accept, &txn).await {
@@ -214,7 +214,7 @@
         }
         let revision = {
             let controller = self.controller.borrow();
-            controller.replica.job_revision(id)
+            controller.cache.job_revision(id)
         };
         if let Some(revision) = revision {
             match self.verifier.verify(id, revision).await {
@@ -234,7 +234,7 @@
     /// Counts are for display: they are the mirror's.
     fn live_status(&self, id: &JobId) -> Response {
         let controller = self.controller.borrow();
-        let (done, running) = controller.replica.jobs.get(id).map_or((0, 0), |j| {
+        let (done, running) = controller.cache.jobs.get(id).map_or((0, 0), |j| {
             (u64::from(j.done_count()), j.placed.len() as u64)
         });
         let state = if running > 0 {
--- a/src/intake/service/tests.rs
+++ b/src/intake/service/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::sample_config;
 use crate::http::{Method, Request, serve};
 use crate::runtime::{self, Receiver, Scope, TcpListener, channel};
-use crate::store::replica::Replica;
+use crate::store::watch_cache::WatchCache;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 #[test]
 fn what_can_never_run_is_told_from_what_must_wait() {
     let config = sample_config();
-    let base = crate::wire::tests::spec("job-000001");
+    let base = crate::protocol::tests::spec("job-000001");
     let verdict = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = base.clone();
         change(&mut spec);
@@ -29,14 +29,14 @@
     assert!(
         verdict(&|s| {
             s.tasks = 13;
-            s.kind = Kind::Service
+            s.kind = JobKind::Service
         })
         .is_some()
     );
     assert_eq!(
         verdict(&|s| {
             s.tasks = 12;
-            s.kind = Kind::Service
+            s.kind = JobKind::Service
         }),
         None
     );
@@ -46,15 +46,15 @@
     assert!(verdict(&|s| s.types = Some(vec!["t9".into()])).is_some());
     assert!(verdict(&|s| s.gpus = 1.0).is_some());
     // Two replicas of which at most one may be in a zone need two zones.
-    let apart = |kind: Kind| {
+    let apart = |kind: JobKind| {
         verdict(&move |s| {
             s.tasks = 2;
             s.kind = kind;
             s.spread = true;
         })
     };
-    assert!(apart(Kind::Service).is_some() && apart(Kind::Gang).is_some());
-    assert!(apart(Kind::Array).is_none());
+    assert!(apart(JobKind::Service).is_some() && apart(JobKind::Gang).is_some());
+    assert!(apart(JobKind::Array).is_none());
 }
 
 /// A state service that holds a few keys: enough for what the intake asks of it.
@@ -142,16 +142,16 @@
         limits.least_rates = limits.rates;
         let store = Store::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
         let mut controller = Controller::new(&config, crate::ids::Incarnation(1));
-        let mut replica = Replica::new(&config);
+        let mut cache = WatchCache::new(&config);
         if types {
-            replica.load(crate::wire::state::Item {
+            cache.load(crate::protocol::store::Item {
                 key: keys::CATALOG.to_owned(),
                 value: serde_json::to_value(catalog()).expect("json"),
                 revision: Revision(1),
-                grant: None,
+                lease: None,
             });
         }
-        controller.on_snapshot(crate::ids::Time(1), replica);
+        controller.on_snapshot(crate::ids::MonotonicTime(1), cache);
         let (asked, cancellations) = channel();
         let controller = Rc::new(RefCell::new(controller));
         let intake = Intake::new(&config, Rc::new(store), controller, asked);
@@ -164,25 +164,25 @@
     pub fn catch_up(&self, intake: &Intake) {
         let state = self.state.borrow();
         let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
-        let mut replica = Replica::new(&intake.config);
+        let mut cache = WatchCache::new(&intake.config);
         for (key, (value, revision)) in state.keys.iter().filter(live) {
-            replica.load(crate::wire::state::Item {
+            cache.load(crate::protocol::store::Item {
                 key: key.clone(),
                 value: value.clone(),
                 revision: Revision(*revision),
-                grant: None,
+                lease: None,
             });
         }
-        let catalog = intake.controller.borrow().replica.catalog.clone();
-        replica.catalog = replica.catalog.or(catalog);
-        replica.revision = Revision(state.revision);
+        let catalog = intake.controller.borrow().cache.catalog.clone();
+        cache.catalog = cache.catalog.or(catalog);
+        cache.revision = Revision(state.revision);
         let mut controller = intake.controller.borrow_mut();
-        controller.on_snapshot(crate::ids::Time(1), replica);
+        controller.on_snapshot(crate::ids::MonotonicTime(1), cache);
     }
 }
 
 pub fn body(id: &str, change: impl Fn(&mut Value)) -> Vec<u8> {
-    let mut body = crate::wire::tests::submission(id);
+    let mut body = crate::protocol::tests::submission(id);
     change(&mut body);
     body.to_string().into_bytes()
 }
--- a/src/intake/verify.rs
+++ b/src/intake/verify.rs
@@ -2,10 +2,10 @@
 //! covers many polls with one request.
 
 use crate::ids::{JobId, Revision};
+use crate::protocol::store::Txn;
 use crate::runtime::{self, Sender, channel, oneshot};
 use crate::store::tokens::Class;
 use crate::store::{Store, TxnOutcome, keys};
-use crate::wire::state::Txn;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/src/intake/verify/tests.rs
+++ b/src/intake/verify/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ids::Time;
+use crate::ids::MonotonicTime;
 use crate::store::tokens::Bucket;
 
 /// Placements ask for four fifths of the requests there are, users about thousands of jobs: every question
@@ -14,7 +14,7 @@
     let mut open: Vec<(u64, u32, Vec<usize>)> = Vec::new();
     let mut asked: Vec<usize> = Vec::new();
     for ms in (0..200_000u64).step_by(10) {
-        let now = Time(ms);
+        let now = MonotonicTime(ms);
         if ms % 50 == 0 {
             bucket.try_take(now, 1.0, Class::Place);
         }
--- a/src/leadership/hearing.rs
+++ b/src/leadership/hearing.rs
@@ -6,9 +6,9 @@
 //! Silence alone says nothing of the sort: a zone may be cut off, and then nobody hears it.
 
 use crate::config::Config;
-use crate::ids::{BlockId, MachineId, Member, Span, Time};
+use crate::ids::{MachineId, Member, Millis, MonotonicTime, ShardId};
 use crate::peers::MachineHealth;
-use crate::store::replica::Replica;
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Of a holder's machines, so many must be silent to it: one in this many.
@@ -17,25 +17,25 @@
 const HEARD_PART: usize = 4;
 
 pub struct Hearing {
-    report: Span,
+    heartbeat_interval: Millis,
     /// How long a holder gets no blocks back: what cut it off may last.
-    rest: Span,
+    rest: Millis,
     /// When a machine last reported to a controller that does not hold it.
-    strays: BTreeMap<MachineId, Time>,
-    resting: BTreeMap<Member, Time>,
+    strays: BTreeMap<MachineId, MonotonicTime>,
+    resting: BTreeMap<Member, MonotonicTime>,
 }
 
 impl Hearing {
     pub fn new(config: &Config) -> Self {
         Self {
-            report: config.report,
-            rest: Span(2 * config.lease.0),
+            heartbeat_interval: config.heartbeat_interval,
+            rest: Millis(2 * config.worker_lease.0),
             strays: BTreeMap::new(),
             resting: BTreeMap::new(),
         }
     }
 
-    pub fn on_strays(&mut self, now: Time, machines: Vec<MachineId>) {
+    pub fn on_strays(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
         self.strays.extend(machines.into_iter().map(|id| (id, now)));
     }
 
@@ -47,25 +47,25 @@
     /// Judges all holders by what they said last of their machines.
     pub fn judge<'a>(
         &mut self,
-        now: Time,
-        blocks: u32,
+        now: MonotonicTime,
+        shards: u32,
         health: impl Iterator<Item = &'a MachineHealth>,
-        replica: &Replica,
+        cache: &WatchCache,
     ) {
-        let fresh = Span(2 * self.report.0);
+        let fresh = Millis(2 * self.heartbeat_interval.0);
         self.strays.retain(|_, at| now.since(*at) < fresh);
         self.resting.retain(|_, until| now < *until);
-        let patience = self.report + Span(self.report.0 / 4 + 1000);
-        let mut holders: BTreeMap<&Member, (usize, usize, usize)> = BTreeMap::new();
+        let patience = self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
+        let mut owners: BTreeMap<&Member, (usize, usize, usize)> = BTreeMap::new();
         for last in health {
-            let block: BlockId = last.machine.block(blocks);
-            let Some(lease) = replica.blocks.get(&block) else {
+            let shard: ShardId = last.machine.shard(shards);
+            let Some(shard_record) = cache.shards.get(&shard) else {
                 continue;
             };
-            if lease.revision != last.fence {
+            if shard_record.revision != last.fence {
                 continue;
             }
-            let counts = holders.entry(&lease.value.holder).or_default();
+            let counts = owners.entry(&shard_record.value.owner).or_default();
             counts.0 += 1;
             // Through others a holder may hear them all: its commands get nowhere for all that
             // (Savannah fleet, apart: 0.83 to 0.73 while only silence counted).
@@ -74,8 +74,8 @@
                 counts.2 += usize::from(self.strays.contains_key(&last.machine));
             }
         }
-        let others = replica.members.len();
-        for (member, (all, silent, heard)) in holders {
+        let others = cache.members.len();
+        for (member, (all, silent, heard)) in owners {
             let deaf = silent * SILENT_PART > all && heard * HEARD_PART > silent && heard > 1;
             if deaf && self.resting.len() + 1 < others && !self.resting.contains_key(member) {
                 tracing::info!(%member, all, silent, heard, "a holder hears nothing of machines that others hear");
--- a/src/leadership/hearing/tests.rs
+++ b/src/leadership/hearing/tests.rs
@@ -1,44 +1,44 @@
 use super::*;
 use crate::config::tests::sample_config;
-use crate::ids::{GrantId, Incarnation, Revision};
+use crate::ids::{Incarnation, LeaseId, Revision};
+use crate::protocol::store::Item;
 use crate::store::keys;
-use crate::store::records::{BlockRecord, MemberRecord};
-use crate::wire::state::Item;
+use crate::store::records::{MemberRecord, ShardRecord};
 
-fn scene() -> (Config, Replica) {
+fn scene() -> (Config, WatchCache) {
     let config = sample_config();
-    let mut replica = Replica::new(&config);
+    let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: serde_json::Value| {
-        replica.load(Item {
+        cache.load(Item {
             key,
             value,
             revision: Revision(5),
-            grant: None,
+            lease: None,
         });
     };
     for (n, member) in ["c0", "c1", "c2"].into_iter().enumerate() {
-        let record = MemberRecord::new(Incarnation(n as u64), GrantId(n as u64 + 1));
+        let record = MemberRecord::new(Incarnation(n as u64), LeaseId(n as u64 + 1));
         let value = serde_json::to_value(&record).expect("json");
         put(keys::member(&member.into()), value);
     }
-    for block in 0..config.blocks() {
-        let record = BlockRecord {
-            holder: format!("c{}", block % 3).as_str().into(),
-            incarnation: Incarnation(u64::from(block % 3)),
+    for shard in 0..config.shards() {
+        let record = ShardRecord {
+            owner: format!("c{}", shard % 3).as_str().into(),
+            incarnation: Incarnation(u64::from(shard % 3)),
             term: Revision(5),
         };
         let value = serde_json::to_value(&record).expect("json");
-        put(keys::block(BlockId(block)), value);
+        put(keys::shard(ShardId(shard)), value);
     }
-    (config, replica)
+    (config, cache)
 }
 
 fn health(n: u32, silent: u64) -> MachineHealth {
     MachineHealth {
         machine: format!("vm-{n:03}").as_str().into(),
         fence: Revision(5),
-        silent: Span(silent),
-        missed: Span(silent),
+        silent: Millis(silent),
+        missed: Millis(silent),
         confirmed: true,
         notice: None,
         unrecorded: None,
@@ -49,18 +49,18 @@
 /// Reports that others hand on keep a holder informed, and leave it unable to command.
 #[test]
 fn a_holder_that_hears_its_machines_through_others_alone_is_relieved() {
-    let (config, replica) = scene();
+    let (config, cache) = scene();
     let mut hearing = Hearing::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| MachineHealth {
-            missed: Span(if n % 3 == 1 { 9000 } else { 100 }),
+            missed: Millis(if n % 3 == 1 { 9000 } else { 100 }),
             ..health(n, 100)
         })
         .collect();
     let of_c1 = (0..60).filter(|n| n % 3 == 1);
     let strays = of_c1.map(|n| health(n, 0).machine).collect();
-    hearing.on_strays(Time(1000), strays);
-    hearing.judge(Time(1100), config.blocks(), all.iter(), &replica);
+    hearing.on_strays(MonotonicTime(1000), strays);
+    hearing.judge(MonotonicTime(1100), config.shards(), all.iter(), &cache);
     let deaf: Vec<Member> = hearing.resting().into_iter().collect();
     assert_eq!(deaf, ["c1".into()]);
 }
@@ -68,13 +68,13 @@
 /// Machine n belongs to block n mod 6, which c(n mod 3) holds.
 #[test]
 fn only_a_holder_whose_silent_machines_others_hear_is_relieved() {
-    let (config, replica) = scene();
+    let (config, cache) = scene();
     let mut hearing = Hearing::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
         .collect();
     let judge = |hearing: &mut Hearing, now: u64| {
-        hearing.judge(Time(now), config.blocks(), all.iter(), &replica);
+        hearing.judge(MonotonicTime(now), config.shards(), all.iter(), &cache);
         hearing.resting()
     };
     assert!(
@@ -83,12 +83,12 @@
     );
     let of = |m: u32| (0..60).filter(move |n| n % 3 == m);
     let named = |m: u32| of(m).map(|n| health(n, 0).machine).collect();
-    hearing.on_strays(Time(2000), named(2));
+    hearing.on_strays(MonotonicTime(2000), named(2));
     assert!(judge(&mut hearing, 2100).is_empty(), "those are not silent");
-    hearing.on_strays(Time(3000), named(1));
+    hearing.on_strays(MonotonicTime(3000), named(1));
     let deaf: Vec<Member> = judge(&mut hearing, 3100).into_iter().collect();
     assert_eq!(deaf, ["c1".into()]);
-    let later = 3100 + 2 * config.lease.0;
-    hearing.judge(Time(later), config.blocks(), [].iter(), &replica);
+    let later = 3100 + 2 * config.worker_lease.0;
+    hearing.judge(MonotonicTime(later), config.shards(), [].iter(), &cache);
     assert!(hearing.resting().is_empty(), "and tried again later");
 }
--- a/src/leadership/grants.rs
+++ b/src/leadership/lease.rs
@@ -1,11 +1,11 @@
 //! The routine that keeps this process's grant and its member record.
 
-use crate::ids::{GrantId, Incarnation, Member, Revision};
+use crate::ids::{Incarnation, LeaseId, Member, Revision};
+use crate::protocol::store::Txn;
 use crate::runtime;
 use crate::store::records::MemberRecord;
 use crate::store::tokens::Class;
 use crate::store::{Store, StoreError, TxnOutcome, keys};
-use crate::wire::state::Txn;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -13,12 +13,12 @@
 
 /// Ends what an earlier life of this controller left, then holds a grant for ever. `tell` hears
 /// of each new grant, and of its loss; `assure` until when it holds for certain.
-pub async fn keep_grant(
+pub async fn keep_lease(
     store: Rc<Store>,
     me: Member,
     incarnation: Incarnation,
     life: impl Fn() -> Duration,
-    tell: impl Fn(Option<GrantId>),
+    tell: impl Fn(Option<LeaseId>),
     assure: impl Fn(Instant),
 ) {
     let key = keys::member(&me);
@@ -27,10 +27,10 @@
         let sent = Instant::now();
         let life_now = life();
         match enter(&store, &key, incarnation, life_now).await {
-            Some(grant) => {
+            Some(lease) => {
                 assure(sent + life_now);
-                tell(Some(grant));
-                extend(&store, grant, life_now, sent, &assure).await;
+                tell(Some(lease));
+                extend(&store, lease, life_now, sent, &assure).await;
                 tell(None);
             }
             None => runtime::sleep(RETRY).await,
@@ -43,27 +43,27 @@
     key: &str,
     incarnation: Incarnation,
     life: Duration,
-) -> Option<GrantId> {
-    let old = store.get(Class::Grant, key).await.ok()?;
+) -> Option<LeaseId> {
+    let old = store.get(Class::Lease, key).await.ok()?;
     let mut revision = Revision(0);
     if let Some(item) = old {
         let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
-        let left = record.map(|r| r.grant).or(item.grant);
+        let left = record.map(|r| r.lease).or(item.lease);
         match left {
             // Ending the old grant removes its keys: the member's, the leader's and the blocks'.
-            Some(grant) => store.end_grant(grant).await.ok()?,
+            Some(lease) => store.revoke_lease(lease).await.ok()?,
             None => revision = item.revision,
         }
     }
-    let grant = store.create_grant(life.as_millis() as u64).await.ok()?;
+    let lease = store.create_lease(life.as_millis() as u64).await.ok()?;
     let mut txn = Txn::default();
     txn.require(key, revision);
-    let record = MemberRecord::new(incarnation, grant);
-    txn.put(key, &record, Some(grant));
-    match store.txn(Class::Grant, &txn).await {
-        TxnOutcome::Committed(_) => Some(grant),
+    let record = MemberRecord::new(incarnation, lease);
+    txn.put(key, &record, Some(lease));
+    match store.txn(Class::Lease, &txn).await {
+        TxnOutcome::Committed(_) => Some(lease),
         _ => {
-            store.end_grant(grant).await.ok();
+            store.revoke_lease(lease).await.ok();
             None
         }
     }
@@ -72,7 +72,7 @@
 /// Returns once the grant is gone.
 async fn extend(
     store: &Store,
-    grant: GrantId,
+    lease: LeaseId,
     life: Duration,
     mut sent: Instant,
     assure: impl Fn(Instant),
@@ -80,7 +80,7 @@
     loop {
         runtime::sleep(life / 3).await;
         let now = Instant::now();
-        match store.extend_grant(grant).await {
+        match store.renew_lease(lease).await {
             Ok(()) => {
                 sent = now;
                 assure(sent + life);
