--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,30 +1,30 @@
 //! Who leads, and who holds which block: decided by compare-and-set on the state service, with
 //! records that go when their writer's grant goes.
 
-mod grants;
 mod hearing;
+mod lease;
 
-pub use grants::keep_grant;
 pub use hearing::Hearing;
+pub use lease::keep_lease;
 
 use crate::config::Config;
-use crate::ids::{BlockId, GrantId, Incarnation, Member, Revision, Span, Time};
-use crate::store::records::{BlockRecord, LeaderRecord};
-use crate::store::replica::Replica;
+use crate::ids::{Incarnation, LeaseId, Member, Millis, MonotonicTime, Revision, ShardId};
+use crate::protocol::store::Txn;
+use crate::store::records::{LeaderRecord, ShardRecord};
+use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
-use crate::wire::state::Txn;
 use std::collections::{BTreeMap, BTreeSet};
 
-const RETRY: Span = Span(300);
+const RETRY: Millis = Millis(300);
 
 pub struct Leadership {
     me: Member,
     incarnation: Incarnation,
-    blocks: u32,
+    shards: u32,
     txn_ops: usize,
-    grant: Option<GrantId>,
+    lease: Option<LeaseId>,
     in_flight: bool,
-    retry_at: Time,
+    retry_at: MonotonicTime,
     retry_revision: Revision,
     /// The leader's record that was ours under a grant which has ended since.
     lost: Revision,
@@ -37,11 +37,11 @@
         Self {
             me: config.member.clone(),
             incarnation,
-            blocks: config.blocks(),
+            shards: config.shards(),
             txn_ops: config.state.txn_ops,
-            grant: None,
+            lease: None,
             in_flight: false,
-            retry_at: Time::default(),
+            retry_at: MonotonicTime::default(),
             retry_revision: Revision(0),
             lost: Revision(0),
             resting: BTreeSet::new(),
@@ -56,56 +56,56 @@
     /// A term ends with the grant it was claimed under. After a long stand the mirror still shows
     /// it when the next grant is there already: a leader that went on then deleted a third of the
     /// fleet, silent only to itself (Tramite fleet, apart).
-    pub fn set_grant(&mut self, grant: Option<GrantId>, replica: &Replica) {
-        if self.grant != grant
-            && let Some(term) = self.term(replica)
+    pub fn set_lease(&mut self, lease: Option<LeaseId>, cache: &WatchCache) {
+        if self.lease != lease
+            && let Some(term) = self.term(cache)
         {
             self.lost = term;
         }
-        self.grant = grant;
+        self.lease = lease;
     }
 
     /// The term, if this process leads as far as the mirror knows. A leader that has been
     /// replaced without knowing does no harm: its block writes need the leader's record, and
     /// its allotments fail at the blocks' fences.
-    pub fn term(&self, replica: &Replica) -> Option<Revision> {
-        let leader = replica.leader.as_ref()?;
+    pub fn term(&self, cache: &WatchCache) -> Option<Revision> {
+        let leader = cache.leader.as_ref()?;
         let mine = leader.value.member == self.me && leader.value.incarnation == self.incarnation;
         (mine && leader.revision > self.lost).then_some(leader.revision)
     }
 
     /// The term, once every block was rewritten in it: then the mirror holds every placement
     /// that any earlier term can have committed.
-    pub fn settled_term(&self, replica: &Replica) -> Option<Revision> {
-        let term = self.term(replica)?;
-        let all = (0..self.blocks).all(|b| {
-            replica
-                .blocks
-                .get(&BlockId(b))
+    pub fn settled_term(&self, cache: &WatchCache) -> Option<Revision> {
+        let term = self.term(cache)?;
+        let all = (0..self.shards).all(|b| {
+            cache
+                .shards
+                .get(&ShardId(b))
                 .is_some_and(|r| r.value.term == term)
         });
         all.then_some(term)
     }
 
     /// The next transaction that leadership needs, if any.
-    pub fn drive(&mut self, now: Time, replica: &Replica) -> Option<Txn> {
-        let grant = self.grant?;
+    pub fn drive(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
+        let lease = self.lease?;
         if self.in_flight || now < self.retry_at {
             return None;
         }
-        if replica.revision < self.retry_revision && now < self.retry_at + Span(2000) {
+        if cache.revision < self.retry_revision && now < self.retry_at + Millis(2000) {
             return None;
         }
-        let txn = match (&replica.leader, self.term(replica)) {
-            (None, _) => self.claim(grant),
-            (Some(_), Some(term)) => self.lease_blocks(term, replica)?,
+        let txn = match (&cache.leader, self.term(cache)) {
+            (None, _) => self.claim(lease),
+            (Some(_), Some(term)) => self.assign_shards(term, cache)?,
             (Some(_), None) => return None,
         };
         self.in_flight = true;
         Some(txn)
     }
 
-    pub fn on_txn(&mut self, now: Time, outcome: &TxnOutcome) {
+    pub fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
             TxnOutcome::Committed(revision) => {
@@ -114,7 +114,7 @@
             }
             TxnOutcome::Failed(_, revision) => {
                 self.retry_revision = *revision;
-                self.retry_at = now + Span(20);
+                self.retry_at = now + Millis(20);
             }
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => {
                 self.retry_at = now + RETRY;
@@ -122,45 +122,42 @@
         }
     }
 
-    fn claim(&self, grant: GrantId) -> Txn {
+    fn claim(&self, lease: LeaseId) -> Txn {
         let mut txn = Txn::default();
         txn.require(keys::LEADER, Revision(0));
         let record = LeaderRecord {
             member: self.me.clone(),
             incarnation: self.incarnation,
         };
-        txn.put(keys::LEADER, &record, Some(grant));
+        txn.put(keys::LEADER, &record, Some(lease));
         txn
     }
 
     /// Rewrites blocks that are of an earlier term, have lost their holder, or would be better
     /// held elsewhere. Holders that live keep what they hold.
-    fn lease_blocks(&self, term: Revision, replica: &Replica) -> Option<Txn> {
-        let rests = |m: &Member| self.resting.contains(m) && replica.members.len() > 1;
-        let able = replica.members.keys().filter(|m| !rests(m));
+    fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
+        let rests = |m: &Member| self.resting.contains(m) && cache.members.len() > 1;
+        let able = cache.members.keys().filter(|m| !rests(m));
         let mut loads: BTreeMap<&Member, usize> = able.map(|m| (m, 0)).collect();
         if loads.is_empty() {
             return None;
         }
-        let holder = |b: &BlockId| -> Option<&Member> {
-            let record = &replica.blocks.get(b)?.value;
-            let (member, live) = replica.members.get_key_value(&record.holder)?;
+        let owner = |b: &ShardId| -> Option<&Member> {
+            let record = &cache.shards.get(b)?.value;
+            let (member, live) = cache.members.get_key_value(&record.owner)?;
             (live.incarnation == record.incarnation && !rests(member)).then_some(member)
         };
-        let all: Vec<BlockId> = (0..self.blocks).map(BlockId).collect();
-        for member in all.iter().filter_map(holder) {
+        let all: Vec<ShardId> = (0..self.shards).map(ShardId).collect();
+        for member in all.iter().filter_map(owner) {
             *loads.entry(member).or_default() += 1;
         }
-        let mut wanted: BTreeMap<BlockId, &Member> = BTreeMap::new();
+        let mut wanted: BTreeMap<ShardId, &Member> = BTreeMap::new();
         // Those without a holder first: dealing them out mostly balances the loads, and no block
         // changes hands for that.
-        let (held, orphaned): (Vec<_>, Vec<_>) = all.iter().partition(|b| holder(b).is_some());
-        for block in orphaned.into_iter().chain(held) {
-            let current = holder(block);
-            let old_term = replica
-                .blocks
-                .get(block)
-                .is_none_or(|r| r.value.term != term);
+        let (held, orphaned): (Vec<_>, Vec<_>) = all.iter().partition(|b| owner(b).is_some());
+        for shard in orphaned.into_iter().chain(held) {
+            let current = owner(shard);
+            let old_term = cache.shards.get(shard).is_none_or(|r| r.value.term != term);
             let least = loads
                 .iter()
                 .min_by_key(|(_, n)| **n)
@@ -168,16 +165,16 @@
             match current {
                 None => {
                     *loads.entry(least.0).or_default() += 1;
-                    wanted.insert(*block, least.0);
+                    wanted.insert(*shard, least.0);
                 }
                 Some(member) => {
                     let load = loads.get(member).copied().unwrap_or(0);
                     if load >= least.1 + 2 {
                         *loads.entry(member).or_default() -= 1;
                         *loads.entry(least.0).or_default() += 1;
-                        wanted.insert(*block, least.0);
+                        wanted.insert(*shard, least.0);
                     } else if old_term {
-                        wanted.insert(*block, member);
+                        wanted.insert(*shard, member);
                     }
                 }
             }
@@ -187,33 +184,30 @@
         }
         let mut txn = Txn::default();
         txn.require(keys::LEADER, term);
-        for (block, member) in wanted.into_iter().take(self.txn_ops) {
-            let live = replica.members.get(member)?;
-            let record = BlockRecord {
-                holder: member.clone(),
+        for (shard, member) in wanted.into_iter().take(self.txn_ops) {
+            let live = cache.members.get(member)?;
+            let record = ShardRecord {
+                owner: member.clone(),
                 incarnation: live.incarnation,
                 term,
             };
-            let revision = replica
-                .blocks
-                .get(&block)
-                .map_or(Revision(0), |r| r.revision);
-            txn.require(keys::block(block), revision);
-            txn.put(keys::block(block), &record, Some(live.grant));
+            let revision = cache.shards.get(&shard).map_or(Revision(0), |r| r.revision);
+            txn.require(keys::shard(shard), revision);
+            txn.put(keys::shard(shard), &record, Some(live.lease));
         }
         Some(txn)
     }
 
     /// Rewrites a block as it stands, to raise its token. Its holder may, and its leader.
-    pub fn renew_block(&self, block: BlockId, replica: &Replica) -> Option<Txn> {
-        let record = replica.blocks.get(&block)?;
-        let live = replica.members.get(&record.value.holder)?;
+    pub fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
+        let record = cache.shards.get(&shard)?;
+        let live = cache.members.get(&record.value.owner)?;
         if live.incarnation != record.value.incarnation {
             return None;
         }
         let mut txn = Txn::default();
-        txn.require(keys::block(block), record.revision);
-        txn.put(keys::block(block), &record.value, Some(live.grant));
+        txn.require(keys::shard(shard), record.revision);
+        txn.put(keys::shard(shard), &record.value, Some(live.lease));
         Some(txn)
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,11 +15,11 @@
 mod peers;
 mod placement;
 mod planning;
+mod protocol;
 mod runtime;
 #[cfg(test)]
 mod sim;
 mod store;
-mod wire;
 mod workers;
 
 use clap::{Parser, Subcommand};
--- a/src/peers/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ids::{Incarnation, Revision, Run, TaskId};
+use crate::ids::{Incarnation, Revision, TaskAttempt, TaskId};
 use proptest::prelude::*;
 
 #[test]
@@ -7,10 +7,10 @@
     let task = TaskId::parse("job-1/2").expect("task");
     let message = Message::Refused {
         fence: Revision(u64::MAX),
-        runs: vec![
-            Run {
+        attempts: vec![
+            TaskAttempt {
                 task,
-                attempt: crate::ids::Attempt(1 << 40)
+                number: crate::ids::AttemptNumber(1 << 40)
             };
             3
         ],
--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -10,7 +10,7 @@
     for _ in 0..2 * BACKLOG {
         let message = Message::Refused {
             fence: crate::ids::Revision(1),
-            runs: Vec::new(),
+            attempts: Vec::new(),
         };
         links.send(&member, message);
     }
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -2,11 +2,11 @@
 
 use crate::cancellation::RoundId;
 use crate::ids::{
-    Attempt, BlockId, Incarnation, JobId, MachineId, Member, Pipeline, Revision, Run, Span,
-    TypeName,
+    AttemptNumber, Incarnation, JobId, MachineId, Member, Millis, Pipeline, Revision, ShardId,
+    TaskAttempt, TypeName,
 };
+use crate::protocol::ExitReason;
 use crate::store::records::MachineRecord;
-use crate::wire::Why;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,19 +21,19 @@
     /// Holder to leader: these will not be placed; certain, not a guess.
     Refused {
         fence: Revision,
-        runs: Vec<Run>,
+        attempts: Vec<TaskAttempt>,
     },
     /// Holder to leader: a placement was dropped, on proof.
-    Ended(Ended),
+    EndedAttempt(EndedAttempt),
     /// Holder to leader: these placements are proved gone, though their records still stand, and
     /// whether their tasks are done. The room may be given out again; the end is written along
     /// with what takes it.
-    Freed(Vec<(MachineId, Run, bool)>),
+    Freed(Vec<(MachineId, TaskAttempt, bool)>),
     /// Leader to holder: stop a task, for a preemption or to drain its machine.
     Stop {
         machine: MachineId,
-        run: Run,
-        grace: Span,
+        attempt: TaskAttempt,
+        grace: Millis,
     },
     /// Any controller to any: this job was cancelled by that change, so long ago. It may be
     /// believed without asking the state service, since it is final.
@@ -41,14 +41,14 @@
         round: RoundId,
         job: JobId,
         revision: Revision,
-        age: Span,
+        age: Millis,
     },
     /// The sender knows of a cancellation. In these blocks that it holds all of the job's tasks are
     /// proved gone.
     CancelledKnown {
         round: RoundId,
         job: JobId,
-        settled: Vec<(BlockId, Revision)>,
+        settled: Vec<(ShardId, Revision)>,
     },
     /// A user's request that the sender can't decide: the state service does not serve it.
     Ask {
@@ -83,34 +83,34 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Allotment {
-    pub block: BlockId,
+    pub shard: ShardId,
     pub fence: Revision,
     pub job_revision: Revision,
-    pub runs: Vec<Run>,
+    pub attempts: Vec<TaskAttempt>,
     /// Best first; the holder takes another of its machines when none of these fits.
     pub preferred: Vec<MachineId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum AttemptOutcome {
     Done,
-    Exited(Why),
+    Exited(ExitReason),
     /// Never started here, or lost with its machine's session.
     Absent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
-    pub run: Run,
+pub struct EndedAttempt {
+    pub attempt: TaskAttempt,
     pub machine: MachineId,
     /// Of the machine's record, without it.
     pub revision: Revision,
     pub type_name: TypeName,
     pub pipeline: Option<Pipeline>,
-    pub end: End,
+    pub end: AttemptOutcome,
     pub estimate_s: f64,
     /// How long it was seen running.
-    pub ran: Option<Span>,
+    pub ran: Option<Millis>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -118,19 +118,19 @@
     pub machine: MachineId,
     pub fence: Revision,
     /// Time without a word, reports and answered probes alike.
-    pub silent: Span,
+    pub silent: Millis,
     /// Time without a report that came straight from it, and not through another controller.
-    pub missed: Span,
+    pub missed: Millis,
     /// It has said so under the holder's own token.
     pub confirmed: bool,
-    pub notice: Option<Span>,
+    pub notice: Option<Millis>,
     /// Its description, while no record of it stands in the state service.
     pub unrecorded: Option<MachineRecord>,
     /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
-    pub gangs: Vec<(JobId, Attempt)>,
+    pub gangs: Vec<(JobId, AttemptNumber)>,
 }
 
 /// Attempts are never used twice: a term's number leads them.
-pub fn attempt(term: Revision, counter: u64) -> Attempt {
-    Attempt((term.0 << 20) + counter)
+pub fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
+    AttemptNumber((term.0 << 20) + counter)
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -8,7 +8,9 @@
 #[cfg(test)]
 pub use frame::encode as encode_frame;
 pub use link::{Links, listen};
-pub use messages::{Allotment, End, Ended, MachineHealth, Message, attempt};
+pub use messages::{
+    Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message, attempt_number,
+};
 pub use routes::Routes;
 
 /// What the other side of a link makes of a message: simulated days send each through its frame,
--- a/src/peers/routes.rs
+++ b/src/peers/routes.rs
@@ -2,16 +2,16 @@
 //! zones that can't reach each other while a third reaches both cut the links between their
 //! controllers, and nothing else is wrong with them.
 
-use crate::ids::{MachineId, Member, Span, Time};
+use crate::ids::{MachineId, Member, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Each controller says a word to all others more often than three times in this.
-const FRESH: Span = Span(2500);
+const FRESH: Millis = Millis(2500);
 
 /// What a controller said last, straight to this one.
 #[derive(Debug, Default)]
 struct Word {
-    at: Time,
+    at: MonotonicTime,
     hears: BTreeSet<Member>,
     misses: BTreeSet<MachineId>,
 }
@@ -25,7 +25,7 @@
     /// A controller said whom it hears itself, and which of its machines it misses.
     pub fn on_word(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         from: &Member,
         hears: Vec<Member>,
         misses: Vec<MachineId>,
@@ -38,18 +38,18 @@
         self.words.insert(from.clone(), word);
     }
 
-    fn fresh(&self, now: Time) -> impl Iterator<Item = (&Member, &Word)> {
+    fn fresh(&self, now: MonotonicTime) -> impl Iterator<Item = (&Member, &Word)> {
         let fresh = move |(_, w): &(&Member, &Word)| now.since(w.at) < FRESH;
         self.words.iter().filter(fresh)
     }
 
     /// Whom this controller hears itself.
-    pub fn hears(&self, now: Time) -> Vec<Member> {
+    pub fn hears(&self, now: MonotonicTime) -> Vec<Member> {
         self.fresh(now).map(|(m, _)| m.clone()).collect()
     }
 
     /// Who passes messages on to a controller that is not heard itself, if anybody does.
-    pub fn through(&self, now: Time, to: &Member) -> Option<&Member> {
+    pub fn through(&self, now: MonotonicTime, to: &Member) -> Option<&Member> {
         if self.fresh(now).any(|(m, _)| m == to) {
             return None;
         }
@@ -59,7 +59,7 @@
 
     /// Whether some controller is only heard through another: machines may be cut off from
     /// this one in the same way.
-    pub fn is_cut(&self, now: Time) -> bool {
+    pub fn is_cut(&self, now: MonotonicTime) -> bool {
         self.words
             .keys()
             .any(|member| self.through(now, member).is_some())
@@ -69,14 +69,14 @@
     /// then its report is handed on instead of being sent there, where it would not arrive. A
     /// holder that hears all others and misses its machines has lost them alone, and is relieved
     /// sooner if it goes on missing them (Savannah fleet, apart: 0.83 to 0.76, bc14cf10).
-    pub fn may_miss(&self, now: Time, holder: &Member, machine: &MachineId) -> bool {
+    pub fn may_miss(&self, now: MonotonicTime, owner: &Member, machine: &MachineId) -> bool {
         let parted = |word: &Word| {
-            let mut others = self.fresh(now).filter(|(m, _)| *m != holder);
+            let mut others = self.fresh(now).filter(|(m, _)| *m != owner);
             others.any(|(m, _)| !word.hears.contains(m))
         };
         let mut words = self.fresh(now);
-        words.any(|(m, w)| m == holder && w.misses.contains(machine) && parted(w))
-            || self.through(now, holder).is_some()
+        words.any(|(m, w)| m == owner && w.misses.contains(machine) && parted(w))
+            || self.through(now, owner).is_some()
     }
 }
 
--- a/src/placement/accounts.rs
+++ b/src/placement/accounts.rs
@@ -2,20 +2,20 @@
 //! this term that is not answered.
 
 use crate::config::Team;
-use crate::ids::{Amounts, TeamId};
+use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
 pub struct Accounts<'a> {
     teams: &'a BTreeMap<TeamId, Team>,
-    used: BTreeMap<TeamId, Amounts>,
+    used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> Accounts<'a> {
-    pub fn new(teams: &'a BTreeMap<TeamId, Team>, used: BTreeMap<TeamId, Amounts>) -> Self {
+    pub fn new(teams: &'a BTreeMap<TeamId, Team>, used: BTreeMap<TeamId, Resources>) -> Self {
         Self { teams, used }
     }
 
-    pub fn charge(&mut self, team: &TeamId, amounts: Amounts) {
+    pub fn charge(&mut self, team: &TeamId, amounts: Resources) {
         match self.used.get_mut(team) {
             Some(sum) => *sum = *sum + amounts,
             None => {
@@ -25,23 +25,23 @@
     }
 
     /// What is proved gone counts no more.
-    pub fn credit(&mut self, team: &TeamId, amounts: Amounts) {
+    pub fn credit(&mut self, team: &TeamId, amounts: Resources) {
         if let Some(sum) = self.used.get_mut(team) {
             *sum = *sum - amounts;
         }
     }
 
-    pub fn used(&self, team: &TeamId) -> Amounts {
+    pub fn used(&self, team: &TeamId) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
     /// How many tasks of a need the team's limit still allows. Memory has no limit.
-    pub fn allows(&self, team: &TeamId, need: Amounts) -> u64 {
+    pub fn allows(&self, team: &TeamId, need: Resources) -> u64 {
         let Some(limits) = self.teams.get(team) else {
             return 0;
         };
         let free = limits.limit() - self.used(team);
-        Amounts { memory: 0, ..need }.count_in(free)
+        Resources { memory: 0, ..need }.count_in(free)
     }
 
     /// Whether the team uses anything beyond its guarantee.
@@ -52,7 +52,7 @@
 
     /// Whether the team uses more than its guarantee, so that its work of such a need may make
     /// room for others'. What its guarantee does not speak of, it always has beyond it.
-    pub fn beyond_guarantee(&self, team: &TeamId, need: Amounts) -> bool {
+    pub fn beyond_guarantee(&self, team: &TeamId, need: Resources) -> bool {
         let used = self.used(team);
         self.teams
             .get(team)
--- a/src/placement/accounts/tests.rs
+++ b/src/placement/accounts/tests.rs
@@ -11,11 +11,11 @@
         let config = crate::config::tests::sample_config();
         let teams: Vec<TeamId> = config.teams.keys().cloned().collect();
         let mut accounts = Accounts::new(&config.teams, BTreeMap::new());
-        let mut log: Vec<(TeamId, Amounts)> = Vec::new();
+        let mut log: Vec<(TeamId, Resources)> = Vec::new();
         for (team, cpus, memory) in steps {
             let team = &teams[team];
-            let need = Amounts { cpus: cpus * 1000, gpus: 0, memory: memory * 50_000 };
-            let used = |log: &[(TeamId, Amounts)]| -> u64 {
+            let need = Resources { cpus: cpus * 1000, gpus: 0, memory: memory * 50_000 };
+            let used = |log: &[(TeamId, Resources)]| -> u64 {
                 log.iter().filter(|(t, _)| t == team).map(|(_, a)| a.cpus).sum()
             };
             let mut model = 0;
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -3,39 +3,39 @@
 use super::record_room::RecordRoom;
 use super::replicas::replicas;
 use crate::config::Config;
-use crate::ids::{Amounts, BlockId, MachineId, Member, Revision, TypeName, Zone};
-use crate::store::replica::{LiveMachine, Replica};
-use crate::wire::JobSpec;
+use crate::ids::{MachineId, Member, Resources, Revision, ShardId, TypeName, Zone};
+use crate::protocol::JobSpec;
+use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::collections::BTreeMap;
 
 /// One machine in a scheduling pass.
 pub(super) struct Candidate<'a> {
     pub id: &'a MachineId,
-    pub block: BlockId,
+    pub shard: ShardId,
     pub fence: Revision,
-    pub holder: &'a Member,
+    pub owner: &'a Member,
     pub type_name: &'a TypeName,
     pub zone: &'a Zone,
     pub spot: bool,
     /// What the empty machine offers.
-    pub room: Amounts,
+    pub room: Resources,
     /// What is left of it, less what this pass has given out.
-    pub free: Amounts,
+    pub free: Resources,
     /// What is left of its record.
     pub record: RecordRoom,
     pub images: Vec<&'a str>,
     pub fetch_gb_per_s: f64,
     pub replicas: usize,
-    pub replicas_use: Amounts,
+    pub replicas_use: Resources,
 }
 
 /// Room that the mirror doesn't show yet, by machine.
 #[derive(Default)]
 pub(super) struct Pending<'a> {
     /// Allotted, and not placed on record.
-    pub promised: BTreeMap<&'a MachineId, Amounts>,
+    pub promised: BTreeMap<&'a MachineId, Resources>,
     /// Proved gone, and still on record.
-    pub freed: BTreeMap<&'a MachineId, Amounts>,
+    pub freed: BTreeMap<&'a MachineId, Resources>,
     /// The bytes that these will add to the record, and those that will go from it.
     pub promised_bytes: BTreeMap<&'a MachineId, usize>,
     pub freed_bytes: BTreeMap<&'a MachineId, usize>,
@@ -45,25 +45,25 @@
     fn new(
         id: &'a MachineId,
         machine: &'a LiveMachine,
-        replica: &'a Replica,
+        cache: &'a WatchCache,
         config: &Config,
         pending: &Pending<'a>,
     ) -> Option<Self> {
         let record = &machine.record;
-        let machine_type = replica.machine_type(&record.type_name)?;
-        let block = id.block(config.blocks());
-        let lease = replica.blocks.get(&block)?;
+        let machine_type = cache.machine_type(&record.type_name)?;
+        let shard = id.shard(config.shards());
+        let shard_record = cache.shards.get(&shard)?;
         let room = machine_type.room();
         let promised = pending.promised.get(id).copied().unwrap_or_default();
         let freed = pending.freed.get(id).copied().unwrap_or_default();
         let used = record.used() + promised - freed;
         let bytes = |of: &BTreeMap<&MachineId, usize>| of.get(id).copied().unwrap_or(0);
-        let (replicas, replicas_use) = replicas(machine, replica);
+        let (replicas, replicas_use) = replicas(machine, cache);
         Some(Self {
             id,
-            block,
-            fence: lease.revision,
-            holder: &lease.value.holder,
+            shard,
+            fence: shard_record.revision,
+            owner: &shard_record.value.owner,
             type_name: &record.type_name,
             zone: &record.zone,
             spot: record.spot,
@@ -96,7 +96,7 @@
     }
 
     /// How many tasks of a job there is room for beside what is kept from it.
-    pub fn tasks_that_fit(&self, spec: &JobSpec, kept: Amounts) -> u64 {
+    pub fn tasks_that_fit(&self, spec: &JobSpec, kept: Resources) -> u64 {
         let room = spec.need().count_in(self.free - kept);
         room.min(self.record.tasks(spec))
     }
@@ -109,14 +109,14 @@
 
 /// All machines that are usable, with the room that is left on them.
 pub(super) fn collect<'a>(
-    replica: &'a Replica,
+    cache: &'a WatchCache,
     config: &Config,
     pending: &Pending<'a>,
     usable: impl Fn(&MachineId) -> bool,
 ) -> Vec<Candidate<'a>> {
-    let machines = replica.machines.iter().filter(|(id, _)| usable(id));
+    let machines = cache.machines.iter().filter(|(id, _)| usable(id));
     machines
-        .filter_map(|(id, machine)| Candidate::new(id, machine, replica, config, pending))
+        .filter_map(|(id, machine)| Candidate::new(id, machine, cache, config, pending))
         .collect()
 }
 
--- a/src/placement/faults.rs
+++ b/src/placement/faults.rs
@@ -1,11 +1,11 @@
 //! Machines that fail every task, told from jobs that fail everywhere.
 
-use crate::ids::{JobId, MachineId, Span, Time};
+use crate::ids::{JobId, MachineId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Failures of different jobs, with no success since, that make a machine suspect.
 const SUSPECT: usize = 2;
-const SHUN: Span = Span(60_000);
+const SHUN: Millis = Millis(60_000);
 const FIRST_PAUSE: u64 = 1000;
 const LONGEST_PAUSE: u64 = 60_000;
 
@@ -13,14 +13,14 @@
 struct MachineFaults {
     jobs: BTreeSet<JobId>,
     count: usize,
-    shunned_until: Time,
+    shunned_until: MonotonicTime,
 }
 
 #[derive(Debug, Default)]
 struct JobFaults {
     machines: BTreeSet<MachineId>,
     count: u32,
-    paused_until: Time,
+    paused_until: MonotonicTime,
 }
 
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 }
 
 impl Faults {
-    pub fn failed(&mut self, now: Time, job: &JobId, machine: &MachineId) {
+    pub fn failed(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId) {
         let elsewhere = self
             .jobs
             .get(job)
@@ -49,7 +49,7 @@
         // fails everywhere does not eat the fleet.
         if faults.machines.len() >= 2 {
             let doubled = FIRST_PAUSE << (faults.count.min(20) / 2).saturating_sub(1).min(6);
-            faults.paused_until = now + Span(doubled.min(LONGEST_PAUSE));
+            faults.paused_until = now + Millis(doubled.min(LONGEST_PAUSE));
         }
     }
 
@@ -58,7 +58,7 @@
         self.jobs.remove(job);
     }
 
-    pub fn shunned(&self, now: Time, machine: &MachineId) -> bool {
+    pub fn shunned(&self, now: MonotonicTime, machine: &MachineId) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|m| now < m.shunned_until)
@@ -71,7 +71,7 @@
             .is_some_and(|j| j.machines.len() < 4 && j.machines.contains(machine))
     }
 
-    pub fn paused(&self, now: Time, job: &JobId) -> bool {
+    pub fn paused(&self, now: MonotonicTime, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|j| now < j.paused_until)
     }
 
--- a/src/placement/faults/tests.rs
+++ b/src/placement/faults/tests.rs
@@ -5,11 +5,11 @@
     let mut faults = Faults::default();
     let sick = MachineId::from("vm-1");
     for (i, job) in ["job-1", "job-2"].into_iter().enumerate() {
-        faults.failed(Time(i as u64), &job.into(), &sick);
-        assert!(!faults.paused(Time(i as u64), &job.into()));
+        faults.failed(MonotonicTime(i as u64), &job.into(), &sick);
+        assert!(!faults.paused(MonotonicTime(i as u64), &job.into()));
     }
-    assert!(faults.shunned(Time(5), &sick));
-    assert!(!faults.shunned(Time(5) + SHUN, &sick));
+    assert!(faults.shunned(MonotonicTime(5), &sick));
+    assert!(!faults.shunned(MonotonicTime(5) + SHUN, &sick));
 }
 
 #[test]
@@ -19,10 +19,10 @@
     let mut pauses = Vec::new();
     for n in 0..12 {
         let machine = MachineId::from(format!("vm-{n}").as_str());
-        faults.failed(Time(0), &job, &machine);
-        let pause = (0..100).find(|s| !faults.paused(Time(s * 1000), &job));
+        faults.failed(MonotonicTime(0), &job, &machine);
+        let pause = (0..100).find(|s| !faults.paused(MonotonicTime(s * 1000), &job));
         pauses.push(pause.expect("a bound"));
-        assert!(!faults.shunned(Time(1), &machine));
+        assert!(!faults.shunned(MonotonicTime(1), &machine));
     }
     assert_eq!(pauses[0], 0);
     assert!(pauses.windows(2).all(|w| w[0] <= w[1]) && pauses[11] >= 16);
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -1,17 +1,17 @@
 //! Gangs: all of their tasks are allotted under one attempt, or none is.
 
-use crate::ids::{Attempt, JobId, Span, Time};
+use crate::ids::{AttemptNumber, JobId, Millis, MonotonicTime};
 use crate::peers::MachineHealth;
-use crate::store::replica::LiveJob;
+use crate::store::watch_cache::LiveJob;
 use std::collections::BTreeMap;
 
 /// A replacement needs this much of the waiting time to be there before the others give up.
-const REPLACE_MARGIN: Span = Span(10_000);
+const REPLACE_MARGIN: Millis = Millis(10_000);
 
 #[derive(Debug)]
 struct Launch {
-    attempt: Attempt,
-    at: Time,
+    attempt_number: AttemptNumber,
+    at: MonotonicTime,
     running: bool,
 }
 
@@ -27,13 +27,20 @@
     /// Launch all tasks under a new attempt.
     Whole,
     /// Replace what is missing of a gang that has not started yet.
-    Replace(Attempt),
+    Replace(AttemptNumber),
     /// Members of an attempt are still there, and it can't be completed.
     Wait,
 }
 
 impl Gangs {
-    pub fn next(&self, now: Time, id: &JobId, job: &LiveJob, allotted: usize, wait: Span) -> Next {
+    pub fn next(
+        &self,
+        now: MonotonicTime,
+        id: &JobId,
+        job: &LiveJob,
+        allotted: usize,
+        wait: Millis,
+    ) -> Next {
         if job.placed.is_empty() && allotted == 0 {
             return Next::Whole;
         }
@@ -41,17 +48,20 @@
             Some(launch)
                 if !launch.running
                     && now.since(launch.at) + REPLACE_MARGIN < wait
-                    && job.placed.values().all(|(_, a)| *a == launch.attempt) =>
+                    && job
+                        .placed
+                        .values()
+                        .all(|(_, a)| *a == launch.attempt_number) =>
             {
-                Next::Replace(launch.attempt)
+                Next::Replace(launch.attempt_number)
             }
             _ => Next::Wait,
         }
     }
 
-    pub fn launched(&mut self, now: Time, id: &JobId, attempt: Attempt) {
+    pub fn launched(&mut self, now: MonotonicTime, id: &JobId, attempt_number: AttemptNumber) {
         let launch = Launch {
-            attempt,
+            attempt_number,
             at: now,
             running: false,
         };
@@ -59,9 +69,9 @@
     }
 
     pub fn on_health(&mut self, health: &MachineHealth) {
-        for (job, attempt) in &health.gangs {
+        for (job, attempt_number) in &health.gangs {
             if let Some(launch) = self.launches.get_mut(job)
-                && launch.attempt == *attempt
+                && launch.attempt_number == *attempt_number
             {
                 launch.running = true;
             }
--- a/src/placement/ledger.rs
+++ b/src/placement/ledger.rs
@@ -4,25 +4,27 @@
 use super::accounts::Accounts;
 use super::candidates::Pending;
 use super::record_room::ANY_JOB;
-use crate::ids::{Amounts, BlockId, JobId, MachineId, Revision, Run, Span, TeamId, Time};
-use crate::peers::Ended;
+use crate::ids::{
+    JobId, MachineId, Millis, MonotonicTime, Resources, Revision, ShardId, TaskAttempt, TeamId,
+};
+use crate::peers::EndedAttempt;
+use crate::protocol::JobKind;
 use crate::store::machine_record::size;
-use crate::store::replica::Replica;
-use crate::wire::Kind;
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An allotment without an answer for so long is voided by rewriting its block. Holders give back
 /// what they can't write well before that.
-const ANSWER: Span = Span(8000);
+const ANSWER: Millis = Millis(8000);
 
 /// One task that was allotted and is not on record.
 pub(super) struct Allotted {
-    pub block: BlockId,
+    pub shard: ShardId,
     pub fence: Revision,
     pub machine: MachineId,
     pub team: TeamId,
-    pub need: Amounts,
-    pub at: Time,
+    pub need: Resources,
+    pub at: MonotonicTime,
 }
 
 /// The tasks of each job that are allotted, and where.
@@ -30,42 +32,42 @@
 
 #[derive(Default)]
 pub(super) struct Ledger {
-    allotted: BTreeMap<Run, Allotted>,
+    allotted: BTreeMap<TaskAttempt, Allotted>,
     /// Proved gone, though their machines' records still stand.
-    freed: BTreeMap<Run, MachineId>,
+    freed: BTreeMap<TaskAttempt, MachineId>,
     /// Blocks that were rewritten for want of an answer, and when.
-    renewed: BTreeMap<BlockId, Time>,
+    renewed: BTreeMap<ShardId, MonotonicTime>,
 }
 
 impl Ledger {
-    pub fn allot(&mut self, run: Run, allotted: Allotted) {
-        self.allotted.insert(run, allotted);
+    pub fn allot(&mut self, attempt: TaskAttempt, allotted: Allotted) {
+        self.allotted.insert(attempt, allotted);
     }
 
-    pub fn on_freed(&mut self, runs: Vec<(MachineId, Run, bool)>) {
-        let runs = runs.into_iter();
+    pub fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+        let attempts = attempts.into_iter();
         self.freed
-            .extend(runs.map(|(machine, run, _)| (run, machine)));
+            .extend(attempts.map(|(machine, attempt, _)| (attempt, machine)));
     }
 
-    pub fn on_refused(&mut self, fence: Revision, runs: &[Run]) {
-        for run in runs {
-            if self.allotted.get(run).is_some_and(|a| a.fence == fence) {
-                self.allotted.remove(run);
+    pub fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
+        for attempt in attempts {
+            if self.allotted.get(attempt).is_some_and(|a| a.fence == fence) {
+                self.allotted.remove(attempt);
             }
         }
     }
 
-    pub fn on_ended(&mut self, ended: &Ended, replica: &Replica) {
+    pub fn on_ended(&mut self, ended: &EndedAttempt, cache: &WatchCache) {
         // A gang's lost member is replaced under the same attempt. Once the mirror shows the end,
         // what is allotted under it is the replacement: taking that off the books started the
         // task twice (simulated seed 261 of the crowded days).
-        let job = replica.jobs.get(&ended.run.task.job);
-        let reused = job.is_some_and(|j| j.spec.kind == Kind::Gang);
-        let machine = replica.machines.get(&ended.machine);
+        let job = cache.jobs.get(&ended.attempt.task.job);
+        let reused = job.is_some_and(|j| j.spec.kind == JobKind::Gang);
+        let machine = cache.machines.get(&ended.machine);
         let shown = machine.is_none_or(|m| m.revision >= ended.revision);
         if !(reused && shown) {
-            self.allotted.remove(&ended.run);
+            self.allotted.remove(&ended.attempt);
         }
     }
 
@@ -78,27 +80,27 @@
 
     /// Takes off the books what the mirror shows as placed, or what can no longer be placed.
     /// Returns the blocks that are to be rewritten, since allotments there have no answer.
-    pub fn reconcile(&mut self, now: Time, replica: &Replica) -> Vec<BlockId> {
+    pub fn reconcile(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<ShardId> {
         let mut overdue = BTreeSet::new();
-        self.allotted.retain(|run, a| {
+        self.allotted.retain(|attempt, a| {
             // Placements under the old fence were committed before the block's new record, so
             // the mirror has them.
-            let fenced = replica
-                .blocks
-                .get(&a.block)
+            let fenced = cache
+                .shards
+                .get(&a.shard)
                 .is_none_or(|b| b.revision != a.fence);
             if now.since(a.at) >= ANSWER {
-                overdue.insert(a.block);
+                overdue.insert(a.shard);
             }
-            !fenced && !is_placed(run, replica)
+            !fenced && !is_placed(attempt, cache)
         });
         let renewed = &self.renewed;
-        let recent = |b: &BlockId| renewed.get(b).is_some_and(|at| now.since(*at) < ANSWER);
-        let due: Vec<BlockId> = overdue.into_iter().filter(|b| !recent(b)).collect();
+        let recent = |b: &ShardId| renewed.get(b).is_some_and(|at| now.since(*at) < ANSWER);
+        let due: Vec<ShardId> = overdue.into_iter().filter(|b| !recent(b)).collect();
         self.renewed.extend(due.iter().map(|b| (*b, now)));
-        self.freed.retain(|run, machine| {
-            let machine = replica.machines.get(machine);
-            machine.is_some_and(|m| m.record.holds(run))
+        self.freed.retain(|attempt, machine| {
+            let machine = cache.machines.get(machine);
+            machine.is_some_and(|m| m.record.holds(attempt))
         });
         due
     }
@@ -106,48 +108,48 @@
     /// The tasks that are allotted.
     pub fn tasks(&self) -> AllottedTasks<'_> {
         let mut tasks = AllottedTasks::new();
-        for (run, a) in &self.allotted {
-            let of_job = tasks.entry(&run.task.job).or_default();
-            of_job.insert(run.task.index, &a.machine);
+        for (attempt, a) in &self.allotted {
+            let of_job = tasks.entry(&attempt.task.job).or_default();
+            of_job.insert(attempt.task.index, &a.machine);
         }
         tasks
     }
 
     /// Books what the mirror doesn't show on the teams' accounts, and sums it up by machine.
-    pub fn book(&self, accounts: &mut Accounts<'_>, replica: &Replica) -> Pending<'_> {
+    pub fn book(&self, accounts: &mut Accounts<'_>, cache: &WatchCache) -> Pending<'_> {
         let mut pending = Pending::default();
         let mut last: BTreeMap<&MachineId, &JobId> = BTreeMap::new();
-        for (run, a) in &self.allotted {
+        for (attempt, a) in &self.allotted {
             accounts.charge(&a.team, a.need);
             let sum = pending.promised.entry(&a.machine).or_default();
             *sum = *sum + a.need;
-            let known = last.insert(&a.machine, &run.task.job) == Some(&run.task.job);
+            let known = last.insert(&a.machine, &attempt.task.job) == Some(&attempt.task.job);
             let bytes = pending.promised_bytes.entry(&a.machine).or_default();
             *bytes += size::LARGEST_TASK + if known { 0 } else { ANY_JOB };
         }
-        for (run, machine) in &self.freed {
-            let record = replica.machines.get(machine).map(|m| &m.record);
-            let placed = record.and_then(|r| r.jobs.iter().find(|p| p.job == run.task.job));
+        for (attempt, machine) in &self.freed {
+            let record = cache.machines.get(machine).map(|m| &m.record);
+            let placed = record.and_then(|r| r.jobs.iter().find(|p| p.job == attempt.task.job));
             if let Some(placed) = placed {
                 accounts.credit(&placed.team, placed.need);
                 let sum = pending.freed.entry(machine).or_default();
                 *sum = *sum + placed.need;
                 let bytes = pending.freed_bytes.entry(machine).or_default();
-                *bytes += size::task(run.task.index, run.attempt);
+                *bytes += size::task(attempt.task.index, attempt.number);
             }
         }
         pending
     }
 
-    pub fn is_freed(&self, run: &Run) -> bool {
-        self.freed.contains_key(run)
+    pub fn is_freed(&self, attempt: &TaskAttempt) -> bool {
+        self.freed.contains_key(attempt)
     }
 
     /// Whether something that was allotted to a block before a time is still on its way.
-    pub fn allotted_before(&self, block: BlockId, at: Time) -> bool {
+    pub fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotted
             .values()
-            .any(|a| a.block == block && a.at <= at)
+            .any(|a| a.shard == shard && a.at <= at)
     }
 
     pub fn allotted_count(&self) -> usize {
@@ -156,8 +158,8 @@
 }
 
 /// Whether the mirror shows a task as placed under this attempt.
-fn is_placed(run: &Run, replica: &Replica) -> bool {
-    let job = replica.jobs.get(&run.task.job);
-    let placed = job.and_then(|j| j.placed.get(&run.task.index));
-    placed.is_some_and(|(_, attempt)| *attempt == run.attempt)
+fn is_placed(attempt: &TaskAttempt, cache: &WatchCache) -> bool {
+    let job = cache.jobs.get(&attempt.task.job);
+    let placed = job.and_then(|j| j.placed.get(&attempt.task.index));
+    placed.is_some_and(|(_, attempt_number)| *attempt_number == attempt.number)
 }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting jobs are served.
 
 use crate::config::{Config, Team};
-use crate::ids::{Amounts, JobId, TeamId, Wall};
-use crate::store::replica::{LiveJob, Replica};
+use crate::ids::{JobId, Resources, TeamId, UnixTime};
+use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 ) -> BTreeSet<JobId> {
     let mut by_age: Vec<_> = jobs.collect();
     by_age.sort_by_key(|(id, j)| (j.eligible, (*id).clone()));
-    let mut used: BTreeMap<&TeamId, Amounts> = BTreeMap::new();
+    let mut used: BTreeMap<&TeamId, Resources> = BTreeMap::new();
     let mut within = BTreeSet::new();
     for (id, job) in by_age {
         let Some(team) = teams.get(&job.spec.team) else {
@@ -21,7 +21,7 @@
         };
         let sum = used.entry(&job.spec.team).or_default();
         let left = job.spec.tasks.saturating_sub(job.done_count());
-        let need = Amounts {
+        let need = Resources {
             memory: 0,
             ..job.spec.need().times(left.into())
         };
@@ -34,9 +34,9 @@
 }
 
 /// All jobs in the order in which they are served.
-pub fn service_order<'a>(config: &Config, replica: &'a Replica) -> Vec<(&'a JobId, &'a LiveJob)> {
-    let within = guaranteed(&config.teams, replica.jobs.iter());
-    let mut list: Vec<_> = replica.jobs.iter().collect();
+pub fn service_order<'a>(config: &Config, cache: &'a WatchCache) -> Vec<(&'a JobId, &'a LiveJob)> {
+    let within = guaranteed(&config.teams, cache.jobs.iter());
+    let mut list: Vec<_> = cache.jobs.iter().collect();
     list.sort_by_cached_key(|(id, job)| rank(id, job, within.contains(*id)));
     list
 }
@@ -49,7 +49,7 @@
 const STARVING: u64 = 120_000;
 
 /// Puts the oldest of the jobs that have waited too long for their first task to the front.
-pub fn oldest_first(waiting: &mut [(&JobId, &LiveJob)], now: Wall) {
+pub fn oldest_first(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
     let unbegun = |job: &LiveJob| job.placed.is_empty() && job.done_count() == 0;
     let starving = waiting
         .iter()
@@ -64,7 +64,7 @@
 /// Priority first; then what a guarantee covers; then what is due first; then age. Priority and
 /// time are those of the most urgent job that depends on it.
 pub fn rank(id: &JobId, job: &LiveJob, within: bool) -> impl Ord + use<> {
-    let latest = Wall(job.eligible.0.saturating_add(DUE_AT_LATEST));
+    let latest = UnixTime(job.eligible.0.saturating_add(DUE_AT_LATEST));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
     (
         Reverse(job.priority()),
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -12,19 +12,20 @@
 use super::zone_rule::ZoneRule;
 use crate::config::Config;
 use crate::ids::{
-    Amounts, Attempt, JobId, MachineId, Member, Revision, Run, Span, TaskId, TeamId, Time, Wall,
+    AttemptNumber, JobId, MachineId, Member, Millis, MonotonicTime, Resources, Revision,
+    TaskAttempt, TaskId, TeamId, UnixTime,
 };
-use crate::peers::{Allotment, attempt};
+use crate::peers::{Allotment, attempt_number};
+use crate::protocol::JobKind;
 use crate::store::records::PlacedJob;
-use crate::store::replica::Replica;
 use crate::store::tokens::{Bucket, Class};
-use crate::wire::Kind;
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds of fetching that a replica is spared if possible.
 const QUICK: f64 = 0.8;
 /// How long it waits for the place that is being made.
-pub(super) const AWAIT: Span = Span(1200);
+pub(super) const AWAIT: Millis = Millis(1200);
 /// While a smaller part of a second's worth of changes is left, tasks go where one change places
 /// the most. Near the full: else single tasks on nearly full machines use up what a large array
 /// needs next.
@@ -44,18 +45,18 @@
         Self { term, counter: 0 }
     }
 
-    fn next(&mut self) -> Attempt {
+    fn next(&mut self) -> AttemptNumber {
         self.counter += 1;
-        attempt(self.term, self.counter)
+        attempt_number(self.term, self.counter)
     }
 }
 
 /// An allotment on its way out, with what it is booked under.
 pub(super) struct Outgoing {
-    pub holder: Member,
+    pub owner: Member,
     pub machine: MachineId,
     pub team: TeamId,
-    pub need: Amounts,
+    pub need: Resources,
     pub allotment: Allotment,
 }
 
@@ -63,7 +64,7 @@
 struct Request {
     open: Vec<u32>,
     /// The one attempt of all of a gang's tasks.
-    attempt: Option<Attempt>,
+    attempt_number: Option<AttemptNumber>,
 }
 
 /// What was found for a request.
@@ -79,22 +80,25 @@
 
 impl Found {
     fn tasks(&self) -> usize {
-        self.batch.iter().map(|(_, o)| o.allotment.runs.len()).sum()
+        self.batch
+            .iter()
+            .map(|(_, o)| o.allotment.attempts.len())
+            .sum()
     }
 }
 
 /// What a pass starts from.
 pub(super) struct Inputs<'a> {
-    pub now: Time,
-    pub wall: Wall,
+    pub now: MonotonicTime,
+    pub unix_time: UnixTime,
     pub config: &'a Config,
-    pub replica: &'a Replica,
+    pub cache: &'a WatchCache,
     pub faults: &'a Faults,
     pub within: &'a BTreeSet<JobId>,
     /// The tasks that were allotted in earlier passes and are not on record.
     pub allotted: AllottedTasks<'a>,
     /// Room that only replicas may take, by candidate.
-    pub reserve: Vec<Amounts>,
+    pub reserve: Vec<Resources>,
     /// The candidates whose records are to be written anyway: placing there costs no further
     /// change.
     pub written: Vec<bool>,
@@ -103,11 +107,11 @@
 /// What a pass changes of the scheduler's state.
 pub(super) struct State<'a> {
     pub gangs: &'a mut Gangs,
-    pub attempts: &'a mut Attempts,
+    pub attempt_numbers: &'a mut Attempts,
     /// What arrays may cost in changes of machines' records.
     pub records: &'a mut Bucket,
     /// Services for which a place with their image is being made.
-    pub awaiting: &'a mut BTreeMap<JobId, Time>,
+    pub awaiting: &'a mut BTreeMap<JobId, MonotonicTime>,
 }
 
 pub(super) struct Pass<'a> {
@@ -166,19 +170,15 @@
             return;
         }
         let request = match turn.kind() {
-            Kind::Gang => self.gang_request(turn),
-            Kind::Array | Kind::Service => self.tasks_request(turn),
+            JobKind::Gang => self.gang_request(turn),
+            JobKind::Array | JobKind::Service => self.tasks_request(turn),
         };
         let Some(request) = request.filter(|r| !r.open.is_empty()) else {
             return;
         };
-        let zones = ZoneRule::new(
-            turn.job,
-            self.input.allotted.get(turn.id),
-            self.input.replica,
-        );
+        let zones = ZoneRule::new(turn.job, self.input.allotted.get(turn.id), self.input.cache);
         let order = self.order(turn, &request, &zones);
-        if turn.kind() == Kind::Service && self.waits_for_image(turn, &request, &order) {
+        if turn.kind() == JobKind::Service && self.waits_for_image(turn, &request, &order) {
             return;
         }
         let found = self.fill(turn, &request, &order, zones);
@@ -204,13 +204,13 @@
         if next == Next::Wait || open.len() as u64 > room {
             return None;
         }
-        let attempt = match next {
-            Next::Replace(attempt) => attempt,
-            Next::Whole | Next::Wait => self.state.attempts.next(),
+        let attempt_number = match next {
+            Next::Replace(attempt_number) => attempt_number,
+            Next::Whole | Next::Wait => self.state.attempt_numbers.next(),
         };
         Some(Request {
             open,
-            attempt: Some(attempt),
+            attempt_number: Some(attempt_number),
         })
     }
 
@@ -223,7 +223,7 @@
         if let Some(trial) = self.input.faults.trial(id) {
             allowed = allowed.min(trial.saturating_sub(job.placed.len() + going));
         }
-        if turn.kind() == Kind::Array && self.roomy.is_empty() {
+        if turn.kind() == JobKind::Array && self.roomy.is_empty() {
             let ended = job.done_count() as usize + job.placed.len() + going;
             let left = (job.spec.tasks as usize).saturating_sub(ended).min(allowed);
             self.report_shortage(turn, left as u64);
@@ -238,7 +238,7 @@
             .take(allowed);
         Some(Request {
             open: open.collect(),
-            attempt: None,
+            attempt_number: None,
         })
     }
 
@@ -257,11 +257,11 @@
     /// The machines for a request, best first.
     fn order(&mut self, turn: Turn<'a>, request: &Request, zones: &ZoneRule) -> Vec<usize> {
         let now = self.input.now;
-        let array = turn.kind() == Kind::Array;
+        let array = turn.kind() == JobKind::Array;
         let tasks = request.open.len();
         let scarce = self.state.records.part(now) < PLENTY
             || tasks as f64 > 0.5 * self.state.records.level(now);
-        let reserved = turn.kind() != Kind::Service;
+        let reserved = turn.kind() != JobKind::Service;
         let search = Search {
             most: (scarce && array).then_some(tasks as u64),
             among: array.then_some(self.roomy.as_slice()),
@@ -286,16 +286,16 @@
         if let Some(at) = asked {
             return now.since(at) < AWAIT;
         }
-        let replica = self.input.replica;
-        let lower = |run: &Run, _: &PlacedJob| {
-            let victim = replica.jobs.get(&run.task.job)?.priority();
+        let cache = self.input.cache;
+        let lower = |attempt: &TaskAttempt, _: &PlacedJob| {
+            let victim = cache.jobs.get(&attempt.task.job)?.priority();
             (victim < job.priority()).then_some(victim)
         };
         let place = self
             .candidates
             .iter()
             .filter(|c| c.has_image(spec))
-            .any(|c| victims(c, spec, Amounts::default(), 1, replica, lower).is_some());
+            .any(|c| victims(c, spec, Resources::default(), 1, cache, lower).is_some());
         if place {
             self.state.awaiting.insert(id.clone(), now);
             self.quick.push(Shortage {
@@ -335,7 +335,7 @@
                 &self.candidates,
                 alone,
             );
-            let outgoing = self.outgoing(turn, at, tasks, request.attempt, choices);
+            let outgoing = self.outgoing(turn, at, tasks, request.attempt_number, choices);
             found.batch.push((at, outgoing));
             if open.peek().is_none() {
                 break;
@@ -348,7 +348,7 @@
     /// Whether a change of a machine's record can be spent, for an array. What must run at once
     /// is never held back for that.
     fn may_change_record(&mut self, turn: Turn<'a>, at: usize) -> bool {
-        if turn.kind() != Kind::Array || self.input.written[at] {
+        if turn.kind() != JobKind::Array || self.input.written[at] {
             return true;
         }
         let taken = self
@@ -362,8 +362,8 @@
     /// Takes room for one more task on a machine, if it is there and the job's zones allow it.
     fn takes_one(&mut self, turn: Turn<'a>, at: usize, zones: &mut ZoneRule) -> bool {
         let held = match turn.kind() {
-            Kind::Service => Amounts::default(),
-            Kind::Array | Kind::Gang => self.input.reserve[at],
+            JobKind::Service => Resources::default(),
+            JobKind::Array | JobKind::Gang => self.input.reserve[at],
         };
         let need = turn.need();
         let candidate = &mut self.candidates[at];
@@ -382,32 +382,32 @@
         turn: Turn<'a>,
         at: usize,
         tasks: Vec<u32>,
-        fixed: Option<Attempt>,
+        fixed: Option<AttemptNumber>,
         preferred: Vec<MachineId>,
     ) -> Outgoing {
         let Turn { id, job, .. } = turn;
         let spec = &job.spec;
         let candidate = &self.candidates[at];
-        let age_ms = self.input.wall.0.saturating_sub(job.eligible.0);
+        let age_ms = self.input.unix_time.0.saturating_sub(job.eligible.0);
         tracing::debug!(job = %id, kind = ?spec.kind, machine = %candidate.id, tasks = tasks.len(), image = %spec.image, cached = candidate.has_image(spec), age_ms, "allotted");
-        let attempts = &mut self.state.attempts;
-        let runs = tasks.into_iter().map(|index| Run {
+        let attempt_numbers = &mut self.state.attempt_numbers;
+        let attempts = tasks.into_iter().map(|index| TaskAttempt {
             task: TaskId {
                 job: id.clone(),
                 index,
             },
-            attempt: fixed.unwrap_or_else(|| attempts.next()),
+            number: fixed.unwrap_or_else(|| attempt_numbers.next()),
         });
         Outgoing {
-            holder: candidate.holder.clone(),
+            owner: candidate.owner.clone(),
             machine: candidate.id.clone(),
             team: spec.team.clone(),
             need: spec.need(),
             allotment: Allotment {
-                block: candidate.block,
+                shard: candidate.shard,
                 fence: candidate.fence,
                 job_revision: job.revision,
-                runs: runs.collect(),
+                attempts: attempts.collect(),
                 preferred,
             },
         }
@@ -425,20 +425,22 @@
         } else {
             self.report_shortage(turn, found.left);
         }
-        if found.left > 0 && turn.kind() == Kind::Gang {
+        if found.left > 0 && turn.kind() == JobKind::Gang {
             self.give_back(turn, found);
             return;
         }
-        if turn.kind() == Kind::Array && !found.batch.is_empty() {
+        if turn.kind() == JobKind::Array && !found.batch.is_empty() {
             self.drop_full();
         }
-        if let Some(attempt) = request.attempt
+        if let Some(attempt_number) = request.attempt_number
             && job.placed.is_empty()
         {
-            self.state.gangs.launched(self.input.now, id, attempt);
+            self.state
+                .gangs
+                .launched(self.input.now, id, attempt_number);
         }
         for (_, outgoing) in found.batch {
-            let count = outgoing.allotment.runs.len() as u64;
+            let count = outgoing.allotment.attempts.len() as u64;
             self.accounts
                 .charge(&job.spec.team, turn.need().times(count));
             self.allotments.push(outgoing);
@@ -448,7 +450,7 @@
     /// All or none: what was found for a part of a gang goes back.
     fn give_back(&mut self, turn: Turn<'a>, found: Found) {
         for (at, outgoing) in found.batch {
-            let count = outgoing.allotment.runs.len() as u64;
+            let count = outgoing.allotment.attempts.len() as u64;
             let free = self.candidates[at].free;
             self.candidates[at].free = free + turn.need().times(count);
             self.candidates[at].record.give_back(count);
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -7,10 +7,12 @@
 use super::scheduler::Health;
 use super::shortage::Shortage;
 use crate::config::Config;
-use crate::ids::{Amounts, JobId, MachineId, Run, Span, TaskId, Time, Wall};
+use crate::ids::{
+    JobId, MachineId, Millis, MonotonicTime, Resources, TaskAttempt, TaskId, UnixTime,
+};
+use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::store::records::PlacedJob;
-use crate::store::replica::{LiveJob, Replica};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,24 +21,24 @@
 /// Tasks of one job for which room is made in one pass.
 const MOST_AT_ONCE: u64 = 64;
 /// A job within a guarantee that has waited so long stands behind work that does not end.
-const STALLED: Span = Span(120_000);
+const STALLED: Millis = Millis(120_000);
 
 /// A task to stop, and where it is.
-pub(super) type Stop = (MachineId, Run);
+pub(super) type Stop = (MachineId, TaskAttempt);
 
 /// What decides on stops in one pass.
 pub(super) struct Preemption<'a> {
-    pub wall: Wall,
+    pub unix_time: UnixTime,
     pub config: &'a Config,
-    pub replica: &'a Replica,
+    pub cache: &'a WatchCache,
     pub candidates: &'a [Candidate<'a>],
     /// Room that only replicas may take, by candidate.
-    pub reserve: &'a [Amounts],
+    pub reserve: &'a [Resources],
     pub accounts: &'a Accounts<'a>,
     /// Jobs within their team's guarantee.
     pub within: &'a BTreeSet<JobId>,
     /// Stopped already, and perhaps not gone yet.
-    pub preempted: &'a BTreeMap<Run, Time>,
+    pub preempted: &'a BTreeMap<TaskAttempt, MonotonicTime>,
     pub health: &'a BTreeMap<MachineId, Health>,
     /// Machines on their way out.
     pub leaving: &'a BTreeSet<MachineId>,
@@ -47,22 +49,22 @@
     /// and the image, so that they start there at once. One at a time for each service.
     pub fn moves(&self) -> Vec<Stop> {
         let mut stops: Vec<Stop> = Vec::new();
-        let mut free: Vec<Amounts> = self.candidates.iter().map(|c| c.free).collect();
+        let mut free: Vec<Resources> = self.candidates.iter().map(|c| c.free).collect();
         let mut records: Vec<RecordRoom> =
             self.candidates.iter().map(|c| c.record.clone()).collect();
         let noticed = self.health.iter().filter(|(_, h)| h.last.notice.is_some());
         for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
-            let Some(machine) = self.replica.machines.get(id) else {
+            let Some(machine) = self.cache.machines.get(id) else {
                 continue;
             };
-            for (run, placed) in machine.record.runs() {
-                let Some(job) = self.replica.jobs.get(&run.task.job) else {
+            for (attempt, placed) in machine.record.runs() {
+                let Some(job) = self.cache.jobs.get(&attempt.task.job) else {
                     continue;
                 };
                 let spec = &job.spec;
                 let busy = self.preempted.keys().any(|r| r.task.job == spec.id)
                     || stops.iter().any(|(_, r)| r.task.job == spec.id);
-                if spec.kind != Kind::Service || busy || spec.spread || spec.one_zone {
+                if spec.kind != JobKind::Service || busy || spec.spread || spec.one_zone {
                     continue;
                 }
                 let target = self.candidates.iter().enumerate().position(|(at, c)| {
@@ -73,7 +75,7 @@
                 });
                 if let Some(at) = target {
                     free[at] = free[at] - placed.need;
-                    stops.push((id.clone(), run));
+                    stops.push((id.clone(), attempt));
                 }
             }
         }
@@ -84,19 +86,19 @@
     /// elsewhere from where they were.
     pub fn savings(&self) -> Vec<Stop> {
         let mut stops = Vec::new();
-        let mut gone: BTreeSet<Run> = self.preempted.keys().cloned().collect();
+        let mut gone: BTreeSet<TaskAttempt> = self.preempted.keys().cloned().collect();
         for (id, health) in self.health {
-            let (Some(left), Some(machine)) = (health.last.notice, self.replica.machines.get(id))
+            let (Some(left), Some(machine)) = (health.last.notice, self.cache.machines.get(id))
             else {
                 continue;
             };
-            for (run, _) in machine.record.runs() {
-                let job = self.replica.jobs.get(&run.task.job);
+            for (attempt, _) in machine.record.runs() {
+                let job = self.cache.jobs.get(&attempt.task.job);
                 let saves = job.is_some_and(|j| {
                     j.spec.checkpoint_s > 0.0 && j.spec.save_s + 1.0 < left.secs()
                 });
                 if saves {
-                    self.stop_whole(&run, id, &mut gone, &mut stops);
+                    self.stop_whole(&attempt, id, &mut gone, &mut stops);
                 }
             }
         }
@@ -107,17 +109,17 @@
     pub fn for_shortages(&self, shortages: &[Shortage]) -> Vec<Stop> {
         let mut stops = Vec::new();
         let mut coming = self.room_that_comes();
-        let mut gone: BTreeSet<Run> = self.preempted.keys().cloned().collect();
+        let mut gone: BTreeSet<TaskAttempt> = self.preempted.keys().cloned().collect();
         let lowest = self.lowest_placed();
         let mut looks = LOOKS;
         for shortage in shortages {
-            let Some(job) = self.replica.jobs.get(&shortage.job) else {
+            let Some(job) = self.cache.jobs.get(&shortage.job) else {
                 continue;
             };
             let spec = &job.spec;
             // Tasks end all the time, and those of a guarantee are next in line: work is only
             // thrown away for them once waiting won't do.
-            let age = Span(self.wall.0.saturating_sub(job.eligible.0));
+            let age = Millis(self.unix_time.0.saturating_sub(job.eligible.0));
             let guaranteed = self.within.contains(&shortage.job) && self.is_worth_room(age);
             let others = self.config.teams.keys().filter(|t| **t != spec.team);
             let borrowed = guaranteed && others.into_iter().any(|t| self.accounts.borrows(t));
@@ -134,14 +136,14 @@
                 }
                 looks -= 1;
                 // Tasks of arrays are small and many: one look makes room for several.
-                let at_once = if spec.kind == Kind::Array { left } else { 1 };
+                let at_once = if spec.kind == JobKind::Array { left } else { 1 };
                 let best = self.cheapest_room(shortage, job, at_once, guaranteed, &gone);
                 let Some((machine, victims)) = best else {
                     break;
                 };
                 left -= victims.tasks;
-                for run in victims.runs {
-                    self.stop_whole(&run, machine, &mut gone, &mut stops);
+                for attempt in victims.attempts {
+                    self.stop_whole(&attempt, machine, &mut gone, &mut stops);
                 }
             }
         }
@@ -149,15 +151,15 @@
     }
 
     /// Room that earlier stops are about to free: it is not asked for twice.
-    fn room_that_comes(&self) -> Amounts {
-        let jobs = self.preempted.keys().map(|run| &run.task.job);
-        let stopped = jobs.filter_map(|job| self.replica.jobs.get(job));
-        stopped.fold(Amounts::default(), |sum, j| sum + j.spec.need())
+    fn room_that_comes(&self) -> Resources {
+        let jobs = self.preempted.keys().map(|attempt| &attempt.task.job);
+        let stopped = jobs.filter_map(|job| self.cache.jobs.get(job));
+        stopped.fold(Resources::default(), |sum, j| sum + j.spec.need())
     }
 
     /// The lowest priority of what stands on machines.
     fn lowest_placed(&self) -> Option<Priority> {
-        let placed = self.replica.jobs.values().filter(|j| !j.placed.is_empty());
+        let placed = self.cache.jobs.values().filter(|j| !j.placed.is_empty());
         placed.map(LiveJob::priority).min()
     }
 
@@ -169,18 +171,18 @@
         job: &LiveJob,
         tasks: u64,
         guaranteed: bool,
-        gone: &BTreeSet<Run>,
+        gone: &BTreeSet<TaskAttempt>,
     ) -> Option<(&MachineId, Victims)> {
         let (spec, priority) = (&job.spec, job.priority());
-        let fair = |run: &Run, placed: &PlacedJob| {
-            let victim = self.replica.jobs.get(&run.task.job)?;
+        let fair = |attempt: &TaskAttempt, placed: &PlacedJob| {
+            let victim = self.cache.jobs.get(&attempt.task.job)?;
             let over = guaranteed
                 && victim.spec.team != spec.team
                 && victim.priority() <= priority
                 && !self.within.contains(&victim.spec.id)
                 && self.accounts.beyond_guarantee(&placed.team, placed.need);
             let fair = victim.priority() < priority || over;
-            (fair && !gone.contains(run)).then_some(victim.priority())
+            (fair && !gone.contains(attempt)).then_some(victim.priority())
         };
         let best = self
             .candidates
@@ -189,10 +191,10 @@
             .filter(|(c, _)| !(shortage.cached_only || guaranteed) || c.has_image(spec))
             .filter_map(|(c, reserve)| {
                 let kept = match spec.kind {
-                    Kind::Service => Amounts::default(),
-                    Kind::Array | Kind::Gang => *reserve,
+                    JobKind::Service => Resources::default(),
+                    JobKind::Array | JobKind::Gang => *reserve,
                 };
-                let victims = victims(c, spec, kept, tasks, self.replica, fair)?;
+                let victims = victims(c, spec, kept, tasks, self.cache, fair)?;
                 // Where the image is, the start is at once.
                 let cost = (!c.has_image(spec), victims.cpus / victims.tasks);
                 Some((cost, c.id, victims))
@@ -206,7 +208,7 @@
     /// places don't come free by themselves. In between it is first in line for every one that
     /// does. One task in eight was thrown away for jobs that were late already, on a fleet with a
     /// queue (Tramite fleet, busy).
-    fn is_worth_room(&self, age: Span) -> bool {
+    fn is_worth_room(&self, age: Millis) -> bool {
         let patience = self.config.guarantee_patience.0;
         (patience..2 * patience).contains(&age.0) || age >= STALLED
     }
@@ -214,28 +216,34 @@
     /// Stops a task, and with a task of a gang all of them: they can only save together.
     fn stop_whole(
         &self,
-        run: &Run,
+        attempt: &TaskAttempt,
         machine: &MachineId,
-        gone: &mut BTreeSet<Run>,
+        gone: &mut BTreeSet<TaskAttempt>,
         stops: &mut Vec<Stop>,
     ) {
-        let job = self.replica.jobs.get(&run.task.job);
-        let mut add = |machine: &MachineId, run: Run| {
-            if gone.insert(run.clone()) {
-                stops.push((machine.clone(), run));
+        let job = self.cache.jobs.get(&attempt.task.job);
+        let mut add = |machine: &MachineId, attempt: TaskAttempt| {
+            if gone.insert(attempt.clone()) {
+                stops.push((machine.clone(), attempt));
             }
         };
-        let Some(gang) = job.filter(|j| j.spec.kind == Kind::Gang) else {
-            add(machine, run.clone());
+        let Some(gang) = job.filter(|j| j.spec.kind == JobKind::Gang) else {
+            add(machine, attempt.clone());
             return;
         };
-        for (index, (machine, attempt)) in &gang.placed {
+        for (index, (machine, attempt_number)) in &gang.placed {
             let task = TaskId {
-                job: run.task.job.clone(),
+                job: attempt.task.job.clone(),
                 index: *index,
             };
-            let attempt = *attempt;
-            add(machine, Run { task, attempt });
+            let attempt_number = *attempt_number;
+            add(
+                machine,
+                TaskAttempt {
+                    task,
+                    number: attempt_number,
+                },
+            );
         }
     }
 }
@@ -246,7 +254,7 @@
     cpus: u64,
     /// How many tasks of the waiting job they make room for: at least one.
     tasks: u64,
-    runs: Vec<Run>,
+    attempts: Vec<TaskAttempt>,
 }
 
 /// The tasks to stop on a machine so that up to `tasks` more of a job fit beside the room that is
@@ -255,29 +263,29 @@
 pub(super) fn victims(
     candidate: &Candidate<'_>,
     spec: &JobSpec,
-    kept: Amounts,
+    kept: Resources,
     tasks: u64,
-    replica: &Replica,
-    fair: impl Fn(&Run, &PlacedJob) -> Option<Priority>,
+    cache: &WatchCache,
+    fair: impl Fn(&TaskAttempt, &PlacedJob) -> Option<Priority>,
 ) -> Option<Victims> {
     let need = spec.need();
     if !candidate.is_allowed(spec) || !need.fits(candidate.room) {
         return None;
     }
-    let machine = replica.machines.get(candidate.id)?;
-    let mut list: Vec<(Priority, Run, Amounts)> = machine
+    let machine = cache.machines.get(candidate.id)?;
+    let mut list: Vec<(Priority, TaskAttempt, Resources)> = machine
         .record
         .runs()
-        .filter_map(|(run, placed)| Some((fair(&run, placed)?, run, placed.need)))
+        .filter_map(|(attempt, placed)| Some((fair(&attempt, placed)?, attempt, placed.need)))
         .collect();
-    list.sort_by_key(|(p, run, _)| (*p, Reverse(run.attempt)));
+    list.sort_by_key(|(p, attempt, _)| (*p, Reverse(attempt.number)));
     let (mut free, mut chosen) = (candidate.free, Vec::new());
-    for (_, run, size) in list {
+    for (_, attempt, size) in list {
         if need.count_in(free - kept) >= tasks {
             break;
         }
         free = free + size;
-        chosen.push((run, size));
+        chosen.push((attempt, size));
     }
     let fit = need.count_in(free - kept).min(tasks);
     // The last ones may have made room for nothing more.
@@ -291,13 +299,13 @@
     let victims = Victims {
         cpus: chosen.iter().map(|(_, size)| size.cpus).sum(),
         tasks: fit,
-        runs: chosen.into_iter().map(|(run, _)| run).collect(),
+        attempts: chosen.into_iter().map(|(attempt, _)| attempt).collect(),
     };
-    (fit > 0 && !victims.runs.is_empty()).then_some(victims)
+    (fit > 0 && !victims.attempts.is_empty()).then_some(victims)
 }
 
 /// How many tasks of a need fit into room that comes free; none if none does.
-fn tasks_in(need: Amounts, room: Amounts) -> u64 {
+fn tasks_in(need: Resources, room: Resources) -> u64 {
     if room.cpus > 0 {
         need.count_in(room)
     } else {
--- a/src/placement/preference.rs
+++ b/src/placement/preference.rs
@@ -3,9 +3,9 @@
 use super::candidates::Candidate;
 use super::faults::Faults;
 use super::zone_rule::ZoneRule;
-use crate::ids::{Amounts, JobId, MachineId};
-use crate::store::replica::LiveJob;
-use crate::wire::{JobSpec, Kind};
+use crate::ids::{JobId, MachineId, Resources};
+use crate::protocol::{JobKind, JobSpec};
+use crate::store::watch_cache::LiveJob;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -20,13 +20,13 @@
     pub most: Option<u64>,
     pub among: Option<&'a [usize]>,
     /// Room that is kept from it, by candidate.
-    pub reserve: Option<&'a [Amounts]>,
+    pub reserve: Option<&'a [Resources]>,
     /// Only where nothing has to be fetched.
     pub cached_only: bool,
 }
 
 impl Search<'_> {
-    fn free(&self, candidates: &[Candidate<'_>], at: usize) -> Amounts {
+    fn free(&self, candidates: &[Candidate<'_>], at: usize) -> Resources {
         match self.reserve {
             Some(reserve) => candidates[at].free - reserve[at],
             None => candidates[at].free,
@@ -34,7 +34,7 @@
     }
 
     fn fitting(&self, candidate: &Candidate<'_>, at: usize, spec: &JobSpec) -> u64 {
-        let kept = self.reserve.map_or(Amounts::default(), |r| r[at]);
+        let kept = self.reserve.map_or(Resources::default(), |r| r[at]);
         candidate.tasks_that_fit(spec, kept)
     }
 
@@ -69,7 +69,7 @@
                 .map(|n| Reverse(self.fitting(c, at, spec).min(n) / TOGETHER));
             // Replicas gather on few machines, so that the others can empty.
             let company = match spec.kind {
-                Kind::Service => Reverse(c.replicas),
+                JobKind::Service => Reverse(c.replicas),
                 _ => Reverse(0),
             };
             // Machines with cards are few, and gangs wait for whole ones.
@@ -117,7 +117,7 @@
     let others = listed
         .iter()
         .map(|at| &candidates[*at])
-        .filter(|c| !alone && c.block == candidate.block && c.id != candidate.id)
+        .filter(|c| !alone && c.shard == candidate.shard && c.id != candidate.id)
         .map(|c| c.id.clone());
     std::iter::once(candidate.id.clone())
         .chain(others)
--- a/src/placement/record_room.rs
+++ b/src/placement/record_room.rs
@@ -2,8 +2,8 @@
 //! room for so many placements, whatever room the machine itself has.
 
 use crate::ids::JobId;
+use crate::protocol::JobSpec;
 use crate::store::machine_record::{MachineRecord, size};
-use crate::wire::JobSpec;
 
 /// A job on a record, without its tasks, where its names are not at hand.
 pub(super) const ANY_JOB: usize = 200;
--- a/src/placement/record_room/tests.rs
+++ b/src/placement/record_room/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ids::{Attempt, Run, TaskId};
+use crate::ids::{AttemptNumber, TaskAttempt, TaskId};
 
 /// As many tasks as are given room fit into the value with their ends, however it is filled.
 #[test]
@@ -9,7 +9,7 @@
         let mut room = RecordRoom::new(&record, value_bytes, 0, 0);
         let mut placed = 0;
         for n in 0..400u32 {
-            let mut spec = crate::wire::tests::spec("job-000001");
+            let mut spec = crate::protocol::tests::spec("job-000001");
             spec.id = format!("job-{:06}", n / (400 / jobs)).as_str().into();
             if !room.take(&spec) {
                 break;
@@ -18,8 +18,14 @@
                 job: spec.id.clone(),
                 index: n,
             };
-            let attempt = Attempt(9_999_999_999_999_999);
-            record.add(&Run { task, attempt }, &spec);
+            let attempt_number = AttemptNumber(9_999_999_999_999_999);
+            record.add(
+                &TaskAttempt {
+                    task,
+                    number: attempt_number,
+                },
+                &spec,
+            );
             placed += 1;
         }
         let most = MachineRecord::room_for_placements(value_bytes);
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -2,34 +2,34 @@
 
 use super::candidates::Candidate;
 use super::record_room::ANY_JOB;
-use crate::ids::Amounts;
+use crate::ids::Resources;
+use crate::protocol::JobKind;
 use crate::store::records::PlacedJob;
-use crate::store::replica::{LiveMachine, Replica};
-use crate::wire::Kind;
+use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::cmp::Reverse;
 
 /// Replicas for which room is kept at least.
 const SPARE_REPLICAS: u64 = 2;
 
 /// How many replicas of services a machine has, and what they use.
-pub fn replicas(machine: &LiveMachine, replica: &Replica) -> (usize, Amounts) {
+pub fn replicas(machine: &LiveMachine, cache: &WatchCache) -> (usize, Resources) {
     let service = |p: &&PlacedJob| {
-        replica
+        cache
             .jobs
             .get(&p.job)
-            .is_some_and(|j| j.spec.kind == Kind::Service)
+            .is_some_and(|j| j.spec.kind == JobKind::Service)
     };
     let placed = machine.record.jobs.iter().filter(service);
-    placed.fold((0, Amounts::default()), |(n, sum), p| {
+    placed.fold((0, Resources::default()), |(n, sum), p| {
         (n + p.tasks.len(), sum + p.need.times(p.tasks.len() as u64))
     })
 }
 
 /// The replicas for which room is kept: the largest need among the services, and how many.
-pub fn spare_replicas(replica: &Replica) -> Option<(Amounts, u64)> {
-    let (mut total, mut largest) = (0, Amounts::default());
-    for job in replica.jobs.values() {
-        if job.spec.kind == Kind::Service {
+pub fn spare_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
+    let (mut total, mut largest) = (0, Resources::default());
+    for job in cache.jobs.values() {
+        if job.spec.kind == JobKind::Service {
             let need = job.spec.need();
             total += need.cpus * u64::from(job.spec.tasks);
             if need.cpus > largest.cpus {
@@ -37,16 +37,16 @@
             }
         }
     }
-    let spare = (total as f64 * replica.settings().service_spare) as u64;
+    let spare = (total as f64 * cache.settings().service_spare) as u64;
     let count = spare.checked_div(largest.cpus)?.max(SPARE_REPLICAS);
     Some((largest, count))
 }
 
 /// Room that only replicas may take, by candidate, on the machines where most of them are: there
 /// the next one starts at once, and nothing has to be thrown away for it.
-pub(super) fn reserve(replica: &Replica, candidates: &[Candidate<'_>]) -> Vec<Amounts> {
-    let mut reserve = vec![Amounts::default(); candidates.len()];
-    let Some((need, mut count)) = spare_replicas(replica) else {
+pub(super) fn reserve(cache: &WatchCache, candidates: &[Candidate<'_>]) -> Vec<Resources> {
+    let mut reserve = vec![Resources::default(); candidates.len()];
+    let Some((need, mut count)) = spare_replicas(cache) else {
         return reserve;
     };
     let mut order: Vec<usize> = (0..candidates.len())
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -12,26 +12,28 @@
 use super::replicas::reserve;
 use super::shortage::Shortage;
 use crate::config::Config;
-use crate::ids::{BlockId, JobId, MachineId, Member, Revision, Run, Span, Time, Wall};
-use crate::peers::{End, Ended, MachineHealth, Message};
-use crate::store::replica::Replica;
+use crate::ids::{
+    JobId, MachineId, Member, Millis, MonotonicTime, Revision, ShardId, TaskAttempt, UnixTime,
+};
+use crate::peers::{AttemptOutcome, EndedAttempt, MachineHealth, Message};
+use crate::protocol::ExitReason;
 use crate::store::tokens::Bucket;
-use crate::wire::Why;
+use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// What the leader does as a result of a pass.
 #[derive(Debug)]
 pub enum Effect {
-    ToHolder(Member, Box<Message>),
+    ToShardOwner(Member, Box<Message>),
     /// An allotment has gone without an answer: rewriting the block voids it.
-    RenewBlock(BlockId),
+    RenewShard(ShardId),
 }
 
 /// A machine whose holder says nothing of it is not used.
-const HEALTH_AGE: Span = Span(5000);
+const HEALTH_AGE: Millis = Millis(5000);
 /// A preemption that has freed nothing by then is forgotten.
-const PREEMPT: Span = Span(10_000);
+const PREEMPT: Millis = Millis(10_000);
 /// The part of the state service's changes that arrays are placed with: each machine that is
 /// given tasks has its record written for them, and others need changes as well.
 pub const RECORDS_SHARE: f64 = 0.65;
@@ -41,26 +43,26 @@
 /// What the holder of a machine last said of it.
 #[derive(Clone, Debug)]
 pub struct Health {
-    pub at: Time,
+    pub at: MonotonicTime,
     pub last: MachineHealth,
 }
 
 /// The leader's decisions on placement, and what it remembers between passes.
 pub struct Scheduler {
     config: Rc<Config>,
-    attempts: Attempts,
+    attempt_numbers: Attempts,
     ledger: Ledger,
     pub health: BTreeMap<MachineId, Health>,
     pub faults: Faults,
     gangs: Gangs,
-    preempted: BTreeMap<Run, Time>,
+    preempted: BTreeMap<TaskAttempt, MonotonicTime>,
     /// Services for which a place with their image is being made.
-    awaiting: BTreeMap<JobId, Time>,
+    awaiting: BTreeMap<JobId, MonotonicTime>,
     /// What arrays may cost in changes of machines' records.
     records: Bucket,
     change_rate: f64,
     pub shortages: Vec<Shortage>,
-    pub wall: Wall,
+    pub unix_time: UnixTime,
     /// Machines on their way out: they get nothing new.
     pub leaving: BTreeSet<MachineId>,
 }
@@ -69,7 +71,7 @@
     pub fn new(config: &Config) -> Self {
         Self {
             config: Rc::new(config.clone()),
-            attempts: Attempts::default(),
+            attempt_numbers: Attempts::default(),
             ledger: Ledger::default(),
             health: BTreeMap::new(),
             faults: Faults::default(),
@@ -79,7 +81,7 @@
             records: Bucket::new(config.state.rates.changes * RECORDS_SHARE),
             change_rate: config.state.rates.changes,
             shortages: Vec::new(),
-            wall: Wall(0),
+            unix_time: UnixTime(0),
             leaving: BTreeSet::new(),
         }
     }
@@ -90,18 +92,23 @@
     }
 
     /// Whether the changes that arrays may be placed with are used up at present.
-    pub fn changes_are_scarce(&mut self, now: Time) -> bool {
+    pub fn changes_are_scarce(&mut self, now: MonotonicTime) -> bool {
         self.records.part(now) < SCARCE
     }
 
     /// Takes a holder's word on its machines. One that the state service refuses alone goes on
     /// speaking of machines that others hold since, and of their silence: that is no news (on
     /// Tramite grown a third of the fleet counted as lost for 30 s).
-    pub fn on_health(&mut self, now: Time, health: Vec<MachineHealth>, replica: &Replica) {
-        let blocks = self.config.blocks();
+    pub fn on_health(
+        &mut self,
+        now: MonotonicTime,
+        health: Vec<MachineHealth>,
+        cache: &WatchCache,
+    ) {
+        let shards = self.config.shards();
         for last in health {
-            let lease = replica.blocks.get(&last.machine.block(blocks));
-            if lease.is_some_and(|l| l.revision > last.fence) {
+            let shard_record = cache.shards.get(&last.machine.shard(shards));
+            if shard_record.is_some_and(|l| l.revision > last.fence) {
                 continue;
             }
             self.gangs.on_health(&last);
@@ -110,31 +117,33 @@
         }
     }
 
-    pub fn on_freed(&mut self, runs: Vec<(MachineId, Run, bool)>) {
-        self.ledger.on_freed(runs);
+    pub fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+        self.ledger.on_freed(attempts);
     }
 
-    pub fn on_refused(&mut self, fence: Revision, runs: &[Run]) {
-        self.ledger.on_refused(fence, runs);
+    pub fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
+        self.ledger.on_refused(fence, attempts);
     }
 
-    pub fn on_ended(&mut self, now: Time, ended: &Ended, replica: &Replica) {
-        self.ledger.on_ended(ended, replica);
-        self.preempted.remove(&ended.run);
-        let job = &ended.run.task.job;
-        if !matches!(ended.end, End::Absent) {
+    pub fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt, cache: &WatchCache) {
+        self.ledger.on_ended(ended, cache);
+        self.preempted.remove(&ended.attempt);
+        let job = &ended.attempt.task.job;
+        if !matches!(ended.end, AttemptOutcome::Absent) {
             self.gangs.on_ended(job);
         }
         match ended.end {
-            End::Done => self.faults.succeeded(job, &ended.machine),
-            End::Exited(Why::Error) => self.faults.failed(now, job, &ended.machine),
-            End::Exited(_) | End::Absent => {}
+            AttemptOutcome::Done => self.faults.succeeded(job, &ended.machine),
+            AttemptOutcome::Exited(ExitReason::Error) => {
+                self.faults.failed(now, job, &ended.machine)
+            }
+            AttemptOutcome::Exited(_) | AttemptOutcome::Absent => {}
         }
     }
 
     fn enter(&mut self, term: Revision) {
-        if self.attempts.term != term {
-            self.attempts = Attempts::of_term(term);
+        if self.attempt_numbers.term != term {
+            self.attempt_numbers = Attempts::of_term(term);
             self.ledger.begin_term();
             self.preempted.clear();
             self.faults.clear();
@@ -144,34 +153,40 @@
     }
 
     /// One pass over all waiting jobs.
-    pub fn drive(&mut self, now: Time, term: Revision, replica: &Replica, out: &mut Vec<Effect>) {
+    pub fn drive(
+        &mut self,
+        now: MonotonicTime,
+        term: Revision,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
         self.enter(term);
         self.records.set_rate(now, self.change_rate * RECORDS_SHARE);
-        let unanswered = self.ledger.reconcile(now, replica);
-        out.extend(unanswered.into_iter().map(Effect::RenewBlock));
-        self.forget(now, replica);
-        let (stops, allotments) = self.pass(now, replica);
-        self.send_stops(now, stops, replica, out);
+        let unanswered = self.ledger.reconcile(now, cache);
+        out.extend(unanswered.into_iter().map(Effect::RenewShard));
+        self.forget(now, cache);
+        let (stops, allotments) = self.pass(now, cache);
+        self.send_stops(now, stops, cache, out);
         self.send_allotments(now, allotments, out);
     }
 
     /// Decides what is allotted, and what is stopped.
-    fn pass(&mut self, now: Time, replica: &Replica) -> (Vec<Stop>, Vec<Outgoing>) {
+    fn pass(&mut self, now: MonotonicTime, cache: &WatchCache) -> (Vec<Stop>, Vec<Outgoing>) {
         let config = self.config.clone();
-        let mut accounts = Accounts::new(&config.teams, replica.team_usage());
-        let pending = self.ledger.book(&mut accounts, replica);
-        let usable = |id: &MachineId| self.usable(now, id, replica);
-        let candidates = candidates::collect(replica, &config, &pending, usable);
-        let within = guaranteed(&config.teams, replica.jobs.iter());
+        let mut accounts = Accounts::new(&config.teams, cache.team_usage());
+        let pending = self.ledger.book(&mut accounts, cache);
+        let usable = |id: &MachineId| self.usable(now, id, cache);
+        let candidates = candidates::collect(cache, &config, &pending, usable);
+        let within = guaranteed(&config.teams, cache.jobs.iter());
         let inputs = Inputs {
             now,
-            wall: self.wall,
+            unix_time: self.unix_time,
             config: &config,
-            replica,
+            cache,
             faults: &self.faults,
             within: &within,
             allotted: self.ledger.tasks(),
-            reserve: reserve(replica, &candidates),
+            reserve: reserve(cache, &candidates),
             written: candidates
                 .iter()
                 .map(|c| pending.promised.contains_key(c.id))
@@ -179,7 +194,7 @@
         };
         let state = State {
             gangs: &mut self.gangs,
-            attempts: &mut self.attempts,
+            attempt_numbers: &mut self.attempt_numbers,
             records: &mut self.records,
             awaiting: &mut self.awaiting,
         };
@@ -191,9 +206,9 @@
         let shortages = pass.shortages.iter().cloned();
         wanted.extend(shortages.filter(|s| s.together || !pass.changes_spent));
         let preemption = Preemption {
-            wall: self.wall,
+            unix_time: self.unix_time,
             config: &config,
-            replica,
+            cache,
             candidates: &pass.candidates,
             reserve: &pass.input.reserve,
             accounts: &pass.accounts,
@@ -212,110 +227,121 @@
 
     fn send_stops(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         stops: Vec<Stop>,
-        replica: &Replica,
+        cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        for (machine, run) in stops {
-            let block = machine.block(self.config.blocks());
-            let Some(record) = replica.blocks.get(&block) else {
+        for (machine, attempt) in stops {
+            let shard = machine.shard(self.config.shards());
+            let Some(record) = cache.shards.get(&shard) else {
                 continue;
             };
-            let job = replica.jobs.get(&run.task.job);
-            let grace = job.map_or(Span(0), |j| Span::from_secs(j.spec.save_s));
-            self.preempted.insert(run.clone(), now);
+            let job = cache.jobs.get(&attempt.task.job);
+            let grace = job.map_or(Millis(0), |j| Millis::from_secs(j.spec.save_s));
+            self.preempted.insert(attempt.clone(), now);
             let message = Message::Stop {
                 machine,
-                run,
+                attempt,
                 grace,
             };
-            let holder = record.value.holder.clone();
-            out.push(Effect::ToHolder(holder, Box::new(message)));
+            let owner = record.value.owner.clone();
+            out.push(Effect::ToShardOwner(owner, Box::new(message)));
         }
     }
 
-    fn send_allotments(&mut self, now: Time, allotments: Vec<Outgoing>, out: &mut Vec<Effect>) {
+    fn send_allotments(
+        &mut self,
+        now: MonotonicTime,
+        allotments: Vec<Outgoing>,
+        out: &mut Vec<Effect>,
+    ) {
         for outgoing in allotments {
             let allotment = outgoing.allotment;
-            for run in &allotment.runs {
+            for attempt in &allotment.attempts {
                 let allotted = Allotted {
-                    block: allotment.block,
+                    shard: allotment.shard,
                     fence: allotment.fence,
                     machine: outgoing.machine.clone(),
                     team: outgoing.team.clone(),
                     need: outgoing.need,
                     at: now,
                 };
-                self.ledger.allot(run.clone(), allotted);
+                self.ledger.allot(attempt.clone(), allotted);
             }
             let message = Box::new(Message::Allot(allotment));
-            out.push(Effect::ToHolder(outgoing.holder, message));
+            out.push(Effect::ToShardOwner(outgoing.owner, message));
         }
     }
 
     /// Forgets what concerns jobs and machines that are gone, and what is too old to count.
-    fn forget(&mut self, now: Time, replica: &Replica) {
+    fn forget(&mut self, now: MonotonicTime, cache: &WatchCache) {
         self.preempted.retain(|_, at| now.since(*at) < PREEMPT);
-        self.health
-            .retain(|id, _| replica.machines.contains_key(id));
-        self.gangs.retain(&replica.jobs);
+        self.health.retain(|id, _| cache.machines.contains_key(id));
+        self.gangs.retain(&cache.jobs);
         self.awaiting
-            .retain(|id, at| replica.jobs.contains_key(id) && now.since(*at) < Span(10 * AWAIT.0));
+            .retain(|id, at| cache.jobs.contains_key(id) && now.since(*at) < Millis(10 * AWAIT.0));
         self.faults.retain(
-            |job| replica.jobs.contains_key(job),
-            |machine| replica.machines.contains_key(machine),
+            |job| cache.jobs.contains_key(job),
+            |machine| cache.machines.contains_key(machine),
         );
     }
 
     /// Whether a holder has spoken of a machine lately.
-    pub fn heard_of(&self, now: Time, id: &MachineId) -> bool {
+    pub fn heard_of(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let health = self.health.get(id);
         health.is_some_and(|h| now.since(h.at) < HEALTH_AGE)
     }
 
     /// Whether its present holder says that nothing has come from a machine for so long.
-    pub fn is_silent(&self, now: Time, id: &MachineId, for_long: Span, replica: &Replica) -> bool {
-        let lease = replica.blocks.get(&id.block(self.config.blocks()));
+    pub fn is_silent(
+        &self,
+        now: MonotonicTime,
+        id: &MachineId,
+        for_long: Millis,
+        cache: &WatchCache,
+    ) -> bool {
+        let shard_record = cache.shards.get(&id.shard(self.config.shards()));
         self.health.get(id).is_some_and(|h| {
-            lease.is_some_and(|l| l.revision == h.last.fence)
+            shard_record.is_some_and(|l| l.revision == h.last.fence)
                 && h.last.silent >= for_long
                 && now.since(h.at) < HEALTH_AGE
         })
     }
 
     /// Whether a holder has told that a placement is proved gone.
-    pub fn is_freed(&self, run: &Run) -> bool {
-        self.ledger.is_freed(run)
+    pub fn is_freed(&self, attempt: &TaskAttempt) -> bool {
+        self.ledger.is_freed(attempt)
     }
 
     /// Whether a machine can take work: its holder has it, under the present token, and no
     /// notice or fault stands against it.
-    pub fn usable(&self, now: Time, id: &MachineId, replica: &Replica) -> bool {
-        let block = id.block(self.config.blocks());
-        let fence = replica.blocks.get(&block).map(|b| b.revision);
+    pub fn usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
+        let shard = id.shard(self.config.shards());
+        let fence = cache.shards.get(&shard).map(|b| b.revision);
         let healthy = self.health.get(id).is_some_and(|h| {
             Some(h.last.fence) == fence
                 && h.last.confirmed
                 && h.last.notice.is_none()
                 && now.since(h.at) < HEALTH_AGE
-                && h.last.silent < self.config.report + Span(2000)
+                && h.last.silent < self.config.heartbeat_interval + Millis(2000)
         });
         healthy && !self.faults.shunned(now, id) && !self.leaving.contains(id)
     }
 
     /// Whether a machine counts as capacity. One whose holder has just changed is of no use for
     /// a moment, but it is there: renting for it would be renting twice.
-    pub fn present(&self, now: Time, id: &MachineId) -> bool {
+    pub fn present(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let lost = self.health.get(id).is_some_and(|h| {
-            h.last.notice.is_some() || h.last.silent >= self.config.report + Span(2000)
+            h.last.notice.is_some()
+                || h.last.silent >= self.config.heartbeat_interval + Millis(2000)
         });
         !lost && !self.faults.shunned(now, id) && !self.leaving.contains(id)
     }
     /// Whether something that was allotted to a block before a time is still on its way: only
     /// that can come to a machine which has been left out of the lists since.
-    pub fn allotted_before(&self, block: BlockId, at: Time) -> bool {
-        self.ledger.allotted_before(block, at)
+    pub fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
+        self.ledger.allotted_before(shard, at)
     }
 
     pub fn allotted_count(&self) -> usize {
--- a/src/placement/shortage.rs
+++ b/src/placement/shortage.rs
@@ -1,16 +1,16 @@
 //! What found no room: the input for renting and for preemption.
 
-use crate::ids::{Amounts, JobId};
+use crate::ids::{JobId, Resources};
 use crate::planning::predicted_s;
-use crate::store::replica::LiveJob;
-use crate::wire::{Kind, Priority};
+use crate::protocol::{JobKind, Priority};
+use crate::store::watch_cache::LiveJob;
 
 /// Tasks for which no machine has room.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortage {
     pub job: JobId,
     /// What each of the tasks takes.
-    pub need: Amounts,
+    pub need: Resources,
     pub tasks: u64,
     /// The predicted run time of one task.
     pub seconds: f64,
@@ -30,7 +30,7 @@
             tasks,
             seconds: predicted_s(job),
             priority: job.priority(),
-            together: spec.kind != Kind::Array,
+            together: spec.kind != JobKind::Array,
             cached_only: false,
         }
     }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -4,14 +4,15 @@
 use crate::config::Config;
 use crate::config::tests::sample_config;
 use crate::ids::{
-    Amounts, Attempt, BlockId, JobId, MachineId, Revision, Run, Span, TaskId, Time, Wall,
+    AttemptNumber, JobId, MachineId, Millis, MonotonicTime, Resources, Revision, ShardId,
+    TaskAttempt, TaskId, UnixTime,
 };
 use crate::peers::{Allotment, MachineHealth, Message};
+use crate::protocol::store::Item;
+use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::store::keys;
-use crate::store::records::{BlockRecord, JobRecord, MachineRecord};
-use crate::store::replica::Replica;
-use crate::wire::state::Item;
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::store::records::{JobRecord, MachineRecord, ShardRecord};
+use crate::store::watch_cache::WatchCache;
 use proptest::prelude::*;
 use serde::Serialize;
 use serde_json::json;
@@ -21,12 +22,12 @@
 
 struct Scene {
     config: Config,
-    replica: Replica,
+    cache: WatchCache,
     scheduler: Scheduler,
     revision: u64,
 }
 
-const NOW: Time = Time(100_000);
+const NOW: MonotonicTime = MonotonicTime(100_000);
 const TERM: Revision = Revision(1);
 
 impl Scene {
@@ -34,22 +35,22 @@
         let config = sample_config();
         let mut scene = Self {
             scheduler: Scheduler::new(&config),
-            replica: Replica::new(&sample_config()),
+            cache: WatchCache::new(&sample_config()),
             revision: 10,
             config,
         };
-        scene.scheduler.wall = Wall(1_000_000);
+        scene.scheduler.unix_time = UnixTime(1_000_000);
         let catalog = json!({"hulls": [
             {"name": "t8", "cores": 8, "cards": 0, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 1.0,
              "price": 1.0, "low_price": 0.5, "startup_s": 20, "berths": ["a", "b"]}]});
         scene.put(keys::CATALOG.to_owned(), &catalog);
-        for block in 0..scene.config.blocks() {
-            let record = BlockRecord {
-                holder: "c0".into(),
+        for shard in 0..scene.config.shards() {
+            let record = ShardRecord {
+                owner: "c0".into(),
                 incarnation: crate::ids::Incarnation(1),
                 term: TERM,
             };
-            scene.put(keys::block(BlockId(block)), &record);
+            scene.put(keys::shard(ShardId(shard)), &record);
         }
         scene
     }
@@ -58,22 +59,22 @@
         self.revision += 1;
         let revision = Revision(self.revision);
         let value = serde_json::to_value(value).expect("json");
-        self.replica.load(Item {
+        self.cache.load(Item {
             key,
             value,
             revision,
-            grant: None,
+            lease: None,
         });
         revision
     }
 
     fn health(&self, id: &MachineId) -> MachineHealth {
-        let block = id.block(self.config.blocks());
+        let shard = id.shard(self.config.shards());
         MachineHealth {
             machine: id.clone(),
-            fence: self.replica.blocks[&block].revision,
-            silent: Span(0),
-            missed: Span(0),
+            fence: self.cache.shards[&shard].revision,
+            silent: Millis(0),
+            missed: Millis(0),
             confirmed: true,
             notice: None,
             unrecorded: None,
@@ -86,49 +87,49 @@
         n: u32,
         zone: &str,
         spot: bool,
-        runs: &[(&JobSpec, u32, u64)],
+        attempts: &[(&JobSpec, u32, u64)],
     ) -> MachineId {
         let id = MachineId::from(format!("vm-{n:04}").as_str());
         let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &zone.into(), spot);
-        for (spec, index, attempt) in runs {
+        for (spec, index, attempt_number) in attempts {
             let task = TaskId {
                 job: spec.id.clone(),
                 index: *index,
             };
             record.add(
-                &Run {
+                &TaskAttempt {
                     task,
-                    attempt: Attempt(*attempt),
+                    number: AttemptNumber(*attempt_number),
                 },
                 spec,
             );
         }
         self.put(keys::machine(&id), &record);
         let health = self.health(&id);
-        self.scheduler.on_health(NOW, vec![health], &self.replica);
+        self.scheduler.on_health(NOW, vec![health], &self.cache);
         id
     }
 
     fn job(&mut self, n: u32, change: impl FnOnce(&mut JobSpec)) -> JobSpec {
-        let mut spec = crate::wire::tests::spec(&format!("job-{n:06}"));
+        let mut spec = crate::protocol::tests::spec(&format!("job-{n:06}"));
         change(&mut spec);
-        let record = JobRecord::new(spec.clone(), Wall(900_000));
+        let record = JobRecord::new(spec.clone(), UnixTime(900_000));
         self.put(keys::job(&spec.id), &record);
         spec
     }
 
-    fn drive(&mut self) -> (Vec<Allotment>, Vec<Run>) {
+    fn drive(&mut self) -> (Vec<Allotment>, Vec<TaskAttempt>) {
         let mut out = Vec::new();
-        self.scheduler.drive(NOW, TERM, &self.replica, &mut out);
+        self.scheduler.drive(NOW, TERM, &self.cache, &mut out);
         let (mut allotments, mut stops) = (Vec::new(), Vec::new());
         for effect in out {
             match effect {
-                Effect::ToHolder(_, message) => match *message {
+                Effect::ToShardOwner(_, message) => match *message {
                     Message::Allot(a) => allotments.push(a),
-                    Message::Stop { run, .. } => stops.push(run),
+                    Message::Stop { attempt, .. } => stops.push(attempt),
                     other => panic!("{other:?}"),
                 },
-                Effect::RenewBlock(_) => {}
+                Effect::RenewShard(_) => {}
             }
         }
         (allotments, stops)
@@ -140,17 +141,17 @@
     let mut scene = Scene::new();
     scene.machine(1, "a", false, &[]);
     let gang = scene.job(1, |s| {
-        s.kind = Kind::Gang;
+        s.kind = JobKind::Gang;
         s.tasks = 5;
     });
     assert!(scene.drive().0.is_empty(), "four fit, five are needed");
     assert_eq!(scene.scheduler.shortages.len(), 1);
     scene.machine(2, "b", false, &[]);
     let (allotments, _) = scene.drive();
-    let runs: Vec<&Run> = allotments.iter().flat_map(|a| &a.runs).collect();
-    let attempts: BTreeSet<Attempt> = runs.iter().map(|r| r.attempt).collect();
-    assert_eq!((runs.len(), attempts.len()), (5, 1));
-    assert!(runs.iter().all(|r| r.task.job == gang.id));
+    let attempts: Vec<&TaskAttempt> = allotments.iter().flat_map(|a| &a.attempts).collect();
+    let numbers: BTreeSet<AttemptNumber> = attempts.iter().map(|a| a.number).collect();
+    assert_eq!((attempts.len(), numbers.len()), (5, 1));
+    assert!(attempts.iter().all(|a| a.task.job == gang.id));
     assert!(scene.drive().0.is_empty(), "nothing is allotted twice");
 }
 
@@ -159,15 +160,15 @@
 fn a_machine_whose_holder_changes_is_unusable_for_a_moment_but_stays_capacity() {
     let mut scene = Scene::new();
     let id = scene.machine(1, "a", false, &[]);
-    assert!(scene.scheduler.usable(NOW, &id, &scene.replica));
-    let block = id.block(scene.config.blocks());
-    let record = scene.replica.blocks[&block].value.clone();
-    scene.put(keys::block(block), &record);
-    assert!(!scene.scheduler.usable(NOW, &id, &scene.replica));
+    assert!(scene.scheduler.usable(NOW, &id, &scene.cache));
+    let shard = id.shard(scene.config.shards());
+    let record = scene.cache.shards[&shard].value.clone();
+    scene.put(keys::shard(shard), &record);
+    assert!(!scene.scheduler.usable(NOW, &id, &scene.cache));
     assert!(scene.scheduler.present(NOW, &id));
     let mut silent = scene.health(&id);
-    silent.silent = Span(60_000);
-    scene.scheduler.on_health(NOW, vec![silent], &scene.replica);
+    silent.silent = Millis(60_000);
+    scene.scheduler.on_health(NOW, vec![silent], &scene.cache);
     assert!(!scene.scheduler.present(NOW, &id));
 }
 
@@ -188,7 +189,7 @@
         let mut scene = Scene::new();
         scene.machine(1, "a", false, &[]);
         let old = scene.job(1, change);
-        scene.scheduler.wall = Wall(scene.scheduler.wall.0 + 125_000);
+        scene.scheduler.unix_time = UnixTime(scene.scheduler.unix_time.0 + 125_000);
         for n in 2..12 {
             scene.job(n, |j| {
                 j.tasks = 8;
@@ -196,7 +197,7 @@
             });
         }
         let (allotments, _) = scene.drive();
-        assert_eq!(allotments[0].runs[0].task.job, old.id);
+        assert_eq!(allotments[0].attempts[0].task.job, old.id);
     }
 }
 
@@ -207,14 +208,12 @@
     let id = scene.machine(1, "a", false, &[]);
     let earlier = MachineHealth {
         fence: Revision(scene.health(&id).fence.0 - 1),
-        silent: Span(60_000),
+        silent: Millis(60_000),
         confirmed: false,
         ..scene.health(&id)
     };
-    scene
-        .scheduler
-        .on_health(NOW, vec![earlier], &scene.replica);
-    assert!(scene.scheduler.usable(NOW, &id, &scene.replica));
+    scene.scheduler.on_health(NOW, vec![earlier], &scene.cache);
+    assert!(scene.scheduler.usable(NOW, &id, &scene.cache));
     assert!(scene.scheduler.present(NOW, &id));
 }
 
@@ -247,15 +246,13 @@
     let plain = scene.job(2, |s| s.tasks = 1);
     let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
     let mut noticed = scene.health(&id);
-    noticed.notice = Some(Span(3500));
+    noticed.notice = Some(Millis(3500));
     scene
         .scheduler
-        .on_health(NOW, vec![noticed.clone()], &scene.replica);
+        .on_health(NOW, vec![noticed.clone()], &scene.cache);
     assert!(scene.drive().1.is_empty(), "too late to save");
-    noticed.notice = Some(Span(8000));
-    scene
-        .scheduler
-        .on_health(NOW, vec![noticed], &scene.replica);
+    noticed.notice = Some(Millis(8000));
+    scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
     let (_, stops) = scene.drive();
     assert_eq!(stops.len(), 1);
     assert_eq!(stops[0].task.job, saving.id);
@@ -269,10 +266,10 @@
         s.tasks = 12;
     });
     for m in 0..3 {
-        let runs: Vec<_> = (0..4)
+        let attempts: Vec<_> = (0..4)
             .map(|i| (&blue, m * 4 + i, u64::from(m * 4 + i)))
             .collect();
-        scene.machine(m, "a", false, &runs);
+        scene.machine(m, "a", false, &attempts);
     }
     scene
 }
@@ -280,15 +277,15 @@
 /// Two machines have room for one task each, and each has the image of another job.
 #[test]
 fn places_go_to_the_first_job_whose_image_is_there_unless_it_has_waited_long() {
-    let images = |wall: u64, gb: f64| {
+    let images = |unix_time: u64, gb: f64| {
         let mut scene = Scene::new();
         let with = |scene: &mut Scene, n: u32, image: &str| {
             let old = scene.job(n, |s| {
                 s.image = image.into();
                 s.tasks = 3;
             });
-            let runs: Vec<_> = (0..3).map(|i| (&old, i, u64::from(10 * n + i))).collect();
-            scene.machine(n, "a", false, &runs);
+            let attempts: Vec<_> = (0..3).map(|i| (&old, i, u64::from(10 * n + i))).collect();
+            scene.machine(n, "a", false, &attempts);
         };
         with(&mut scene, 1, "red");
         with(&mut scene, 2, "blue");
@@ -307,10 +304,10 @@
             s.image_gb = gb;
             s.estimate_s = 20.0;
         });
-        scene.scheduler.wall = Wall(wall);
+        scene.scheduler.unix_time = UnixTime(unix_time);
         let (allotments, _) = scene.drive();
-        let runs = allotments.iter().flat_map(|a| &a.runs);
-        let of = |id: &JobId| runs.clone().filter(|r| r.task.job == *id).count();
+        let attempts = allotments.iter().flat_map(|a| &a.attempts);
+        let of = |id: &JobId| attempts.clone().filter(|r| r.task.job == *id).count();
         (of(&first.id), of(&second.id))
     };
     assert_eq!(images(901_000, 10.0), (1, 1));
@@ -324,7 +321,7 @@
     assert!(scene.drive().1.is_empty());
     let red = scene.job(2, |s| s.tasks = 1);
     assert!(scene.drive().1.is_empty(), "too late to be prompt");
-    scene.scheduler.wall = Wall(907_000);
+    scene.scheduler.unix_time = UnixTime(907_000);
     let (_, stops) = scene.drive();
     assert_eq!(stops.len(), 1, "red is within its guarantee, blue beyond");
     assert!(
@@ -338,14 +335,14 @@
         s.tasks = 1;
         s.image = "another".into();
     });
-    scene.scheduler.wall = Wall(907_000);
+    scene.scheduler.unix_time = UnixTime(907_000);
     assert!(scene.drive().1.is_empty());
 
     // The same team's work of the same priority makes no room.
     let mut scene = Scene::new();
     let first = scene.job(1, |s| s.tasks = 4);
-    let runs: Vec<_> = (0..4).map(|i| (&first, i, u64::from(i))).collect();
-    scene.machine(1, "a", false, &runs);
+    let attempts: Vec<_> = (0..4).map(|i| (&first, i, u64::from(i))).collect();
+    scene.machine(1, "a", false, &attempts);
     scene.job(2, |s| s.tasks = 1);
     assert!(scene.drive().1.is_empty());
     scene.job(3, |s| {
@@ -367,12 +364,13 @@
     specs: &BTreeMap<&str, &JobSpec>,
 ) -> BTreeMap<MachineId, u64> {
     let mut used = BTreeMap::new();
-    for (id, machine) in &scene.replica.machines {
+    for (id, machine) in &scene.cache.machines {
         used.insert(id.clone(), machine.record.used().cpus);
     }
     for a in allotments {
-        let spec = specs[a.runs[0].task.job.as_str()];
-        *used.entry(a.preferred[0].clone()).or_default() += spec.need().cpus * a.runs.len() as u64;
+        let spec = specs[a.attempts[0].task.job.as_str()];
+        *used.entry(a.preferred[0].clone()).or_default() +=
+            spec.need().cpus * a.attempts.len() as u64;
     }
     used
 }
@@ -408,14 +406,14 @@
         let mut teams: BTreeMap<&str, u64> = BTreeMap::new();
         let mut seen = BTreeSet::new();
         for a in &allotments {
-            let spec = by_id[a.runs[0].task.job.as_str()];
+            let spec = by_id[a.attempts[0].task.job.as_str()];
             for id in &a.preferred {
-                let m = &scene.replica.machines[id].record;
+                let m = &scene.cache.machines[id].record;
                 prop_assert!(spec.allows(&m.type_name, &m.zone, m.spot));
-                prop_assert_eq!(id.block(scene.config.blocks()), a.block);
+                prop_assert_eq!(id.shard(scene.config.shards()), a.shard);
             }
-            for run in &a.runs {
-                prop_assert!(seen.insert(run.task.clone()));
+            for attempt in &a.attempts {
+                prop_assert!(seen.insert(attempt.task.clone()));
                 *teams.entry(spec.team.as_str()).or_default() += spec.need().cpus;
             }
         }
@@ -426,7 +424,7 @@
             let placed = seen.iter().filter(|t| t.job == spec.id).count();
             if placed < spec.tasks as usize {
                 let need = spec.need().cpus;
-                let room = scene.replica.machines.iter().any(|(id, m)| {
+                let room = scene.cache.machines.iter().any(|(id, m)| {
                     let r = &m.record;
                     spec.allows(&r.type_name, &r.zone, r.spot) && used[id] + need <= 8000
                 });
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -6,19 +6,19 @@
 fn full_of_idle_work(machines: u32) -> Scene {
     let mut scene = Scene::new();
     for team in scene.config.teams.values_mut() {
-        *team = crate::config::Team::new(Amounts::default(), Amounts::default());
+        *team = crate::config::Team::new(Resources::default(), Resources::default());
     }
     scene.scheduler = Scheduler::new(&scene.config);
-    scene.scheduler.wall = Wall(901_000);
+    scene.scheduler.unix_time = UnixTime(901_000);
     let idle = scene.job(1, |s| {
         s.priority = Priority::Low;
         s.tasks = 4 * machines;
     });
     for n in 0..machines {
-        let runs: Vec<_> = (0..4)
+        let attempts: Vec<_> = (0..4)
             .map(|i| (&idle, 4 * n + i, u64::from(4 * n + i)))
             .collect();
-        scene.machine(n, "a", false, &runs);
+        scene.machine(n, "a", false, &attempts);
     }
     scene
 }
@@ -57,7 +57,7 @@
 fn lower_work_beside_room_for_replicas_gives_way_too() {
     let mut scene = full_of_idle_work(1);
     let service = scene.job(2, |s| {
-        s.kind = Kind::Service;
+        s.kind = JobKind::Service;
         s.priority = Priority::Production;
         s.tasks = 1;
         s.cpus = 1.0;
@@ -70,10 +70,10 @@
     // Two spare replicas of 1 CPU are kept there: of 8 CPUs 3 are free for others.
     array(&mut scene, 4, 6);
     let (allotments, stops) = scene.drive();
-    let given: usize = allotments.iter().map(|a| a.runs.len()).sum();
+    let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
     assert_eq!(given, 1);
     assert_eq!(stops.len(), 5);
-    assert!(stops.iter().any(|run| run.task.job == idle.id));
+    assert!(stops.iter().any(|attempt| attempt.task.job == idle.id));
 }
 
 /// A task that can save is stopped with the time that it needs for that, and no other is.
@@ -86,21 +86,21 @@
         s.checkpoint_s = 15.0;
         s.save_s = 4.0;
     });
-    let runs: Vec<_> = (0..4).map(|i| (&saving, i, u64::from(100 + i))).collect();
-    scene.machine(5, "a", false, &runs);
+    let attempts: Vec<_> = (0..4).map(|i| (&saving, i, u64::from(100 + i))).collect();
+    scene.machine(5, "a", false, &attempts);
     array(&mut scene, 3, 8);
     let mut out = Vec::new();
-    scene.scheduler.drive(NOW, TERM, &scene.replica, &mut out);
-    let mut graces: BTreeMap<JobId, Vec<Span>> = BTreeMap::new();
+    scene.scheduler.drive(NOW, TERM, &scene.cache, &mut out);
+    let mut graces: BTreeMap<JobId, Vec<Millis>> = BTreeMap::new();
     for effect in out {
-        if let Effect::ToHolder(_, message) = effect
-            && let Message::Stop { run, grace, .. } = *message
+        if let Effect::ToShardOwner(_, message) = effect
+            && let Message::Stop { attempt, grace, .. } = *message
         {
-            graces.entry(run.task.job).or_default().push(grace);
+            graces.entry(attempt.task.job).or_default().push(grace);
         }
     }
-    assert_eq!(graces[&saving.id], [Span(4000); 4]);
-    assert_eq!(graces[&JobId::from("job-000001")], [Span(0); 4]);
+    assert_eq!(graces[&saving.id], [Millis(4000); 4]);
+    assert_eq!(graces[&JobId::from("job-000001")], [Millis(0); 4]);
 }
 
 /// Gangs wait for machines with cards: work that needs none goes elsewhere while there is room.
@@ -118,7 +118,7 @@
     let record = MachineRecord::new("1.1.1.1:1", &"g8".into(), &"a".into(), false);
     scene.put(keys::machine(&cards), &record);
     let health = scene.health(&cards);
-    scene.scheduler.on_health(NOW, vec![health], &scene.replica);
+    scene.scheduler.on_health(NOW, vec![health], &scene.cache);
     scene.job(1, |s| {
         s.tasks = 6;
         s.image_gb = 9.0;
@@ -126,7 +126,7 @@
     let (allotments, _) = scene.drive();
     let on = |id: &MachineId| -> usize {
         let there = allotments.iter().filter(|a| a.preferred[0] == *id);
-        there.map(|a| a.runs.len()).sum()
+        there.map(|a| a.attempts.len()).sum()
     };
     assert_eq!(
         (on(&plain), on(&cards)),
@@ -147,7 +147,7 @@
         }
         array(&mut scene, 2, 50);
         let (allotments, stops) = scene.drive();
-        let given: usize = allotments.iter().map(|a| a.runs.len()).sum();
+        let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
         (given, stops.len())
     };
     assert_eq!(stops_at(40.0), (12, 38));
@@ -160,13 +160,13 @@
     }
     array(&mut scene, 2, 50);
     scene.job(3, |s| {
-        s.kind = Kind::Service;
+        s.kind = JobKind::Service;
         s.priority = Priority::Low;
         s.tasks = 1;
         s.cpus = 8.0;
     });
     scene.job(4, |s| {
-        s.kind = Kind::Service;
+        s.kind = JobKind::Service;
         s.priority = Priority::Production;
         s.tasks = 4;
         s.cpus = 8.0;
--- a/src/placement/turns.rs
+++ b/src/placement/turns.rs
@@ -3,17 +3,17 @@
 use super::candidates::{Candidate, image_rooms};
 use super::order::{oldest_first, rank};
 use super::pass::Inputs;
-use crate::ids::{Amounts, JobId, Span, Wall};
+use crate::ids::{JobId, Millis, Resources, UnixTime};
 use crate::planning::predicted_s;
-use crate::store::replica::LiveJob;
-use crate::wire::Kind;
+use crate::protocol::JobKind;
+use crate::store::watch_cache::LiveJob;
 use std::collections::BTreeMap;
 
 /// Fetching is worth waiting for another place from this part of a task's own time on. Below, the
 /// wait costs more than it saves, and places of few tasks use up changes (Savannah fleet, calm).
 const FETCH_PART: f64 = 0.2;
 /// An array that has waited so long for its first task takes any place.
-const PATIENT: Span = Span(60_000);
+const PATIENT: Millis = Millis(60_000);
 /// A waiting job's turn.
 #[derive(Clone, Copy)]
 pub(super) struct Turn<'a> {
@@ -24,11 +24,11 @@
 }
 
 impl Turn<'_> {
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> JobKind {
         self.job.spec.kind
     }
 
-    pub fn need(&self) -> Amounts {
+    pub fn need(&self) -> Resources {
         self.job.spec.need()
     }
 }
@@ -37,13 +37,13 @@
 fn waiting<'a>(input: &Inputs<'a>) -> Vec<(&'a JobId, &'a LiveJob)> {
     let lacks = |job: &LiveJob| job.done_count() + (job.placed.len() as u32) < job.spec.tasks;
     let mut waiting: Vec<(&JobId, &LiveJob)> = input
-        .replica
+        .cache
         .jobs
         .iter()
         .filter(|(id, job)| !input.faults.paused(input.now, id) && lacks(job))
         .collect();
     waiting.sort_by_cached_key(|(id, job)| rank(id, job, input.within.contains(*id)));
-    oldest_first(&mut waiting, input.wall);
+    oldest_first(&mut waiting, input.unix_time);
     waiting
 }
 
@@ -60,7 +60,7 @@
         job,
         cached_only,
     };
-    let patient = |job: &LiveJob| is_patient(job, input.wall, &covered, slowest);
+    let patient = |job: &LiveJob| is_patient(job, input.unix_time, &covered, slowest);
     let first = waiting.iter().map(|w| turn(w, patient(w.1)));
     let second = waiting.iter().filter(|w| patient(w.1));
     first.chain(second.map(|w| turn(w, false))).collect()
@@ -70,7 +70,7 @@
 /// whose image there are enough of them, and which has not waited for its first task for long.
 fn is_patient(
     job: &LiveJob,
-    wall: Wall,
+    unix_time: UnixTime,
     covered: &BTreeMap<&str, u64>,
     slowest_gb_per_s: f64,
 ) -> bool {
@@ -80,8 +80,8 @@
     let left = spec.tasks.saturating_sub(job.done_count());
     let room = covered.get(spec.image.as_str()).copied().unwrap_or(0);
     let begun = !job.placed.is_empty() || job.done_count() > 0;
-    let age = Span(wall.0.saturating_sub(job.eligible.0));
-    spec.kind == Kind::Array
+    let age = Millis(unix_time.0.saturating_sub(job.eligible.0));
+    spec.kind == JobKind::Array
         && fetch >= FETCH_PART * time
         && !spec.one_zone
         && !spec.spread
--- a/src/placement/zone_rule.rs
+++ b/src/placement/zone_rule.rs
@@ -1,9 +1,9 @@
 //! The zones that a job's tasks may stand in, given where its others are.
 
 use super::candidates::Candidate;
-use crate::ids::{Amounts, MachineId, Zone};
-use crate::store::replica::{LiveJob, Replica};
-use crate::wire::JobSpec;
+use crate::ids::{MachineId, Resources, Zone};
+use crate::protocol::JobSpec;
+use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::collections::BTreeMap;
 
 /// Keeps a job's tasks in one zone, or spread over zones, as it asks.
@@ -18,7 +18,7 @@
     pub fn new(
         job: &LiveJob,
         allotted: Option<&BTreeMap<u32, &MachineId>>,
-        replica: &Replica,
+        cache: &WatchCache,
     ) -> Self {
         let spec = &job.spec;
         let mut rule = Self {
@@ -30,7 +30,7 @@
             let placed = job.placed.values().map(|(machine, _)| machine);
             let allotted = allotted.iter().flat_map(|a| a.values().copied());
             for machine in placed.chain(allotted) {
-                if let Some(machine) = replica.machines.get(machine) {
+                if let Some(machine) = cache.machines.get(machine) {
                     rule.add(&machine.record.zone);
                 }
             }
@@ -45,7 +45,7 @@
         &self,
         spec: &JobSpec,
         candidates: &[Candidate<'_>],
-        free: impl Fn(usize) -> Amounts,
+        free: impl Fn(usize) -> Resources,
     ) -> Option<Zone> {
         if !self.one_zone {
             return None;
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -4,11 +4,11 @@
 //! has to be stopped; its final record has to say so.
 
 use crate::ids::JobId;
+use crate::protocol::JobState;
+use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::records::OverRecord;
-use crate::store::replica::Replica;
-use crate::wire::JobState;
-use crate::wire::state::Txn;
+use crate::store::watch_cache::WatchCache;
 
 /// A final record and the deletion of the live one.
 const CHANGES_EACH: usize = 2;
@@ -17,14 +17,14 @@
 /// which these are. `None`: there are none.
 pub fn cancel_dependents(
     cancelled: &JobId,
-    replica: &Replica,
+    cache: &WatchCache,
     max_ops: usize,
 ) -> Option<(Txn, Vec<JobId>)> {
-    let mut dependents = replica.waiting.descendants(cancelled);
+    let mut dependents = cache.waiting.descendants(cancelled);
     dependents.truncate((max_ops / CHANGES_EACH).max(1));
     let mut txn = Txn::default();
     for id in &dependents {
-        let job = replica.waiting.get(id)?;
+        let job = cache.waiting.get(id)?;
         let record = OverRecord {
             state: JobState::Cancelled,
             tasks: job.spec.tasks,
--- a/src/planning/counter.rs
+++ b/src/planning/counter.rs
@@ -4,11 +4,11 @@
 
 use crate::config::Config;
 use crate::ids::{JobId, Revision};
+use crate::protocol::JobState;
+use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::records::{Bitmap, OverRecord};
-use crate::store::replica::LiveJob;
-use crate::wire::JobState;
-use crate::wire::state::Txn;
+use crate::store::watch_cache::LiveJob;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/src/planning/counter/tests.rs
+++ b/src/planning/counter/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::MachineId;
+use crate::protocol::store::{Change, Event};
 use crate::store::records::{JobRecord, MachineRecord};
-use crate::store::replica::Replica;
-use crate::wire::state::{Change, Event};
+use crate::store::watch_cache::WatchCache;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -18,7 +18,7 @@
 }
 
 impl Keys {
-    fn run(&mut self, txn: &Txn, replica: &mut Replica) -> bool {
+    fn run(&mut self, txn: &Txn, cache: &mut WatchCache) -> bool {
         let found = |key: &String| self.held.get(key).copied().unwrap_or(Revision(0));
         if txn.conditions.iter().any(|c| found(&c.key) != c.revision) {
             return false;
@@ -46,43 +46,43 @@
                 revision,
             });
         }
-        replica.apply(revision, events);
+        cache.apply(revision, events);
         true
     }
 }
 
-fn accept(keys_held: &mut Keys, replica: &mut Replica, tasks: u32) -> JobId {
-    let mut spec = crate::wire::tests::spec("job-000001");
+fn accept(keys_held: &mut Keys, cache: &mut WatchCache, tasks: u32) -> JobId {
+    let mut spec = crate::protocol::tests::spec("job-000001");
     spec.tasks = tasks;
     let id = spec.id.clone();
-    let record = JobRecord::new(spec, crate::ids::Wall(0));
+    let record = JobRecord::new(spec, crate::ids::UnixTime(0));
     let mut txn = Txn::default();
     txn.put(keys::job(&id), &record, None);
-    assert!(keys_held.run(&txn, replica));
+    assert!(keys_held.run(&txn, cache));
     id
 }
 
 /// A holder's change of a machine's record: some tasks of the job have ended there.
 fn end(
     keys_held: &mut Keys,
-    replica: &mut Replica,
+    cache: &mut WatchCache,
     machine: &MachineId,
     id: &JobId,
     tasks: &[u32],
 ) {
     let size = sample_config().segment_tasks();
-    let old = replica.machines.get(machine).map(|m| m.record.clone());
+    let old = cache.machines.get(machine).map(|m| m.record.clone());
     let mut record =
         old.unwrap_or_else(|| MachineRecord::new("1.1.1.1:1", &"t".into(), &"z".into(), false));
     record
         .done
-        .retain(|d| replica.jobs.get(&d.job).is_some_and(|j| j.needs(d, size)));
+        .retain(|d| cache.jobs.get(&d.job).is_some_and(|j| j.needs(d, size)));
     for task in tasks {
         record.count(id, *task, *task);
     }
     let mut txn = Txn::default();
     txn.put(keys::machine(machine), &record, None);
-    assert!(keys_held.run(&txn, replica));
+    assert!(keys_held.run(&txn, cache));
 }
 
 /// Machines end the tasks of the largest array in any order and repeat some, the leader
@@ -92,10 +92,10 @@
     let config = sample_config();
     let layout = Layout::new(&config);
     let ops = layout.txn_ops;
-    let (mut keys_held, mut replica) = (Keys::default(), Replica::new(&config));
-    let id = accept(&mut keys_held, &mut replica, crate::wire::MAX_TASKS);
+    let (mut keys_held, mut cache) = (Keys::default(), WatchCache::new(&config));
+    let id = accept(&mut keys_held, &mut cache, crate::protocol::MAX_TASKS);
     let mut rng = StdRng::seed_from_u64(2);
-    let mut order: Vec<u32> = (0..crate::wire::MAX_TASKS).collect();
+    let mut order: Vec<u32> = (0..crate::protocol::MAX_TASKS).collect();
     order.shuffle(&mut rng);
     let mut model = std::collections::BTreeSet::new();
     let (mut at, mut folds) = (0, 0);
@@ -104,38 +104,38 @@
         let mut batch = order[at..at + n].to_vec();
         batch.push(order[rng.random_range(0..=at)]);
         let machine = MachineId::from(format!("vm-{}", rng.random_range(0..40)).as_str());
-        end(&mut keys_held, &mut replica, &machine, &id, &batch);
+        end(&mut keys_held, &mut cache, &machine, &id, &batch);
         model.extend(batch.iter().copied());
-        assert_eq!(replica.jobs[&id].done_count() as usize, model.len());
-        let long = replica.machines[&machine].record.done_size() > config.state.value_bytes / 4;
+        assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
+        let long = cache.machines[&machine].record.done_size() > config.state.value_bytes / 4;
         if long || rng.random_range(0..50) == 0 {
             loop {
                 let mut txn = Txn::default();
-                let all = fold(&mut txn, &id, &replica.jobs[&id], &layout, ops - 1);
+                let all = fold(&mut txn, &id, &cache.jobs[&id], &layout, ops - 1);
                 assert!(txn.changes.len() < ops && txn.conditions.len() <= 4 * ops);
                 folds += 1;
-                assert!(keys_held.run(&txn, &mut replica));
+                assert!(keys_held.run(&txn, &mut cache));
                 if all {
                     break;
                 }
             }
-            assert!(replica.jobs[&id].counted.is_empty());
+            assert!(cache.jobs[&id].counted.is_empty());
             // Folded, its record may go: nothing of the count goes with it.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
-            assert!(keys_held.run(&txn, &mut replica));
-            assert_eq!(replica.jobs[&id].done_count() as usize, model.len());
+            assert!(keys_held.run(&txn, &mut cache));
+            assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         }
         at += n;
-        let release = release(&id, &replica.jobs[&id], &layout);
+        let release = release(&id, &cache.jobs[&id], &layout);
         assert_eq!(release.is_some(), model.len() == order.len());
         if let Some(txn) = release {
             assert!(txn.changes.len() <= ops);
-            assert!(keys_held.run(&txn, &mut replica));
-            assert!(!keys_held.run(&txn, &mut replica), "released once");
+            assert!(keys_held.run(&txn, &mut cache));
+            assert!(!keys_held.run(&txn, &mut cache), "released once");
         }
     }
-    assert!(!replica.jobs.contains_key(&id) && keys_held.largest <= config.state.value_bytes);
+    assert!(!cache.jobs.contains_key(&id) && keys_held.largest <= config.state.value_bytes);
     assert!(folds > 20 && keys_held.held.contains_key(&keys::over(&id)));
 }
 
@@ -143,16 +143,16 @@
 fn an_update_from_a_lagging_mirror_fails_instead_of_losing_tasks() {
     let config = sample_config();
     let layout = Layout::new(&config);
-    let (mut keys_held, mut replica) = (Keys::default(), Replica::new(&config));
-    let id = accept(&mut keys_held, &mut replica, 4);
+    let (mut keys_held, mut cache) = (Keys::default(), WatchCache::new(&config));
+    let id = accept(&mut keys_held, &mut cache, 4);
     let machine = MachineId::from("vm-1");
-    end(&mut keys_held, &mut replica, &machine, &id, &[0]);
+    end(&mut keys_held, &mut cache, &machine, &id, &[0]);
     let mut late = Txn::default();
-    assert!(fold(&mut late, &id, &replica.jobs[&id], &layout, 11));
-    end(&mut keys_held, &mut replica, &machine, &id, &[1]);
+    assert!(fold(&mut late, &id, &cache.jobs[&id], &layout, 11));
+    end(&mut keys_held, &mut cache, &machine, &id, &[1]);
     let mut first = Txn::default();
-    assert!(fold(&mut first, &id, &replica.jobs[&id], &layout, 11));
-    assert!(keys_held.run(&first, &mut replica));
-    assert!(!keys_held.run(&late, &mut replica));
-    assert_eq!(replica.jobs[&id].done_count(), 2);
+    assert!(fold(&mut first, &id, &cache.jobs[&id], &layout, 11));
+    assert!(keys_held.run(&first, &mut cache));
+    assert!(!keys_held.run(&late, &mut cache));
+    assert_eq!(cache.jobs[&id].done_count(), 2);
 }
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -1,9 +1,9 @@
 //! Run times of earlier tasks of a pipeline, kept per machine type.
 
 use crate::admin::Settings;
-use crate::ids::{Pipeline, Span, TypeName};
+use crate::ids::{Millis, Pipeline, TypeName};
 use crate::store::records::HistoryRecord;
-use crate::store::replica::Replica;
+use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
 const SAMPLES: usize = 32;
@@ -63,7 +63,7 @@
 }
 
 impl History {
-    pub fn add(&mut self, pipeline: &Pipeline, type_name: &TypeName, estimate_s: f64, ran: Span) {
+    pub fn add(&mut self, pipeline: &Pipeline, type_name: &TypeName, estimate_s: f64, ran: Millis) {
         let scale = if estimate_s > 0.0 { estimate_s } else { 1.0 };
         let sample = (ran.secs() / scale) as f32;
         if self.fresh.len() < 1000 || self.fresh.contains_key(pipeline) {
@@ -77,11 +77,11 @@
     /// The next record to write, with the fresh samples merged in, as many as fit into a value.
     pub fn next(
         &mut self,
-        replica: &Replica,
+        cache: &WatchCache,
         value_bytes: usize,
     ) -> Option<(Pipeline, HistoryRecord)> {
         let (pipeline, fresh) = self.fresh.pop_first()?;
-        let mut record = replica
+        let mut record = cache
             .history
             .get(&pipeline)
             .map(|h| h.value.clone())
--- a/src/planning/history/tests.rs
+++ b/src/planning/history/tests.rs
@@ -7,9 +7,9 @@
     let (a, b) = (TypeName::from("a"), TypeName::from("b"));
     let mut history = History::default();
     for s in [10, 30, 20] {
-        history.add(&"p".into(), &a, 10.0, Span(s * 1000));
+        history.add(&"p".into(), &a, 10.0, Millis(s * 1000));
     }
-    history.add(&"p".into(), &b, 10.0, Span(50_000));
+    history.add(&"p".into(), &b, 10.0, Millis(50_000));
     assert_eq!(
         predict(None, &a, &settings, 7.0),
         Predicted {
@@ -18,7 +18,7 @@
         }
     );
     let (_, record) = history
-        .next(&Replica::new(&sample_config()), 8192)
+        .next(&WatchCache::new(&sample_config()), 8192)
         .expect("record");
     let on_a = predict(Some(&record), &a, &settings, 7.0);
     assert_eq!(
@@ -31,7 +31,7 @@
     assert!(!predict(Some(&record), &b, &settings, 7.0).sampled);
     assert!(
         history
-            .next(&Replica::new(&sample_config()), 8192)
+            .next(&WatchCache::new(&sample_config()), 8192)
             .is_none()
     );
 }
@@ -56,10 +56,10 @@
 fn samples_are_bounded() {
     let mut history = History::default();
     for _ in 0..10_000 {
-        history.add(&"p".into(), &"a".into(), 0.0, Span(1000));
+        history.add(&"p".into(), &"a".into(), 0.0, Millis(1000));
     }
     let (_, record) = history
-        .next(&Replica::new(&sample_config()), 8192)
+        .next(&WatchCache::new(&sample_config()), 8192)
         .expect("record");
     assert_eq!(record.types[&TypeName::from("a")].len(), SAMPLES);
 }
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -12,7 +12,7 @@
 pub use history::{History, predict};
 pub use pipeline::plan_job;
 
-use crate::store::replica::LiveJob;
+use crate::store::watch_cache::LiveJob;
 
 /// The predicted run time of one task of a job, in seconds.
 pub fn predicted_s(job: &LiveJob) -> f64 {
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -6,9 +6,9 @@
 
 use super::{Graph, Node, plan, predict};
 use crate::ids::{JobId, MachineId};
+use crate::protocol::{JobSpec, MachineType};
 use crate::store::records::PlanRecord;
-use crate::store::replica::Replica;
-use crate::wire::{JobSpec, MachineType};
+use crate::store::watch_cache::WatchCache;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -17,25 +17,25 @@
 const MEMBERS: usize = 64;
 
 /// The plan of a job that was just accepted, and the changed ones of jobs that wait with it.
-pub fn plan_job(id: &JobId, replica: &Replica) -> Vec<(JobId, PlanRecord)> {
-    let members = members(id, replica);
-    let settings = replica.settings();
-    let graph = graph(&members, replica);
+pub fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
+    let members = members(id, cache);
+    let settings = cache.settings();
+    let graph = graph(&members, cache);
     let made = plan(&graph, settings.group_cap as usize);
     let mut plans = Vec::new();
     for (at, member) in members.iter().enumerate() {
-        let Some(spec) = replica.job_spec(member) else {
+        let Some(spec) = cache.job_spec(member) else {
             continue;
         };
-        if member != id && !replica.waiting.contains(member) {
+        if member != id && !cache.waiting.contains(member) {
             continue;
         }
         let joined = joined_parent(at, &graph, &made.groups);
         let record = PlanRecord {
-            type_name: types(spec, replica)
+            type_name: types(spec, cache)
                 .get(made.types[at])
                 .map(|t| t.name.clone()),
-            machines: machines_with_image(spec, replica),
+            machines: machines_with_image(spec, cache),
             predicted_s: graph.nodes[at]
                 .times
                 .get(made.types[at])
@@ -44,7 +44,7 @@
         };
         let is_new =
             |old: &PlanRecord| (&old.type_name, &old.joins) != (&record.type_name, &record.joins);
-        if member == id || replica.plan(member).is_some_and(is_new) {
+        if member == id || cache.plan(member).is_some_and(is_new) {
             plans.push((member.clone(), record));
         }
     }
@@ -52,30 +52,28 @@
 }
 
 /// The jobs of a pipeline that are not over, parents first.
-fn members(id: &JobId, replica: &Replica) -> Vec<JobId> {
+fn members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
     let mut found = BTreeSet::from([id.clone()]);
     let mut queue = VecDeque::from([id.clone()]);
     while let Some(next) = queue.pop_front() {
-        let parents = replica
-            .job_spec(&next)
-            .map(|spec| spec.dependencies.clone());
+        let parents = cache.job_spec(&next).map(|spec| spec.dependencies.clone());
         let parents = parents.into_iter().flatten();
-        let parents = parents.filter(|p| replica.job_spec(p).is_some());
-        let near = parents.chain(replica.waiting.dependents(&next).cloned());
+        let parents = parents.filter(|p| cache.job_spec(p).is_some());
+        let near = parents.chain(cache.waiting.dependents(&next).cloned());
         for other in near {
             if found.len() < MEMBERS && found.insert(other.clone()) {
                 queue.push_back(other);
             }
         }
     }
-    parents_first(found, replica)
+    parents_first(found, cache)
 }
 
-fn parents_first(mut open: BTreeSet<JobId>, replica: &Replica) -> Vec<JobId> {
+fn parents_first(mut open: BTreeSet<JobId>, cache: &WatchCache) -> Vec<JobId> {
     let mut ordered = Vec::with_capacity(open.len());
     while !open.is_empty() {
         let free = |id: &&JobId| {
-            let spec = replica.job_spec(id);
+            let spec = cache.job_spec(id);
             let mut parents = spec.into_iter().flat_map(|s| &s.dependencies);
             !parents.any(|p| open.contains(p))
         };
@@ -92,26 +90,26 @@
     ordered
 }
 
-fn graph(members: &[JobId], replica: &Replica) -> Graph {
+fn graph(members: &[JobId], cache: &WatchCache) -> Graph {
     let mut graph = Graph::default();
     for (at, id) in members.iter().enumerate() {
-        let Some(spec) = replica.job_spec(id) else {
+        let Some(spec) = cache.job_spec(id) else {
             continue;
         };
         let place = |parent: &JobId| members[..at].iter().position(|m| m == parent);
         graph.nodes.push(Node {
             parents: spec.dependencies.iter().filter_map(place).collect(),
-            ..node(spec, replica)
+            ..node(spec, cache)
         });
     }
     graph
 }
 
 /// A job by itself, with its predicted times on the types that it may use, strongest first.
-fn node(spec: &JobSpec, replica: &Replica) -> Node {
-    let settings = replica.settings();
-    let history = replica.history.get(&spec.pipeline).map(|h| &h.value);
-    let types = types(spec, replica).into_iter();
+fn node(spec: &JobSpec, cache: &WatchCache) -> Node {
+    let settings = cache.settings();
+    let history = cache.history.get(&spec.pipeline).map(|h| &h.value);
+    let types = types(spec, cache).into_iter();
     Node {
         parents: Vec::new(),
         output: spec.tasks,
@@ -122,8 +120,8 @@
 }
 
 /// The types that a job may use, strongest first.
-fn types<'a>(spec: &JobSpec, replica: &'a Replica) -> Vec<&'a MachineType> {
-    let mut allowed: Vec<&MachineType> = replica
+fn types<'a>(spec: &JobSpec, cache: &'a WatchCache) -> Vec<&'a MachineType> {
+    let mut allowed: Vec<&MachineType> = cache
         .catalog
         .iter()
         .flat_map(|c| &c.value.types)
@@ -146,8 +144,8 @@
 }
 
 /// The group of the pipeline's last run with the same image, where that still stands.
-fn machines_with_image(spec: &JobSpec, replica: &Replica) -> Vec<MachineId> {
-    let mut machines: Vec<(usize, &MachineId)> = replica
+fn machines_with_image(spec: &JobSpec, cache: &WatchCache) -> Vec<MachineId> {
+    let mut machines: Vec<(usize, &MachineId)> = cache
         .machines
         .iter()
         .filter_map(|(id, m)| {
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::config::tests::sample_config;
-use crate::ids::{Revision, Wall};
+use crate::ids::{Revision, UnixTime};
+use crate::protocol::Catalog;
+use crate::protocol::store::Item;
 use crate::store::keys;
 use crate::store::records::{HistoryRecord, JobRecord};
-use crate::wire::Catalog;
-use crate::wire::state::Item;
 use serde_json::json;
 
 struct Scene {
-    replica: Replica,
+    cache: WatchCache,
     revision: u64,
 }
 
 impl Scene {
     fn new() -> Self {
         let mut scene = Self {
-            replica: Replica::new(&sample_config()),
+            cache: WatchCache::new(&sample_config()),
             revision: 0,
         };
         let hull = |name: &str, cores: u32| {
@@ -31,25 +31,25 @@
 
     fn put(&mut self, key: String, value: serde_json::Value) {
         self.revision += 1;
-        self.replica.load(Item {
+        self.cache.load(Item {
             key,
             value,
             revision: Revision(self.revision),
-            grant: None,
+            lease: None,
         });
     }
 
     /// Accepts a job and plans it. Its pipeline has its own name.
     fn accept(&mut self, id: &str, tasks: u32, parents: &[&str]) -> Vec<(JobId, PlanRecord)> {
-        let mut spec = crate::wire::tests::spec(id);
+        let mut spec = crate::protocol::tests::spec(id);
         spec.pipeline = format!("p-{id}").as_str().into();
         spec.tasks = tasks;
         spec.dependencies = parents.iter().map(|p| JobId::from(*p)).collect();
-        let record = JobRecord::new(spec, Wall(0));
+        let record = JobRecord::new(spec, UnixTime(0));
         self.put(keys::job(&id.into()), json!(record));
-        let plans = plan_job(&id.into(), &self.replica);
+        let plans = plan_job(&id.into(), &self.cache);
         for (planned, plan) in &plans {
-            assert!(self.replica.set_plan(planned, plan.clone()));
+            assert!(self.cache.set_plan(planned, plan.clone()));
         }
         plans
     }
@@ -132,7 +132,7 @@
         let (id, parent) = (format!("job-{n}"), format!("job-{}", n - 1));
         scene.accept(&id, 1, &[&parent]);
     }
-    assert_eq!(members(&"job-299".into(), &scene.replica).len(), MEMBERS);
-    let plan = scene.replica.plan(&"job-299".into()).expect("plan");
+    assert_eq!(members(&"job-299".into(), &scene.cache).len(), MEMBERS);
+    let plan = scene.cache.plan(&"job-299".into()).expect("plan");
     assert_eq!(plan.joins.as_ref().map(|j| j.as_str()), Some("job-298"));
 }
--- a/src/wire.rs
+++ b/src/protocol.rs
@@ -3,7 +3,7 @@
 mod cloud;
 mod dependencies;
 mod job;
-pub mod state;
+pub mod store;
 mod worker;
 
 pub use cloud::{
@@ -12,22 +12,22 @@
 };
 #[cfg(test)]
 pub use job::MAX_TASKS;
-pub use job::{JobSpec, JobState, JobStatus, Kind, Priority, submitted_id, valid_job_id};
+pub use job::{JobKind, JobSpec, JobState, JobStatus, Priority, submitted_id, valid_job_id};
 #[cfg(test)]
-pub use worker::TaskReport;
-pub use worker::{Order, Report, TaskState, Why, orders, redirect};
+pub use worker::TaskStatus;
+pub use worker::{Command, ExitReason, Heartbeat, TaskState, commands, redirect};
 
 /// Paths of the public side and of what is called.
 pub mod path {
     pub const JOBS: &str = "/work";
     pub const CANCEL: &str = "withdraw";
     pub const READY: &str = "/ready";
-    pub const REPORT: &str = "/checkin";
+    pub const HEARTBEAT: &str = "/checkin";
     pub const COMMANDS: &str = "/do";
     pub const CATALOG: &str = "/catalog";
     pub const MACHINES: &str = "/machines";
     pub const DELETE_MACHINES: &str = "/machines/delete";
-    pub const GRANTS: &str = "/grants";
+    pub const LEASES: &str = "/grants";
     pub const TXN: &str = "/txn";
     pub const KV: &str = "/kv";
     pub const FOLLOW: &str = "/follow";
--- a/src/wire/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud's messages.
 
 use super::path;
-use crate::ids::{Amounts, MachineId, TypeName, Zone};
+use crate::ids::{MachineId, Resources, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type of the cloud's catalog; also kept in the state service.
@@ -25,8 +25,8 @@
 }
 
 impl MachineType {
-    pub fn room(&self) -> Amounts {
-        Amounts::room(self.cpus, self.gpus, self.memory_gb)
+    pub fn room(&self) -> Resources {
+        Resources::room(self.cpus, self.gpus, self.memory_gb)
     }
 }
 
--- a/src/wire/job.rs
+++ b/src/protocol/job.rs
@@ -1,13 +1,13 @@
 //! Jobs: submissions, and what users are told of them.
 
 use super::dependencies;
-use crate::ids::{Amounts, Image, JobId, Pipeline, TeamId, TypeName, Zone};
+use crate::ids::{Image, JobId, Pipeline, Resources, TeamId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 pub const MAX_TASKS: u32 = 100_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     #[serde(rename = "array")]
     Array,
     #[serde(rename = "group")]
@@ -37,7 +37,7 @@
     #[serde(rename = "crew")]
     pub team: TeamId,
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "precedence")]
     pub priority: Priority,
     #[serde(rename = "sheets")]
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    pub fn need(&self) -> Amounts {
-        Amounts::need(self.cpus, self.gpus, self.memory_gb)
+    pub fn need(&self) -> Resources {
+        Resources::need(self.cpus, self.gpus, self.memory_gb)
     }
 
     pub fn allows(&self, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
--- a/src/wire/state.rs
+++ b/src/protocol/store.rs
@@ -1,6 +1,6 @@
 //! The state service's messages.
 
-use crate::ids::{GrantId, Revision};
+use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -20,7 +20,7 @@
         #[serde(rename = "data")]
         value: Value,
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
-        grant: Option<GrantId>,
+        lease: Option<LeaseId>,
     },
     Delete {
         #[serde(rename = "delete")]
@@ -43,11 +43,11 @@
             self.conditions.push(Condition { key, revision });
         }
     }
-    pub fn put(&mut self, key: impl Into<String>, value: &impl Serialize, grant: Option<GrantId>) {
+    pub fn put(&mut self, key: impl Into<String>, value: &impl Serialize, lease: Option<LeaseId>) {
         self.changes.push(Change::Put {
             key: key.into(),
             value: serde_json::to_value(value).unwrap_or(Value::Null),
-            grant,
+            lease,
         });
     }
     pub fn delete(&mut self, key: impl Into<String>) {
@@ -71,7 +71,7 @@
     #[serde(rename = "amendment")]
     pub revision: Revision,
     #[serde(rename = "permit", default)]
-    pub grant: Option<GrantId>,
+    pub lease: Option<LeaseId>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -103,21 +103,21 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Grant {
+pub struct Lease {
     #[serde(rename = "permit")]
-    pub id: GrantId,
+    pub id: LeaseId,
 }
 
-pub fn grant_request(life_ms: u64) -> Vec<u8> {
+pub fn lease_request(life_ms: u64) -> Vec<u8> {
     serde_json::json!({ "life_ms": life_ms })
         .to_string()
         .into_bytes()
 }
-pub fn grant_path(grant: GrantId) -> String {
-    format!("{}/{grant}", super::path::GRANTS)
+pub fn lease_path(lease: LeaseId) -> String {
+    format!("{}/{lease}", super::path::LEASES)
 }
-pub fn extend_path(grant: GrantId) -> String {
-    format!("{}/{grant}/extend", super::path::GRANTS)
+pub fn renewal_path(lease: LeaseId) -> String {
+    format!("{}/{lease}/extend", super::path::LEASES)
 }
 pub fn key_path(key: &str) -> String {
     format!("{}/{key}", super::path::KV)
@@ -126,9 +126,9 @@
     let tail = after.map_or_else(String::new, |a| format!("&after={a}"));
     format!("{}?prefix={prefix}{tail}&most=1000", super::path::KV)
 }
-pub fn follow_path(prefix: &str, after: Revision, block_ms: u64) -> String {
+pub fn follow_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
     format!(
-        "{}?prefix={prefix}&after={after}&block_ms={block_ms}",
+        "{}?prefix={prefix}&after={after}&block_ms={wait_ms}",
         super::path::FOLLOW
     )
 }
--- a/src/wire/tests.rs
+++ b/src/protocol/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ids::{Attempt, Run, Session, Span, TaskId, Token};
+use crate::ids::{AttemptNumber, FencingToken, Millis, TaskAttempt, TaskId, WorkerEpoch};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -60,17 +60,18 @@
 
 #[test]
 fn orders_take_the_protocols_words() {
-    let run = Run {
+    let attempt = TaskAttempt {
         task: TaskId::parse("job-1/2").expect("task"),
-        attempt: Attempt(3),
+        number: AttemptNumber(3),
     };
     let list = [
-        Order::Start(run.clone()),
-        Order::Stop(run.clone(), Span(1500)),
-        Order::Forget(run),
+        Command::Launch(attempt.clone()),
+        Command::Stop(attempt.clone(), Millis(1500)),
+        Command::Forget(attempt),
     ];
     let body: serde_json::Value =
-        serde_json::from_slice(&orders(Token(9), Some(Session(2)), &list)).expect("json");
+        serde_json::from_slice(&commands(FencingToken(9), Some(WorkerEpoch(2)), &list))
+            .expect("json");
     assert_eq!(
         body,
         json!({"helm": 9, "watch": 2, "orders": [
@@ -88,7 +89,7 @@
         let at = cut % body.len();
         body[at] = byte;
         JobSpec::parse(&body).ok();
-        Report::parse(&body).ok();
+        Heartbeat::parse(&body).ok();
         body.truncate(at);
         prop_assert!(JobSpec::parse(&body).is_err());
     }
--- a/src/wire/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,6 +1,9 @@
 //! What workers report, and what they are told.
 
-use crate::ids::{Attempt, MachineId, Member, Run, Seq, Session, Span, Token, TypeName, Zone};
+use crate::ids::{
+    AttemptNumber, FencingToken, HeartbeatSequence, MachineId, Member, Millis, TaskAttempt,
+    TypeName, WorkerEpoch, Zone,
+};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
@@ -18,7 +21,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -38,22 +41,22 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "sheet")]
     pub task: String,
     #[serde(rename = "sortie")]
-    pub attempt: Attempt,
+    pub attempt_number: AttemptNumber,
     #[serde(rename = "standing")]
     pub state: TaskState,
     #[serde(rename = "cause", default)]
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
 
 /// What a worker says of its machine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "mooring")]
     pub machine: MachineId,
     pub addr: String,
@@ -64,85 +67,90 @@
     #[serde(rename = "ebb")]
     pub spot: bool,
     #[serde(rename = "watch")]
-    pub session: Session,
+    pub epoch: WorkerEpoch,
     #[serde(rename = "log_no")]
-    pub seq: Seq,
+    pub sequence: HeartbeatSequence,
     #[serde(rename = "helm")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "sheets")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
-impl Report {
+impl Heartbeat {
     pub fn parse(body: &[u8]) -> Result<Self, String> {
         serde_json::from_slice(body).map_err(|e| e.to_string())
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    Start(Run),
-    Stop(Run, Span),
-    Forget(Run),
+pub enum Command {
+    Launch(TaskAttempt),
+    Stop(TaskAttempt, Millis),
+    Forget(TaskAttempt),
 }
 
-impl Order {
-    pub fn run(&self) -> &Run {
+impl Command {
+    pub fn run(&self) -> &TaskAttempt {
         match self {
-            Self::Start(run) | Self::Stop(run, _) | Self::Forget(run) => run,
+            Self::Launch(attempt) | Self::Stop(attempt, _) | Self::Forget(attempt) => attempt,
         }
     }
 }
 
 #[derive(Serialize)]
-struct OrderOut {
-    order: &'static str,
-    sheet: String,
-    sortie: Attempt,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    slack_s: Option<f64>,
+struct CommandMessage {
+    #[serde(rename = "order")]
+    verb: &'static str,
+    #[serde(rename = "sheet")]
+    task: String,
+    #[serde(rename = "sortie")]
+    attempt_number: AttemptNumber,
+    #[serde(rename = "slack_s", skip_serializing_if = "Option::is_none")]
+    grace_s: Option<f64>,
 }
 
-impl From<&Order> for OrderOut {
-    fn from(order: &Order) -> Self {
-        let (word, slack_s) = match order {
-            Order::Start(_) => ("launch", None),
-            Order::Stop(_, grace) => ("stop", Some(grace.secs())),
-            Order::Forget(_) => ("reap", None),
+impl From<&Command> for CommandMessage {
+    fn from(command: &Command) -> Self {
+        let (verb, grace_s) = match command {
+            Command::Launch(_) => ("launch", None),
+            Command::Stop(_, grace) => ("stop", Some(grace.secs())),
+            Command::Forget(_) => ("reap", None),
         };
-        let run = order.run();
+        let attempt = command.run();
         Self {
-            order: word,
-            sheet: run.task.to_string(),
-            sortie: run.attempt,
-            slack_s,
+            verb,
+            task: attempt.task.to_string(),
+            attempt_number: attempt.number,
+            grace_s,
         }
     }
 }
 
 #[derive(Serialize)]
-struct OrdersOut {
-    helm: Token,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    watch: Option<Session>,
-    orders: Vec<OrderOut>,
+struct CommandsMessage {
+    #[serde(rename = "helm")]
+    token: FencingToken,
+    #[serde(rename = "watch", skip_serializing_if = "Option::is_none")]
+    epoch: Option<WorkerEpoch>,
+    #[serde(rename = "orders")]
+    commands: Vec<CommandMessage>,
 }
 
 /// The body of a report's answer, or, with a session, of a direct command.
-pub fn orders(token: Token, session: Option<Session>, orders: &[Order]) -> Vec<u8> {
-    let out = OrdersOut {
-        helm: token,
-        watch: session,
-        orders: orders.iter().map(OrderOut::from).collect(),
+pub fn commands(token: FencingToken, epoch: Option<WorkerEpoch>, commands: &[Command]) -> Vec<u8> {
+    let message = CommandsMessage {
+        token,
+        epoch,
+        commands: commands.iter().map(CommandMessage::from).collect(),
     };
-    serde_json::to_vec(&out).unwrap_or_default()
+    serde_json::to_vec(&message).unwrap_or_default()
 }
 
 /// Where a worker is sent when another controller holds its machine.
-pub fn redirect(holder: Option<&Member>) -> Vec<u8> {
-    let body = match holder {
+pub fn redirect(owner: Option<&Member>) -> Vec<u8> {
+    let body = match owner {
         Some(member) => serde_json::json!({ "harbormaster": member }),
         None => serde_json::json!({}),
     };
--- a/src/sim/cancel.rs
+++ b/src/sim/cancel.rs
@@ -3,12 +3,12 @@
 
 use super::world::{Breakage, CANCEL, MEMBERS, What, World};
 use crate::cancellation::RoundId;
-use crate::ids::{JobId, Revision, Span, Time};
+use crate::ids::{JobId, Millis, MonotonicTime, Revision};
 use crate::intake::dependencies::Cascade;
+use crate::protocol::store::Txn;
+use crate::protocol::{JobState, TaskState};
 use crate::store::records::{LeaderRecord, OverRecord};
 use crate::store::{TxnOutcome, keys};
-use crate::wire::state::Txn;
-use crate::wire::{JobState, TaskState};
 
 /// How long a controller waits until the tasks are gone, and how often it asks.
 const PATIENCE: u64 = 900;
@@ -52,9 +52,9 @@
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return;
         };
-        let (round, effects) = controller.announce(now, &job, revision, Span(0));
+        let (round, effects) = controller.announce(now, &job, revision, Millis(0));
         self.carry_out(node, effects);
-        let until = Time(now.0 + PATIENCE);
+        let until = MonotonicTime(now.0 + PATIENCE);
         self.tell_cancelled(node, life, job, round, until);
     }
 
@@ -95,7 +95,7 @@
         life: u64,
         job: JobId,
         round: RoundId,
-        until: Time,
+        until: MonotonicTime,
     ) {
         let now = self.now;
         let asked = &mut self.nodes[node];
@@ -122,7 +122,7 @@
             return;
         };
         let cascade = Cascade::new(&job, *revision);
-        let until = Time(self.now.0 + CASCADE);
+        let until = MonotonicTime(self.now.0 + CASCADE);
         self.cascade(node, life, job, cascade, until);
     }
 
@@ -145,7 +145,7 @@
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
             let mut tasks = w.tasks.iter();
-            tasks.any(|(run, t)| run.task.job == *job && t.state != TaskState::Exited)
+            tasks.any(|(attempt, t)| attempt.task.job == *job && t.state != TaskState::Exited)
         })
     }
 
@@ -156,19 +156,19 @@
         let Some(leader) = self.leader() else { return };
         let gap = self.pick(300, 4000);
         let outage = self.pick(CANCEL, 2 * CANCEL);
-        self.nodes[leader].store_cut_until = Time(self.now.0 + gap);
+        self.nodes[leader].store_cut_until = MonotonicTime(self.now.0 + gap);
         let before = self.pick(50, gap);
         self.after(before, What::CancelRunning);
         self.after(gap, What::Outage(outage));
         match self.pick(0, 5) {
             0 => {
-                let until = Time(self.now.0 + self.pick(500, gap + outage));
+                let until = MonotonicTime(self.now.0 + self.pick(500, gap + outage));
                 self.nodes[leader].peers_cut_until = until;
             }
             1 => self.after(before + 100, What::Flap),
             2 => {
                 let ms = self.pick(CANCEL, 2 * CANCEL);
-                let until = Time(self.now.0 + before + ms);
+                let until = MonotonicTime(self.now.0 + before + ms);
                 for worker in self.workers.values_mut().step_by(3) {
                     worker.hang_until = until;
                 }
@@ -186,7 +186,7 @@
     }
 
     pub fn begin_outage(&mut self, ms: u64) {
-        let until = Time(self.now.0 + ms);
+        let until = MonotonicTime(self.now.0 + ms);
         self.outage_until = until;
         for node in &mut self.nodes {
             node.store_cut_until = until;
@@ -197,17 +197,19 @@
     /// All grants have their full time again.
     pub fn end_outage(&mut self) {
         self.outage_until = self.now;
-        let until = Time(self.now.0 + 5000);
-        for end in self.store.grants.values_mut() {
+        let until = MonotonicTime(self.now.0 + 5000);
+        for end in self.store.leases.values_mut() {
             *end = until;
         }
     }
 
     /// Whatever runs and would go on for long.
     pub fn cancel_running(&mut self) {
-        let runs = self.workers.values().flat_map(|w| w.tasks.iter());
-        let running = runs.filter(|(_, t)| t.state == TaskState::Running);
-        let mut jobs: Vec<JobId> = running.map(|(run, _)| run.task.job.clone()).collect();
+        let attempts = self.workers.values().flat_map(|w| w.tasks.iter());
+        let running = attempts.filter(|(_, t)| t.state == TaskState::Running);
+        let mut jobs: Vec<JobId> = running
+            .map(|(attempt, _)| attempt.task.job.clone())
+            .collect();
         jobs.sort();
         jobs.dedup();
         for job in jobs {
--- a/src/sim/checks.rs
+++ b/src/sim/checks.rs
@@ -2,10 +2,10 @@
 
 use super::outside::Worker;
 use super::world::{CANCEL, World};
-use crate::ids::{JobId, MachineId, Revision, Run, Time};
+use crate::ids::{JobId, MachineId, MonotonicTime, Revision, TaskAttempt};
+use crate::protocol::{JobKind, JobState, TaskState};
 use crate::store::keys;
 use crate::store::records::OverRecord;
-use crate::wire::{JobState, Kind, TaskState};
 use std::collections::BTreeSet;
 
 /// What a stand-in machine has, in thousandths.
@@ -105,10 +105,16 @@
             at.is_some_and(|at| self.now.since(*at).0 > CANCEL)
         };
         let there = self.workers.iter().filter(|(_, w)| !w.dead);
-        let runs = there.flat_map(|(id, w)| w.tasks.iter().map(move |(run, task)| (id, run, task)));
-        let alive = runs.filter(|(_, _, t)| t.state != TaskState::Exited);
-        let kept = alive.filter(|(_, run, _)| late(&run.task.job));
-        let kept: Vec<String> = kept.map(|(id, run, _)| format!("{run} on {id}")).collect();
+        let attempts = there.flat_map(|(id, w)| {
+            w.tasks
+                .iter()
+                .map(move |(attempt, task)| (id, attempt, task))
+        });
+        let alive = attempts.filter(|(_, _, t)| t.state != TaskState::Exited);
+        let kept = alive.filter(|(_, attempt, _)| late(&attempt.task.job));
+        let kept: Vec<String> = kept
+            .map(|(id, attempt, _)| format!("{attempt} on {id}"))
+            .collect();
         for what in kept {
             self.breaks("ran_cancelled", what);
         }
@@ -123,9 +129,9 @@
         let now = self.now;
         let alive = |w: &&Worker| !w.dead;
         let on_machines = self.workers.values().filter(alive).flat_map(|w| &w.tasks);
-        let there: Vec<&Run> = on_machines
+        let there: Vec<&TaskAttempt> = on_machines
             .filter(|(_, t)| t.state != TaskState::Exited)
-            .map(|(run, _)| run)
+            .map(|(attempt, _)| attempt)
             .collect();
         let mut waiting = Vec::new();
         for (id, spec) in &self.jobs {
@@ -134,16 +140,16 @@
             if self.waits_for_others(spec) {
                 continue;
             }
-            if over || !accepted || there.iter().any(|run| run.task.job == *id) {
+            if over || !accepted || there.iter().any(|attempt| attempt.task.job == *id) {
                 continue;
             }
             let used: u64 = there
                 .iter()
-                .filter_map(|run| self.jobs.get(&run.task.job))
+                .filter_map(|attempt| self.jobs.get(&attempt.task.job))
                 .filter(|other| other.team == spec.team)
                 .map(|other| other.need().cpus)
                 .sum();
-            let tasks = if spec.kind == Kind::Array {
+            let tasks = if spec.kind == JobKind::Array {
                 1
             } else {
                 spec.tasks
@@ -152,12 +158,12 @@
             let limit = self.nodes[0].config.teams[&spec.team].limit().cpus;
             // All of a gang or service on one machine: then it fits wherever it may stand.
             let fits = |(id, w): &(&MachineId, &Worker)| {
-                let here = there.iter().filter(|run| {
-                    let task = w.tasks.get(*run);
+                let here = there.iter().filter(|attempt| {
+                    let task = w.tasks.get(*attempt);
                     task.is_some_and(|t| t.state != TaskState::Exited)
                 });
                 let taken: u64 = here
-                    .filter_map(|run| self.jobs.get(&run.task.job))
+                    .filter_map(|attempt| self.jobs.get(&attempt.task.job))
                     .map(|other| other.need().cpus)
                     .sum();
                 let recorded = self.store.keys.contains_key(&keys::machine(id));
@@ -183,29 +189,29 @@
 
     /// The rules about what is on machines, at each start. What was sent a moment ago must not
     /// start a task of a job whose user was told that it is cancelled.
-    pub fn check_starts(&mut self, at: &MachineId, launched: &[Run], just_sent: bool) {
+    pub fn check_starts(&mut self, at: &MachineId, launched: &[TaskAttempt], just_sent: bool) {
         if self.scale.is_some() {
             self.starts += launched.len() as u64;
             return;
         }
-        for run in launched {
+        for attempt in launched {
             self.starts += 1;
             let gang = self
                 .jobs
-                .get(&run.task.job)
-                .is_some_and(|s| s.kind == Kind::Gang);
-            let until = Time(self.now.0 + 30_000);
+                .get(&attempt.task.job)
+                .is_some_and(|s| s.kind == JobKind::Gang);
+            let until = MonotonicTime(self.now.0 + 30_000);
             if gang
                 && let Some(w) = self.workers.get_mut(at)
-                && let Some(task) = w.tasks.get_mut(run)
+                && let Some(task) = w.tasks.get_mut(attempt)
             {
                 task.state = TaskState::Waiting;
                 task.until = until;
             }
-            let Some(spec) = self.jobs.get(&run.task.job).cloned() else {
+            let Some(spec) = self.jobs.get(&attempt.task.job).cloned() else {
                 continue;
             };
-            let alive: Vec<(MachineId, Run)> = self
+            let alive: Vec<(MachineId, TaskAttempt)> = self
                 .workers
                 .iter()
                 .filter(|(_, w)| !w.dead)
@@ -213,8 +219,11 @@
                 .filter(|(_, _, t)| t.state != TaskState::Exited)
                 .map(|(id, r, _)| (id.clone(), r.clone()))
                 .collect();
-            if alive.iter().any(|(id, r)| r.task == run.task && id != at) {
-                self.breaks("ran_twice", run);
+            if alive
+                .iter()
+                .any(|(id, r)| r.task == attempt.task && id != at)
+            {
+                self.breaks("ran_twice", attempt);
             }
             self.check_too_early(&spec);
             let used: u64 = alive
@@ -224,30 +233,30 @@
                 .map(|s| s.need().cpus)
                 .sum();
             if used > self.nodes[0].config.teams[&spec.team].limit().cpus {
-                self.breaks("quota", run);
+                self.breaks("quota", attempt);
             }
             let zone_of = |id: &MachineId| self.workers[id].zone;
             let mine: Vec<&str> = alive
                 .iter()
-                .filter(|(_, r)| r.task.job == run.task.job)
+                .filter(|(_, r)| r.task.job == attempt.task.job)
                 .map(|(id, _)| zone_of(id))
                 .collect();
             let here = mine.iter().filter(|z| **z == zone_of(at)).count();
             let one_zone = !spec.one_zone || here == mine.len();
             let spread = !spec.spread || here <= spec.tasks.div_ceil(2) as usize;
             if !one_zone || !spread || (self.workers[at].spot && !spec.spot) {
-                self.breaks("wrong_place", run);
+                self.breaks("wrong_place", attempt);
             }
             let late = self
                 .cancelled
                 .get(&spec.id)
                 .is_some_and(|c| self.now.since(*c).0 > CANCEL);
             if late {
-                self.breaks("ran_cancelled", run);
+                self.breaks("ran_cancelled", attempt);
             }
             let told = self.cancelled.get(&spec.id);
             if just_sent && told.is_some_and(|c| self.now.since(*c).0 > JUST_SENT) {
-                self.breaks("started_cancelled", run);
+                self.breaks("started_cancelled", attempt);
             }
         }
     }
--- a/src/sim/digest.rs
+++ b/src/sim/digest.rs
@@ -7,8 +7,8 @@
 use super::world::{Breakage, FIVE, SMALL, Shape, Trouble, World};
 use crate::controller::Effect;
 use crate::peers::encode_frame;
-use crate::wire;
-use crate::workers::CheckinAnswer;
+use crate::protocol;
+use crate::workers::HeartbeatAnswer;
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hasher};
 
@@ -41,11 +41,11 @@
                 machine,
                 addr,
                 token,
-                session,
-                orders,
+                epoch,
+                commands,
             } => {
                 self.add_json(node, 1, &(machine, addr));
-                self.add(node, 1, &wire::orders(*token, Some(*session), orders));
+                self.add(node, 1, &protocol::commands(*token, Some(*epoch), commands));
             }
             Effect::Peer(to, message) => {
                 self.add_json(node, 2, to);
@@ -60,13 +60,13 @@
     }
 
     /// The answer to a worker's report.
-    pub fn add_answer(&mut self, node: usize, answer: &CheckinAnswer) {
+    pub fn add_answer(&mut self, node: usize, answer: &HeartbeatAnswer) {
         match answer {
-            CheckinAnswer::Orders(token, orders) => {
-                self.add(node, 8, &wire::orders(*token, None, orders));
+            HeartbeatAnswer::Commands(token, commands) => {
+                self.add(node, 8, &protocol::commands(*token, None, commands));
             }
-            CheckinAnswer::Elsewhere(holder) => {
-                self.add(node, 9, &wire::redirect(holder.as_ref()));
+            HeartbeatAnswer::Redirect(owner) => {
+                self.add(node, 9, &protocol::redirect(owner.as_ref()));
             }
         }
     }
--- a/src/sim/ends.rs
+++ b/src/sim/ends.rs
@@ -5,12 +5,12 @@
 
 use super::outside::StoreModel;
 use crate::config::tests::sample_config;
-use crate::ids::{JobId, MachineId, Revision, Wall};
+use crate::ids::{JobId, MachineId, Revision, UnixTime};
 use crate::planning::counter::{self, Layout};
+use crate::protocol::JobState;
+use crate::protocol::store::Txn;
 use crate::store::records::{JobRecord, MachineRecord, OverRecord};
 use crate::store::{TxnOutcome, keys};
-use crate::wire::JobState;
-use crate::wire::state::Txn;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
@@ -29,7 +29,7 @@
 ];
 
 fn submission(id: &JobId) -> Txn {
-    let record = JobRecord::new(crate::wire::tests::spec(id.as_str()), Wall(1));
+    let record = JobRecord::new(crate::protocol::tests::spec(id.as_str()), UnixTime(1));
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
     txn.require(keys::over(id), Revision(0));
@@ -57,9 +57,9 @@
     let mut txn = Txn::default();
     txn.put(keys::machine(&MachineId::from("vm-1")), &record, None);
     store.txn(&txn);
-    let replica = store.snapshot(&config, false);
+    let cache = store.snapshot(&config, false);
     let layout = Layout::new(&config);
-    counter::release(id, &replica.jobs[id], &layout).expect("all tasks are done")
+    counter::release(id, &cache.jobs[id], &layout).expect("all tasks are done")
 }
 
 fn standing(store: &StoreModel, id: &JobId) -> Option<JobState> {
@@ -68,7 +68,7 @@
     Some(record.state)
 }
 
-fn orders(rest: &[Step]) -> Vec<Vec<Step>> {
+fn commands(rest: &[Step]) -> Vec<Vec<Step>> {
     let mut all = Vec::new();
     for (at, first) in rest.iter().enumerate() {
         if rest[..at].contains(first) {
@@ -79,7 +79,7 @@
         if left.is_empty() {
             return vec![vec![*first]];
         }
-        for mut order in orders(&left) {
+        for mut order in commands(&left) {
             order.insert(0, *first);
             all.push(order);
         }
@@ -90,9 +90,9 @@
 #[test]
 fn ends_cancellations_and_repeats_in_any_order_leave_one_answer_for_good() {
     let id = JobId::from("job-1");
-    let orders = orders(&ALL);
-    assert_eq!(orders.len(), 90);
-    for order in orders {
+    let commands = commands(&ALL);
+    assert_eq!(commands.len(), 90);
+    for order in commands {
         let mut store = StoreModel::default();
         let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
             panic!("not accepted");
--- a/src/sim/ends/dependent.rs
+++ b/src/sim/ends/dependent.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::intake::dependencies::{Cascade, CascadeStep, Dependencies, Named};
-use crate::wire::Kind;
+use crate::protocol::JobKind;
 
 const PARENT: &str = "job-000001";
 const CHILD: &str = "job-000002";
@@ -50,7 +50,7 @@
             Some(JobState::Done) => Named::Done,
             Some(_) => Named::Cancelled,
             None => Named::Live {
-                kind: Kind::Array,
+                kind: JobKind::Array,
                 revision: self.parent,
             },
         };
@@ -59,14 +59,14 @@
 
     /// Writes what was decided; where that is out of date it is decided anew.
     fn write(&mut self) {
-        let mut spec = crate::wire::tests::spec(CHILD);
+        let mut spec = crate::protocol::tests::spec(CHILD);
         spec.dependencies = vec![PARENT.into()];
         for _ in 0..2 {
             if self.seen.is_none() {
                 self.look();
             }
             let seen = self.seen.take().expect("seen");
-            let (txn, _) = seen.accept(&spec, Wall(9), OPS).expect("decided");
+            let (txn, _) = seen.accept(&spec, UnixTime(9), OPS).expect("decided");
             if matches!(self.store.txn(&txn), TxnOutcome::Committed(_)) {
                 return;
             }
@@ -83,8 +83,8 @@
         };
         let mut cascade = Cascade::new(&parent, revision);
         loop {
-            let replica = self.store.snapshot(&sample_config(), false);
-            match cascade.next(&replica, OPS) {
+            let cache = self.store.snapshot(&sample_config(), false);
+            match cascade.next(&cache, OPS) {
                 CascadeStep::Complete => break,
                 CascadeStep::Wait => panic!("the mirror is up to date"),
                 CascadeStep::Write(txn, _) => {
--- a/src/sim/growth.rs
+++ b/src/sim/growth.rs
@@ -2,13 +2,13 @@
 //! counts, never times, so that growth can't creep back unseen.
 
 use super::world::{Breakage, Counts, Scale, Trouble, What, World};
-use crate::controller::TxnOwner;
+use crate::controller::TxnRequester;
 use crate::ids::JobId;
+use crate::protocol::JobSpec;
+use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::records::JobRecord;
 use crate::store::tokens::{Bucket, Class};
-use crate::wire::JobSpec;
-use crate::wire::state::Txn;
 use serde_json::json;
 
 /// The part of the changes that each controller may use.
@@ -33,18 +33,18 @@
     }
 
     /// Whether the rates let a transaction through, each controller within its share.
-    pub fn admits(&mut self, node: usize, owner: &TxnOwner, txn: &Txn) -> bool {
+    pub fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
         let now = self.now;
         let Some(scale) = &mut self.scale else {
             return true;
         };
-        let (name, class) = match owner {
-            TxnOwner::Holder(_) => ("machines", Class::Place),
-            TxnOwner::Leadership => ("leadership", Class::Grant),
-            TxnOwner::Plans(_) => ("plans", Class::Record),
-            TxnOwner::Release(_) | TxnOwner::Dependent(_) => ("releases", Class::Place),
-            TxnOwner::CancelledDependents(_) => ("cancelled", Class::Accept),
-            TxnOwner::Catalog | TxnOwner::Nobody => ("other", Class::Place),
+        let (name, class) = match requester {
+            TxnRequester::ShardOwner(_) => ("machines", Class::Place),
+            TxnRequester::Leadership => ("leadership", Class::Lease),
+            TxnRequester::Plans(_) => ("plans", Class::Record),
+            TxnRequester::Release(_) | TxnRequester::Dependent(_) => ("releases", Class::Place),
+            TxnRequester::CancelledDependents(_) => ("cancelled", Class::Accept),
+            TxnRequester::Catalog | TxnRequester::Nobody => ("other", Class::Place),
         };
         let changes = txn.changes.len() as u64;
         let admitted = scale.rates[node].try_take(now, changes as f64, class);
@@ -52,7 +52,7 @@
         counts.transactions += 1;
         if admitted {
             counts.changes += changes;
-            *counts.by_owner.entry(name).or_default() += changes;
+            *counts.by_requester.entry(name).or_default() += changes;
         } else {
             counts.refused += 1;
         }
@@ -71,7 +71,7 @@
         };
         let service = self.now.0 / service_ms > self.services;
         let id = format!("job-{n:06}");
-        let mut body = crate::wire::tests::submission(&id);
+        let mut body = crate::protocol::tests::submission(&id);
         body["crew"] = json!(if self.chance(50) { "red" } else { "blue" });
         body["plate"] = json!(format!("img-{}", self.pick(1, 8)));
         if service {
@@ -84,7 +84,7 @@
         }
         let spec = JobSpec::parse(body.to_string().as_bytes()).expect("valid");
         let mut txn = Txn::default();
-        let record = JobRecord::new(spec.clone(), crate::ids::Wall(self.now.0));
+        let record = JobRecord::new(spec.clone(), crate::ids::UnixTime(self.now.0));
         txn.put(keys::job(&spec.id), &record, None);
         self.store.txn(&txn);
         self.jobs.insert(spec.id.clone(), spec);
@@ -93,7 +93,7 @@
                 .jobs
                 .iter()
                 .find(|(id, s)| {
-                    s.kind == crate::wire::Kind::Service
+                    s.kind == crate::protocol::JobKind::Service
                         && self.store.keys.contains_key(&keys::job(id))
                 })
                 .map(|(id, _)| id.clone());
@@ -121,7 +121,7 @@
 #[test]
 fn a_grown_fleet_costs_few_changes_for_each_task() {
     let (counts, starts) = cost(World::grown(7, (300, 900), 50.0, 920), 120_000);
-    let by = &counts.by_owner;
+    let by = &counts.by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
     // A batch a second, not a plan for each job.
@@ -135,7 +135,7 @@
 #[test]
 fn an_overloaded_fleet_still_places_many_tasks_with_each_change() {
     let (counts, starts) = cost(World::grown(8, (120, 120), 50.0, 300), 90_000);
-    let by = &counts.by_owner;
+    let by = &counts.by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
 }
@@ -144,7 +144,7 @@
 #[test]
 fn a_fleet_of_1800_costs_few_changes_for_each_task() {
     let (counts, starts) = cost(World::grown(9, (1200, 1800), 70.0, 500), 60_000);
-    let by = &counts.by_owner;
+    let by = &counts.by_requester;
     assert!(starts > 8_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
 }
@@ -157,9 +157,9 @@
     world.run(15_000);
     let leader = world.leader().expect("a leader");
     let controller = world.nodes[leader].controller.as_ref().expect("it runs");
-    assert_eq!(controller.replica.machines.len(), 4500);
+    assert_eq!(controller.cache.machines.len(), 4500);
     let (counts, starts) = cost(world, 45_000);
-    let by = &counts.by_owner;
+    let by = &counts.by_requester;
     assert!(starts > 20_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
--- a/src/sim/outside.rs
+++ b/src/sim/outside.rs
@@ -1,19 +1,21 @@
 //! The stand-ins' own state: a small consistent store, and workers.
 
 use crate::config::Config;
-use crate::ids::{GrantId, Revision, Run, Seq, Session, Time, Token};
+use crate::ids::{
+    FencingToken, HeartbeatSequence, LeaseId, MonotonicTime, Revision, TaskAttempt, WorkerEpoch,
+};
+use crate::protocol::store::{Change, Event, Item, Txn};
+use crate::protocol::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use crate::store::TxnOutcome;
-use crate::store::replica::Replica;
-use crate::wire::state::{Change, Event, Item, Txn};
-use crate::wire::{Order, Report, TaskReport, TaskState, Why};
+use crate::store::watch_cache::WatchCache;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub struct StoreModel {
     pub revision: Revision,
-    pub keys: BTreeMap<String, (Value, Revision, Option<GrantId>)>,
-    pub grants: BTreeMap<GrantId, Time>,
+    pub keys: BTreeMap<String, (Value, Revision, Option<LeaseId>)>,
+    pub leases: BTreeMap<LeaseId, MonotonicTime>,
     pub log: Vec<(Revision, String, Option<Value>)>,
     pub ignore_fences: bool,
     /// The largest value in bytes, and changes in a transaction; none at first.
@@ -39,19 +41,19 @@
 }
 
 impl StoreModel {
-    pub fn create_grant(&mut self, until: Time) -> GrantId {
+    pub fn create_lease(&mut self, until: MonotonicTime) -> LeaseId {
         self.revision.0 += 1;
-        let grant = GrantId(self.revision.0);
-        self.grants.insert(grant, until);
-        grant
+        let lease = LeaseId(self.revision.0);
+        self.leases.insert(lease, until);
+        lease
     }
 
-    pub fn end_grant(&mut self, grant: GrantId) {
-        self.grants.remove(&grant);
+    pub fn revoke_lease(&mut self, lease: LeaseId) {
+        self.leases.remove(&lease);
         let gone: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, v)| v.2 == Some(grant))
+            .filter(|(_, v)| v.2 == Some(lease))
             .map(|(k, _)| k.clone())
             .collect();
         if !gone.is_empty() {
@@ -63,15 +65,15 @@
         }
     }
 
-    pub fn expire(&mut self, now: Time) {
-        let over: Vec<GrantId> = self
-            .grants
+    pub fn expire(&mut self, now: MonotonicTime) {
+        let over: Vec<LeaseId> = self
+            .leases
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(g, _)| *g)
             .collect();
-        for grant in over {
-            self.end_grant(grant);
+        for lease in over {
+            self.revoke_lease(lease);
         }
     }
 
@@ -91,7 +93,7 @@
             self.too_large += 1;
             return TxnOutcome::Invalid;
         }
-        let dead = |c: &Change| matches!(c, Change::Put { grant: Some(g), .. } if !self.grants.contains_key(g));
+        let dead = |c: &Change| matches!(c, Change::Put { lease: Some(g), .. } if !self.leases.contains_key(g));
         if txn.changes.iter().any(dead) {
             return TxnOutcome::Refused;
         }
@@ -100,9 +102,9 @@
         }
         for change in &txn.changes {
             match change {
-                Change::Put { key, value, grant } => {
+                Change::Put { key, value, lease } => {
                     self.keys
-                        .insert(key.clone(), (value.clone(), self.revision, *grant));
+                        .insert(key.clone(), (value.clone(), self.revision, *lease));
                     self.log
                         .push((self.revision, key.clone(), Some(value.clone())));
                 }
@@ -147,72 +149,72 @@
         .collect()
     }
 
-    pub fn snapshot(&self, config: &Config, earlier: bool) -> Replica {
-        let mut replica = Replica::new(config);
-        for (key, (value, revision, grant)) in &self.keys {
+    pub fn snapshot(&self, config: &Config, earlier: bool) -> WatchCache {
+        let mut cache = WatchCache::new(config);
+        for (key, (value, revision, lease)) in &self.keys {
             let value = match earlier {
                 true => as_earlier(value.clone()),
                 false => value.clone(),
             };
             let key = key.clone();
-            replica.load(Item {
+            cache.load(Item {
                 key,
                 value,
                 revision: *revision,
-                grant: *grant,
+                lease: *lease,
             });
         }
-        replica.revision = self.revision;
-        replica
+        cache.revision = self.revision;
+        cache
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
     pub state: TaskState,
-    pub why: Option<Why>,
-    pub until: Time,
+    pub exit_reason: Option<ExitReason>,
+    pub until: MonotonicTime,
 }
 
 pub struct Worker {
     pub spot: bool,
     pub zone: &'static str,
-    pub session: Session,
-    pub seq: Seq,
-    pub token: Token,
-    pub tasks: BTreeMap<Run, WorkerTask>,
+    pub epoch: WorkerEpoch,
+    pub sequence: HeartbeatSequence,
+    pub token: FencingToken,
+    pub tasks: BTreeMap<TaskAttempt, WorkerTask>,
     pub node: usize,
     /// When the last answered report was sent.
-    pub answered: Time,
-    pub next_report: Time,
-    pub awaiting: Option<(u64, Time)>,
-    pub cut_until: Time,
-    pub hang_until: Time,
+    pub answered: MonotonicTime,
+    pub next_heartbeat: MonotonicTime,
+    pub awaiting: Option<(u64, MonotonicTime)>,
+    pub cut_until: MonotonicTime,
+    pub hang_until: MonotonicTime,
     /// Its reports get out, nothing gets in.
-    pub deaf_until: Time,
+    pub deaf_until: MonotonicTime,
     /// Direct commands get in and are answered, reports reach nobody.
-    pub mute_until: Time,
+    pub mute_until: MonotonicTime,
     pub dead: bool,
 }
 
 impl Worker {
-    pub fn report(&mut self, id: &str) -> Report {
-        self.seq.0 += 1;
-        let tasks = self.tasks.iter().map(|(run, t)| TaskReport {
-            task: run.task.to_string(),
-            attempt: run.attempt,
+    pub fn heartbeat(&mut self, id: &str) -> Heartbeat {
+        self.sequence.0 += 1;
+        let tasks = self.tasks.iter().map(|(attempt, t)| TaskStatus {
+            task: attempt.task.to_string(),
+            attempt_number: attempt.number,
             state: t.state,
-            why: t.why,
+            exit_reason: t.exit_reason,
             saved: None,
         });
-        Report {
+        Heartbeat {
             machine: id.into(),
             addr: format!("10.0.0.1:{}", 1000 + id.len()),
             type_name: "t8".into(),
             zone: self.zone.into(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            epoch: self.epoch,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: tasks.collect(),
@@ -225,47 +227,49 @@
     }
 
     /// Carries commands out; the runs that were launched are returned for the checks.
-    pub fn obey(&mut self, now: Time, orders: &[Order]) -> Vec<Run> {
+    pub fn obey(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
         let mut launched = Vec::new();
-        for order in orders {
-            let run = order.run().clone();
-            match order {
-                Order::Start(_) => {
-                    if self.tasks.contains_key(&run) {
+        for command in commands {
+            let attempt = command.run().clone();
+            match command {
+                Command::Launch(_) => {
+                    if self.tasks.contains_key(&attempt) {
                         continue;
                     }
                     let busy = self
                         .tasks
                         .iter()
-                        .any(|(r, t)| r.task == run.task && t.state != TaskState::Exited);
+                        .any(|(r, t)| r.task == attempt.task && t.state != TaskState::Exited);
                     let task = if busy {
                         WorkerTask {
                             state: TaskState::Exited,
-                            why: Some(Why::Busy),
+                            exit_reason: Some(ExitReason::Busy),
                             until: now,
                         }
                     } else {
-                        launched.push(run.clone());
-                        let until = Time(now.0 + 2000 + u64::from(run.task.index) * 700 % 9000);
+                        launched.push(attempt.clone());
+                        let until = MonotonicTime(
+                            now.0 + 2000 + u64::from(attempt.task.index) * 700 % 9000,
+                        );
                         WorkerTask {
                             state: TaskState::Running,
-                            why: None,
+                            exit_reason: None,
                             until,
                         }
                     };
-                    self.tasks.insert(run, task);
+                    self.tasks.insert(attempt, task);
                 }
-                Order::Stop(..) => {
-                    if let Some(task) = self.tasks.get_mut(&run)
+                Command::Stop(..) => {
+                    if let Some(task) = self.tasks.get_mut(&attempt)
                         && task.state != TaskState::Exited
                     {
                         task.state = TaskState::Exited;
-                        task.why = Some(Why::Stopped);
+                        task.exit_reason = Some(ExitReason::Stopped);
                     }
                 }
-                Order::Forget(_) => {
+                Command::Forget(_) => {
                     self.tasks
-                        .retain(|r, t| *r != run || t.state != TaskState::Exited);
+                        .retain(|r, t| *r != attempt || t.state != TaskState::Exited);
                 }
             }
         }
--- a/src/sim/pipelines.rs
+++ b/src/sim/pipelines.rs
@@ -3,11 +3,11 @@
 
 use super::world::{Breakage, CANCEL, What, World};
 use crate::controller::Effect;
-use crate::ids::{JobId, Time, Wall};
-use crate::intake::dependencies::{Cascade, CascadeStep, Dependencies, Named, named_in_mirror};
+use crate::ids::{JobId, MonotonicTime, UnixTime};
+use crate::intake::dependencies::{Cascade, CascadeStep, Dependencies, Named, named_in_cache};
+use crate::protocol::{JobKind, JobSpec, JobState};
 use crate::store::records::{JobRecord, OverRecord};
 use crate::store::{TxnOutcome, keys};
-use crate::wire::{JobSpec, JobState, Kind};
 use std::collections::BTreeSet;
 
 /// Users repeat what was not answered.
@@ -53,7 +53,7 @@
     /// accepted.
     pub fn name_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
-        let recent = known.filter(|(id, s)| s.kind != Kind::Service && self.is_accepted(id));
+        let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
         let recent: Vec<JobId> = recent
             .map(|(id, _)| id.clone())
             .take(RECENT as usize)
@@ -88,7 +88,7 @@
             return;
         };
         let guarded = self.breakage != Breakage::OldVersionsTrusted;
-        if guarded && !controller.replica.all_know_dependencies() {
+        if guarded && !controller.cache.all_know_dependencies() {
             self.pipelines.put_off += 1;
             self.after(AGAIN, What::Submit(spec));
             return;
@@ -104,7 +104,7 @@
             Breakage::DependenciesIgnored => &Dependencies::Done,
             _ => dependencies,
         };
-        let (now, ops) = (Wall(self.now.0), self.nodes[0].config.state.txn_ops);
+        let (now, ops) = (UnixTime(self.now.0), self.nodes[0].config.state.txn_ops);
         let Some((txn, state)) = decided.accept(spec, now, ops) else {
             self.breaks("not_accepted", format!("{} {dependencies:?}", spec.id));
             return;
@@ -138,7 +138,7 @@
 
     fn named(&self, node: usize, id: &JobId) -> Named {
         let controller = self.nodes[node].controller.as_ref();
-        let shown = controller.and_then(|c| named_in_mirror(id, &c.replica));
+        let shown = controller.and_then(|c| named_in_cache(id, &c.cache));
         // What the mirror shows may be old: the conditions of the write tell, and then the records
         // are read.
         let stands = |named: &Named| {
@@ -173,7 +173,7 @@
         life: u64,
         job: JobId,
         mut cascade: Cascade,
-        until: Time,
+        until: MonotonicTime,
     ) {
         if self.breakage == Breakage::DependentsKept {
             self.confirm(&job);
@@ -187,7 +187,7 @@
             self.after(AGAIN, What::Cancel(job));
             return;
         };
-        let step = cascade.next(&controller.replica, ops);
+        let step = cascade.next(&controller.cache, ops);
         match step {
             CascadeStep::Complete => {
                 self.count_left(&job);
@@ -282,13 +282,13 @@
 
     /// Counts what the leader does for dependent jobs.
     pub fn count_dependents(&mut self, effects: &[Effect]) {
-        use crate::controller::TxnOwner;
+        use crate::controller::TxnRequester;
         let is_release = |e: &&Effect| {
-            let owner = match e {
-                Effect::Txn { owner, .. } => owner,
+            let requester = match e {
+                Effect::Txn { requester, .. } => requester,
                 _ => return false,
             };
-            matches!(owner, TxnOwner::Dependent(_))
+            matches!(requester, TxnRequester::Dependent(_))
         };
         self.pipelines.released += effects.iter().filter(is_release).count() as u64;
     }
--- a/src/sim/troubles.rs
+++ b/src/sim/troubles.rs
@@ -1,7 +1,7 @@
 //! The troubles of a simulated day.
 
 use super::world::{DEAF, INSIDE, LEASE, What, World};
-use crate::ids::Time;
+use crate::ids::MonotonicTime;
 
 impl World {
     /// One controller or all end, and are back at once.
@@ -48,12 +48,12 @@
                 false => self.pick(LEASE, 3 * LEASE),
             };
             let victim = self.pick_node();
-            let until = Time(self.now.0 + ms);
+            let until = MonotonicTime(self.now.0 + ms);
             self.nodes[victim].store_cut_until = until;
             self.nodes[victim].peers_cut_until = until;
         }
         if self.trouble.zone && self.zone_cut_until <= self.now && self.chance(20) {
-            let until = Time(self.now.0 + self.pick(LEASE, 4 * LEASE));
+            let until = MonotonicTime(self.now.0 + self.pick(LEASE, 4 * LEASE));
             self.zone_cut_until = until;
             self.nodes[INSIDE].store_cut_until = until;
             self.nodes[INSIDE].peers_cut_until = until;
@@ -62,7 +62,7 @@
             self.part_zones();
         }
         if self.trouble.mute && self.chance(35) {
-            let until = Time(self.now.0 + self.pick(3000, 3 * LEASE));
+            let until = MonotonicTime(self.now.0 + self.pick(3000, 3 * LEASE));
             let first = self.pick(0, 2) as usize;
             for worker in self.workers.values_mut().skip(first).step_by(3) {
                 worker.mute_until = until;
@@ -71,7 +71,7 @@
         }
         if self.trouble.slow && self.chance(35) {
             self.met += 1;
-            self.slow_until = Time(self.now.0 + self.pick(3000, 15_000));
+            self.slow_until = MonotonicTime(self.now.0 + self.pick(3000, 15_000));
         }
         if self.trouble.away && self.chance(15) {
             self.met += 1;
@@ -86,13 +86,13 @@
         if self.trouble.freezes && self.chance(30) {
             let victim = self.pick_node();
             let ms = self.pick(4000, 2 * LEASE);
-            let until = Time(self.now.0 + ms);
+            let until = MonotonicTime(self.now.0 + ms);
             self.nodes[victim].frozen_until = until;
             self.stood_still_until = self.stood_still_until.max(until);
         }
         if self.trouble.deaf && self.chance(35) && !self.workers.is_empty() {
             let at = self.pick(0, self.workers.len() as u64 - 1) as usize;
-            let until = Time(self.now.0 + self.pick(3000, 45_000));
+            let until = MonotonicTime(self.now.0 + self.pick(3000, 45_000));
             if let Some((id, w)) = self.workers.iter_mut().nth(at) {
                 w.deaf_until = until;
                 let id = id.clone();
@@ -102,7 +102,7 @@
             }
         }
         if self.trouble.store_cuts && self.chance(30) {
-            let until = Time(self.now.0 + self.pick(2000, 12_000));
+            let until = MonotonicTime(self.now.0 + self.pick(2000, 12_000));
             let all = self.chance(30);
             let victim = self.pick_node();
             for node in 0..self.nodes.len() {
@@ -118,8 +118,8 @@
             let now = self.now;
             if let Some(w) = self.workers.values_mut().nth(at) {
                 match kind {
-                    0 => w.cut_until = Time(now.0 + ms),
-                    1 => w.hang_until = Time(now.0 + ms),
+                    0 => w.cut_until = MonotonicTime(now.0 + ms),
+                    1 => w.hang_until = MonotonicTime(now.0 + ms),
                     _ => {
                         w.dead = true;
                         w.tasks.clear();
