--- a/src/sim/users.rs
+++ b/src/sim/users.rs
@@ -1,12 +1,12 @@
 //! What users ask of a small fleet.
 
 use super::world::{What, World};
-use crate::controller::TxnOwner;
+use crate::controller::TxnRequester;
 use crate::ids::{JobId, Revision};
+use crate::protocol::store::Txn;
+use crate::protocol::{JobKind, JobSpec};
 use crate::store::records::JobRecord;
 use crate::store::{TxnOutcome, keys};
-use crate::wire::state::Txn;
-use crate::wire::{JobSpec, Kind};
 use serde_json::json;
 
 impl World {
@@ -18,7 +18,7 @@
         if self.healed {
             // What never ends by itself is cancelled, so that the day can end.
             let services =
-                |(id, s): (&JobId, &JobSpec)| (s.kind == Kind::Service).then(|| id.clone());
+                |(id, s): (&JobId, &JobSpec)| (s.kind == JobKind::Service).then(|| id.clone());
             let open: Vec<JobId> = self.jobs.iter().filter_map(services).collect();
             for id in &open {
                 self.cancel(id);
@@ -27,7 +27,7 @@
         }
         let n = self.jobs.len();
         let id = format!("job-{n:06}");
-        let mut body = crate::wire::tests::submission(&id);
+        let mut body = crate::protocol::tests::submission(&id);
         let most = if self.trouble.crowd { 24 } else { 9 };
         body["sheets"] = json!(self.pick(1, most));
         body["crew"] = json!(if self.chance(50) { "red" } else { "blue" });
@@ -45,7 +45,7 @@
             body["sheets"] = json!(self.pick(2, 5));
         }
         let mut spec = JobSpec::parse(body.to_string().as_bytes()).expect("valid");
-        if self.trouble.pipelines && spec.kind != Kind::Service {
+        if self.trouble.pipelines && spec.kind != JobKind::Service {
             self.name_dependencies(&mut spec);
         }
         if spec.dependencies.is_empty() {
@@ -77,7 +77,7 @@
         txn.require(keys::over(&spec.id), Revision(0));
         txn.put(
             keys::job(&spec.id),
-            &JobRecord::new(spec.clone(), crate::ids::Wall(self.now.0)),
+            &JobRecord::new(spec.clone(), crate::ids::UnixTime(self.now.0)),
             None,
         );
         self.ask(txn);
@@ -87,7 +87,7 @@
     pub fn ask(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
         if let Some(ms) = self.repeat() {
-            self.after(ms, What::Txn(0, u64::MAX, TxnOwner::Nobody, txn, false));
+            self.after(ms, What::Txn(0, u64::MAX, TxnRequester::Nobody, txn, false));
         }
         outcome
     }
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -7,18 +7,22 @@
 use crate::cloud::RentOutcome;
 use crate::config::tests::sample_config;
 use crate::config::{Config, Team};
-use crate::controller::{Controller, Effect, TxnOwner};
-use crate::ids::{GrantId, Incarnation, JobId, MachineId, Member, Revision, Session, Time, Token};
+use crate::controller::{Controller, Effect, TxnRequester};
+use crate::ids::{
+    FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, MonotonicTime, Revision,
+    WorkerEpoch,
+};
 use crate::intake::dependencies::Cascade;
 use crate::peers::{Message, over_link};
+use crate::protocol::store::Txn;
+use crate::protocol::{
+    Catalog, Command, ExitReason, Heartbeat, JobKind, JobSpec, JobState, ListedMachine,
+    MachineState, TaskState,
+};
 use crate::store::records::{MemberRecord, OverRecord, ProgramVersion};
 use crate::store::tokens::Bucket;
 use crate::store::{TxnOutcome, keys};
-use crate::wire::state::Txn;
-use crate::wire::{
-    Catalog, JobSpec, JobState, Kind, ListedMachine, MachineState, Order, Report, TaskState, Why,
-};
-use crate::workers::{CallOutcome, CheckinAnswer};
+use crate::workers::{CallOutcome, HeartbeatAnswer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -186,18 +190,26 @@
     Tick(usize),
     Watch(usize),
     Extend(usize),
-    Txn(usize, u64, TxnOwner, Txn, bool),
-    TxnDone(usize, u64, TxnOwner, TxnOutcome),
-    Call(usize, u64, MachineId, Token, Session, Vec<Order>, u32),
-    CallDone(usize, u64, MachineId, Token, CallOutcome),
+    Txn(usize, u64, TxnRequester, Txn, bool),
+    TxnDone(usize, u64, TxnRequester, TxnOutcome),
+    Call(
+        usize,
+        u64,
+        MachineId,
+        FencingToken,
+        WorkerEpoch,
+        Vec<Command>,
+        u32,
+    ),
+    CallDone(usize, u64, MachineId, FencingToken, CallOutcome),
     /// To, from.
     Peer(usize, usize, Message),
     Worker(MachineId),
-    Checkin(usize, MachineId, u64, Report),
-    Copy(usize, Report),
+    Heartbeat(usize, MachineId, u64, Heartbeat),
+    Copy(usize, Heartbeat),
     /// A machine could not be reached for long.
     Deaf(MachineId),
-    Answer(MachineId, u64, Token, Vec<Order>),
+    Answer(MachineId, u64, FencingToken, Vec<Command>),
     Redirect(MachineId, u64, Option<usize>),
     Cloud(usize, u64, Effect),
     Boot(MachineId),
@@ -209,7 +221,7 @@
     /// A user asks for a cancellation, or asks again.
     Cancel(JobId),
     /// Whether the user may be told, until then.
-    Told(usize, u64, JobId, RoundId, Time),
+    Told(usize, u64, JobId, RoundId, MonotonicTime),
     /// Users call off what runs, all at once.
     CancelRunning,
     /// The state service is out for everybody for so long.
@@ -220,7 +232,7 @@
     /// A user submits a job that names others, or does so again.
     Submit(JobSpec),
     /// What needs a cancelled job is cancelled too, until then.
-    Cascade(usize, u64, JobId, Cascade, Time),
+    Cascade(usize, u64, JobId, Cascade, MonotonicTime),
     /// A controller ends and comes back as the present version.
     Upgrade(usize),
     /// The state service takes less from now on.
@@ -239,14 +251,14 @@
             | Self::Peer(node, ..)
             | Self::Told(node, ..)
             | Self::Cascade(node, ..)
-            | Self::Checkin(node, ..)
+            | Self::Heartbeat(node, ..)
             | Self::Copy(node, _) => Some(*node),
             _ => None,
         }
     }
 }
 
-pub struct Entry(Time, u64, What);
+pub struct Entry(MonotonicTime, u64, What);
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
@@ -271,11 +283,11 @@
     /// Rises with each end, so that what belongs to an earlier life is dropped.
     pub life: u64,
     pub position: Revision,
-    pub grant: Option<GrantId>,
-    pub old_grant: Option<GrantId>,
-    pub store_cut_until: Time,
-    pub peers_cut_until: Time,
-    pub frozen_until: Time,
+    pub lease: Option<LeaseId>,
+    pub old_lease: Option<LeaseId>,
+    pub store_cut_until: MonotonicTime,
+    pub peers_cut_until: MonotonicTime,
+    pub frozen_until: MonotonicTime,
     /// Cancelled jobs whose record this life has written or read.
     pub over: BTreeSet<JobId>,
     /// It runs the earlier version of the program.
@@ -303,12 +315,12 @@
     pub transactions: u64,
     pub refused: u64,
     pub changes: u64,
-    pub by_owner: BTreeMap<&'static str, u64>,
+    pub by_requester: BTreeMap<&'static str, u64>,
     pub ended: u64,
 }
 
 pub struct World {
-    pub now: Time,
+    pub now: MonotonicTime,
     /// Services submitted to a large fleet.
     pub services: u64,
     pub order: u64,
@@ -320,30 +332,30 @@
     pub nodes: Vec<Node>,
     pub workers: BTreeMap<MachineId, Worker>,
     /// Zone `b` and the controller in it hear nothing from outside until then.
-    pub zone_cut_until: Time,
+    pub zone_cut_until: MonotonicTime,
     pub rented: BTreeMap<String, Vec<MachineId>>,
     pub next_machine: u64,
     pub jobs: BTreeMap<JobId, JobSpec>,
     pub done_runs: BTreeMap<JobId, BTreeSet<u32>>,
     /// When users were told that their jobs are cancelled.
-    pub cancelled: BTreeMap<JobId, Time>,
+    pub cancelled: BTreeMap<JobId, MonotonicTime>,
     /// Cancellations that users wait for.
     pub cancelling: BTreeSet<JobId>,
-    pub outage_until: Time,
-    pub slow_until: Time,
+    pub outage_until: MonotonicTime,
+    pub slow_until: MonotonicTime,
     pub zones: usize,
     /// These two zones can't reach each other until then; what was sent comes after, or never.
     pub partition: [&'static str; 2],
-    pub partition_until: Time,
+    pub partition_until: MonotonicTime,
     pub partition_holds: bool,
     /// Messages and reports that went around the cut.
     pub relayed: u64,
     /// Tasks that ended with their machine or its lease.
     pub killed: u64,
     /// When the troubles were over.
-    pub healed_at: Time,
+    pub healed_at: MonotonicTime,
     /// Since when a job has nothing on any machine and could have.
-    pub left_waiting: BTreeMap<JobId, Time>,
+    pub left_waiting: BTreeMap<JobId, MonotonicTime>,
     /// How often troubles met as the day's name says.
     pub met: u64,
     pub over_seen: BTreeMap<JobId, JobState>,
@@ -353,9 +365,9 @@
     /// Machines that were deleted.
     pub gone: BTreeSet<MachineId>,
     /// Since when records of machines that are gone stand, once all troubles are over.
-    pub ghosts: BTreeMap<MachineId, Time>,
+    pub ghosts: BTreeMap<MachineId, MonotonicTime>,
     /// Until when a controller stood still last.
-    pub stood_still_until: Time,
+    pub stood_still_until: MonotonicTime,
     pub scale: Option<Scale>,
     pub pipelines: PipelineCounts,
     /// Of all that left the controllers.
@@ -390,17 +402,17 @@
                 controller: None,
                 life: 0,
                 position: Revision(0),
-                grant: None,
-                old_grant: None,
-                store_cut_until: Time(0),
-                peers_cut_until: Time(0),
-                frozen_until: Time(0),
+                lease: None,
+                old_lease: None,
+                store_cut_until: MonotonicTime(0),
+                peers_cut_until: MonotonicTime(0),
+                frozen_until: MonotonicTime(0),
                 over: BTreeSet::new(),
                 earlier: trouble.upgrade,
             }
         });
         let mut world = Self {
-            now: Time(0),
+            now: MonotonicTime(0),
             services: 0,
             order: 0,
             queue: BinaryHeap::new(),
@@ -413,22 +425,22 @@
             },
             nodes: nodes.collect(),
             workers: BTreeMap::new(),
-            zone_cut_until: Time(0),
+            zone_cut_until: MonotonicTime(0),
             rented: BTreeMap::new(),
             next_machine: 0,
             jobs: BTreeMap::new(),
             done_runs: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             cancelling: BTreeSet::new(),
-            outage_until: Time(0),
-            slow_until: Time(0),
+            outage_until: MonotonicTime(0),
+            slow_until: MonotonicTime(0),
             zones,
             partition: ["", ""],
-            partition_until: Time(0),
+            partition_until: MonotonicTime(0),
             partition_holds: false,
             relayed: 0,
             killed: 0,
-            healed_at: Time(0),
+            healed_at: MonotonicTime(0),
             left_waiting: BTreeMap::new(),
             met: 0,
             over_seen: BTreeMap::new(),
@@ -437,7 +449,7 @@
             starts: 0,
             gone: BTreeSet::new(),
             ghosts: BTreeMap::new(),
-            stood_still_until: Time(0),
+            stood_still_until: MonotonicTime(0),
             scale: None,
             pipelines: PipelineCounts::default(),
             digest: Digest::default(),
@@ -463,8 +475,11 @@
 
     pub fn after(&mut self, ms: u64, what: What) {
         self.order += 1;
-        self.queue
-            .push(Reverse(Entry(Time(self.now.0 + ms), self.order, what)));
+        self.queue.push(Reverse(Entry(
+            MonotonicTime(self.now.0 + ms),
+            self.order,
+            what,
+        )));
     }
 
     pub fn pick(&mut self, from: u64, to: u64) -> u64 {
@@ -495,10 +510,10 @@
     }
 
     /// How long a message between a controller and a machine is held.
-    pub fn held(&self, node: usize, zone: &str) -> Time {
+    pub fn held(&self, node: usize, zone: &str) -> MonotonicTime {
         let parted = self.parted(zone_of(node, self.nodes.len()), zone);
         let cut = if (node == INSIDE) == (zone == "b") {
-            Time(0)
+            MonotonicTime(0)
         } else {
             self.zone_cut_until
         };
@@ -531,7 +546,7 @@
 
     pub fn unfinished(&self) -> Vec<&JobId> {
         let ended = |id: &JobId| self.store.keys.contains_key(&keys::over(id));
-        let arrays = self.jobs.iter().filter(|(_, s)| s.kind != Kind::Service);
+        let arrays = self.jobs.iter().filter(|(_, s)| s.kind != JobKind::Service);
         arrays.map(|(id, _)| id).filter(|id| !ended(id)).collect()
     }
 
@@ -566,18 +581,18 @@
         Worker {
             spot,
             zone: ZONES[(self.next_machine % self.zones as u64) as usize],
-            session: Session(1),
-            seq: crate::ids::Seq(0),
-            token: Token(0),
+            epoch: WorkerEpoch(1),
+            sequence: crate::ids::HeartbeatSequence(0),
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             node: (self.next_machine % self.nodes.len() as u64) as usize,
             answered: self.now,
-            next_report: self.now,
+            next_heartbeat: self.now,
             awaiting: None,
-            cut_until: Time(0),
-            hang_until: Time(0),
-            deaf_until: Time(0),
-            mute_until: Time(0),
+            cut_until: MonotonicTime(0),
+            hang_until: MonotonicTime(0),
+            deaf_until: MonotonicTime(0),
+            mute_until: MonotonicTime(0),
             dead: true,
         }
     }
@@ -595,23 +610,23 @@
                 let now = self.now;
                 self.tell_cut(node);
                 if let Some(c) = self.nodes[node].controller.as_mut() {
-                    let effects = c.tick(now, crate::ids::Wall(now.0));
+                    let effects = c.tick(now, crate::ids::UnixTime(now.0));
                     self.carry_out(node, effects);
                     self.after(25, What::Tick(node));
                 }
             }
             What::Watch(node) => self.watch(node),
             What::Extend(node) => self.extend(node),
-            What::Txn(node, life, owner, txn, answered) => {
+            What::Txn(node, life, requester, txn, answered) => {
                 let cut = self.nodes[node].store_cut_until > self.now;
-                let outcome = if (cut && answered) || !self.admits(node, &owner, &txn) {
+                let outcome = if (cut && answered) || !self.admits(node, &requester, &txn) {
                     TxnOutcome::Refused
                 } else {
                     self.store.txn(&txn)
                 };
                 self.check_over();
                 if let Some(ms) = self.repeat() {
-                    let again = What::Txn(node, life, owner.clone(), txn, false);
+                    let again = What::Txn(node, life, requester.clone(), txn, false);
                     self.after(ms, again);
                 }
                 // What comes once more may bring a record back for a while: see `check_ghosts_go`.
@@ -625,15 +640,15 @@
                 }
                 if answered {
                     let ms = self.pick(1, 4);
-                    self.after(ms, What::TxnDone(node, life, owner, outcome));
+                    self.after(ms, What::TxnDone(node, life, requester, outcome));
                 }
             }
-            What::TxnDone(node, life, owner, outcome) => {
+            What::TxnDone(node, life, requester, outcome) => {
                 let now = self.now;
-                self.with(node, life, |c| c.on_txn(now, &owner, &outcome));
+                self.with(node, life, |c| c.on_txn(now, &requester, &outcome));
             }
-            What::Call(node, life, id, token, session, orders, tries) => {
-                self.call(node, life, id, token, session, orders, tries);
+            What::Call(node, life, id, token, epoch, commands, tries) => {
+                self.call(node, life, id, token, epoch, commands, tries);
             }
             What::CallDone(node, life, id, token, outcome) => {
                 let now = self.now;
@@ -645,9 +660,11 @@
                 self.with(node, life, |c| c.on_peer(now, &from, message));
             }
             What::Worker(id) => self.work(&id),
-            What::Checkin(node, id, ticket, report) => self.checkin(node, id, ticket, report),
-            What::Copy(node, report) => self.copy(node, &report),
-            What::Answer(id, ticket, token, orders) => self.answer(&id, ticket, token, &orders),
+            What::Heartbeat(node, id, ticket, heartbeat) => {
+                self.heartbeat(node, id, ticket, heartbeat)
+            }
+            What::Copy(node, heartbeat) => self.copy(node, &heartbeat),
+            What::Answer(id, ticket, token, commands) => self.answer(&id, ticket, token, &commands),
             What::Redirect(id, ticket, to) => {
                 let (now, members) = (self.now, self.nodes.len());
                 if let Some(w) = self.workers.get_mut(&id)
@@ -658,11 +675,11 @@
                     match to {
                         Some(to) if to != w.node => {
                             w.node = to;
-                            w.next_report = self.now;
+                            w.next_heartbeat = self.now;
                         }
                         _ => {
                             w.node = (w.node + 1) % members;
-                            w.next_report = Time(self.now.0 + 1000);
+                            w.next_heartbeat = MonotonicTime(self.now.0 + 1000);
                         }
                     }
                 }
@@ -683,7 +700,7 @@
                 let t = &self.trouble;
                 let led = !(t.crashes || t.gap || t.leaders || t.away || t.slow);
                 let only = led && !self.healed;
-                let due = Time(self.stood_still_until.0 + DEAF);
+                let due = MonotonicTime(self.stood_still_until.0 + DEAF);
                 if stands && only && self.now < due {
                     // Nobody could notice while controllers stood still.
                     let deaf = self.workers.get(&id).is_some_and(|w| w.deaf_until >= due);
@@ -743,7 +760,7 @@
         let effects = controller.on_snapshot(self.now, self.store.snapshot(&n.config, n.earlier));
         n.position = self.store.revision;
         n.controller = Some(controller);
-        n.old_grant = n.grant.take();
+        n.old_lease = n.lease.take();
         self.carry_out(node, effects);
         self.enter(node, incarnation);
         self.after(1, What::Tick(node));
@@ -753,26 +770,26 @@
 
     /// Ends the earlier life's grant and takes a new one.
     pub fn enter(&mut self, node: usize, incarnation: Incarnation) {
-        if let Some(old) = self.nodes[node].old_grant.take() {
-            self.store.end_grant(old);
+        if let Some(old) = self.nodes[node].old_lease.take() {
+            self.store.revoke_lease(old);
         }
-        let grant = self.store.create_grant(Time(self.now.0 + 5000));
+        let lease = self.store.create_lease(MonotonicTime(self.now.0 + 5000));
         if self.repeat().is_some() {
-            self.store.create_grant(Time(self.now.0 + 5000));
+            self.store.create_lease(MonotonicTime(self.now.0 + 5000));
         }
         let member = Member::from(MEMBERS[node]);
-        let mut record = MemberRecord::new(incarnation, grant);
+        let mut record = MemberRecord::new(incarnation, lease);
         if self.nodes[node].earlier {
             record.version = ProgramVersion::default();
         }
         let mut txn = Txn::default();
-        txn.put(keys::member(&member), &record, Some(grant));
+        txn.put(keys::member(&member), &record, Some(lease));
         self.store.txn(&txn);
-        self.nodes[node].grant = Some(grant);
+        self.nodes[node].lease = Some(lease);
         let (now, life) = (self.now, self.nodes[node].life);
         self.with(node, life, |c| {
-            c.assure(Time(now.0 + 5000));
-            c.set_grant(now, Some(grant))
+            c.assure(MonotonicTime(now.0 + 5000));
+            c.set_lease(now, Some(lease))
         });
     }
 
@@ -781,17 +798,17 @@
             return;
         }
         if self.nodes[node].store_cut_until <= self.now
-            && let Some(grant) = self.nodes[node].grant
+            && let Some(lease) = self.nodes[node].lease
         {
-            if let Some(until) = self.store.grants.get_mut(&grant) {
-                *until = Time(self.now.0 + 5000);
+            if let Some(until) = self.store.leases.get_mut(&lease) {
+                *until = MonotonicTime(self.now.0 + 5000);
                 if let Some(c) = self.nodes[node].controller.as_mut() {
-                    c.assure(Time(self.now.0 + 5000));
+                    c.assure(MonotonicTime(self.now.0 + 5000));
                 }
             } else if let Some(c) = &self.nodes[node].controller {
                 let incarnation = c.leadership.incarnation();
                 let (now, life) = (self.now, self.nodes[node].life);
-                self.with(node, life, |c| c.set_grant(now, None));
+                self.with(node, life, |c| c.set_lease(now, None));
                 self.enter(node, incarnation);
             }
         }
@@ -827,10 +844,10 @@
             self.digest.add_effect(node, &effect);
             match effect {
                 Effect::Txn {
-                    owner: TxnOwner::CancelledDependents(_),
+                    requester: TxnRequester::CancelledDependents(_),
                     ..
                 } if self.breakage == Breakage::DependentsKept => {}
-                Effect::Txn { owner, txn, .. } => {
+                Effect::Txn { requester, txn, .. } => {
                     let slow = self.slow_until > self.now;
                     let lost =
                         (self.trouble.lost_answers && self.chance(12)) || (slow && self.chance(30));
@@ -840,22 +857,23 @@
                         (false, false) => self.pick(1, 5),
                     };
                     if lost {
-                        let done = What::TxnDone(node, life, owner.clone(), TxnOutcome::Unknown);
+                        let done =
+                            What::TxnDone(node, life, requester.clone(), TxnOutcome::Unknown);
                         self.after(1500, done);
                     }
-                    self.after(ms, What::Txn(node, life, owner, txn, !lost));
+                    self.after(ms, What::Txn(node, life, requester, txn, !lost));
                 }
                 Effect::Call {
                     machine,
                     token,
-                    session,
-                    orders,
+                    epoch,
+                    commands,
                     ..
                 } => {
                     let ms = self.pick(1, 5);
                     self.after(
                         ms,
-                        What::Call(node, life, machine, token, session, orders, 0),
+                        What::Call(node, life, machine, token, epoch, commands, 0),
                     );
                 }
                 Effect::Peer(member, message) => {
@@ -894,9 +912,9 @@
         node: usize,
         life: u64,
         id: MachineId,
-        token: Token,
-        session: Session,
-        orders: Vec<Order>,
+        token: FencingToken,
+        epoch: WorkerEpoch,
+        commands: Vec<Command>,
         tries: u32,
     ) {
         let now = self.now;
@@ -911,10 +929,10 @@
             if ghost {
                 let mut ghost = self.new_worker(false);
                 ghost.token = token;
-                let report = ghost.report(id.as_str());
+                let heartbeat = ghost.heartbeat(id.as_str());
                 self.after(
                     2,
-                    What::CallDone(node, life, id, token, CallOutcome::Done(report)),
+                    What::CallDone(node, life, id, token, CallOutcome::Done(heartbeat)),
                 );
                 return;
             }
@@ -924,10 +942,10 @@
             return;
         };
         if worker.deaf_until > now && self.breakage == Breakage::DeafObey {
-            let report = worker.report(id.as_str());
+            let heartbeat = worker.heartbeat(id.as_str());
             self.after(
                 2,
-                What::CallDone(node, life, id, token, CallOutcome::Done(report)),
+                What::CallDone(node, life, id, token, CallOutcome::Done(heartbeat)),
             );
             return;
         }
@@ -950,39 +968,31 @@
             let wait = silent.since(now).0.max(if lost { 15_000 } else { 0 }) + 3;
             self.after(
                 wait,
-                What::Call(node, life, id, token, session, orders, tries + 1),
+                What::Call(node, life, id, token, epoch, commands, tries + 1),
             );
             return;
         }
         let idle = self.breakage == Breakage::StartsIgnored && self.healed;
-        let orders = if idle { Vec::new() } else { orders };
-        let ok = token >= worker.token && session == worker.session;
+        let commands = if idle { Vec::new() } else { commands };
+        let ok = token >= worker.token && epoch == worker.epoch;
         let mut launched = Vec::new();
         if ok {
             worker.token = token;
-            launched = worker.obey(now, &orders);
+            launched = worker.obey(now, &commands);
         }
-        let (id_again, orders_again) = (id.clone(), orders);
-        let report = worker.report(id.as_str());
+        let (id_again, orders_again) = (id.clone(), commands);
+        let heartbeat = worker.heartbeat(id.as_str());
         self.check_starts(&id, &launched, tries == 0);
         if tries == 0 {
             let outcome = if ok {
-                CallOutcome::Done(report)
+                CallOutcome::Done(heartbeat)
             } else {
-                CallOutcome::Rejected(Some(report))
+                CallOutcome::Rejected(Some(heartbeat))
             };
             self.after(2, What::CallDone(node, life, id, token, outcome));
         }
         if ok && let Some(ms) = self.repeat() {
-            let again = What::Call(
-                node,
-                life,
-                id_again,
-                token,
-                session,
-                orders_again,
-                tries + 1,
-            );
+            let again = What::Call(node, life, id_again, token, epoch, orders_again, tries + 1);
             self.after(ms, again);
         }
     }
@@ -1005,41 +1015,41 @@
         let mut ended = Vec::new();
         if w.hang_until <= now {
             if now.since(w.answered).0 > LEASE {
-                w.session.0 += 1;
+                w.epoch.0 += 1;
                 let running = |t: &&WorkerTask| t.state == TaskState::Running;
                 self.killed += w.tasks.values().filter(running).count() as u64;
                 w.tasks.clear();
                 w.answered = now;
                 w.awaiting = None;
             }
-            for (run, task) in &mut w.tasks {
-                let spec = self.jobs.get(&run.task.job);
-                let array = spec.is_some_and(|s| s.kind == Kind::Array);
+            for (attempt, task) in &mut w.tasks {
+                let spec = self.jobs.get(&attempt.task.job);
+                let array = spec.is_some_and(|s| s.kind == JobKind::Array);
                 if task.state == TaskState::Running && task.until <= now && array {
                     task.state = TaskState::Exited;
-                    task.why = Some(Why::Done);
+                    task.exit_reason = Some(ExitReason::Done);
                     if let Some(scale) = &mut self.scale {
                         scale.counts.ended += 1;
                     }
-                    let done = self.done_runs.entry(run.task.job.clone()).or_default();
-                    done.insert(run.task.index);
-                    ended.push(run.task.job.clone());
-                    w.next_report = w.next_report.min(now);
+                    let done = self.done_runs.entry(attempt.task.job.clone()).or_default();
+                    done.insert(attempt.task.index);
+                    ended.push(attempt.task.job.clone());
+                    w.next_heartbeat = w.next_heartbeat.min(now);
                 }
             }
             if w.awaiting.is_some_and(|(_, at)| now.since(at).0 >= 4000) {
                 w.awaiting = None;
                 w.node = (w.node + 1) % members;
-                w.next_report = Time(now.0 + 1000);
+                w.next_heartbeat = MonotonicTime(now.0 + 1000);
             }
-            if w.awaiting.is_none() && now >= w.next_report && w.cut_until <= now {
+            if w.awaiting.is_none() && now >= w.next_heartbeat && w.cut_until <= now {
                 if w.mute_until > now {
                     w.node = (w.node + 1) % members;
-                    w.next_report = Time(now.0 + 1000);
+                    w.next_heartbeat = MonotonicTime(now.0 + 1000);
                 } else {
                     w.awaiting = Some((ticket, now));
-                    w.next_report = Time(now.0 + 2000);
-                    send = Some((w.node, w.report(id.as_str())));
+                    w.next_heartbeat = MonotonicTime(now.0 + 2000);
+                    send = Some((w.node, w.heartbeat(id.as_str())));
                 }
             }
         }
@@ -1050,7 +1060,7 @@
                 self.after(ms, What::CancelAtEnd(job));
             }
         }
-        if let Some((node, report)) = send {
+        if let Some((node, heartbeat)) = send {
             let late = self.trouble.lost_answers && self.chance(5);
             let ms = if late {
                 self.pick(3000, 9000)
@@ -1060,9 +1070,9 @@
             if self.trouble.copies && self.chance(8) {
                 let to = self.pick_node();
                 let ms = self.pick(1000, 4 * LEASE);
-                self.after(ms, What::Copy(to, report.clone()));
+                self.after(ms, What::Copy(to, heartbeat.clone()));
             }
-            self.after(ms, What::Checkin(node, id.clone(), ticket, report));
+            self.after(ms, What::Heartbeat(node, id.clone(), ticket, heartbeat));
         }
         self.after(100, What::Worker(id.clone()));
     }
@@ -1074,45 +1084,46 @@
         self.check_orphaned();
         self.check_waiting();
         self.check_ghosts_go();
-        let mut there: BTreeMap<(JobId, crate::ids::Attempt), Vec<TaskState>> = BTreeMap::new();
+        let mut there: BTreeMap<(JobId, crate::ids::AttemptNumber), Vec<TaskState>> =
+            BTreeMap::new();
         let up = |w: &&mut Worker| !w.dead && w.hang_until <= now;
         for worker in self.workers.values_mut().filter(up) {
-            for (run, task) in &worker.tasks {
+            for (attempt, task) in &worker.tasks {
                 if self
                     .jobs
-                    .get(&run.task.job)
-                    .is_some_and(|s| s.kind == Kind::Gang)
+                    .get(&attempt.task.job)
+                    .is_some_and(|s| s.kind == JobKind::Gang)
                 {
-                    let key = (run.task.job.clone(), run.attempt);
+                    let key = (attempt.task.job.clone(), attempt.number);
                     there.entry(key).or_default().push(task.state);
                 }
             }
         }
         let mut finished = Vec::new();
         for worker in self.workers.values_mut().filter(up) {
-            for (run, task) in &mut worker.tasks {
-                let Some(states) = there.get(&(run.task.job.clone(), run.attempt)) else {
+            for (attempt, task) in &mut worker.tasks {
+                let Some(states) = there.get(&(attempt.task.job.clone(), attempt.number)) else {
                     continue;
                 };
                 let alive = states.iter().filter(|s| **s != TaskState::Exited).count();
-                let full = alive == self.jobs[&run.task.job].tasks as usize;
-                let (state, why) = match task.state {
+                let full = alive == self.jobs[&attempt.task.job].tasks as usize;
+                let (state, exit_reason) = match task.state {
                     TaskState::Waiting if full => {
-                        task.until = Time(now.0 + 4000);
+                        task.until = MonotonicTime(now.0 + 4000);
                         (TaskState::Running, None)
                     }
                     TaskState::Waiting if now >= task.until => {
-                        (TaskState::Exited, Some(Why::Alone))
+                        (TaskState::Exited, Some(ExitReason::Alone))
                     }
-                    TaskState::Running if !full => (TaskState::Exited, Some(Why::Peers)),
+                    TaskState::Running if !full => (TaskState::Exited, Some(ExitReason::Peers)),
                     TaskState::Running if now >= task.until => {
-                        finished.push(run.task.job.clone());
-                        (TaskState::Exited, Some(Why::Done))
+                        finished.push(attempt.task.job.clone());
+                        (TaskState::Exited, Some(ExitReason::Done))
                     }
                     _ => continue,
                 };
-                (task.state, task.why) = (state, why);
-                worker.next_report = worker.next_report.min(now);
+                (task.state, task.exit_reason) = (state, exit_reason);
+                worker.next_heartbeat = worker.next_heartbeat.min(now);
             }
         }
         for id in finished {
@@ -1122,35 +1133,35 @@
         self.after(500, What::Gangs);
     }
 
-    pub fn checkin(&mut self, node: usize, id: MachineId, ticket: u64, report: Report) {
+    pub fn heartbeat(&mut self, node: usize, id: MachineId, ticket: u64, heartbeat: Heartbeat) {
         let now = self.now;
-        let held = self.held(node, report.zone.as_str());
+        let held = self.held(node, heartbeat.zone.as_str());
         if held > now {
             if held == self.partition_until && !self.partition_holds {
                 return;
             }
             // It arrives after the cut; nobody waits for the answer any more.
-            self.after(held.since(now).0 + 3, What::Copy(node, report));
+            self.after(held.since(now).0 + 3, What::Copy(node, heartbeat));
             return;
         }
         let Some(c) = self.nodes[node].controller.as_mut() else {
             self.after(5, What::Redirect(id, ticket, None));
             return;
         };
-        let (mut answer, effects) = c.on_checkin(now, &report);
+        let (mut answer, effects) = c.on_heartbeat(now, &heartbeat);
         self.digest.add_answer(node, &answer);
         self.carry_out(node, effects);
         let ms = self.pick(1, 4);
-        if let CheckinAnswer::Elsewhere(Some(holder)) = &answer
-            && let Some(relayed) = self.hand_on(node, holder.clone(), &report)
+        if let HeartbeatAnswer::Redirect(Some(owner)) = &answer
+            && let Some(relayed) = self.hand_on(node, owner.clone(), &heartbeat)
         {
             answer = relayed;
         }
         match answer {
-            CheckinAnswer::Orders(token, orders) => {
-                self.after(ms, What::Answer(id, ticket, token, orders));
+            HeartbeatAnswer::Commands(token, commands) => {
+                self.after(ms, What::Answer(id, ticket, token, commands));
             }
-            CheckinAnswer::Elsewhere(to) => {
+            HeartbeatAnswer::Redirect(to) => {
                 let to = to.and_then(|t| MEMBERS.iter().position(|m| *m == t.as_str()));
                 self.after(ms, What::Redirect(id, ticket, to));
             }
@@ -1158,15 +1169,21 @@
     }
 
     /// A report comes once more; nobody waits for the answer.
-    pub fn copy(&mut self, node: usize, report: &Report) {
+    pub fn copy(&mut self, node: usize, heartbeat: &Heartbeat) {
         let now = self.now;
         if let Some(c) = self.nodes[node].controller.as_mut() {
-            let (_, effects) = c.on_checkin(now, report);
+            let (_, effects) = c.on_heartbeat(now, heartbeat);
             self.carry_out(node, effects);
         }
     }
 
-    pub fn answer(&mut self, id: &MachineId, ticket: u64, token: Token, orders: &[Order]) {
+    pub fn answer(
+        &mut self,
+        id: &MachineId,
+        ticket: u64,
+        token: FencingToken,
+        commands: &[Command],
+    ) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(id).filter(|w| !w.dead) else {
             return;
@@ -1186,13 +1203,13 @@
             return;
         }
         let idle = self.breakage == Breakage::StartsIgnored && self.healed;
-        let launched = w.obey(now, if idle { &[] } else { orders });
+        let launched = w.obey(now, if idle { &[] } else { commands });
         w.answered = sent;
         if self.breakage == Breakage::ForgottenAtOnce {
             w.forget_exited();
         }
-        if token > w.token || !orders.is_empty() {
-            w.next_report = Time(now.0 + 500);
+        if token > w.token || !commands.is_empty() {
+            w.next_heartbeat = MonotonicTime(now.0 + 500);
         }
         w.token = token;
         self.check_starts(id, &launched, true);
@@ -1267,7 +1284,7 @@
                     type_name: "t8".into(),
                     zone: w.zone.into(),
                     spot: w.spot,
-                    state: if w.seq.0 == 0 {
+                    state: if w.sequence.0 == 0 {
                         MachineState::Booting
                     } else {
                         MachineState::Running
--- a/src/sim/zones.rs
+++ b/src/sim/zones.rs
@@ -1,10 +1,10 @@
 //! Two zones that can't reach each other, and the ways around.
 
 use super::world::{Breakage, LEASE, World, ZONES, zone_of};
-use crate::ids::{Member, Time};
+use crate::ids::{Member, MonotonicTime};
 use crate::peers::Routes;
-use crate::wire::Report;
-use crate::workers::CheckinAnswer;
+use crate::protocol::Heartbeat;
+use crate::workers::HeartbeatAnswer;
 
 impl World {
     pub fn part_zones(&mut self) {
@@ -13,18 +13,18 @@
         let mut apart = apart.by_ref().filter(|(n, _)| *n != spared);
         if let (Some((_, one)), Some((_, other))) = (apart.next(), apart.next()) {
             self.partition = [one, other];
-            self.partition_until = Time(self.now.0 + self.pick(LEASE, 4 * LEASE));
+            self.partition_until = MonotonicTime(self.now.0 + self.pick(LEASE, 4 * LEASE));
             self.partition_holds = self.chance(50);
             self.met += 1;
         }
     }
 
     /// Until when two zones can't reach each other.
-    pub fn parted(&self, one: &str, other: &str) -> Time {
+    pub fn parted(&self, one: &str, other: &str) -> MonotonicTime {
         let [a, b] = self.partition;
         match (a, b) == (one, other) || (b, a) == (one, other) {
             true => self.partition_until,
-            false => Time(0),
+            false => MonotonicTime(0),
         }
     }
 
@@ -68,24 +68,24 @@
     pub fn hand_on(
         &mut self,
         node: usize,
-        holder: Member,
-        report: &Report,
-    ) -> Option<CheckinAnswer> {
+        owner: Member,
+        heartbeat: &Heartbeat,
+    ) -> Option<HeartbeatAnswer> {
         if !self.trouble.partition || self.breakage == Breakage::NoWayAround {
             return None;
         }
         let now = self.now;
         let routes = self.routes(node);
-        if !routes.may_miss(now, &holder, &report.machine) {
+        if !routes.may_miss(now, &owner, &heartbeat.machine) {
             return None;
         }
         let mut members = super::world::MEMBERS.iter();
-        let to = members.position(|m| *m == holder.as_str())?;
+        let to = members.position(|m| *m == owner.as_str())?;
         let able = self.nodes[to].frozen_until <= now;
         let reached =
-            able && self.between(node, to).is_some() || routes.hears(now).contains(&holder);
+            able && self.between(node, to).is_some() || routes.hears(now).contains(&owner);
         let controller = self.nodes[to].controller.as_mut().filter(|_| reached)?;
-        let (answer, effects) = controller.on_relayed_checkin(now, report);
+        let (answer, effects) = controller.on_relayed_heartbeat(now, heartbeat);
         self.carry_out(to, effects);
         if let Some(answer) = &answer {
             self.digest.add_answer(to, answer);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,6 +1,6 @@
 //! The keys under which records stand. Everything under `live/` is mirrored by every controller.
 
-use crate::ids::{BlockId, JobId, MachineId, Member, Pipeline};
+use crate::ids::{JobId, MachineId, Member, Pipeline, ShardId};
 
 pub const LIVE: &str = "live/";
 pub const LEADER: &str = "live/cluster/leader";
@@ -8,7 +8,7 @@
 pub const SETTINGS: &str = "live/settings";
 
 const MEMBER: &str = "live/cluster/member/";
-const BLOCK: &str = "live/cluster/block/";
+const SHARD: &str = "live/cluster/block/";
 const JOB: &str = "live/job/";
 const PLANS: &str = "live/plans/";
 const MACHINE: &str = "live/machine/";
@@ -17,8 +17,8 @@
 pub fn member(member: &Member) -> String {
     format!("{MEMBER}{member}")
 }
-pub fn block(block: BlockId) -> String {
-    format!("{BLOCK}{block}")
+pub fn shard(shard: ShardId) -> String {
+    format!("{SHARD}{shard}")
 }
 pub fn job(job: &JobId) -> String {
     format!("{JOB}{job}")
@@ -48,7 +48,7 @@
 pub enum LiveKey {
     Leader,
     Member(Member),
-    Block(BlockId),
+    Shard(ShardId),
     Catalog,
     Settings,
     History(Pipeline),
@@ -78,7 +78,7 @@
             .or_else(|| named(PLANS).map(|b| Self::Plans(b.to_owned())))
             .or_else(|| named(HISTORY).map(|p| Self::History(p.into())))
             .or_else(|| named(MEMBER).map(|m| Self::Member(m.into())))
-            .or_else(|| named(BLOCK)?.parse().ok().map(|n| Self::Block(BlockId(n))))
+            .or_else(|| named(SHARD)?.parse().ok().map(|n| Self::Shard(ShardId(n))))
     }
 }
 
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -9,8 +9,8 @@
         Some(LiveKey::Segment(id.clone(), 3))
     );
     assert_eq!(
-        LiveKey::parse(&block(BlockId(4))),
-        Some(LiveKey::Block(BlockId(4)))
+        LiveKey::parse(&shard(ShardId(4))),
+        Some(LiveKey::Shard(ShardId(4)))
     );
     assert_eq!(LiveKey::parse(LEADER), Some(LiveKey::Leader));
     assert_eq!(LiveKey::parse(&over(&id)), None);
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -1,20 +1,20 @@
 //! A job whose tasks may run, as the mirror shows it.
 
 use super::records::{Bitmap, DoneTasks, PlanRecord};
-use super::replica::Versioned;
 use super::urgency::Urgency;
-use crate::ids::{Attempt, MachineId, Revision, Wall};
-use crate::wire::{JobSpec, Kind, Priority};
+use super::watch_cache::Versioned;
+use crate::ids::{AttemptNumber, MachineId, Revision, UnixTime};
+use crate::protocol::{JobKind, JobSpec, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 #[derive(Debug)]
 pub struct LiveJob {
     pub spec: Rc<JobSpec>,
-    pub accepted: Wall,
+    pub accepted: UnixTime,
     /// Since when its tasks may run: its acceptance, or the end of the last job that it needed.
     /// All times but the deadline count from here.
-    pub eligible: Wall,
+    pub eligible: UnixTime,
     /// By itself and by the jobs that depend on it.
     pub urgency: Urgency,
     pub revision: Revision,
@@ -25,11 +25,11 @@
     /// Finished tasks that a holder has told of and no record shows yet.
     pub(super) told: BTreeSet<u32>,
     /// Where each task's latest attempt is placed.
-    pub placed: BTreeMap<u32, (MachineId, Attempt)>,
+    pub placed: BTreeMap<u32, (MachineId, AttemptNumber)>,
     /// Earlier attempts that stand on record as well: a repeated transaction can bring the record
     /// of a deleted machine back for a moment. With that record gone again its task was taken for
     /// waiting, and started a second time (simulated seed 47, everything at once).
-    pub(super) shadowed: Vec<(u32, MachineId, Attempt)>,
+    pub(super) shadowed: Vec<(u32, MachineId, AttemptNumber)>,
     pub plan: Option<PlanRecord>,
     /// The first machines that its tasks were placed on.
     pub(super) ran_on: Vec<MachineId>,
@@ -46,42 +46,47 @@
         folded + self.counted.len() as u32
     }
 
-    pub(super) fn place(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
+    pub(super) fn place(&mut self, index: u32, machine: &MachineId, attempt_number: AttemptNumber) {
         if self.ran_on.len() < PlanRecord::MACHINES && !self.ran_on.contains(machine) {
             self.ran_on.push(machine.clone());
         }
-        let new = (machine.clone(), attempt);
+        let new = (machine.clone(), attempt_number);
         let old = self.placed.get(&index).filter(|old| **old != new).cloned();
         let (latest, earlier) = match old {
-            Some(old) if old.1 > attempt => (old, Some(new)),
+            Some(old) if old.1 > attempt_number => (old, Some(new)),
             old => (new, old),
         };
         self.placed.insert(index, latest);
-        if let Some((machine, attempt)) = earlier {
-            self.shadowed.push((index, machine, attempt));
+        if let Some((machine, attempt_number)) = earlier {
+            self.shadowed.push((index, machine, attempt_number));
         }
     }
 
-    pub(super) fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
-        let here = |(m, a): &(MachineId, Attempt)| m == machine && *a == attempt;
+    pub(super) fn unplace(
+        &mut self,
+        index: u32,
+        machine: &MachineId,
+        attempt_number: AttemptNumber,
+    ) {
+        let here = |(m, a): &(MachineId, AttemptNumber)| m == machine && *a == attempt_number;
         if !self.placed.get(&index).is_some_and(here) {
             self.shadowed
-                .retain(|(i, m, a)| (*i, m, *a) != (index, machine, attempt));
+                .retain(|(i, m, a)| (*i, m, *a) != (index, machine, attempt_number));
             return;
         }
         self.placed.remove(&index);
         let others = self.shadowed.iter().enumerate();
         let next = others.filter(|(_, (i, ..))| *i == index);
         if let Some((at, _)) = next.max_by_key(|(_, (_, _, a))| *a) {
-            let (_, machine, attempt) = self.shadowed.swap_remove(at);
-            self.placed.insert(index, (machine, attempt));
+            let (_, machine, attempt_number) = self.shadowed.swap_remove(at);
+            self.placed.insert(index, (machine, attempt_number));
         }
     }
 
     /// A holder has seen a task done. The tasks of a gang complete together.
     pub fn tell(&mut self, index: u32) {
         match self.spec.kind {
-            Kind::Gang => self.told.extend(0..self.spec.tasks),
+            JobKind::Gang => self.told.extend(0..self.spec.tasks),
             _ => drop(self.told.insert(index)),
         }
     }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -2,8 +2,10 @@
 
 pub mod size;
 
-use crate::ids::{Amounts, Attempt, Image, JobId, Run, TaskId, TeamId, TypeName, Zone};
-use crate::wire::JobSpec;
+use crate::ids::{
+    AttemptNumber, Image, JobId, Resources, TaskAttempt, TaskId, TeamId, TypeName, Zone,
+};
+use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
 
 /// A job's tasks on one machine. The needs stand here as well, so that a cancelled job's
@@ -12,9 +14,9 @@
 pub struct PlacedJob {
     pub job: JobId,
     pub team: TeamId,
-    pub need: Amounts,
+    pub need: Resources,
     pub image: Image,
-    pub tasks: Vec<(u32, Attempt)>,
+    pub tasks: Vec<(u32, AttemptNumber)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -85,39 +87,39 @@
         self.done.iter().map(size::done).sum()
     }
 
-    pub fn used(&self) -> Amounts {
-        self.jobs.iter().fold(Amounts::default(), |sum, j| {
+    pub fn used(&self) -> Resources {
+        self.jobs.iter().fold(Resources::default(), |sum, j| {
             sum + j.need.times(j.tasks.len() as u64)
         })
     }
 
-    pub fn runs(&self) -> impl Iterator<Item = (Run, &PlacedJob)> {
+    pub fn runs(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
         self.jobs.iter().flat_map(|placed| {
-            placed.tasks.iter().map(move |(index, attempt)| {
-                let run = Run {
+            placed.tasks.iter().map(move |(index, attempt_number)| {
+                let attempt = TaskAttempt {
                     task: TaskId {
                         job: placed.job.clone(),
                         index: *index,
                     },
-                    attempt: *attempt,
+                    number: *attempt_number,
                 };
-                (run, placed)
+                (attempt, placed)
             })
         })
     }
 
-    pub fn holds(&self, run: &Run) -> bool {
-        self.jobs
-            .iter()
-            .any(|p| p.job == run.task.job && p.tasks.contains(&(run.task.index, run.attempt)))
+    pub fn holds(&self, attempt: &TaskAttempt) -> bool {
+        self.jobs.iter().any(|p| {
+            p.job == attempt.task.job && p.tasks.contains(&(attempt.task.index, attempt.number))
+        })
     }
 
-    pub fn add(&mut self, run: &Run, spec: &JobSpec) {
-        let entry = (run.task.index, run.attempt);
-        match self.jobs.iter_mut().find(|p| p.job == run.task.job) {
+    pub fn add(&mut self, attempt: &TaskAttempt, spec: &JobSpec) {
+        let entry = (attempt.task.index, attempt.number);
+        match self.jobs.iter_mut().find(|p| p.job == attempt.task.job) {
             Some(placed) => placed.tasks.push(entry),
             None => self.jobs.push(PlacedJob {
-                job: run.task.job.clone(),
+                job: attempt.task.job.clone(),
                 team: spec.team.clone(),
                 need: spec.need(),
                 image: spec.image.clone(),
@@ -126,10 +128,12 @@
         }
     }
 
-    pub fn remove(&mut self, run: &Run) {
+    pub fn remove(&mut self, attempt: &TaskAttempt) {
         for placed in &mut self.jobs {
-            if placed.job == run.task.job {
-                placed.tasks.retain(|t| *t != (run.task.index, run.attempt));
+            if placed.job == attempt.task.job {
+                placed
+                    .tasks
+                    .retain(|t| *t != (attempt.task.index, attempt.number));
             }
         }
         self.jobs.retain(|p| !p.tasks.is_empty());
@@ -142,9 +146,9 @@
     }
 
     /// What a placement adds to the stored size.
-    pub fn size_of_adding(&self, run: &Run, spec: &JobSpec) -> usize {
-        let task = size::task(run.task.index, run.attempt);
-        let stands = self.jobs.iter().any(|p| p.job == run.task.job);
+    pub fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
+        let task = size::task(attempt.task.index, attempt.number);
+        let stands = self.jobs.iter().any(|p| p.job == attempt.task.job);
         task + if stands { 0 } else { size::job(spec) }
     }
 
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -3,8 +3,8 @@
 //! Each part is counted with the comma behind it, so a sum is a few bytes too large at most.
 
 use super::{DoneTasks, MachineRecord, PlacedJob};
-use crate::ids::{Amounts, Attempt};
-use crate::wire::JobSpec;
+use crate::ids::{AttemptNumber, Resources};
+use crate::protocol::JobSpec;
 
 /// The names and signs of a record without its texts, jobs and finished tasks.
 const HEAD: usize = r#"{"addr":,"type_name":,"zone":,"spot":false,"jobs":[],"done":[]}"#.len();
@@ -31,7 +31,7 @@
     QUOTES + text.bytes().map(escaped).sum::<usize>()
 }
 
-fn need(need: Amounts) -> usize {
+fn need(need: Resources) -> usize {
     NEED + number(need.cpus) + number(need.gpus) + number(need.memory)
 }
 
@@ -51,8 +51,8 @@
     PLACED + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
 }
 
-pub fn task(index: u32, attempt: Attempt) -> usize {
-    PAIR + number(index.into()) + number(attempt.0)
+pub fn task(index: u32, attempt_number: AttemptNumber) -> usize {
+    PAIR + number(index.into()) + number(attempt_number.0)
 }
 
 pub fn placed(placed: &PlacedJob) -> usize {
@@ -63,7 +63,9 @@
     ];
     let names: usize = names.into_iter().map(text).sum();
     let tasks = placed.tasks.iter();
-    let tasks: usize = tasks.map(|(index, attempt)| task(*index, *attempt)).sum();
+    let tasks: usize = tasks
+        .map(|(index, attempt_number)| task(*index, *attempt_number))
+        .sum();
     PLACED + need(placed.need) + names + tasks
 }
 
--- a/src/store/machine_record/tests.rs
+++ b/src/store/machine_record/tests.rs
@@ -20,18 +20,18 @@
 
 #[test]
 fn a_records_size_never_passes_its_bound() {
-    let spec = crate::wire::tests::spec("job-00000000000000000001");
+    let spec = crate::protocol::tests::spec("job-00000000000000000001");
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
     for index in 0..200 {
         record.count(&spec.id, 90_000 + 2 * index, 90_000 + 2 * index);
-        let run = Run {
+        let attempt = TaskAttempt {
             task: TaskId {
                 job: spec.id.clone(),
                 index: 99_000 + index,
             },
-            attempt: Attempt(u64::MAX >> 4),
+            number: AttemptNumber(u64::MAX >> 4),
         };
-        record.add(&run, &spec);
+        record.add(&attempt, &spec);
     }
     let size = serde_json::to_vec(&record).expect("json").len();
     assert!(size <= record.size(), "{size}");
@@ -41,19 +41,19 @@
 /// Placements that were announced add no more than they were said to.
 #[test]
 fn what_a_placement_adds_is_known_before() {
-    let mut spec = crate::wire::tests::spec("job-000001");
+    let mut spec = crate::protocol::tests::spec("job-000001");
     spec.team = "a\\\"team".into();
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
     for index in [0, 9, 10, 99_999] {
-        let run = Run {
+        let attempt = TaskAttempt {
             task: TaskId {
                 job: spec.id.clone(),
                 index,
             },
-            attempt: Attempt(u64::MAX >> (index % 60)),
+            number: AttemptNumber(u64::MAX >> (index % 60)),
         };
-        let announced = record.size() + record.size_of_adding(&run, &spec);
-        record.add(&run, &spec);
+        let announced = record.size() + record.size_of_adding(&attempt, &spec);
+        record.add(&attempt, &spec);
         let size = serde_json::to_vec(&record).expect("json").len();
         assert_eq!(record.size(), announced);
         assert!((size..size + 8).contains(&announced), "{announced} {size}");
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -6,18 +6,18 @@
 pub mod machine_record;
 mod rates;
 pub mod records;
-pub mod replica;
 pub mod tokens;
 pub mod urgency;
 pub mod waiting;
+pub mod watch_cache;
 
 use crate::config::{StateLimits, StateRates};
 use crate::http::{Client, Failure, Method};
-use crate::ids::{GrantId, Revision, Time};
-use crate::wire::path;
-use crate::wire::state::{
-    Events, Grant, Item, Page, Txn, TxnAnswer, extend_path, follow_path, grant_path, grant_request,
-    key_path, page_path,
+use crate::ids::{LeaseId, MonotonicTime, Revision};
+use crate::protocol::path;
+use crate::protocol::store::{
+    Events, Item, Lease, Page, Txn, TxnAnswer, follow_path, key_path, lease_path, lease_request,
+    page_path, renewal_path,
 };
 use rates::RateChoice;
 use std::cell::{Cell, RefCell};
@@ -109,8 +109,8 @@
         }
     }
 
-    fn now(&self) -> Time {
-        Time(self.started.elapsed().as_millis() as u64)
+    fn now(&self) -> MonotonicTime {
+        MonotonicTime(self.started.elapsed().as_millis() as u64)
     }
 
     /// Whether the last calls were answered.
@@ -138,7 +138,7 @@
         self.rates.borrow().current(self.now())
     }
 
-    fn follow_rates(&self, now: Time) {
+    fn follow_rates(&self, now: MonotonicTime) {
         let rates = self.rates.borrow().current(now);
         let (requests, writes) = (&self.requests, &self.writes);
         requests
@@ -245,7 +245,7 @@
     }
 
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
-        self.admit(Class::Grant, 0);
+        self.admit(Class::Lease, 0);
         let path = page_path(prefix, after);
         match self.call(Method::Get, &path, b"", 2 * CALL).await {
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| StoreError::Unavailable),
@@ -257,11 +257,11 @@
         &self,
         prefix: &str,
         after: Revision,
-        block: Duration,
+        wait_up_to: Duration,
     ) -> Result<Events, StoreError> {
-        self.admit(Class::Grant, 0);
-        let path = follow_path(prefix, after, block.as_millis() as u64);
-        match self.call(Method::Get, &path, b"", block + CALL).await {
+        self.admit(Class::Lease, 0);
+        let path = follow_path(prefix, after, wait_up_to.as_millis() as u64);
+        match self.call(Method::Get, &path, b"", wait_up_to + CALL).await {
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| StoreError::Unavailable),
             // So many changes at once, after half a minute without any, took most of the memory a
             // controller has; one above the bound was asked for again for ever, and the mirror
@@ -271,21 +271,21 @@
         }
     }
 
-    pub async fn create_grant(&self, life_ms: u64) -> Result<GrantId, StoreError> {
-        self.admit(Class::Grant, 0);
-        let body = grant_request(life_ms);
-        match self.call(Method::Post, path::GRANTS, &body, CALL).await {
-            Ok((200, body)) => serde_json::from_slice::<Grant>(&body)
+    pub async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
+        self.admit(Class::Lease, 0);
+        let body = lease_request(life_ms);
+        match self.call(Method::Post, path::LEASES, &body, CALL).await {
+            Ok((200, body)) => serde_json::from_slice::<Lease>(&body)
                 .map(|g| g.id)
                 .map_err(|_| StoreError::Unavailable),
             _ => Err(StoreError::Unavailable),
         }
     }
 
-    pub async fn extend_grant(&self, grant: GrantId) -> Result<(), StoreError> {
-        self.admit(Class::Grant, 0);
+    pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+        self.admit(Class::Lease, 0);
         match self
-            .call(Method::Post, &extend_path(grant), b"", CALL)
+            .call(Method::Post, &renewal_path(lease), b"", CALL)
             .await
         {
             Ok((200, _)) => Ok(()),
@@ -294,10 +294,10 @@
         }
     }
 
-    pub async fn end_grant(&self, grant: GrantId) -> Result<(), StoreError> {
-        self.admit(Class::Grant, 0);
+    pub async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+        self.admit(Class::Lease, 0);
         match self
-            .call(Method::Delete, &grant_path(grant), b"", CALL)
+            .call(Method::Delete, &lease_path(lease), b"", CALL)
             .await
         {
             Ok((200 | 204 | 404, _)) => Ok(()),
--- a/src/store/rates.rs
+++ b/src/store/rates.rs
@@ -5,17 +5,17 @@
 //! So the larger rates are tried again after a while, and after a longer one each time.
 
 use crate::config::StateRates;
-use crate::ids::{Span, Time};
+use crate::ids::{Millis, MonotonicTime};
 
 /// The larger rates are tried again after this at first.
-const FIRST_PAUSE: Span = Span(30_000);
+const FIRST_PAUSE: Millis = Millis(30_000);
 /// Never later than this.
-const LONGEST_PAUSE: Span = Span(600_000);
+const LONGEST_PAUSE: Millis = Millis(600_000);
 
 #[derive(Clone, Copy, Debug)]
 struct Lowered {
-    until: Time,
-    pause: Span,
+    until: MonotonicTime,
+    pause: Millis,
 }
 
 #[derive(Debug)]
@@ -34,11 +34,11 @@
         }
     }
 
-    fn is_lowered(&self, now: Time) -> bool {
+    fn is_lowered(&self, now: MonotonicTime) -> bool {
         self.lowered.is_some_and(|l| now < l.until)
     }
 
-    pub fn current(&self, now: Time) -> StateRates {
+    pub fn current(&self, now: MonotonicTime) -> StateRates {
         match self.is_lowered(now) {
             true => self.least,
             false => self.larger,
@@ -46,13 +46,13 @@
     }
 
     /// The service has refused for the rate, or for a size that only the later limits refuse.
-    pub fn refused(&mut self, now: Time) {
+    pub fn refused(&mut self, now: MonotonicTime) {
         if self.larger == self.least || self.is_lowered(now) {
             return;
         }
         let pause = match self.lowered {
             None => FIRST_PAUSE,
-            Some(last) => Span(2 * last.pause.0).min(LONGEST_PAUSE),
+            Some(last) => Millis(2 * last.pause.0).min(LONGEST_PAUSE),
         };
         self.lowered = Some(Lowered {
             until: now + pause,
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -2,8 +2,8 @@
 
 pub use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
 
-use crate::ids::{GrantId, Incarnation, JobId, MachineId, Member, Revision, TypeName, Wall};
-use crate::wire::{JobSpec, JobState};
+use crate::ids::{Incarnation, JobId, LeaseId, MachineId, Member, Revision, TypeName, UnixTime};
+use crate::protocol::{JobSpec, JobState};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
     pub incarnation: Incarnation,
-    pub grant: GrantId,
+    #[serde(rename = "grant")]
+    pub lease: LeaseId,
     /// What the controller's program understands; 0 where it does not say so.
     #[serde(default)]
     pub version: ProgramVersion,
@@ -27,10 +28,10 @@
 
 impl MemberRecord {
     /// The record of a controller that runs this program.
-    pub fn new(incarnation: Incarnation, grant: GrantId) -> Self {
+    pub fn new(incarnation: Incarnation, lease: LeaseId) -> Self {
         Self {
             incarnation,
-            grant,
+            lease,
             version: ProgramVersion::CURRENT,
         }
     }
@@ -51,8 +52,9 @@
 
 /// A lease of a block; attached to its holder's grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRecord {
-    pub holder: Member,
+pub struct ShardRecord {
+    #[serde(rename = "holder")]
+    pub owner: Member,
     pub incarnation: Incarnation,
     /// The leader's term that it was leased in.
     pub term: Revision,
@@ -61,16 +63,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     pub spec: JobSpec,
-    pub accepted: Wall,
+    pub accepted: UnixTime,
     /// When the last job that this one depends on was done. `None` while it waits, and for jobs
     /// that depend on nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub released: Option<Wall>,
+    pub released: Option<UnixTime>,
 }
 
 impl JobRecord {
     /// A job as it is accepted.
-    pub fn new(spec: JobSpec, accepted: Wall) -> Self {
+    pub fn new(spec: JobSpec, accepted: UnixTime) -> Self {
         Self {
             spec,
             accepted,
--- a/src/store/tokens.rs
+++ b/src/store/tokens.rs
@@ -1,14 +1,15 @@
 //! Token buckets with classes of use: when more is asked than the rates allow, grants and
 //! placements go on and the rest is refused at once.
 
-use crate::ids::Time;
+use crate::ids::MonotonicTime;
 
 /// What a call is for; earlier classes may use what later ones must leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
     /// Grants, fences and the mirror: never held back.
-    Grant,
+    #[serde(rename = "grant")]
+    Lease,
     /// Acceptance, withdrawal, and the ends and releases of jobs: few, and waited for.
     Accept,
     /// Placements.
@@ -22,7 +23,7 @@
     /// The part of a full bucket that this class leaves to those before it.
     fn reserve(self) -> f64 {
         match self {
-            Self::Grant => f64::NEG_INFINITY,
+            Self::Lease => f64::NEG_INFINITY,
             // Holders and leader keep to a part of the changes by themselves, so users come first.
             Self::Accept => 0.0,
             Self::Place => 0.05,
@@ -37,7 +38,7 @@
     rate: f64,
     burst: f64,
     level: f64,
-    at: Time,
+    at: MonotonicTime,
 }
 
 impl Bucket {
@@ -48,12 +49,12 @@
             rate,
             burst,
             level: burst,
-            at: Time::default(),
+            at: MonotonicTime::default(),
         }
     }
 
     /// Another share of a rate; what was saved up stays within the new bound.
-    pub fn set_rate(&mut self, now: Time, rate: f64) {
+    pub fn set_rate(&mut self, now: MonotonicTime, rate: f64) {
         self.level(now);
         self.rate = rate;
         self.burst = rate.max(1.0);
@@ -61,18 +62,18 @@
     }
 
     /// The part of a second's worth that is unused.
-    pub fn part(&mut self, now: Time) -> f64 {
+    pub fn part(&mut self, now: MonotonicTime) -> f64 {
         self.level(now) / self.burst
     }
 
-    pub fn level(&mut self, now: Time) -> f64 {
+    pub fn level(&mut self, now: MonotonicTime) -> f64 {
         self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.burst);
         self.at = now.max(self.at);
         self.level
     }
 
     /// A full bucket lets any class through, however much it asks for.
-    pub fn allows(&mut self, now: Time, amount: f64, class: Class) -> bool {
+    pub fn allows(&mut self, now: MonotonicTime, amount: f64, class: Class) -> bool {
         if amount == 0.0 {
             return true;
         }
@@ -85,7 +86,7 @@
         self.level = (self.level - amount).max(-self.burst);
     }
 
-    pub fn try_take(&mut self, now: Time, amount: f64, class: Class) -> bool {
+    pub fn try_take(&mut self, now: MonotonicTime, amount: f64, class: Class) -> bool {
         let ok = self.allows(now, amount, class);
         if ok {
             self.spend(amount);
@@ -94,7 +95,7 @@
     }
 
     /// The service itself said that it is too much: others use the rate as well.
-    pub fn exhaust(&mut self, now: Time) {
+    pub fn exhaust(&mut self, now: MonotonicTime) {
         self.level = self.level(now).min(0.0);
     }
 }
--- a/src/store/tokens/tests.rs
+++ b/src/store/tokens/tests.rs
@@ -5,14 +5,14 @@
     let mut bucket = Bucket::new(20.0);
     let (mut granted, mut placed, mut polled) = (0, 0, 0);
     for ms in 0..10_000 {
-        let now = Time(ms);
+        let now = MonotonicTime(ms);
         // Polls ask fifty times the rate; placements half of it.
         polled += u32::from(bucket.try_take(now, 1.0, Class::Poll));
         if ms % 100 == 0 {
             placed += u32::from(bucket.try_take(now, 1.0, Class::Place));
         }
         if ms % 1000 == 0 {
-            granted += u32::from(bucket.try_take(now, 1.0, Class::Grant));
+            granted += u32::from(bucket.try_take(now, 1.0, Class::Lease));
         }
     }
     assert_eq!((granted, placed), (10, 100));
@@ -22,7 +22,7 @@
 #[test]
 fn a_refusal_by_the_service_empties_the_bucket() {
     let mut bucket = Bucket::new(10.0);
-    bucket.exhaust(Time(0));
-    assert!(!bucket.try_take(Time(50), 1.0, Class::Place));
-    assert!(bucket.try_take(Time(200), 1.0, Class::Place));
+    bucket.exhaust(MonotonicTime(0));
+    assert!(!bucket.try_take(MonotonicTime(50), 1.0, Class::Place));
+    assert!(bucket.try_take(MonotonicTime(200), 1.0, Class::Place));
 }
--- a/src/store/urgency.rs
+++ b/src/store/urgency.rs
@@ -1,23 +1,23 @@
 //! How urgent a job is: by itself, and by the jobs that depend on it.
 
-use crate::ids::{Span, Wall};
-use crate::wire::{JobSpec, Priority};
+use crate::ids::{Millis, UnixTime};
+use crate::protocol::{JobSpec, Priority};
 
 /// A priority, and the latest moment at which the job may be done so that everything which
 /// depends on it can still be in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
     pub priority: Priority,
-    pub finish_by: Option<Wall>,
+    pub finish_by: Option<UnixTime>,
 }
 
 impl Urgency {
     /// What the job's owner says of it.
-    pub fn of(spec: &JobSpec, accepted: Wall) -> Self {
-        let deadline = spec.deadline_s.map(Span::from_secs);
+    pub fn of(spec: &JobSpec, accepted: UnixTime) -> Self {
+        let deadline = spec.deadline_s.map(Millis::from_secs);
         Self {
             priority: spec.priority,
-            finish_by: deadline.map(|span| Wall(accepted.0.saturating_add(span.0))),
+            finish_by: deadline.map(|span| UnixTime(accepted.0.saturating_add(span.0))),
         }
     }
 
@@ -31,8 +31,8 @@
     }
 
     /// What a job passes back to those that it depends on: they have to be done before it starts.
-    pub fn before(self, predicted: Span) -> Self {
-        let earlier = |at: Wall| Wall(at.0.saturating_sub(predicted.0));
+    pub fn before(self, predicted: Millis) -> Self {
+        let earlier = |at: UnixTime| UnixTime(at.0.saturating_sub(predicted.0));
         Self {
             finish_by: self.finish_by.map(earlier),
             ..self
--- a/src/store/waiting.rs
+++ b/src/store/waiting.rs
@@ -7,8 +7,8 @@
 
 use super::records::PlanRecord;
 use super::urgency::Urgency;
-use crate::ids::{JobId, MachineId, Revision, Span, Wall};
-use crate::wire::JobSpec;
+use crate::ids::{JobId, MachineId, Millis, Revision, UnixTime};
+use crate::protocol::JobSpec;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct WaitingJob {
     pub spec: Rc<JobSpec>,
-    pub accepted: Wall,
+    pub accepted: UnixTime,
     pub revision: Revision,
     pub plan: Option<PlanRecord>,
     /// Jobs that are not known to be done.
@@ -32,7 +32,7 @@
 impl WaitingJob {
     pub fn new(
         spec: JobSpec,
-        accepted: Wall,
+        accepted: UnixTime,
         revision: Revision,
         plan: Option<PlanRecord>,
     ) -> Self {
@@ -45,9 +45,9 @@
         }
     }
 
-    fn predicted(&self) -> Span {
+    fn predicted(&self) -> Millis {
         let estimate = self.spec.estimate_s;
-        Span::from_secs(self.plan.as_ref().map_or(estimate, |p| p.predicted_s))
+        Millis::from_secs(self.plan.as_ref().map_or(estimate, |p| p.predicted_s))
     }
 }
 
--- a/src/store/waiting/tests.rs
+++ b/src/store/waiting/tests.rs
@@ -1,7 +1,7 @@
 //! Compared with a slow plain model: lists of jobs, searched anew for each question.
 
 use super::*;
-use crate::wire::Priority;
+use crate::protocol::Priority;
 use proptest::prelude::*;
 
 /// One job of the model, by its number.
@@ -33,7 +33,7 @@
         estimate: u32,
     },
     /// The job's final record is seen, or only that it has left the mirror.
-    End {
+    AttemptOutcome {
         job: usize,
         cancelled: bool,
         noted: bool,
@@ -78,7 +78,7 @@
     /// By trying every path forward.
     fn urgency(&self, job: usize) -> Urgency {
         let own = &self.jobs[job];
-        let own_deadline = own.deadline.map(|s| Wall((s * 1000.0) as u64));
+        let own_deadline = own.deadline.map(|s| UnixTime((s * 1000.0) as u64));
         let mut urgency = Urgency {
             priority: own.priority,
             finish_by: own_deadline,
@@ -89,7 +89,7 @@
             let predicted = (self.jobs[child].predicted * 1000.0) as u64;
             let start_by = later
                 .finish_by
-                .map(|at| Wall(at.0.saturating_sub(predicted)));
+                .map(|at| UnixTime(at.0.saturating_sub(predicted)));
             urgency.finish_by = match (urgency.finish_by, start_by) {
                 (Some(a), Some(b)) => Some(a.min(b)),
                 (a, b) => a.or(b),
@@ -123,12 +123,12 @@
             self.waiting.stands(&id(job));
             return;
         }
-        let mut spec = crate::wire::tests::spec(id(job).as_str());
+        let mut spec = crate::protocol::tests::spec(id(job).as_str());
         spec.dependencies = model.parents.iter().map(|p| id(*p)).collect();
         spec.priority = model.priority;
         spec.deadline_s = model.deadline;
         spec.estimate_s = model.predicted;
-        let waiting = WaitingJob::new(spec, Wall(0), Revision(1), None);
+        let waiting = WaitingJob::new(spec, UnixTime(0), Revision(1), None);
         let live = &self.live;
         self.waiting
             .insert(id(job), waiting, |id| live.contains(id));
@@ -254,7 +254,7 @@
         if known.state == ModelState::Live {
             let own = Urgency {
                 priority: known.priority,
-                finish_by: known.deadline.map(|s| Wall((s * 1000.0) as u64)),
+                finish_by: known.deadline.map(|s| UnixTime((s * 1000.0) as u64)),
             };
             let inherited = real.waiting.inherited(&id(job));
             let merged = inherited.map_or(own, |other| own.merge(other));
@@ -277,7 +277,7 @@
         estimate,
     });
     let end = (0usize..40, 0u32..4, any::<bool>());
-    let end = end.prop_map(|(job, kind, noted)| Step::End {
+    let end = end.prop_map(|(job, kind, noted)| Step::AttemptOutcome {
         job,
         cancelled: kind == 0,
         noted,
@@ -295,7 +295,7 @@
         for step in &steps {
             match step {
                 Step::Accept { .. } => accept(&mut model, &mut real, step),
-                Step::End { job, cancelled, noted } => {
+                Step::AttemptOutcome { job, cancelled, noted } => {
                     end(&mut model, &mut real, *job, *cancelled, *noted);
                 }
                 Step::Read => read(&model, &mut real),
@@ -356,7 +356,7 @@
     real.accept(JOBS, &job(vec![JOBS - 1], Some(1e6)));
     let urgency = real.waiting.inherited(&id(0)).expect("inherited");
     let before = 10_000 * JOBS as u64;
-    assert_eq!(urgency.finish_by, Some(Wall(1_000_000_000 - before)));
+    assert_eq!(urgency.finish_by, Some(UnixTime(1_000_000_000 - before)));
     for n in 0..JOBS {
         real.accept(JOBS + 1 + n, &job(vec![0], Some(1e6)));
     }
--- a/src/store/replica.rs
+++ b/src/store/watch_cache.rs
@@ -7,16 +7,16 @@
 
 use super::keys::LiveKey;
 use super::records::{
-    Bitmap, BlockRecord, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, MemberRecord,
-    PlanBatch, PlanRecord, ProgramVersion,
+    Bitmap, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, MemberRecord, PlanBatch,
+    PlanRecord, ProgramVersion, ShardRecord,
 };
 use super::urgency::Urgency;
 use super::waiting::{Outcome, Waiting, WaitingJob};
 use crate::admin::Settings;
 use crate::config::Config;
-use crate::ids::{BlockId, Image, JobId, MachineId, Member, Pipeline, Revision, TeamId};
-use crate::wire::state::{Event, Item};
-use crate::wire::{Catalog, JobSpec, MachineType};
+use crate::ids::{Image, JobId, MachineId, Member, Pipeline, Revision, ShardId, TeamId};
+use crate::protocol::store::{Event, Item};
+use crate::protocol::{Catalog, JobSpec, MachineType};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,13 +40,13 @@
 }
 
 #[derive(Debug)]
-pub struct Replica {
+pub struct WatchCache {
     pub revision: Revision,
     /// Tasks in one segment of a completion counter.
     segment_tasks: u32,
     pub leader: Option<Versioned<LeaderRecord>>,
     pub members: BTreeMap<Member, MemberRecord>,
-    pub blocks: BTreeMap<BlockId, Versioned<BlockRecord>>,
+    pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     pub catalog: Option<Versioned<Catalog>>,
     pub settings: Option<Versioned<Settings>>,
     pub history: BTreeMap<Pipeline, Versioned<HistoryRecord>>,
@@ -70,14 +70,14 @@
         .ok()
 }
 
-impl Replica {
+impl WatchCache {
     pub fn new(config: &Config) -> Self {
         Self {
             revision: Revision(0),
             segment_tasks: config.segment_tasks(),
             leader: None,
             members: BTreeMap::new(),
-            blocks: BTreeMap::new(),
+            shards: BTreeMap::new(),
             catalog: None,
             settings: None,
             history: BTreeMap::new(),
@@ -230,11 +230,11 @@
                     self.members.insert(member, record);
                 }
             }
-            LiveKey::Block(block) => {
-                if newer!(self.blocks.get(&block))
+            LiveKey::Shard(shard) => {
+                if newer!(self.shards.get(&shard))
                     && let Some(value) = decode(key, value)
                 {
-                    self.blocks.insert(block, Versioned { value, revision });
+                    self.shards.insert(shard, Versioned { value, revision });
                 }
             }
             LiveKey::History(pipeline) => {
@@ -339,8 +339,8 @@
         };
         for (machine, live) in &self.machines {
             for group in live.record.jobs.iter().filter(|g| g.job == id) {
-                for (index, attempt) in &group.tasks {
-                    job.place(*index, machine, *attempt);
+                for (index, attempt_number) in &group.tasks {
+                    job.place(*index, machine, *attempt_number);
                 }
             }
         }
@@ -395,8 +395,8 @@
     ) {
         for group in &record.jobs {
             if let Some(job) = self.jobs.get_mut(&group.job) {
-                for (index, attempt) in &group.tasks {
-                    job.place(*index, &id, *attempt);
+                for (index, attempt_number) in &group.tasks {
+                    job.place(*index, &id, *attempt_number);
                 }
                 images.retain(|(image, _)| *image != group.image);
                 images.push((group.image.clone(), job.spec.image_gb));
@@ -420,8 +420,8 @@
     fn unplace(&mut self, id: &MachineId, record: &MachineRecord) {
         for group in &record.jobs {
             if let Some(job) = self.jobs.get_mut(&group.job) {
-                for (index, attempt) in &group.tasks {
-                    job.unplace(*index, id, *attempt);
+                for (index, attempt_number) in &group.tasks {
+                    job.unplace(*index, id, *attempt_number);
                 }
             }
         }
@@ -436,9 +436,9 @@
             LiveKey::Member(member) => {
                 self.members.remove(&member);
             }
-            LiveKey::Block(block) => {
-                if self.blocks.get(&block).is_some_and(|b| older(b.revision)) {
-                    self.blocks.remove(&block);
+            LiveKey::Shard(shard) => {
+                if self.shards.get(&shard).is_some_and(|b| older(b.revision)) {
+                    self.shards.remove(&shard);
                 }
             }
             LiveKey::History(pipeline) => {
@@ -501,8 +501,8 @@
     }
 
     /// What each team's placed tasks use, cancelled ones that are not proved gone included.
-    pub fn team_usage(&self) -> BTreeMap<TeamId, crate::ids::Amounts> {
-        let mut usage: BTreeMap<TeamId, crate::ids::Amounts> = BTreeMap::new();
+    pub fn team_usage(&self) -> BTreeMap<TeamId, crate::ids::Resources> {
+        let mut usage: BTreeMap<TeamId, crate::ids::Resources> = BTreeMap::new();
         for group in self.machines.values().flat_map(|m| &m.record.jobs) {
             let used = group.need.times(group.tasks.len() as u64);
             match usage.get_mut(&group.team) {
--- a/src/store/replica/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -1,7 +1,7 @@
 use super::super::keys;
 use super::*;
 use crate::config::tests::sample_config;
-use crate::ids::{Attempt, Run, TaskId};
+use crate::ids::{AttemptNumber, TaskAttempt, TaskId};
 use serde_json::json;
 
 fn put(key: String, value: Value, revision: u64) -> Event {
@@ -14,60 +14,66 @@
 }
 
 fn job_value(id: &str) -> Value {
-    json!({"spec": crate::wire::tests::spec(id), "accepted": 1})
+    json!({"spec": crate::protocol::tests::spec(id), "accepted": 1})
 }
 
 #[test]
 fn a_record_committed_here_is_not_undone_by_an_older_copy_from_the_stream() {
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
-    replica.apply(
+    cache.apply(
         Revision(1),
         vec![put(keys::job(&id), job_value("job-1"), 1)],
     );
-    let spec = replica.jobs[&id].spec.clone();
+    let spec = cache.jobs[&id].spec.clone();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t".into(), &"z".into(), false);
     let empty = serde_json::to_value(&record).expect("json");
-    let run = Run {
+    let attempt = TaskAttempt {
         task: TaskId {
             job: id.clone(),
             index: 2,
         },
-        attempt: Attempt(9),
+        number: AttemptNumber(9),
     };
-    record.add(&run, &spec);
+    record.add(&attempt, &spec);
     let machine = MachineId::from("vm-1");
-    replica.put_machine(machine.clone(), record, Revision(5));
-    replica.apply(
+    cache.put_machine(machine.clone(), record, Revision(5));
+    cache.apply(
         Revision(4),
         vec![put(keys::machine(&machine), empty.clone(), 4)],
     );
-    assert!(replica.jobs[&id].placed.contains_key(&2));
-    assert_eq!(replica.team_usage()[&TeamId::from("red")].cpus, 2000);
-    replica.apply(Revision(6), vec![put(keys::machine(&machine), empty, 6)]);
-    assert!(replica.jobs[&id].placed.is_empty());
-    assert_eq!(replica.machines[&machine].images.len(), 1);
+    assert!(cache.jobs[&id].placed.contains_key(&2));
+    assert_eq!(cache.team_usage()[&TeamId::from("red")].cpus, 2000);
+    cache.apply(Revision(6), vec![put(keys::machine(&machine), empty, 6)]);
+    assert!(cache.jobs[&id].placed.is_empty());
+    assert_eq!(cache.machines[&machine].images.len(), 1);
 }
 
 /// A repeated transaction brought a deleted machine's record back, with an attempt that had
 /// long been followed by another: when it went again, the task was taken for waiting.
 #[test]
 fn a_record_that_comes_back_and_goes_takes_no_later_placement_along() {
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
-    replica.apply(
+    cache.apply(
         Revision(2),
         vec![put(keys::job(&id), job_value("job-1"), 2)],
     );
-    let spec = replica.jobs[&id].spec.clone();
-    let mut write = |machine: &str, attempt: u64, at: u64| {
+    let spec = cache.jobs[&id].spec.clone();
+    let mut write = |machine: &str, attempt_number: u64, at: u64| {
         let task = TaskId {
             job: id.clone(),
             index: 2,
         };
         let mut record = MachineRecord::new("1.1.1.1:1", &"t".into(), &"z".into(), false);
-        let attempt = Attempt(attempt);
-        record.add(&Run { task, attempt }, &spec);
+        let attempt_number = AttemptNumber(attempt_number);
+        record.add(
+            &TaskAttempt {
+                task,
+                number: attempt_number,
+            },
+            &spec,
+        );
         let key = keys::machine(&machine.into());
         let value = serde_json::to_value(&record).expect("json");
         let gone = Event {
@@ -76,28 +82,28 @@
             value: Value::Null,
             revision: Revision(at + 1),
         };
-        replica.apply(Revision(at), vec![put(key, value, at)]);
-        let there = replica.jobs[&id].placed[&2].clone();
+        cache.apply(Revision(at), vec![put(key, value, at)]);
+        let there = cache.jobs[&id].placed[&2].clone();
         (gone, there)
     };
     let (last, _) = write("vm-2", 9, 5);
     let (ghost, there) = write("vm-1", 3, 7);
-    assert_eq!(there, ("vm-2".into(), Attempt(9)));
-    replica.apply(Revision(8), vec![ghost]);
-    assert_eq!(replica.jobs[&id].placed[&2], there);
+    assert_eq!(there, ("vm-2".into(), AttemptNumber(9)));
+    cache.apply(Revision(8), vec![ghost]);
+    assert_eq!(cache.jobs[&id].placed[&2], there);
     let mut gone = last;
     gone.revision = Revision(9);
-    replica.apply(Revision(9), vec![gone]);
-    assert!(replica.jobs[&id].placed.is_empty());
+    cache.apply(Revision(9), vec![gone]);
+    assert!(cache.jobs[&id].placed.is_empty());
 }
 
 #[test]
 fn plans_and_counters_that_come_before_their_job_are_kept_for_it() {
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
     let mut bits = Bitmap::default();
     bits.set(3);
-    replica.apply(
+    cache.apply(
         Revision(3),
         vec![
             put(
@@ -113,47 +119,47 @@
             put(keys::job(&id), job_value("job-1"), 2),
         ],
     );
-    let job = &replica.jobs[&id];
+    let job = &cache.jobs[&id];
     assert_eq!(job.open_tasks(1024).collect::<Vec<_>>(), vec![0, 1, 2]);
-    assert!(job.plan.is_some() && replica.orphans(4).is_empty());
+    assert!(job.plan.is_some() && cache.orphans(4).is_empty());
     let gone = Event {
         delete: Some(keys::job(&id)),
         put: None,
         value: Value::Null,
         revision: Revision(4),
     };
-    assert_eq!(replica.apply(Revision(4), vec![gone]), vec![id]);
-    assert_eq!(replica.orphans(4), vec![keys::plans("1-1")]);
+    assert_eq!(cache.apply(Revision(4), vec![gone]), vec![id]);
+    assert_eq!(cache.orphans(4), vec![keys::plans("1-1")]);
 }
 
 /// A task that is done stays done, whichever of its records comes or goes first.
 #[test]
 fn done_tasks_count_once_wherever_they_stand() {
-    let mut replica = Replica::new(&sample_config());
+    let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
     let machine = MachineId::from("vm-1");
     let mut record = MachineRecord::new("1.1.1.1:1", &"t".into(), &"z".into(), false);
     record.count(&id, 1, 2);
     let value = serde_json::to_value(&record).expect("json");
     let job = put(keys::job(&id), job_value("job-1"), 2);
-    replica.apply(
+    cache.apply(
         Revision(2),
         vec![put(keys::machine(&machine), value, 1), job],
     );
-    assert_eq!(replica.jobs[&id].done_count(), 2);
+    assert_eq!(cache.jobs[&id].done_count(), 2);
     let mut bits = Bitmap::default();
     bits.set(2);
     let bits = serde_json::to_value(&bits).expect("json");
-    replica.apply(Revision(3), vec![put(keys::segment(&id, 0), bits, 3)]);
-    assert_eq!(replica.jobs[&id].done_count(), 2);
-    assert!(replica.jobs[&id].needs(&record.done[0], 8192));
+    cache.apply(Revision(3), vec![put(keys::segment(&id, 0), bits, 3)]);
+    assert_eq!(cache.jobs[&id].done_count(), 2);
+    assert!(cache.jobs[&id].needs(&record.done[0], 8192));
     let gone = Event {
         delete: Some(keys::machine(&machine)),
         put: None,
         value: Value::Null,
         revision: Revision(4),
     };
-    replica.apply(Revision(4), vec![gone]);
-    let job = &replica.jobs[&id];
+    cache.apply(Revision(4), vec![gone]);
+    let job = &cache.jobs[&id];
     assert!(job.done_count() == 2 && job.is_done(1, 8192) && job.is_done(2, 8192));
 }
--- a/src/workers/desk.rs
+++ b/src/workers/desk.rs
@@ -1,9 +1,12 @@
 //! What is known of one machine under one token, and what may be concluded from it.
 
-use crate::ids::{Amounts, Revision, Run, Seq, Session, Span, Time, Token};
-use crate::peers::End;
+use crate::ids::{
+    FencingToken, HeartbeatSequence, Millis, MonotonicTime, Resources, Revision, TaskAttempt,
+    WorkerEpoch,
+};
+use crate::peers::AttemptOutcome;
+use crate::protocol::{Command, ExitReason, Heartbeat, JobSpec, TaskState};
 use crate::store::records::MachineRecord;
-use crate::wire::{JobSpec, Order, Report, TaskState, Why};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -21,11 +24,11 @@
 /// A start that was sent under the desk's own token.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    pub session: Session,
+    pub epoch: WorkerEpoch,
     pub direct: Direct,
     /// The report in whose response it was sent last. Workers drop late responses, and send
     /// their next report only after that, so a later report tells what became of it.
-    pub in_response: Option<Seq>,
+    pub in_response: Option<HeartbeatSequence>,
 }
 
 /// What the latest report says of a placement.
@@ -38,13 +41,13 @@
     /// Not there, but a start without an answer may still be on its way.
     MayAppear,
     Alive(TaskState),
-    Exited(Why),
+    Exited(ExitReason),
 }
 
 #[derive(Debug)]
 pub struct Incoming {
-    pub since: Time,
-    pub run: Run,
+    pub since: MonotonicTime,
+    pub attempt: TaskAttempt,
     pub spec: Rc<JobSpec>,
     pub job_revision: Revision,
 }
@@ -52,11 +55,11 @@
 /// What a machine's record lacks.
 #[derive(Debug)]
 pub struct Ripe {
-    pub since: Time,
+    pub since: MonotonicTime,
     pub incoming: usize,
     /// Placements that are proved gone, whether they are done, and the room they leave.
-    pub ended: Vec<(Run, bool)>,
-    pub freed: Amounts,
+    pub ended: Vec<(TaskAttempt, bool)>,
+    pub freed: Resources,
     /// Nothing is left on the machine: only with an empty record can it be returned.
     pub idle: bool,
     /// Somebody waits for it: a service, a gang, or another try.
@@ -67,7 +70,7 @@
     /// Grows with what one change would write, and with age, so that nothing waits for ever.
     /// Ends alone are worth nothing at first: the leader has been told of them, and a placement
     /// may follow that takes them along.
-    pub fn worth(&self, now: Time) -> u64 {
+    pub fn worth(&self, now: MonotonicTime) -> u64 {
         let age = now.since(self.since).0;
         let ended = 300 * self.ended.len() as u64;
         if self.incoming > 0 {
@@ -84,13 +87,13 @@
 const IDLE: u64 = 700;
 
 /// A machine's token is not raised again within this time, but when nothing else helps.
-const RISE_PAUSE: Span = Span(4000);
+const RISE_PAUSE: Millis = Millis(4000);
 
 /// A transaction on its way.
 #[derive(Debug)]
 pub struct PendingTxn {
     pub record: MachineRecord,
-    pub ended: Vec<(Run, End)>,
+    pub ended: Vec<(TaskAttempt, AttemptOutcome)>,
     pub fence: Revision,
 }
 
@@ -99,67 +102,67 @@
     /// The block's revision.
     pub fence: Revision,
     /// The machine's token under it.
-    token: Token,
-    raised: Time,
-    pub opened: Time,
+    token: FencingToken,
+    raised: MonotonicTime,
+    pub opened: MonotonicTime,
     pub addr: String,
-    pub session: Session,
-    pub seq: Seq,
-    pub checkin_seq: Seq,
+    pub epoch: WorkerEpoch,
+    pub sequence: HeartbeatSequence,
+    pub heartbeat_sequence: HeartbeatSequence,
     /// The highest that the worker had seen by its latest report.
-    seen: Token,
+    seen: FencingToken,
     /// The latest report carried our token.
     pub confirmed: bool,
     /// A higher token exists: nothing more is sent until the mirror brings it.
     pub superseded: bool,
-    pub heard: Time,
+    pub heard: MonotonicTime,
     /// When it was last certain that something of ours arrives there.
-    pub reached: Time,
+    pub reached: MonotonicTime,
     /// Direct commands in a row that had no answer.
     pub failed_calls: u32,
-    pub notice: Option<Time>,
-    pub listed: BTreeMap<Run, (TaskState, Option<Why>)>,
-    pub starts: BTreeMap<Run, Start>,
-    pub stops: BTreeMap<Run, (Span, Option<Time>)>,
-    pub running_since: BTreeMap<Run, Time>,
+    pub notice: Option<MonotonicTime>,
+    pub listed: BTreeMap<TaskAttempt, (TaskState, Option<ExitReason>)>,
+    pub starts: BTreeMap<TaskAttempt, Start>,
+    pub stops: BTreeMap<TaskAttempt, (Millis, Option<MonotonicTime>)>,
+    pub running_since: BTreeMap<TaskAttempt, MonotonicTime>,
     pub incoming: VecDeque<Incoming>,
     pub ripe: Option<Ripe>,
     /// Committed here and not seen on the machine yet. Only these are ever started: whatever else
     /// is absent may have ended before, its room given out again, and only its end not written.
     /// Started once more it broke a team's limit (hunt 82e7ad15, simulated seed 173).
-    pub fresh: BTreeSet<Run>,
+    pub fresh: BTreeSet<TaskAttempt>,
     /// Proved gone, and told to the leader before it was written.
-    pub told: BTreeSet<Run>,
+    pub told: BTreeSet<TaskAttempt>,
     /// To be refused once nothing that was sent can still place them.
-    pub rejected: Vec<Run>,
+    pub rejected: Vec<TaskAttempt>,
     pub txn: Option<PendingTxn>,
-    pub retry_at: Time,
+    pub retry_at: MonotonicTime,
     /// The state service refused the record for its size: nothing that large is written again.
     pub too_large: bool,
     /// A condition failed at this revision: the mirror must get there first.
     pub retry_revision: Revision,
     /// When a report last came straight from the machine.
-    straight: Time,
+    straight: MonotonicTime,
     /// Since when its reports come through other controllers.
-    relayed: Option<Time>,
+    relayed: Option<MonotonicTime>,
     /// A transaction under this revision of the record has no known outcome.
     pub uncertain: Option<Revision>,
-    pub call: Option<Vec<Order>>,
-    pub next_call: Time,
+    pub call: Option<Vec<Command>>,
+    pub next_call: MonotonicTime,
 }
 
 impl Desk {
-    pub fn new(fence: Revision, addr: &str, now: Time) -> Self {
+    pub fn new(fence: Revision, addr: &str, now: MonotonicTime) -> Self {
         Self {
             fence,
-            token: Token::of(fence, 0),
+            token: FencingToken::of(fence, 0),
             raised: now,
             opened: now,
             addr: addr.to_owned(),
-            session: Session(1),
-            seq: Seq(0),
-            checkin_seq: Seq(0),
-            seen: Token(0),
+            epoch: WorkerEpoch(1),
+            sequence: HeartbeatSequence(0),
+            heartbeat_sequence: HeartbeatSequence(0),
+            seen: FencingToken(0),
             confirmed: false,
             superseded: false,
             heard: now,
@@ -189,9 +192,9 @@
 
     /// The block was rewritten: what was sent under the old token proves nothing any more, and
     /// transactions under the old fence can't be applied.
-    pub fn renew(&mut self, fence: Revision, now: Time) {
+    pub fn renew(&mut self, fence: Revision, now: MonotonicTime) {
         self.fence = fence;
-        self.token = Token::of(fence, 0);
+        self.token = FencingToken::of(fence, 0);
         self.opened = now;
         self.superseded = false;
         self.void_starts();
@@ -208,11 +211,11 @@
     }
 
     /// How long no report has come straight from the machine.
-    pub fn missed(&self, now: Time) -> Span {
+    pub fn missed(&self, now: MonotonicTime) -> Millis {
         now.since(self.straight)
     }
 
-    pub fn is_missed(&self, now: Time, straight: Span) -> bool {
+    pub fn is_missed(&self, now: MonotonicTime, straight: Millis) -> bool {
         self.missed(now) > straight
     }
 
@@ -221,7 +224,7 @@
     }
 
     /// A report came straight from the machine.
-    pub fn on_straight(&mut self, now: Time) {
+    pub fn on_straight(&mut self, now: MonotonicTime) {
         self.straight = now;
         self.relayed = None;
     }
@@ -231,7 +234,12 @@
     ///
     /// Nothing else shows that answers arrive there: direct commands don't. So the token rises,
     /// and comes back with the next report.
-    pub fn takes_relayed(&mut self, now: Time, straight: Span, lease: Span) -> bool {
+    pub fn takes_relayed(
+        &mut self,
+        now: MonotonicTime,
+        straight: Millis,
+        worker_lease: Millis,
+    ) -> bool {
         if !self.is_missed(now, straight) {
             return false;
         }
@@ -240,7 +248,7 @@
             self.reach(now);
         }
         let since = *self.relayed.get_or_insert(now);
-        if now.since(since) >= Span(lease.0 / 2) {
+        if now.since(since) >= Millis(worker_lease.0 / 2) {
             self.relayed = None;
             return false;
         }
@@ -263,7 +271,7 @@
     /// answer, or so many carried out that keeping them at the worker has become a burden. The
     /// block's record, and all that is under way in the block, stay as they are. `false`: there
     /// is no higher token under this record.
-    pub fn rise(&mut self, now: Time) -> bool {
+    pub fn rise(&mut self, now: MonotonicTime) -> bool {
         self.raised = now;
         let Some(next) = self.token.raised() else {
             return false;
@@ -275,29 +283,29 @@
     }
 
     /// Whether its token was raised a moment ago: once more would only cost calls.
-    pub fn raised_lately(&self, now: Time) -> bool {
+    pub fn raised_lately(&self, now: MonotonicTime) -> bool {
         now.since(self.raised) < RISE_PAUSE
     }
 
     /// Exited tasks that only a higher token lets the worker forget.
     pub fn kept(&self) -> usize {
-        let held = |run: &&Run| !self.may_forget(run);
+        let held = |attempt: &&TaskAttempt| !self.may_forget(attempt);
         let exited = self
             .listed
             .iter()
             .filter(|(_, (state, _))| *state == TaskState::Exited);
-        exited.map(|(run, _)| run).filter(held).count()
+        exited.map(|(attempt, _)| attempt).filter(held).count()
     }
 
     /// Something of ours has arrived at the worker.
-    pub fn reach(&mut self, now: Time) {
+    pub fn reach(&mut self, now: MonotonicTime) {
         self.reached = now;
         self.failed_calls = 0;
     }
 
     /// How long nothing shows that the machine can be used: nothing came from it, or nothing of
     /// ours gets there, though its reports still come.
-    pub fn silent(&self, now: Time) -> Span {
+    pub fn silent(&self, now: MonotonicTime) -> Millis {
         let unheard = now.since(self.heard);
         if self.failed_calls >= 2 {
             unheard.max(now.since(self.reached))
@@ -306,90 +314,99 @@
         }
     }
 
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
     /// Takes a report if it is the newest. Late ones, and those that a higher token already
     /// governs, say nothing.
-    pub fn learn(&mut self, report: &Report, checkin: bool, now: Time) {
+    pub fn learn(&mut self, heartbeat: &Heartbeat, by_heartbeat: bool, now: MonotonicTime) {
         // A copy that comes late is no sign of life either.
-        if (report.session, report.seq) <= (self.session, self.seq) && self.seq != Seq(0) {
+        if (heartbeat.epoch, heartbeat.sequence) <= (self.epoch, self.sequence)
+            && self.sequence != HeartbeatSequence(0)
+        {
             return;
         }
         self.heard = self.heard.max(now);
-        if report.token == self.token && self.seen < report.token {
+        if heartbeat.token == self.token && self.seen < heartbeat.token {
             self.reach(now);
         }
-        if report.session > self.session {
+        if heartbeat.epoch > self.epoch {
             // The worker's lease ran out: it forgot all its tasks, and starts that were sent to
             // its earlier session are void.
-            self.checkin_seq = Seq(0);
+            self.heartbeat_sequence = HeartbeatSequence(0);
             self.running_since.clear();
         }
-        self.session = report.session;
-        self.seq = report.seq;
-        self.seen = report.token;
-        if checkin {
-            self.checkin_seq = report.seq;
+        self.epoch = heartbeat.epoch;
+        self.sequence = heartbeat.sequence;
+        self.seen = heartbeat.token;
+        if by_heartbeat {
+            self.heartbeat_sequence = heartbeat.sequence;
         }
-        self.addr.clone_from(&report.addr);
-        if report.token.fence() == self.fence && report.token > self.token {
+        self.addr.clone_from(&heartbeat.addr);
+        if heartbeat.token.fence() == self.fence && heartbeat.token > self.token {
             // An earlier desk of ours raised it, and what that one sent is not known here.
-            self.token = report.token.raised().unwrap_or(report.token);
+            self.token = heartbeat.token.raised().unwrap_or(heartbeat.token);
             self.void_starts();
         }
-        self.superseded = report.token > self.token;
-        self.confirmed = report.token == self.token;
-        self.notice = report.notice_s.map(|s| now + Span::from_secs(s));
-        self.listed = report
+        self.superseded = heartbeat.token > self.token;
+        self.confirmed = heartbeat.token == self.token;
+        self.notice = heartbeat.notice_s.map(|s| now + Millis::from_secs(s));
+        self.listed = heartbeat
             .tasks
             .iter()
             .filter_map(|t| {
                 let task = crate::ids::TaskId::parse(&t.task)?;
-                let run = Run {
+                let attempt = TaskAttempt {
                     task,
-                    attempt: t.attempt,
+                    number: t.attempt_number,
                 };
-                Some((run, (t.state, t.why)))
+                Some((attempt, (t.state, t.exit_reason)))
             })
             .collect();
         // A start that was carried out has arrived.
-        let started =
-            |run: &Run| self.starts.contains_key(run) && !self.running_since.contains_key(run);
+        let started = |attempt: &TaskAttempt| {
+            self.starts.contains_key(attempt) && !self.running_since.contains_key(attempt)
+        };
         if self.confirmed && self.listed.keys().any(started) {
             self.reached = now;
             self.failed_calls = 0;
         }
-        for (run, (state, _)) in &self.listed {
-            if *state == TaskState::Running && !self.running_since.contains_key(run) {
-                self.running_since.insert(run.clone(), now);
+        for (attempt, (state, _)) in &self.listed {
+            if *state == TaskState::Running && !self.running_since.contains_key(attempt) {
+                self.running_since.insert(attempt.clone(), now);
             }
         }
         let listed = &self.listed;
-        self.fresh.retain(|run| !listed.contains_key(run));
-        self.running_since.retain(|run, _| listed.contains_key(run));
-        let session = self.session;
-        self.starts.retain(|_, s| s.session >= session);
+        self.fresh.retain(|attempt| !listed.contains_key(attempt));
+        self.running_since
+            .retain(|attempt, _| listed.contains_key(attempt));
+        let epoch = self.epoch;
+        self.starts.retain(|_, s| s.epoch >= epoch);
         self.stops
-            .retain(|run, _| listed.contains_key(run) || self.starts.contains_key(run));
+            .retain(|attempt, _| listed.contains_key(attempt) || self.starts.contains_key(attempt));
     }
 
     /// What is certain about a placement. Only a report under our own token counts: no launch
     /// of an earlier holder can take effect after it.
-    pub fn presence(&self, run: &Run) -> Presence {
+    pub fn presence(&self, attempt: &TaskAttempt) -> Presence {
         if !self.confirmed {
             return Presence::Unclear;
         }
-        match self.listed.get(run) {
-            Some((TaskState::Exited, why)) => Presence::Exited(why.unwrap_or(Why::Error)),
+        match self.listed.get(attempt) {
+            Some((TaskState::Exited, exit_reason)) => {
+                Presence::Exited(exit_reason.unwrap_or(ExitReason::Error))
+            }
             Some((state, _)) => Presence::Alive(*state),
-            None => match self.starts.get(run) {
+            None => match self.starts.get(attempt) {
                 None => Presence::Absent,
                 Some(start) => match start.direct {
                     Direct::Pending | Direct::Unknown => Presence::MayAppear,
                     Direct::No | Direct::Settled => {
-                        if start.in_response.is_none_or(|seq| self.checkin_seq > seq) {
+                        if start
+                            .in_response
+                            .is_none_or(|sequence| self.heartbeat_sequence > sequence)
+                        {
                             Presence::Absent
                         } else {
                             Presence::Unclear
@@ -403,41 +420,45 @@
     /// A direct start could start the task once more after it was forgotten: one without an
     /// answer comes late, one that was carried out may be repeated. Starts in responses can't:
     /// workers drop late ones.
-    pub fn may_forget(&self, run: &Run) -> bool {
-        self.confirmed && self.starts.get(run).is_none_or(|s| s.direct == Direct::No)
+    pub fn may_forget(&self, attempt: &TaskAttempt) -> bool {
+        self.confirmed
+            && self
+                .starts
+                .get(attempt)
+                .is_none_or(|s| s.direct == Direct::No)
     }
 
     /// Whether a placement is proved gone, and nothing that was sent can start it.
-    pub fn is_gone(&self, run: &Run) -> bool {
-        let presence = self.presence(run);
+    pub fn is_gone(&self, attempt: &TaskAttempt) -> bool {
+        let presence = self.presence(attempt);
         matches!(presence, Presence::Absent | Presence::Exited(_))
     }
 
     /// Notes the outcome of direct starts. Another fence has forgotten them already.
-    pub fn settle(&mut self, orders: &[Order], direct: Direct) {
-        for order in orders {
-            if let Order::Start(run) = order
-                && let Some(start) = self.starts.get_mut(run)
+    pub fn settle(&mut self, commands: &[Command], direct: Direct) {
+        for command in commands {
+            if let Command::Launch(attempt) = command
+                && let Some(start) = self.starts.get_mut(attempt)
                 && start.direct == Direct::Pending
             {
                 start.direct = direct;
                 if direct == Direct::No && start.in_response.is_none() {
-                    self.starts.remove(run);
+                    self.starts.remove(attempt);
                 }
             }
         }
     }
 
-    pub fn mark_start(&mut self, run: &Run, direct: bool) {
-        let session = self.session;
-        let start = self.starts.entry(run.clone()).or_insert(Start {
-            session,
+    pub fn mark_start(&mut self, attempt: &TaskAttempt, direct: bool) {
+        let epoch = self.epoch;
+        let start = self.starts.entry(attempt.clone()).or_insert(Start {
+            epoch,
             direct: Direct::No,
             in_response: None,
         });
-        start.session = session;
+        start.epoch = epoch;
         if !direct {
-            start.in_response = Some(self.checkin_seq);
+            start.in_response = Some(self.heartbeat_sequence);
         } else if start.direct != Direct::Unknown {
             // An earlier one without an answer stays unanswered, whatever becomes of this one.
             start.direct = Direct::Pending;
--- a/src/workers/desk/tests.rs
+++ b/src/workers/desk/tests.rs
@@ -1,50 +1,50 @@
 use super::*;
-use crate::ids::{Attempt, TaskId};
-use crate::wire::TaskReport;
+use crate::ids::{AttemptNumber, TaskId};
+use crate::protocol::TaskStatus;
 
-fn run() -> Run {
-    Run {
+fn run() -> TaskAttempt {
+    TaskAttempt {
         task: TaskId::parse("job-1/0").expect("task"),
-        attempt: Attempt(1),
+        number: AttemptNumber(1),
     }
 }
 
 const FENCE: Revision = Revision(7);
 
-fn report(session: u64, seq: u64, fence: u64, state: Option<TaskState>) -> Report {
-    let tasks = state.into_iter().map(|state| TaskReport {
+fn heartbeat(epoch: u64, sequence: u64, fence: u64, state: Option<TaskState>) -> Heartbeat {
+    let tasks = state.into_iter().map(|state| TaskStatus {
         task: "job-1/0".into(),
-        attempt: Attempt(1),
+        attempt_number: AttemptNumber(1),
         state,
-        why: (state == TaskState::Exited).then_some(Why::Done),
+        exit_reason: (state == TaskState::Exited).then_some(ExitReason::Done),
         saved: None,
     });
-    Report {
+    Heartbeat {
         machine: "vm-1".into(),
         addr: "1.1.1.1:1".into(),
         type_name: "t".into(),
         zone: "z".into(),
         spot: false,
-        session: Session(session),
-        seq: Seq(seq),
-        token: Token::of(Revision(fence), 0),
+        epoch: WorkerEpoch(epoch),
+        sequence: HeartbeatSequence(sequence),
+        token: FencingToken::of(Revision(fence), 0),
         notice_s: None,
         tasks: tasks.collect(),
     }
 }
 
 fn desk() -> Desk {
-    let mut desk = Desk::new(FENCE, "1.1.1.1:1", Time(0));
-    desk.learn(&report(1, 1, 7, None), true, Time(1));
+    let mut desk = Desk::new(FENCE, "1.1.1.1:1", MonotonicTime(0));
+    desk.learn(&heartbeat(1, 1, 7, None), true, MonotonicTime(1));
     desk
 }
 
 #[test]
 fn absence_under_a_lower_token_proves_nothing() {
-    let mut desk = Desk::new(FENCE, "1.1.1.1:1", Time(0));
-    desk.learn(&report(1, 1, 6, None), true, Time(1));
+    let mut desk = Desk::new(FENCE, "1.1.1.1:1", MonotonicTime(0));
+    desk.learn(&heartbeat(1, 1, 6, None), true, MonotonicTime(1));
     assert_eq!(desk.presence(&run()), Presence::Unclear);
-    desk.learn(&report(1, 2, 7, None), true, Time(2));
+    desk.learn(&heartbeat(1, 2, 7, None), true, MonotonicTime(2));
     assert_eq!(desk.presence(&run()), Presence::Absent);
 }
 
@@ -52,18 +52,26 @@
 fn a_direct_start_without_an_answer_keeps_the_task_until_token_or_session_rise() {
     let mut desk = desk();
     desk.mark_start(&run(), true);
-    desk.settle(&[Order::Start(run())], Direct::Unknown);
-    desk.learn(&report(1, 5, 7, None), true, Time(3));
+    desk.settle(&[Command::Launch(run())], Direct::Unknown);
+    desk.learn(&heartbeat(1, 5, 7, None), true, MonotonicTime(3));
     assert_eq!(desk.presence(&run()), Presence::MayAppear);
     // Sent again and answered: the first copy may still come.
     desk.mark_start(&run(), true);
-    desk.settle(&[Order::Start(run())], Direct::Settled);
-    desk.learn(&report(1, 6, 7, Some(TaskState::Exited)), true, Time(4));
-    assert_eq!(desk.presence(&run()), Presence::Exited(Why::Done));
+    desk.settle(&[Command::Launch(run())], Direct::Settled);
+    desk.learn(
+        &heartbeat(1, 6, 7, Some(TaskState::Exited)),
+        true,
+        MonotonicTime(4),
+    );
+    assert_eq!(desk.presence(&run()), Presence::Exited(ExitReason::Done));
     assert!(!desk.may_forget(&run()));
-    desk.renew(Revision(9), Time(5));
+    desk.renew(Revision(9), MonotonicTime(5));
     assert!(!desk.may_forget(&run()));
-    desk.learn(&report(1, 7, 9, Some(TaskState::Exited)), true, Time(6));
+    desk.learn(
+        &heartbeat(1, 7, 9, Some(TaskState::Exited)),
+        true,
+        MonotonicTime(6),
+    );
     assert!(desk.may_forget(&run()));
 }
 
@@ -71,9 +79,9 @@
 fn a_start_in_a_response_is_settled_by_the_next_report_and_not_by_a_commands_answer() {
     let mut desk = desk();
     desk.mark_start(&run(), false);
-    desk.learn(&report(1, 2, 7, None), false, Time(2));
+    desk.learn(&heartbeat(1, 2, 7, None), false, MonotonicTime(2));
     assert_eq!(desk.presence(&run()), Presence::Unclear);
-    desk.learn(&report(1, 3, 7, None), true, Time(3));
+    desk.learn(&heartbeat(1, 3, 7, None), true, MonotonicTime(3));
     assert_eq!(desk.presence(&run()), Presence::Absent);
 }
 
@@ -81,10 +89,14 @@
 fn a_new_session_voids_what_was_sent_and_late_reports_say_nothing() {
     let mut desk = desk();
     desk.mark_start(&run(), true);
-    desk.settle(&[Order::Start(run())], Direct::Unknown);
-    desk.learn(&report(2, 1, 7, None), true, Time(2));
+    desk.settle(&[Command::Launch(run())], Direct::Unknown);
+    desk.learn(&heartbeat(2, 1, 7, None), true, MonotonicTime(2));
     assert_eq!(desk.presence(&run()), Presence::Absent);
-    desk.learn(&report(1, 9, 7, Some(TaskState::Running)), true, Time(3));
+    desk.learn(
+        &heartbeat(1, 9, 7, Some(TaskState::Running)),
+        true,
+        MonotonicTime(3),
+    );
     assert_eq!(desk.presence(&run()), Presence::Absent);
 }
 
@@ -94,17 +106,21 @@
 fn a_direct_start_that_was_answered_keeps_the_task_until_the_machines_token_rises() {
     let mut desk = desk();
     desk.mark_start(&run(), true);
-    desk.settle(&[Order::Start(run())], Direct::Settled);
-    desk.learn(&report(1, 2, 7, Some(TaskState::Exited)), true, Time(2));
+    desk.settle(&[Command::Launch(run())], Direct::Settled);
+    desk.learn(
+        &heartbeat(1, 2, 7, Some(TaskState::Exited)),
+        true,
+        MonotonicTime(2),
+    );
     assert!(!desk.may_forget(&run()));
     assert_eq!(desk.kept(), 1);
-    assert!(desk.rise(Time(3)) && desk.raised_lately(Time(4)));
-    let mut risen = report(1, 3, 7, Some(TaskState::Exited));
-    desk.learn(&risen, true, Time(4));
+    assert!(desk.rise(MonotonicTime(3)) && desk.raised_lately(MonotonicTime(4)));
+    let mut risen = heartbeat(1, 3, 7, Some(TaskState::Exited));
+    desk.learn(&risen, true, MonotonicTime(4));
     assert!(!desk.may_forget(&run()), "the worker has not seen it yet");
-    risen.seq = Seq(4);
+    risen.sequence = HeartbeatSequence(4);
     risen.token = desk.token();
-    desk.learn(&risen, true, Time(5));
+    desk.learn(&risen, true, MonotonicTime(5));
     assert!(desk.may_forget(&run()));
     assert_eq!(desk.kept(), 0);
     // A start in a response needs none of that.
@@ -114,15 +130,15 @@
 
 #[test]
 fn any_later_record_outranks_all_rises_and_a_new_desk_goes_above_those_it_meets() {
-    let mut last = Token::of(FENCE, 0);
+    let mut last = FencingToken::of(FENCE, 0);
     while let Some(next) = last.raised() {
         assert!(next > last && next.fence() == FENCE);
         last = next;
     }
-    assert!(last < Token::of(Revision(8), 0));
-    let mut desk = Desk::new(FENCE, "1.1.1.1:1", Time(0));
-    let mut met = report(1, 1, 7, None);
-    met.token = Token::of(FENCE, 3);
-    desk.learn(&met, true, Time(1));
+    assert!(last < FencingToken::of(Revision(8), 0));
+    let mut desk = Desk::new(FENCE, "1.1.1.1:1", MonotonicTime(0));
+    let mut met = heartbeat(1, 1, 7, None);
+    met.token = FencingToken::of(FENCE, 3);
+    desk.learn(&met, true, MonotonicTime(1));
     assert!(!desk.superseded && !desk.confirmed && desk.token() > met.token);
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,6 +2,6 @@
 //! placements under the block's fence before it starts them, and drops them only on proof.
 
 mod desk;
-mod holder;
+mod shard_owner;
 
-pub use holder::{CallOutcome, CheckinAnswer, Effect, Holder};
+pub use shard_owner::{CallOutcome, Effect, HeartbeatAnswer, ShardOwner};
--- a/src/workers/holder/allotments.rs
+++ b/src/workers/shard_owner/allotments.rs
@@ -2,38 +2,43 @@
 
 use super::*;
 
-impl Holder {
+impl ShardOwner {
     pub fn on_allot(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         allotment: Allotment,
-        replica: &Replica,
+        cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
         self.waiting.push((now, allotment));
-        self.place_waiting(now, replica, out);
-        self.flush(now, replica, out);
+        self.place_waiting(now, cache, out);
+        self.flush(now, cache, out);
     }
 
-    pub(super) fn place_waiting(&mut self, now: Time, replica: &Replica, out: &mut Vec<Effect>) {
+    pub(super) fn place_waiting(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
         for (since, mut allotment) in std::mem::take(&mut self.waiting) {
-            let fence = self.fence(replica, allotment.block);
-            let job = allotment.runs.first().map(|r| r.task.job.clone());
-            let live = job.as_ref().and_then(|j| replica.jobs.get(j));
+            let fence = self.fence(cache, allotment.shard);
+            let job = allotment.attempts.first().map(|r| r.task.job.clone());
+            let live = job.as_ref().and_then(|j| cache.jobs.get(j));
             let behind = fence.is_none_or(|f| f < allotment.fence)
-                || (live.is_none() && replica.revision < allotment.job_revision);
+                || (live.is_none() && cache.revision < allotment.job_revision);
             if behind && now.since(since) < ALLOT_PATIENCE {
                 self.waiting.push((since, allotment));
                 continue;
             }
             let fits = fence == Some(allotment.fence)
                 && live.is_some_and(|j| j.revision == allotment.job_revision);
-            let runs = std::mem::take(&mut allotment.runs);
+            let attempts = std::mem::take(&mut allotment.attempts);
             let mut refused = Vec::new();
             let mut touched = BTreeSet::new();
-            for run in runs {
+            for attempt in attempts {
                 let place = live.filter(|_| fits).and_then(|job| {
-                    let id = self.choose(job, &run, &allotment, replica)?;
+                    let id = self.choose(job, &attempt, &allotment, cache)?;
                     Some((job, id))
                 });
                 match place {
@@ -41,24 +46,24 @@
                         if let Some(desk) = self.desks.get_mut(&id) {
                             desk.incoming.push_back(Incoming {
                                 since: now,
-                                run,
+                                attempt,
                                 spec: job.spec.clone(),
                                 job_revision: job.revision,
                             });
                             touched.insert(id);
                         }
                     }
-                    None => refused.push(run),
+                    None => refused.push(attempt),
                 }
             }
             if !refused.is_empty() {
                 out.push(Effect::ToLeader(Message::Refused {
                     fence: allotment.fence,
-                    runs: refused,
+                    attempts: refused,
                 }));
             }
             for id in touched {
-                self.drive(now, &id, replica, out);
+                self.drive(now, &id, cache, out);
             }
         }
     }
@@ -68,24 +73,24 @@
     pub(super) fn choose(
         &self,
         job: &LiveJob,
-        run: &Run,
+        attempt: &TaskAttempt,
         allotment: &Allotment,
-        replica: &Replica,
+        cache: &WatchCache,
     ) -> Option<MachineId> {
         let need = job.spec.need();
         let fits = |id: &&MachineId| -> Option<bool> {
             let desk = self.desks.get(*id)?;
-            let record = &replica.machines.get(*id)?.record;
+            let record = &cache.machines.get(*id)?.record;
             let usable = desk.confirmed && !desk.superseded && desk.notice.is_none();
             let allowed = job
                 .spec
                 .allows(&record.type_name, &record.zone, record.spot);
-            let room = replica.machine_type(&record.type_name)?.room();
-            let freed = desk.ripe.as_ref().map_or(Amounts::default(), |r| r.freed);
+            let room = cache.machine_type(&record.type_name)?.room();
+            let freed = desk.ripe.as_ref().map_or(Resources::default(), |r| r.freed);
             let free = room + freed - record.used() - self.promised(desk);
-            let in_block = id.block(self.blocks) == allotment.block;
-            let stored = self.stored_size(desk, record, run, &job.spec) <= self.value_bytes;
-            Some(in_block && usable && allowed && need.fits(free) && stored)
+            let in_shard = id.shard(self.shards) == allotment.shard;
+            let stored = self.stored_size(desk, record, attempt, &job.spec) <= self.value_bytes;
+            Some(in_shard && usable && allowed && need.fits(free) && stored)
         };
         allotment
             .preferred
@@ -96,14 +101,20 @@
 
     /// The size of a machine's record with all that is allotted there and one placement more. What
     /// has ended is not taken off: its end needs room too.
-    fn stored_size(&self, desk: &Desk, record: &MachineRecord, run: &Run, spec: &JobSpec) -> usize {
+    fn stored_size(
+        &self,
+        desk: &Desk,
+        record: &MachineRecord,
+        attempt: &TaskAttempt,
+        spec: &JobSpec,
+    ) -> usize {
         let ends = self.value_bytes - MachineRecord::room_for_placements(self.value_bytes);
         let mut jobs = BTreeSet::new();
-        let incoming = desk.incoming.iter().map(|i| (&i.run, &*i.spec));
-        let added = incoming.chain([(run, spec)]).map(|(run, spec)| {
-            let task = size::task(run.task.index, run.attempt);
-            match jobs.insert(&run.task.job) {
-                true => record.size_of_adding(run, spec),
+        let incoming = desk.incoming.iter().map(|i| (&i.attempt, &*i.spec));
+        let added = incoming.chain([(attempt, spec)]).map(|(attempt, spec)| {
+            let task = size::task(attempt.task.index, attempt.number);
+            match jobs.insert(&attempt.task.job) {
+                true => record.size_of_adding(attempt, spec),
                 false => task,
             }
         });
@@ -113,9 +124,9 @@
     }
 
     /// What a desk has taken on that its record does not show yet.
-    pub(super) fn promised(&self, desk: &Desk) -> Amounts {
+    pub(super) fn promised(&self, desk: &Desk) -> Resources {
         desk.incoming
             .iter()
-            .fold(Amounts::default(), |sum, i| sum + i.spec.need())
+            .fold(Resources::default(), |sum, i| sum + i.spec.need())
     }
 }
--- a/src/workers/holder/commands.rs
+++ b/src/workers/shard_owner/commands.rs
@@ -2,90 +2,92 @@
 
 use super::*;
 
-impl Holder {
+impl ShardOwner {
     /// The commands that are due; what they change is noted as sent.
-    pub(super) fn orders(
+    pub(super) fn commands(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         id: &MachineId,
-        replica: &Replica,
+        cache: &WatchCache,
         direct: bool,
-    ) -> Vec<Order> {
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), replica.machines.get(id)) else {
+    ) -> Vec<Command> {
+        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
             return Vec::new();
         };
-        let mut orders = Vec::new();
-        for (run, _) in machine.record.runs() {
-            let cancelled = !replica.jobs.contains_key(&run.task.job);
-            let stop = match desk.stops.get(&run) {
-                _ if cancelled => Some(Span(0)),
+        let mut commands = Vec::new();
+        for (attempt, _) in machine.record.runs() {
+            let cancelled = !cache.jobs.contains_key(&attempt.task.job);
+            let stop = match desk.stops.get(&attempt) {
+                _ if cancelled => Some(Millis(0)),
                 Some((grace, _)) => Some(*grace),
                 None => None,
             };
-            let presence = desk.presence(&run);
+            let presence = desk.presence(&attempt);
             match (presence, stop) {
                 (Presence::Alive(state), Some(grace)) => {
-                    let saving = state == TaskState::Saving && grace > Span(0);
-                    let entry = desk.stops.entry(run.clone()).or_insert((grace, None));
+                    let saving = state == TaskState::Saving && grace > Millis(0);
+                    let entry = desk.stops.entry(attempt.clone()).or_insert((grace, None));
                     let due = entry.1.is_none_or(|at| now.since(at) >= STOP_RETRY);
                     if due && !saving {
                         entry.1 = Some(now);
-                        orders.push(Order::Stop(run, grace));
+                        commands.push(Command::Stop(attempt, grace));
                     }
                 }
-                (Presence::Absent | Presence::MayAppear, None) if desk.fresh.contains(&run) => {
+                (Presence::Absent | Presence::MayAppear, None) if desk.fresh.contains(&attempt) => {
                     let pending = desk
                         .starts
-                        .get(&run)
+                        .get(&attempt)
                         .is_some_and(|s| s.direct == Direct::Pending);
                     let unanswered = direct && presence == Presence::MayAppear;
                     if !unanswered && !pending {
-                        desk.mark_start(&run, direct);
-                        orders.push(Order::Start(run));
+                        desk.mark_start(&attempt, direct);
+                        commands.push(Command::Launch(attempt));
                     }
                 }
                 _ => {}
             }
-            if orders.len() >= COMMAND_BATCH {
+            if commands.len() >= COMMAND_BATCH {
                 break;
             }
         }
         // Exited tasks whose end is recorded are forgotten, never sooner: a forgotten task
         // would start again if its start came a second time.
-        let finished: Vec<Run> = desk
+        let finished: Vec<TaskAttempt> = desk
             .listed
             .iter()
-            .filter(|(run, (state, _))| {
-                *state == TaskState::Exited && !machine.record.holds(run) && desk.may_forget(run)
+            .filter(|(attempt, (state, _))| {
+                *state == TaskState::Exited
+                    && !machine.record.holds(attempt)
+                    && desk.may_forget(attempt)
             })
-            .map(|(run, _)| run.clone())
+            .map(|(attempt, _)| attempt.clone())
             .collect();
-        let in_flight = |run: &Run| desk.incoming.iter().any(|i| i.run == *run);
-        for run in finished {
-            if !in_flight(&run) && orders.len() < COMMAND_BATCH && !direct {
-                desk.starts.remove(&run);
-                orders.push(Order::Forget(run));
+        let in_flight = |attempt: &TaskAttempt| desk.incoming.iter().any(|i| i.attempt == *attempt);
+        for attempt in finished {
+            if !in_flight(&attempt) && commands.len() < COMMAND_BATCH && !direct {
+                desk.starts.remove(&attempt);
+                commands.push(Command::Forget(attempt));
             }
         }
         // What runs without a placement is nobody's: it is stopped.
-        for (run, (state, _)) in &desk.listed {
-            if *state != TaskState::Exited && !machine.record.holds(run) && desk.confirmed {
-                orders.push(Order::Stop(run.clone(), Span(0)));
+        for (attempt, (state, _)) in &desk.listed {
+            if *state != TaskState::Exited && !machine.record.holds(attempt) && desk.confirmed {
+                commands.push(Command::Stop(attempt.clone(), Millis(0)));
             }
         }
-        orders
+        commands
     }
 
     /// Sends direct commands: to take a machine over, to start and stop at once, to probe.
     pub(super) fn command(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         id: &MachineId,
-        replica: &Replica,
+        cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let report = self.report;
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), replica.machines.get(id)) else {
+        let heartbeat = self.heartbeat_interval;
+        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
             return;
         };
         // What can't bring its reports here can't be reached from here either.
@@ -93,51 +95,52 @@
             return;
         }
         // Reports show that the machine lives, not that anything reaches it.
-        let quiet = now.since(desk.heard) > report + Span(report.0 / 4 + 300)
-            || now.since(desk.reached) > Span(4 * report.0 + 2000);
+        let quiet = now.since(desk.heard) > heartbeat + Millis(heartbeat.0 / 4 + 300)
+            || now.since(desk.reached) > Millis(4 * heartbeat.0 + 2000);
         let rises = desk.confirmed && !quiet && !desk.raised_lately(now);
-        if rises && wants_rise(desk, machine, replica) && !desk.rise(now) {
-            out.push(Effect::RenewBlock(id.block(self.blocks)));
+        if rises && wants_rise(desk, machine, cache) && !desk.rise(now) {
+            out.push(Effect::RenewShard(id.shard(self.shards)));
         }
         let take_over = !desk.confirmed;
-        let orders = if take_over {
+        let commands = if take_over {
             Vec::new()
         } else {
-            self.orders(now, id, replica, true)
+            self.commands(now, id, cache, true)
         };
         let Some(desk) = self.desks.get_mut(id) else {
             return;
         };
-        if orders.is_empty() && !quiet && !take_over {
+        if commands.is_empty() && !quiet && !take_over {
             return;
         }
-        desk.call = Some(orders.clone());
+        desk.call = Some(commands.clone());
         desk.next_call = now
             + if take_over || quiet {
                 CALL_RETRY
             } else {
-                Span(0)
+                Millis(0)
             };
         out.push(Effect::Call {
             machine: id.clone(),
             addr: desk.addr.clone(),
             token: desk.token(),
-            session: desk.session,
-            orders,
+            epoch: desk.epoch,
+            commands,
         });
     }
 }
 
 /// Whether only a higher token helps: a cancelled task whose start has no answer, which can only
 /// be fenced off; or many exited ones whose start could be repeated once they were forgotten.
-pub(super) fn wants_rise(desk: &Desk, machine: &LiveMachine, replica: &Replica) -> bool {
+pub(super) fn wants_rise(desk: &Desk, machine: &LiveMachine, cache: &WatchCache) -> bool {
     let burden = desk.listed.len() > KEPT && desk.incoming.is_empty() && desk.kept() > KEPT;
     let stuck = || {
-        machine.record.runs().any(|(run, _)| {
-            let wanted = !desk.stops.contains_key(&run) && replica.jobs.contains_key(&run.task.job);
-            let start = desk.starts.get(&run);
+        machine.record.runs().any(|(attempt, _)| {
+            let wanted =
+                !desk.stops.contains_key(&attempt) && cache.jobs.contains_key(&attempt.task.job);
+            let start = desk.starts.get(&attempt);
             let unanswered = start.is_some_and(|s| s.direct == Direct::Unknown);
-            !wanted && unanswered && desk.presence(&run) == Presence::MayAppear
+            !wanted && unanswered && desk.presence(&attempt) == Presence::MayAppear
         })
     };
     burden || stuck()
--- a/src/workers/holder/records.rs
+++ b/src/workers/shard_owner/records.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-impl Holder {
+impl ShardOwner {
     /// Notes what a machine's record lacks: what is proved gone, what was allotted, what is done.
     pub(super) fn ripen(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         id: &MachineId,
-        replica: &Replica,
+        cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), replica.machines.get(id)) else {
+        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
             self.ripe.remove(id);
             return;
         };
@@ -19,11 +19,12 @@
             desk.uncertain = None;
         }
         // A placement that was committed after all is no longer on its way.
-        desk.incoming.retain(|i| !machine.record.holds(&i.run));
-        desk.rejected.retain(|run| !machine.record.holds(run));
+        desk.incoming.retain(|i| !machine.record.holds(&i.attempt));
+        desk.rejected
+            .retain(|attempt| !machine.record.holds(attempt));
         let idle = desk.txn.is_none();
         let stands = |i: &Incoming| {
-            let job = replica.jobs.get(&i.run.task.job);
+            let job = cache.jobs.get(&i.attempt.task.job);
             let late = idle && now.since(i.since) >= GIVEN_BACK;
             !late && job.is_some_and(|j| j.revision == i.job_revision)
         };
@@ -31,7 +32,7 @@
             let all = std::mem::take(&mut desk.incoming);
             let (kept, gone): (VecDeque<_>, VecDeque<_>) = all.into_iter().partition(stands);
             desk.incoming = kept;
-            desk.rejected.extend(gone.into_iter().map(|i| i.run));
+            desk.rejected.extend(gone.into_iter().map(|i| i.attempt));
         }
         if desk.txn.is_some() {
             self.ripe.remove(id);
@@ -40,11 +41,11 @@
         if desk.uncertain.is_none() && !desk.rejected.is_empty() {
             out.push(Effect::ToLeader(Message::Refused {
                 fence: desk.fence,
-                runs: std::mem::take(&mut desk.rejected),
+                attempts: std::mem::take(&mut desk.rejected),
             }));
         }
         let touch = desk.uncertain.is_some() && !desk.rejected.is_empty();
-        let ripe = ripe(desk, machine, replica, touch, now);
+        let ripe = ripe(desk, machine, cache, touch, now);
         if let Some(ripe) = &ripe {
             self.ripe.insert(id.clone());
             self.urgent |= ripe.urgent && now >= desk.retry_at;
@@ -56,21 +57,21 @@
 
     /// Writes records while there are changes for it, those that are worth most first. What
     /// people or other decisions wait for goes at once.
-    pub(super) fn flush(&mut self, now: Time, replica: &Replica, out: &mut Vec<Effect>) {
+    pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
         if self.ripe.is_empty() || (now < self.next_flush && !self.urgent) {
             return;
         }
         self.urgent = false;
-        self.next_flush = now + Span((self.ripe.len() / RIPE_PER_MS) as u64);
+        self.next_flush = now + Millis((self.ripe.len() / RIPE_PER_MS) as u64);
         let scarce = !self.records.allows(now, 1.0, Class::Place);
         let leisure = self.records.part(now) >= LEISURE;
-        let mut order: Vec<(u64, &MachineId)> = Vec::new();
+        let mut command: Vec<(u64, &MachineId)> = Vec::new();
         for id in &self.ripe {
             let Some(desk) = self.desks.get(id) else {
                 continue;
             };
             let waits = now < desk.retry_at
-                || (replica.revision < desk.retry_revision && now < desk.retry_at + Span(2000));
+                || (cache.revision < desk.retry_revision && now < desk.retry_at + Millis(2000));
             if let Some(ripe) = desk.ripe.as_ref().filter(|_| !waits && !desk.superseded)
                 && (leisure || now.since(ripe.since) >= GATHER)
                 && (ripe.urgent || (!scarce && ripe.worth(now) > 0))
@@ -80,17 +81,17 @@
                 } else {
                     ripe.worth(now)
                 };
-                order.push((worth, id));
+                command.push((worth, id));
             }
         }
-        order.sort_by_key(|(worth, _)| std::cmp::Reverse(*worth));
-        let order: Vec<(u64, MachineId)> =
-            order.into_iter().map(|(w, id)| (w, id.clone())).collect();
-        for (worth, id) in order {
+        command.sort_by_key(|(worth, _)| std::cmp::Reverse(*worth));
+        let command: Vec<(u64, MachineId)> =
+            command.into_iter().map(|(w, id)| (w, id.clone())).collect();
+        for (worth, id) in command {
             if worth < u64::MAX && !self.records.allows(now, 1.0, Class::Place) {
                 break;
             }
-            if self.commit(now, &id, replica, out) {
+            if self.commit(now, &id, cache, out) {
                 self.records.spend(1.0);
             }
         }
@@ -100,43 +101,43 @@
     /// change under the fence.
     pub(super) fn commit(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         id: &MachineId,
-        replica: &Replica,
+        cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) -> bool {
         self.ripe.remove(id);
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), replica.machines.get(id)) else {
+        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
             return false;
         };
         let Some(ripe) = desk.ripe.take() else {
             return false;
         };
         let mut txn = Txn::default();
-        txn.require(keys::block(id.block(self.blocks)), desk.fence);
+        txn.require(keys::shard(id.shard(self.shards)), desk.fence);
         txn.require(keys::machine(id), machine.revision);
         let mut record = machine.record.clone();
         let segment_tasks = self.segment_tasks;
         record.done.retain(|done| {
-            let job = replica.jobs.get(&done.job);
+            let job = cache.jobs.get(&done.job);
             job.is_some_and(|j| j.needs(done, segment_tasks))
         });
         let mut ended = Vec::new();
-        for (run, _) in ripe.ended {
-            let Some(end) = ended_as(desk, &run, replica) else {
+        for (attempt, _) in ripe.ended {
+            let Some(end) = ended_as(desk, &attempt, cache) else {
                 continue;
             };
-            let job = replica.jobs.get(&run.task.job);
-            if let (End::Done, Some(job)) = (end, job) {
+            let job = cache.jobs.get(&attempt.task.job);
+            if let (AttemptOutcome::Done, Some(job)) = (end, job) {
                 // The tasks of a gang complete together: when one is done, all are. So the loss
                 // of a machine just then does not leave the rest to be run again.
                 match job.spec.kind {
-                    Kind::Gang => record.count(&run.task.job, 0, job.spec.tasks - 1),
-                    _ => record.count(&run.task.job, run.task.index, run.task.index),
+                    JobKind::Gang => record.count(&attempt.task.job, 0, job.spec.tasks - 1),
+                    _ => record.count(&attempt.task.job, attempt.task.index, attempt.task.index),
                 }
             }
-            record.remove(&run);
-            ended.push((run, end));
+            record.remove(&attempt);
+            ended.push((attempt, end));
         }
         add_incoming(desk, &mut record, &mut txn, self.value_bytes, self.txn_ops);
         if record.size() > self.value_bytes && desk.too_large {
@@ -145,7 +146,7 @@
             return false;
         }
         desk.too_large = false;
-        let placed = |run: &Run| record.holds(run);
+        let placed = |attempt: &TaskAttempt| record.holds(attempt);
         desk.fresh.retain(placed);
         let touch = desk.uncertain.is_some() && !desk.rejected.is_empty();
         if record == machine.record && !touch {
@@ -176,36 +177,40 @@
     let mut jobs_added = BTreeSet::new();
     let mut too_large = BTreeSet::new();
     for incoming in &desk.incoming {
-        let job = &incoming.run.task.job;
+        let job = &incoming.attempt.task.job;
         if !jobs_added.contains(job) && txn.conditions.len() + 1 > 4 * txn_ops {
             break;
         }
-        let added = record.size_of_adding(&incoming.run, &incoming.spec);
+        let added = record.size_of_adding(&incoming.attempt, &incoming.spec);
         if record.size() + added > value_bytes {
-            too_large.insert(incoming.run.clone());
+            too_large.insert(incoming.attempt.clone());
             continue;
         }
         if jobs_added.insert(job.clone()) {
             txn.require(keys::job(job), incoming.job_revision);
         }
-        record.add(&incoming.run, &incoming.spec);
-        desk.fresh.insert(incoming.run.clone());
+        record.add(&incoming.attempt, &incoming.spec);
+        desk.fresh.insert(incoming.attempt.clone());
     }
-    desk.incoming.retain(|i| !too_large.contains(&i.run));
+    desk.incoming.retain(|i| !too_large.contains(&i.attempt));
     desk.rejected.extend(too_large);
 }
 
 /// How a placement has ended, once that is proved.
-pub(super) fn ended_as(desk: &Desk, run: &Run, replica: &Replica) -> Option<End> {
-    match desk.presence(run) {
-        Presence::Exited(Why::Done) => Some(End::Done),
-        Presence::Exited(why) => Some(End::Exited(why)),
+pub(super) fn ended_as(
+    desk: &Desk,
+    attempt: &TaskAttempt,
+    cache: &WatchCache,
+) -> Option<AttemptOutcome> {
+    match desk.presence(attempt) {
+        Presence::Exited(ExitReason::Done) => Some(AttemptOutcome::Done),
+        Presence::Exited(exit_reason) => Some(AttemptOutcome::Exited(exit_reason)),
         Presence::Absent
-            if desk.stops.contains_key(run)
-                || !desk.fresh.contains(run)
-                || !replica.jobs.contains_key(&run.task.job) =>
+            if desk.stops.contains_key(attempt)
+                || !desk.fresh.contains(attempt)
+                || !cache.jobs.contains_key(&attempt.task.job) =>
         {
-            Some(End::Absent)
+            Some(AttemptOutcome::Absent)
         }
         _ => None,
     }
@@ -215,30 +220,30 @@
 pub(super) fn ripe(
     desk: &Desk,
     machine: &LiveMachine,
-    replica: &Replica,
+    cache: &WatchCache,
     touch: bool,
-    now: Time,
+    now: MonotonicTime,
 ) -> Option<Ripe> {
     let mut ripe = Ripe {
         since: desk.ripe.as_ref().map_or(now, |r| r.since),
         incoming: desk.incoming.len(),
         ended: Vec::new(),
-        freed: Amounts::default(),
+        freed: Resources::default(),
         idle: false,
         urgent: touch,
     };
-    let waited_for = |kind: Kind| kind != Kind::Array;
+    let waited_for = |kind: JobKind| kind != JobKind::Array;
     ripe.urgent |= desk.incoming.iter().any(|i| waited_for(i.spec.kind));
-    for (run, placed) in machine.record.runs() {
-        let Some(end) = ended_as(desk, &run, replica) else {
+    for (attempt, placed) in machine.record.runs() {
+        let Some(end) = ended_as(desk, &attempt, cache) else {
             continue;
         };
         ripe.freed = ripe.freed + placed.need;
-        if let Some(job) = replica.jobs.get(&run.task.job) {
+        if let Some(job) = cache.jobs.get(&attempt.task.job) {
             // A failure waits to be tried elsewhere.
-            ripe.urgent |= waited_for(job.spec.kind) || end != End::Done;
+            ripe.urgent |= waited_for(job.spec.kind) || end != AttemptOutcome::Done;
         }
-        ripe.ended.push((run, end == End::Done));
+        ripe.ended.push((attempt, end == AttemptOutcome::Done));
     }
     ripe.idle = ripe.incoming == 0 && ripe.ended.len() == machine.record.runs().count();
     (touch || ripe.incoming > 0 || !ripe.ended.is_empty()).then_some(ripe)
