--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -6,7 +6,7 @@
 use crate::protocol::store::Txn;
 use crate::protocol::{JobKind, JobSpec, JobState};
 use crate::store::keys;
-use crate::store::records::{JobRecord, OverRecord};
+use crate::store::records::{FinalRecord, JobRecord};
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 
 /// How one of the named jobs stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum DependencyState {
     /// Accepted and not over.
     Live {
         kind: JobKind,
@@ -44,22 +44,22 @@
 impl Dependencies {
     /// Sums up how the jobs stand that `job` names. What is refused for good comes first, then
     /// what is not known.
-    pub fn of(job: &JobId, named: Vec<(JobId, Named)>) -> Self {
+    pub fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
         let (mut open, mut unknown, mut cancelled) = (Vec::new(), false, false);
-        for (id, standing) in named {
+        for (id, state) in named {
             if id == *job {
                 return Self::Refused(format!("{id} can't need itself"));
             }
-            match standing {
-                Named::Live {
+            match state {
+                DependencyState::Live {
                     kind: JobKind::Service,
                     ..
                 } => return Self::Refused(format!("{id} is a service: it is never done")),
-                Named::Never => return Self::Refused(format!("{id} was never accepted")),
-                Named::Live { revision, .. } => open.push((id, revision)),
-                Named::Done => {}
-                Named::Cancelled => cancelled = true,
-                Named::Unknown => unknown = true,
+                DependencyState::Never => return Self::Refused(format!("{id} was never accepted")),
+                DependencyState::Live { revision, .. } => open.push((id, revision)),
+                DependencyState::Done => {}
+                DependencyState::Cancelled => cancelled = true,
+                DependencyState::Unknown => unknown = true,
             }
         }
         match (unknown, cancelled, open.is_empty()) {
@@ -82,11 +82,11 @@
         let open = match self {
             Self::Refused(_) | Self::Unknown => return None,
             Self::Cancelled => {
-                let record = OverRecord {
+                let record = FinalRecord {
                     state: JobState::Cancelled,
                     tasks: spec.tasks,
                 };
-                txn.put(keys::over(&spec.id), &record, None);
+                txn.put(keys::final_state(&spec.id), &record, None);
                 return Some((txn, JobState::Cancelled));
             }
             Self::Done => &[][..],
@@ -107,13 +107,13 @@
 pub fn new_job(id: &JobId) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
-    txn.require(keys::over(id), Revision(0));
+    txn.require(keys::final_state(id), Revision(0));
     txn
 }
 
 /// How a job stands that the mirror shows. That one is missing there proves nothing.
-pub fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<Named> {
-    Some(Named::Live {
+pub fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
+    Some(DependencyState::Live {
         kind: cache.job_spec(id)?.kind,
         revision: cache.job_revision(id)?,
     })
@@ -121,7 +121,7 @@
 
 /// The cancellation of everything that needs a job, step by step.
 #[derive(Debug)]
-pub struct Cascade {
+pub struct CancellationCascade {
     cancelled: Vec<JobId>,
     /// The last change that cancelled any of them.
     revision: Revision,
@@ -137,7 +137,7 @@
     Write(Txn, Vec<JobId>),
 }
 
-impl Cascade {
+impl CancellationCascade {
     /// `revision`: the change that cancelled the job.
     pub fn new(job: &JobId, revision: Revision) -> Self {
         Self {
@@ -152,7 +152,7 @@
         let mut cancelled = self.cancelled.iter();
         let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
         let found = self.cancelled.iter();
-        let found = found.flat_map(|id| cache.waiting.descendants(id));
+        let found = found.flat_map(|id| cache.dependency_graph.descendants(id));
         let new: BTreeSet<JobId> = found.filter(|id| !self.cancelled.contains(id)).collect();
         self.cancelled.extend(new);
         match next {
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -3,15 +3,13 @@
 
 const OPS: usize = 4;
 
-fn live(kind: JobKind) -> Named {
+fn live(kind: JobKind) -> DependencyState {
     let revision = Revision(7);
-    Named::Live { kind, revision }
+    DependencyState::Live { kind, revision }
 }
 
-fn decide(named: &[(&str, Named)]) -> Dependencies {
-    let named = named
-        .iter()
-        .map(|(id, standing)| (JobId::from(*id), *standing));
+fn decide(named: &[(&str, DependencyState)]) -> Dependencies {
+    let named = named.iter().map(|(id, state)| (JobId::from(*id), *state));
     Dependencies::of(&"job-9".into(), named.collect())
 }
 
@@ -20,18 +18,33 @@
 fn named_jobs_are_summed_up_by_the_worst_of_them() {
     let array = live(JobKind::Array);
     let cases = [
-        (vec![("job-1", Named::Done), ("job-2", Named::Done)], "done"),
-        (vec![("job-1", array), ("job-2", Named::Done)], "open"),
         (
-            vec![("job-1", array), ("job-2", Named::Cancelled)],
+            vec![
+                ("job-1", DependencyState::Done),
+                ("job-2", DependencyState::Done),
+            ],
+            "done",
+        ),
+        (
+            vec![("job-1", array), ("job-2", DependencyState::Done)],
+            "open",
+        ),
+        (
+            vec![("job-1", array), ("job-2", DependencyState::Cancelled)],
             "cancelled",
         ),
         (
-            vec![("job-1", Named::Cancelled), ("job-2", Named::Unknown)],
+            vec![
+                ("job-1", DependencyState::Cancelled),
+                ("job-2", DependencyState::Unknown),
+            ],
             "unknown",
         ),
         (
-            vec![("job-1", Named::Unknown), ("job-2", Named::Never)],
+            vec![
+                ("job-1", DependencyState::Unknown),
+                ("job-2", DependencyState::Never),
+            ],
             "refused",
         ),
         (
@@ -39,7 +52,7 @@
             "refused",
         ),
         (
-            vec![("job-1", Named::Cancelled), ("job-9", array)],
+            vec![("job-1", DependencyState::Cancelled), ("job-9", array)],
             "refused",
         ),
     ];
@@ -76,7 +89,7 @@
     let open = decide(&[("job-1", live(JobKind::Gang))]);
     let (txn, state) = open.accept(&job, UnixTime(5), OPS).expect("accepted");
     assert_eq!(state, JobState::Queued);
-    assert!(record(&txn).is_waiting());
+    assert!(record(&txn).is_blocked());
     let parent = txn
         .conditions
         .iter()
@@ -85,7 +98,7 @@
     let (txn, _) = Dependencies::Done
         .accept(&job, UnixTime(5), OPS)
         .expect("accepted");
-    assert!(!record(&txn).is_waiting());
+    assert!(!record(&txn).is_blocked());
     let (txn, state) = Dependencies::Cancelled
         .accept(&job, UnixTime(5), OPS)
         .expect("accepted");
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -1,18 +1,18 @@
 //! Submissions that name other jobs, over HTTP against a stand-in of the state service.
 
+use crate::api::JobApi;
+use crate::api::job_api::tests::{Scene, body, stand};
 use crate::http::Response;
 use crate::ids::{Incarnation, LeaseId, Member};
-use crate::intake::Intake;
-use crate::intake::service::tests::{Scene, body, stand};
 use crate::protocol::JobState;
 use crate::runtime;
 use crate::store::keys;
-use crate::store::records::{MemberRecord, OverRecord, ProgramVersion};
+use crate::store::records::{FinalRecord, MemberRecord, ProgramVersion};
 use serde_json::{Value, json};
 
-async fn submit(intake: &Intake, id: &str, awaits: Value) -> Response {
+async fn submit(api: &JobApi, id: &str, awaits: Value) -> Response {
     let body = body(id, |b| b["awaits"] = awaits.clone());
-    intake.submit(&body).await
+    api.submit(&body).await
 }
 
 fn told(response: &Response) -> (u16, String) {
@@ -24,14 +24,14 @@
 fn what_can_be_named_is_told_from_what_cannot() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, _asked) = scene.intake(true);
-        assert_eq!(submit(&intake, "job-1", json!(null)).await.status, 201);
-        let service = body("job-2", |b| b["shape"] = json!("daemon"));
-        assert_eq!(intake.submit(&service).await.status, 201);
+        let (api, _asked) = scene.api(true);
+        assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
+        let job_api = body("job-2", |b| b["shape"] = json!("daemon"));
+        assert_eq!(api.submit(&job_api).await.status, 201);
         // At the controller that accepted them, and at one whose mirror shows them.
-        let (other, _asked_there) = scene.intake(true);
+        let (other, _asked_there) = scene.api(true);
         scene.catch_up(&other);
-        for (n, intake) in [&intake, &other].into_iter().enumerate() {
+        for (n, api) in [&api, &other].into_iter().enumerate() {
             let id = format!("job-1{n}");
             let cases = [
                 (json!(["job-9"]), 422, "job-9"),
@@ -42,15 +42,15 @@
                 (json!([1]), 400, "awaits"),
             ];
             for (awaits, status, named) in cases {
-                let refused = told(&submit(intake, &id, awaits.clone()).await);
+                let refused = told(&submit(api, &id, awaits.clone()).await);
                 assert!(
                     refused.0 == status && refused.1.contains(named),
                     "{awaits} {refused:?}"
                 );
             }
-            let accepted = submit(intake, &id, json!(["job-1", "job-1"])).await;
+            let accepted = submit(api, &id, json!(["job-1", "job-1"])).await;
             assert_eq!(stand(&accepted), (201, "pending".into()));
-            assert_eq!(stand(&intake.poll(&id).await), (200, "pending".into()));
+            assert_eq!(stand(&api.poll(&id).await), (200, "pending".into()));
         }
     })
     .expect("loop");
@@ -62,12 +62,12 @@
 fn long_lists_and_times_without_answers_are_told_apart() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, _asked) = scene.intake(true);
+        let (api, _asked) = scene.api(true);
         let many: Vec<String> = (0..2000).map(|n| format!("job-{n:06}")).collect();
-        assert_eq!(submit(&intake, "job-1", json!(many)).await.status, 422);
-        assert_eq!(submit(&intake, "job-1", json!(null)).await.status, 201);
+        assert_eq!(submit(&api, "job-1", json!(many)).await.status, 422);
+        assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         scene.state.borrow_mut().away = true;
-        let (fresh, _asked_there) = scene.intake(true);
+        let (fresh, _asked_there) = scene.api(true);
         let refused = submit(&fresh, "job-3", json!(["job-1"])).await;
         assert!(refused.status == 503 && refused.retry_after.is_some());
         scene.state.borrow_mut().away = false;
@@ -88,16 +88,16 @@
 fn a_repeat_of_an_accepted_job_comes_before_all_checks() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, _asked) = scene.intake(true);
-        assert_eq!(submit(&intake, "job-1", json!(null)).await.status, 201);
-        assert_eq!(submit(&intake, "job-3", json!(["job-1"])).await.status, 201);
+        let (api, _asked) = scene.api(true);
+        assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
+        assert_eq!(submit(&api, "job-3", json!(["job-1"])).await.status, 201);
         for awaits in [
             json!(["job-1"]),
             json!(["job-9"]),
             json!("job-1"),
             json!(["job-3"]),
         ] {
-            let known = submit(&intake, "job-3", awaits.clone()).await;
+            let known = submit(&api, "job-3", awaits.clone()).await;
             assert_eq!(stand(&known), (200, "pending".into()), "{awaits}");
         }
     })
@@ -110,18 +110,19 @@
 fn named_jobs_that_are_over_decide_at_once() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, _asked) = scene.intake(true);
+        let (api, _asked) = scene.api(true);
         for (id, state) in [("job-1", JobState::Done), ("job-2", JobState::Cancelled)] {
-            let record = json!(OverRecord { state, tasks: 4 });
+            let record = json!(FinalRecord { state, tasks: 4 });
             let mut held = scene.state.borrow_mut();
             held.revision += 1;
             let at = held.revision;
-            held.keys.insert(keys::over(&id.into()), (record, at));
+            held.keys
+                .insert(keys::final_state(&id.into()), (record, at));
         }
-        let cancelled = submit(&intake, "job-3", json!(["job-1", "job-2"])).await;
+        let cancelled = submit(&api, "job-3", json!(["job-1", "job-2"])).await;
         assert_eq!(stand(&cancelled), (201, "withdrawn".into()));
         assert!(!scene.state.borrow().keys.contains_key("live/job/job-3"));
-        let ready = submit(&intake, "job-4", json!(["job-1"])).await;
+        let ready = submit(&api, "job-4", json!(["job-1"])).await;
         assert_eq!(stand(&ready), (201, "pending".into()));
         let held = scene.state.borrow();
         assert!(held.keys["live/job/job-4"].0["released"].is_u64());
@@ -134,8 +135,8 @@
 fn jobs_that_name_others_are_put_off_while_an_earlier_version_takes_part() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, _asked) = scene.intake(true);
-        assert_eq!(submit(&intake, "job-1", json!(null)).await.status, 201);
+        let (api, _asked) = scene.api(true);
+        assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         let key = keys::member(&Member::from("c1"));
         let write = |version| {
             let record = MemberRecord {
@@ -147,14 +148,14 @@
             let at = held.revision;
             held.keys.insert(key.clone(), (json!(record), at));
             drop(held);
-            scene.catch_up(&intake);
+            scene.catch_up(&api);
         };
         write(ProgramVersion::default());
-        let put_off = submit(&intake, "job-3", json!(["job-1"])).await;
+        let put_off = submit(&api, "job-3", json!(["job-1"])).await;
         assert!(put_off.status == 503 && put_off.retry_after.is_some());
-        assert_eq!(submit(&intake, "job-2", json!(null)).await.status, 201);
+        assert_eq!(submit(&api, "job-2", json!(null)).await.status, 201);
         write(ProgramVersion::CURRENT);
-        assert_eq!(submit(&intake, "job-3", json!(["job-1"])).await.status, 201);
+        assert_eq!(submit(&api, "job-3", json!(["job-1"])).await.status, 201);
     })
     .expect("loop");
 }
@@ -164,33 +165,33 @@
 fn a_cancellation_is_told_after_what_needs_the_job_is_cancelled() {
     runtime::run(async {
         let scene = Scene::new();
-        let (intake, mut asked) = scene.intake(true);
+        let (api, mut asked) = scene.api(true);
         let mut scope = runtime::Scope::default();
         scope.spawn(async move {
             while let Some(cancellation) = asked.recv().await {
                 cancellation.settled.send(true);
             }
         });
-        assert_eq!(submit(&intake, "job-1", json!(null)).await.status, 201);
-        assert_eq!(submit(&intake, "job-2", json!(["job-1"])).await.status, 201);
-        assert_eq!(submit(&intake, "job-3", json!(["job-2"])).await.status, 201);
+        assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
+        assert_eq!(submit(&api, "job-2", json!(["job-1"])).await.status, 201);
+        assert_eq!(submit(&api, "job-3", json!(["job-2"])).await.status, 201);
         // Its mirror has not come up to the cancellation: it can't know of all that need the job.
-        assert_eq!(intake.cancel("job-1").await.status, 503);
+        assert_eq!(api.cancel("job-1").await.status, 503);
         assert!(scene.state.borrow().keys.contains_key("live/job/job-2"));
-        scene.catch_up(&intake);
-        let mut answer = intake.cancel("job-1").await;
+        scene.catch_up(&api);
+        let mut answer = api.cancel("job-1").await;
         for _ in 0..3 {
             if answer.status == 200 {
                 break;
             }
-            scene.catch_up(&intake);
-            answer = intake.cancel("job-1").await;
+            scene.catch_up(&api);
+            answer = api.cancel("job-1").await;
         }
         assert_eq!(stand(&answer), (200, "withdrawn".into()));
         for job in ["job-2", "job-3"] {
             let live = keys::job(&job.into());
             assert!(!scene.state.borrow().keys.contains_key(&live), "{job}");
-            let record = &scene.state.borrow().keys[&keys::over(&job.into())].0;
+            let record = &scene.state.borrow().keys[&keys::final_state(&job.into())].0;
             assert_eq!(record["state"], "withdrawn", "{job}");
         }
     })
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -1,8 +1,8 @@
 //! Submissions, polls and withdrawals, each decided by the state service.
 
 use super::dependencies::new_job;
-use super::over::{Over, OverCache};
-use super::verify::{Verdict, Verifier};
+use super::final_state::{FinalState, FinalStateCache};
+use super::revision_check::{RevisionChecker, RevisionStatus};
 use crate::config::Config;
 use crate::controller::Controller;
 use crate::http::Response;
@@ -10,8 +10,8 @@
 use crate::protocol::store::{Item, Txn};
 use crate::protocol::{Catalog, JobKind, JobSpec, JobState, JobStatus, submitted_id, valid_job_id};
 use crate::runtime::{Sender, oneshot};
-use crate::store::records::{JobRecord, OverRecord};
-use crate::store::tokens::Class;
+use crate::store::rate_limiter::RequestClass;
+use crate::store::records::{FinalRecord, JobRecord};
 use crate::store::{Store, StoreError, TxnOutcome, keys};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -19,14 +19,14 @@
 use std::time::Instant;
 
 /// Short, since what stands in the way is mostly over in a second or two.
-const COME_BACK: u32 = 1;
+const RETRY_AFTER_S: u32 = 1;
 
-pub struct Intake {
+pub struct JobApi {
     pub(super) config: Config,
     pub(super) store: Rc<Store>,
     pub(super) controller: Rc<RefCell<Controller>>,
-    verifier: Verifier,
-    over: RefCell<OverCache>,
+    revision_checker: RevisionChecker,
+    final_state: RefCell<FinalStateCache>,
     cancellations: Sender<Cancellation>,
 }
 
@@ -41,15 +41,15 @@
 }
 
 /// Where a job stands, as checked against the state service.
-pub(super) enum Found {
+pub(super) enum JobLookup {
     Live(Item),
-    Over(Over),
+    Over(FinalState),
     Never,
     Unknown,
 }
 
-pub(super) fn later(why: &str) -> Response {
-    Response::later(why, COME_BACK)
+pub(super) fn retry_later(why: &str) -> Response {
+    Response::retry_later(why, RETRY_AFTER_S)
 }
 
 pub(super) fn status(
@@ -69,7 +69,7 @@
     )
 }
 
-fn final_status(id: &JobId, record: OverRecord) -> Response {
+fn final_status(id: &JobId, record: FinalRecord) -> Response {
     let done = match record.state {
         JobState::Done => record.tasks.into(),
         _ => 0,
@@ -87,7 +87,7 @@
 }
 
 /// Why a job can never run, if so.
-fn impossible(spec: &JobSpec, config: &Config, catalog: &Catalog) -> Option<&'static str> {
+fn infeasibility(spec: &JobSpec, config: &Config, catalog: &Catalog) -> Option<&'static str> {
     let Some(team) = config.teams.get(&spec.team) else {
         return Some("unknown team");
     };
@@ -115,7 +115,7 @@
     (!need.times(at_once).fits(team.limit())).then_some("needs more than the team's limit")
 }
 
-impl Intake {
+impl JobApi {
     /// `cancellations`: what is to be told to the other controllers, and answered.
     pub fn new(
         config: &Config,
@@ -123,13 +123,13 @@
         controller: Rc<RefCell<Controller>>,
         cancellations: Sender<Cancellation>,
     ) -> Self {
-        let verifier = Verifier::start(store.clone(), 4 * config.state.txn_ops);
+        let revision_checker = RevisionChecker::start(store.clone(), 4 * config.state.txn_ops);
         Self {
             config: config.clone(),
             store,
             controller,
-            verifier,
-            over: RefCell::default(),
+            revision_checker,
+            final_state: RefCell::default(),
             cancellations,
         }
     }
@@ -145,16 +145,16 @@
             let catalog = controller.cache.catalog.as_ref().map(|c| c.value.clone());
             (controller.cache.job_revision(&id).is_some(), catalog)
         };
-        if known || self.over.borrow().get(&id).is_some() {
+        if known || self.final_state.borrow().get(&id).is_some() {
             return self.poll_known(&id).await;
         }
         if !self.store.is_up() {
-            return later("the state service can't be reached");
+            return retry_later("the state service can't be reached");
         }
         let Some(catalog) = catalog else {
-            return later("machine types are not known yet");
+            return retry_later("machine types are not known yet");
         };
-        if let Some(why) = impossible(&spec, &self.config, &catalog) {
+        if let Some(why) = infeasibility(&spec, &self.config, &catalog) {
             return self.refuse(&id, why).await;
         }
         if record_size(&spec) > self.config.state.value_bytes {
@@ -166,14 +166,14 @@
         let record = JobRecord::new(spec, UnixTime::now());
         let mut txn = new_job(&id);
         txn.put(keys::job(&id), &record, None);
-        match self.store.txn(Class::Accept, &txn).await {
+        match self.store.txn(RequestClass::Accept, &txn).await {
             TxnOutcome::Committed(_) => status(201, &id, JobState::Queued, None),
             TxnOutcome::Failed(..) => self.poll_known(&id).await,
             TxnOutcome::Refused | TxnOutcome::Invalid => {
-                later("too much is asked of the state service")
+                retry_later("too much is asked of the state service")
             }
             // It may stand already; the repeat will tell.
-            TxnOutcome::Unknown => later("the state service did not answer"),
+            TxnOutcome::Unknown => retry_later("the state service did not answer"),
         }
     }
 
@@ -181,9 +181,9 @@
     /// changed since.
     pub(super) async fn refuse(&self, id: &JobId, why: &str) -> Response {
         match self.find(id).await {
-            Found::Never => Response::error(422, why),
-            Found::Unknown => later("the state service can't be reached"),
-            Found::Live(_) | Found::Over(_) => self.poll_known(id).await,
+            JobLookup::Never => Response::error(422, why),
+            JobLookup::Unknown => retry_later("the state service can't be reached"),
+            JobLookup::Live(_) | JobLookup::Over(_) => self.poll_known(id).await,
         }
     }
 
@@ -206,28 +206,30 @@
     }
 
     pub(super) async fn poll_known(&self, id: &JobId) -> Response {
-        if let Some(over) = self.cached(id) {
-            return self.final_status(id, over, None).await;
+        if let Some(final_state) = self.cached_final_state(id) {
+            return self.final_status(id, final_state, None).await;
         }
         if !self.store.is_up() {
-            return later("the state service can't be reached");
+            return retry_later("the state service can't be reached");
         }
         let revision = {
             let controller = self.controller.borrow();
             controller.cache.job_revision(id)
         };
         if let Some(revision) = revision {
-            match self.verifier.verify(id, revision).await {
-                Verdict::Unchanged => return self.live_status(id),
-                Verdict::Changed => {}
-                Verdict::Unknown => return later("the state service can't be reached"),
+            match self.revision_checker.check_revision(id, revision).await {
+                RevisionStatus::Unchanged => return self.live_status(id),
+                RevisionStatus::Changed => {}
+                RevisionStatus::Unknown => {
+                    return retry_later("the state service can't be reached");
+                }
             }
         }
         match self.find(id).await {
-            Found::Live(_) => self.live_status(id),
-            Found::Over(over) => self.final_status(id, over, None).await,
-            Found::Never => Response::error(404, "no such job"),
-            Found::Unknown => later("the state service can't be reached"),
+            JobLookup::Live(_) => self.live_status(id),
+            JobLookup::Over(final_state) => self.final_status(id, final_state, None).await,
+            JobLookup::Never => Response::error(404, "no such job"),
+            JobLookup::Unknown => retry_later("the state service can't be reached"),
         }
     }
 
@@ -247,79 +249,93 @@
 
     /// Reads a job's records. A job leaves the first key only together with its entry under the
     /// second, so reading them in this order can't miss it.
-    pub(super) async fn find(&self, id: &JobId) -> Found {
-        if let Some(over) = self.cached(id) {
-            return Found::Over(over);
+    pub(super) async fn find(&self, id: &JobId) -> JobLookup {
+        if let Some(final_state) = self.cached_final_state(id) {
+            return JobLookup::Over(final_state);
         }
-        match self.store.get(Class::Poll, &keys::job(id)).await {
-            Ok(Some(item)) => return Found::Live(item),
+        match self.store.get(RequestClass::Poll, &keys::job(id)).await {
+            Ok(Some(item)) => return JobLookup::Live(item),
             Ok(None) => {}
-            Err(_) => return Found::Unknown,
+            Err(_) => return JobLookup::Unknown,
         }
-        match self.read_over(id).await {
-            Ok(Some(over)) => Found::Over(over),
-            Ok(None) => Found::Never,
-            Err(_) => Found::Unknown,
+        match self.read_final_state(id).await {
+            Ok(Some(final_state)) => JobLookup::Over(final_state),
+            Ok(None) => JobLookup::Never,
+            Err(_) => JobLookup::Unknown,
         }
     }
 
-    fn cached(&self, id: &JobId) -> Option<Over> {
-        self.over.borrow().get(id)
+    fn cached_final_state(&self, id: &JobId) -> Option<FinalState> {
+        self.final_state.borrow().get(id)
     }
 
     /// The final answer: for a cancelled job not before its tasks are proved gone, whoever is asked
     /// and however often. That mostly takes some tens of milliseconds; otherwise the answer is to
     /// come back.
-    async fn final_status(&self, id: &JobId, over: Over, since: Option<Instant>) -> Response {
-        if !over.settled {
+    async fn final_status(
+        &self,
+        id: &JobId,
+        final_state: FinalState,
+        since: Option<Instant>,
+    ) -> Response {
+        if !final_state.settled {
             let (settled, result) = oneshot();
             self.cancellations.send(Cancellation {
                 job: id.clone(),
-                revision: over.revision,
+                revision: final_state.revision,
                 since,
                 settled,
             });
             if result.get().await != Some(true) {
-                return later("its tasks are being stopped");
+                return retry_later("its tasks are being stopped");
             }
-            if !self.cancel_dependents(id, over.revision).await {
-                return later("the jobs that need it are being cancelled");
+            if !self.cancel_dependents(id, final_state.revision).await {
+                return retry_later("the jobs that need it are being cancelled");
             }
-            self.over.borrow_mut().put(
+            self.final_state.borrow_mut().put(
                 id,
-                Over {
+                FinalState {
                     settled: true,
-                    ..over
+                    ..final_state
                 },
             );
         }
-        final_status(id, over.record)
+        final_status(id, final_state.record)
     }
 
-    async fn read_over(&self, id: &JobId) -> Result<Option<Over>, StoreError> {
-        let Some(item) = self.store.get(Class::Poll, &keys::over(id)).await? else {
+    async fn read_final_state(&self, id: &JobId) -> Result<Option<FinalState>, StoreError> {
+        let Some(item) = self
+            .store
+            .get(RequestClass::Poll, &keys::final_state(id))
+            .await?
+        else {
             return Ok(None);
         };
-        let record: OverRecord =
+        let record: FinalRecord =
             serde_json::from_value(item.value).map_err(|_| StoreError::Unavailable)?;
-        Ok(Some(self.keep(id, record, item.revision)))
+        Ok(Some(self.remember_final_state(id, record, item.revision)))
     }
 
-    fn keep(&self, id: &JobId, record: OverRecord, revision: Revision) -> Over {
-        let over = Over {
+    fn remember_final_state(
+        &self,
+        id: &JobId,
+        record: FinalRecord,
+        revision: Revision,
+    ) -> FinalState {
+        let final_state = FinalState {
             record,
             revision,
             settled: record.state != JobState::Cancelled,
         };
-        self.over.borrow_mut().put(id, over);
-        over
+        self.final_state.borrow_mut().put(id, final_state);
+        final_state
     }
 
     /// How a job that is over has ended, if that can be read now.
-    pub async fn standing(&self, id: &JobId) -> Option<JobState> {
-        match self.cached(id) {
-            Some(over) => Some(over.record.state),
-            None => Some(self.read_over(id).await.ok()??.record.state),
+    pub async fn final_outcome(&self, id: &JobId) -> Option<JobState> {
+        match self.cached_final_state(id) {
+            Some(final_state) => Some(final_state.record.state),
+            None => Some(self.read_final_state(id).await.ok()??.record.state),
         }
     }
 
@@ -328,40 +344,40 @@
             return Response::error(404, "no such job");
         }
         let id = JobId::from(id);
-        if let Some(over) = self.cached(&id) {
-            return self.final_status(&id, over, None).await;
+        if let Some(final_state) = self.cached_final_state(&id) {
+            return self.final_status(&id, final_state, None).await;
         }
         if !self.store.is_up() {
-            return later("the state service can't be reached");
+            return retry_later("the state service can't be reached");
         }
-        let item = match self.store.get(Class::Accept, &keys::job(&id)).await {
+        let item = match self.store.get(RequestClass::Accept, &keys::job(&id)).await {
             Ok(item) => item,
-            Err(_) => return later("the state service can't be reached"),
+            Err(_) => return retry_later("the state service can't be reached"),
         };
         let Some(item) = item else {
-            return match self.read_over(&id).await {
-                Ok(Some(over)) => self.final_status(&id, over, None).await,
+            return match self.read_final_state(&id).await {
+                Ok(Some(final_state)) => self.final_status(&id, final_state, None).await,
                 Ok(None) => Response::error(404, "no such job"),
-                Err(_) => later("the state service can't be reached"),
+                Err(_) => retry_later("the state service can't be reached"),
             };
         };
         let tasks = serde_json::from_value::<JobRecord>(item.value).map_or(0, |r| r.spec.tasks);
-        let record = OverRecord {
+        let record = FinalRecord {
             state: JobState::Cancelled,
             tasks,
         };
         let mut txn = Txn::default();
         txn.require(keys::job(&id), item.revision);
-        txn.put(keys::over(&id), &record, None);
+        txn.put(keys::final_state(&id), &record, None);
         txn.delete(keys::job(&id));
         let since = Instant::now();
-        match self.store.txn(Class::Accept, &txn).await {
+        match self.store.txn(RequestClass::Accept, &txn).await {
             TxnOutcome::Committed(revision) => {
-                let over = self.keep(&id, record, revision);
-                self.final_status(&id, over, Some(since)).await
+                let final_state = self.remember_final_state(&id, record, revision);
+                self.final_status(&id, final_state, Some(since)).await
             }
             // Done or cancelled in between, or it was never there: the repeat will tell.
-            _ => later("the state service did not take it"),
+            _ => retry_later("the state service did not take it"),
         }
     }
 }
--- a/src/api/job_api/tests.rs
+++ b/src/api/job_api/tests.rs
@@ -18,36 +18,36 @@
 fn what_can_never_run_is_told_from_what_must_wait() {
     let config = sample_config();
     let base = crate::protocol::tests::spec("job-000001");
-    let verdict = |change: &dyn Fn(&mut JobSpec)| {
+    let revision_status = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = base.clone();
         change(&mut spec);
-        impossible(&spec, &config, &catalog())
+        infeasibility(&spec, &config, &catalog())
     };
-    assert_eq!(verdict(&|_| ()), None);
+    assert_eq!(revision_status(&|_| ()), None);
     // Far more tasks than the limit are fine for an array, and never for a service.
-    assert_eq!(verdict(&|s| s.tasks = 100_000), None);
+    assert_eq!(revision_status(&|s| s.tasks = 100_000), None);
     assert!(
-        verdict(&|s| {
+        revision_status(&|s| {
             s.tasks = 13;
             s.kind = JobKind::Service
         })
         .is_some()
     );
     assert_eq!(
-        verdict(&|s| {
+        revision_status(&|s| {
             s.tasks = 12;
             s.kind = JobKind::Service
         }),
         None
     );
-    assert!(verdict(&|s| s.team = "green".into()).is_some());
-    assert!(verdict(&|s| s.cpus = 8.5).is_some());
-    assert!(verdict(&|s| s.zone = Some("b".into())).is_some());
-    assert!(verdict(&|s| s.types = Some(vec!["t9".into()])).is_some());
-    assert!(verdict(&|s| s.gpus = 1.0).is_some());
+    assert!(revision_status(&|s| s.team = "green".into()).is_some());
+    assert!(revision_status(&|s| s.cpus = 8.5).is_some());
+    assert!(revision_status(&|s| s.zone = Some("b".into())).is_some());
+    assert!(revision_status(&|s| s.types = Some(vec!["t9".into()])).is_some());
+    assert!(revision_status(&|s| s.gpus = 1.0).is_some());
     // Two replicas of which at most one may be in a zone need two zones.
     let apart = |kind: JobKind| {
-        verdict(&move |s| {
+        revision_status(&move |s| {
             s.tasks = 2;
             s.kind = kind;
             s.spread = true;
@@ -134,7 +134,7 @@
 
     /// The intake of a controller that has just started: its mirror knows of no job, and of the
     /// machine types only if it is told.
-    pub fn intake(&self, types: bool) -> (Intake, Receiver<Cancellation>) {
+    pub fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let mut limits = config.state;
         limits.rates.requests = 1e4;
@@ -154,17 +154,17 @@
         controller.on_snapshot(crate::ids::MonotonicTime(1), cache);
         let (asked, cancellations) = channel();
         let controller = Rc::new(RefCell::new(controller));
-        let intake = Intake::new(&config, Rc::new(store), controller, asked);
-        (intake, cancellations)
+        let api = JobApi::new(&config, Rc::new(store), controller, asked);
+        (api, cancellations)
     }
 }
 
 impl Scene {
     /// Brings a controller's mirror up to what the state service holds, as the stream does.
-    pub fn catch_up(&self, intake: &Intake) {
+    pub fn catch_up(&self, api: &JobApi) {
         let state = self.state.borrow();
         let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
-        let mut cache = WatchCache::new(&intake.config);
+        let mut cache = WatchCache::new(&api.config);
         for (key, (value, revision)) in state.keys.iter().filter(live) {
             cache.load(crate::protocol::store::Item {
                 key: key.clone(),
@@ -173,10 +173,10 @@
                 lease: None,
             });
         }
-        let catalog = intake.controller.borrow().cache.catalog.clone();
+        let catalog = api.controller.borrow().cache.catalog.clone();
         cache.catalog = cache.catalog.or(catalog);
         cache.revision = Revision(state.revision);
-        let mut controller = intake.controller.borrow_mut();
+        let mut controller = api.controller.borrow_mut();
         controller.on_snapshot(crate::ids::MonotonicTime(1), cache);
     }
 }
@@ -199,8 +199,8 @@
 fn bad_requests_are_told_from_repeats_of_accepted_jobs_at_every_controller() {
     runtime::run(async {
         let scene = Scene::new();
-        let (first, _kept) = scene.intake(true);
-        let (fresh, _kept_too) = scene.intake(false);
+        let (first, _kept) = scene.api(true);
+        let (fresh, _kept_too) = scene.api(false);
         let whole = body("job-1", |_| ());
         let lacking = |id: &str| {
             body(id, |b| {
@@ -212,8 +212,11 @@
         assert_eq!(first.submit(&unknown_team("job-1")).await.status, 422);
         assert_eq!(first.submit(b"{").await.status, 400);
         // Machine types are not known there: it can't tell, and says so at once.
-        let later = fresh.submit(&whole).await;
-        assert_eq!((later.status, later.retry_after), (503, Some(COME_BACK)));
+        let retry_later = fresh.submit(&whole).await;
+        assert_eq!(
+            (retry_later.status, retry_later.retry_after),
+            (503, Some(RETRY_AFTER_S))
+        );
         assert_eq!(first.submit(&whole).await.status, 201);
         for repeat in [&whole, &lacking("job-1"), &unknown_team("job-1")] {
             let answer = first.submit(repeat).await;
@@ -223,16 +226,16 @@
         let answer = fresh.submit(&lacking("job-1")).await;
         assert_eq!(stand(&answer), (200, "pending".into()));
         assert_eq!(fresh.submit(&unknown_team("job-1")).await.status, 503);
-        for intake in [&first, &fresh] {
-            assert_eq!(intake.poll("job-1").await.status, 200);
-            assert_eq!(intake.poll("job-2").await.status, 404);
-            assert_eq!(intake.submit(&lacking("job-2")).await.status, 400);
+        for api in [&first, &fresh] {
+            assert_eq!(api.poll("job-1").await.status, 200);
+            assert_eq!(api.poll("job-2").await.status, 404);
+            assert_eq!(api.submit(&lacking("job-2")).await.status, 400);
         }
         scene.state.borrow_mut().away = true;
-        for intake in [&first, &fresh] {
-            assert_eq!(intake.submit(&lacking("job-1")).await.status, 503);
-            assert_eq!(intake.poll("job-1").await.status, 503);
-            assert_eq!(intake.poll("job-3").await.status, 503);
+        for api in [&first, &fresh] {
+            assert_eq!(api.submit(&lacking("job-1")).await.status, 503);
+            assert_eq!(api.poll("job-1").await.status, 503);
+            assert_eq!(api.poll("job-3").await.status, 503);
         }
     })
     .expect("loop");
@@ -243,8 +246,8 @@
 fn a_cancellation_is_answered_by_nobody_before_its_tasks_are_gone() {
     runtime::run(async {
         let scene = Scene::new();
-        let (first, mut asked) = scene.intake(true);
-        let (other, mut asked_there) = scene.intake(true);
+        let (first, mut asked) = scene.api(true);
+        let (other, mut asked_there) = scene.api(true);
         assert_eq!(first.submit(&body("job-1", |_| ())).await.status, 201);
         let gone = Rc::new(std::cell::Cell::new(false));
         let answer = |mut asked: Receiver<Cancellation>| {
@@ -259,32 +262,26 @@
         let mut scope = Scope::default();
         scope.spawn(answer(asked));
         scope.spawn(answer(asked_there));
-        for intake in [&first, &other, &first] {
-            let refused = intake.cancel("job-1").await;
+        for api in [&first, &other, &first] {
+            let refused = api.cancel("job-1").await;
             assert_eq!(
                 (refused.status, refused.retry_after),
-                (503, Some(COME_BACK))
+                (503, Some(RETRY_AFTER_S))
             );
-            assert_eq!(intake.poll("job-1").await.status, 503);
-            assert_eq!(intake.submit(&body("job-1", |_| ())).await.status, 503);
+            assert_eq!(api.poll("job-1").await.status, 503);
+            assert_eq!(api.submit(&body("job-1", |_| ())).await.status, 503);
         }
         gone.set(true);
         scene.catch_up(&first);
         scene.catch_up(&other);
         // In an outage too, where the record was read before.
         scene.state.borrow_mut().away = true;
-        for intake in [&first, &other] {
-            assert_eq!(
-                stand(&intake.cancel("job-1").await),
-                (200, "withdrawn".into())
-            );
+        for api in [&first, &other] {
+            assert_eq!(stand(&api.cancel("job-1").await), (200, "withdrawn".into()));
         }
         gone.set(false);
-        for intake in [&first, &other] {
-            assert_eq!(
-                stand(&intake.poll("job-1").await),
-                (200, "withdrawn".into())
-            );
+        for api in [&first, &other] {
+            assert_eq!(stand(&api.poll("job-1").await), (200, "withdrawn".into()));
         }
     })
     .expect("loop");
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The users' side: submissions, polls, withdrawals. Any controller serves it.
 
 pub mod dependencies;
-mod over;
-mod service;
-mod verify;
+mod final_state;
+mod job_api;
+mod revision_check;
 
-pub use service::{Cancellation, Intake};
+pub use job_api::{Cancellation, JobApi};
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -4,47 +4,47 @@
 use crate::ids::{JobId, Revision};
 use crate::protocol::store::Txn;
 use crate::runtime::{self, Sender, channel, oneshot};
-use crate::store::tokens::Class;
+use crate::store::rate_limiter::RequestClass;
 use crate::store::{Store, TxnOutcome, keys};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Questions gather for so long: users wait for the answer for seconds, and a comparison for each
 /// two of them took a third of all requests there are (Savannah fleet, calm).
-const GATHER: Duration = Duration::from_millis(150);
+const QUERY_BATCH_DELAY: Duration = Duration::from_millis(150);
 /// A comparison that finds no token is tried again while its users still wait for an answer.
-const TRIES: u32 = 6;
-const AGAIN: Duration = Duration::from_millis(200);
-const BACKLOG: usize = 4000;
+const MAX_ATTEMPTS: u32 = 6;
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_QUEUED_QUERIES: usize = 4000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RevisionStatus {
     Unchanged,
     Changed,
     Unknown,
 }
 
-struct Question {
+struct RevisionQuery {
     job: JobId,
     revision: Revision,
-    answer: Sender<Verdict>,
+    answer: Sender<RevisionStatus>,
 }
 
-pub struct Verifier {
-    queue: Sender<Question>,
+pub struct RevisionChecker {
+    queue: Sender<RevisionQuery>,
 }
 
-impl Verifier {
+impl RevisionChecker {
     pub fn start(store: Rc<Store>, most: usize) -> Self {
-        let (queue, mut questions) = channel::<Question>();
+        let (queue, mut queries) = channel::<RevisionQuery>();
         runtime::spawn(async move {
-            while let Some(first) = questions.recv().await {
-                if questions.backlog() + 1 < most {
-                    runtime::sleep(GATHER).await;
+            while let Some(first) = queries.recv().await {
+                if queries.backlog() + 1 < most {
+                    runtime::sleep(QUERY_BATCH_DELAY).await;
                 }
                 let mut batch = vec![first];
                 while batch.len() < most
-                    && let Some(next) = questions.try_recv()
+                    && let Some(next) = queries.try_recv()
                 {
                     batch.push(next);
                 }
@@ -54,56 +54,58 @@
         Self { queue }
     }
 
-    pub async fn verify(&self, job: &JobId, revision: Revision) -> Verdict {
-        if self.queue.backlog() >= BACKLOG {
-            return Verdict::Unknown;
+    pub async fn check_revision(&self, job: &JobId, revision: Revision) -> RevisionStatus {
+        if self.queue.backlog() >= MAX_QUEUED_QUERIES {
+            return RevisionStatus::Unknown;
         }
         let (answer, result) = oneshot();
-        self.queue.send(Question {
+        self.queue.send(RevisionQuery {
             job: job.clone(),
             revision,
             answer,
         });
-        result.get().await.unwrap_or(Verdict::Unknown)
+        result.get().await.unwrap_or(RevisionStatus::Unknown)
     }
 }
 
 /// The longer its users have waited, the more a comparison may use: at last even what placements
 /// would take, so that no job stays without an answer however short tokens are.
-fn class(tries: u32) -> Class {
+fn class(tries: u32) -> RequestClass {
     match tries {
-        0..2 => Class::Poll,
-        2..4 => Class::Place,
-        _ => Class::Accept,
+        0..2 => RequestClass::Poll,
+        2..4 => RequestClass::Place,
+        _ => RequestClass::Accept,
     }
 }
 
-async fn check(store: Rc<Store>, batch: Vec<Question>) {
+async fn check(store: Rc<Store>, batch: Vec<RevisionQuery>) {
     let mut txn = Txn::default();
-    for question in &batch {
-        txn.require(keys::job(&question.job), question.revision);
+    for query in &batch {
+        txn.require(keys::job(&query.job), query.revision);
     }
     let mut outcome = store.txn(class(0), &txn).await;
-    for tries in 1..TRIES {
+    for tries in 1..MAX_ATTEMPTS {
         if outcome != TxnOutcome::Refused || !store.is_up() {
             break;
         }
-        runtime::sleep(AGAIN).await;
+        runtime::sleep(RETRY_DELAY).await;
         outcome = store.txn(class(tries), &txn).await;
     }
-    for question in batch {
-        let verdict = match &outcome {
-            TxnOutcome::Committed(_) => Verdict::Unchanged,
+    for query in batch {
+        let revision_status = match &outcome {
+            TxnOutcome::Committed(_) => RevisionStatus::Unchanged,
             TxnOutcome::Failed(failed, _) => {
-                if failed.contains(&keys::job(&question.job)) {
-                    Verdict::Changed
+                if failed.contains(&keys::job(&query.job)) {
+                    RevisionStatus::Changed
                 } else {
-                    Verdict::Unchanged
+                    RevisionStatus::Unchanged
                 }
             }
-            TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => Verdict::Unknown,
+            TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => {
+                RevisionStatus::Unknown
+            }
         };
-        question.answer.send(verdict);
+        query.answer.send(revision_status);
     }
 }
 
--- a/src/api/revision_check/tests.rs
+++ b/src/api/revision_check/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::ids::MonotonicTime;
-use crate::store::tokens::Bucket;
+use crate::store::rate_limiter::TokenBucket;
 
 /// Placements ask for four fifths of the requests there are, users about thousands of jobs: every question
 /// is answered within the tries of its comparison, so no job is without an answer for long.
 #[test]
 fn polls_are_answered_however_much_placements_ask() {
     let (most, jobs) = (96, 3000);
-    let mut bucket = Bucket::new(25.0);
+    let mut bucket = TokenBucket::new(25.0);
     let mut last = vec![0u64; jobs];
     let mut longest = 0;
     // Comparisons under way: when they try next, how often they did, whom they answer.
@@ -16,7 +16,7 @@
     for ms in (0..200_000u64).step_by(10) {
         let now = MonotonicTime(ms);
         if ms % 50 == 0 {
-            bucket.try_take(now, 1.0, Class::Place);
+            bucket.try_acquire(now, 1.0, RequestClass::Place);
         }
         asked.extend(
             (0..jobs).filter(|job| (*job as u64 * 5000 / jobs as u64) / 10 == ms % 5000 / 10),
@@ -31,7 +31,7 @@
             if *at > ms {
                 return true;
             }
-            if bucket.try_take(now, 1.0, class(*tries)) {
+            if bucket.try_acquire(now, 1.0, class(*tries)) {
                 for job in batch.iter() {
                     longest = longest.max(ms - last[*job]);
                     last[*job] = ms;
@@ -39,8 +39,8 @@
                 return false;
             }
             *tries += 1;
-            *at = ms + AGAIN.as_millis() as u64;
-            *tries < TRIES
+            *at = ms + RETRY_DELAY.as_millis() as u64;
+            *tries < MAX_ATTEMPTS
         });
     }
     let waits = last.iter().map(|at| 200_000 - at).max().unwrap_or(0);
--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -10,16 +10,16 @@
 
 /// What the mirror of the controller that asks shows.
 #[derive(Debug)]
-pub struct View {
+pub struct CacheView {
     pub revision: Revision,
     /// The blocks with machines on whose records the job stands, and the fence of each, if it is
     /// held at present.
-    pub carriers: BTreeMap<ShardId, Option<Revision>>,
+    pub machines_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
 
 /// The telling of one cancellation, and who has answered.
 #[derive(Debug)]
-struct Round {
+struct CancellationRound {
     job: JobId,
     /// The change that cancelled it.
     cancelled: Revision,
@@ -27,16 +27,16 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Rounds {
+pub struct CancellationRounds {
     next: u64,
-    open: BTreeMap<RoundId, Round>,
+    open: BTreeMap<RoundId, CancellationRound>,
 }
 
-impl Rounds {
+impl CancellationRounds {
     pub fn open(&mut self, job: &JobId, cancelled: Revision) -> RoundId {
         self.next += 1;
         let id = RoundId(self.next);
-        let round = Round {
+        let round = CancellationRound {
             job: job.clone(),
             cancelled,
             answers: BTreeMap::new(),
@@ -50,7 +50,7 @@
     }
 
     /// The job, and the change that cancelled it.
-    pub fn asks(&self, id: RoundId) -> Option<(&JobId, Revision)> {
+    pub fn pending_cancellation(&self, id: RoundId) -> Option<(&JobId, Revision)> {
         self.open.get(&id).map(|r| (&r.job, r.cancelled))
     }
 
@@ -58,7 +58,7 @@
     /// which all of the job's tasks are proved gone: they never start again, so an answer can only
     /// gain by a later one. One to an earlier life of this process may name another job under the
     /// same number.
-    pub fn on_known(
+    pub fn on_acknowledged(
         &mut self,
         id: RoundId,
         job: &JobId,
@@ -77,7 +77,7 @@
     /// Whether all tasks are gone. After the cancellation nothing more of the job is committed, so
     /// a mirror that has come so far shows every block in which any of it can be; and whoever
     /// holds such a block under that record, or a later one, has seen all that was placed there.
-    pub fn is_settled(&self, id: RoundId, view: &View) -> bool {
+    pub fn is_settled(&self, id: RoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
         };
@@ -85,8 +85,9 @@
             let mut answers = round.answers.values();
             answers.any(|named| named.get(shard).is_some_and(|f| f >= fence))
         };
-        let mut carriers = view.carriers.iter();
+        let mut machines_with_job = view.machines_with_job.iter();
         view.revision >= round.cancelled
-            && carriers.all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
+            && machines_with_job
+                .all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
     }
 }
--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -12,9 +12,9 @@
 
 /// The part of the time for a cancellation that is kept for asking and deleting: the cloud may be
 /// out, and a deletion be refused and asked again.
-const RESERVE: u64 = 2;
+const CLEANUP_DIVISOR: u64 = 2;
 /// A question without an answer is asked again after this.
-const ASK_AGAIN: Millis = Millis(2000);
+const OUTCOME_QUERY_INTERVAL: Millis = Millis(2000);
 
 #[derive(Debug)]
 struct EndedJob {
@@ -27,7 +27,7 @@
 /// Jobs that are over and still have tasks on record, since when, and how they ended. Every
 /// controller keeps it, so that the next leader knows the times as well.
 #[derive(Debug, Default)]
-pub struct Overdue {
+pub struct CancellationDeadlines {
     ended: BTreeMap<JobId, EndedJob>,
     begun: bool,
 }
@@ -38,21 +38,21 @@
     /// How these jobs ended has to be read.
     pub ask: Vec<JobId>,
     /// These machines have to go: their deletion is the proof.
-    pub give_up: Vec<MachineId>,
+    pub decommission: Vec<MachineId>,
 }
 
-impl Overdue {
+impl CancellationDeadlines {
     /// Notes which jobs are over. A process that has just begun can't know for how long.
-    pub fn look(&mut self, now: MonotonicTime, cache: &WatchCache) {
+    pub fn scan(&mut self, now: MonotonicTime, cache: &WatchCache) {
         let since = self.begun.then_some(now);
         self.begun = true;
         let groups = cache.machines.values().flat_map(|m| &m.record.jobs);
-        let over: BTreeSet<&JobId> = groups
+        let ended_jobs: BTreeSet<&JobId> = groups
             .map(|g| &g.job)
             .filter(|job| !cache.jobs.contains_key(*job))
             .collect();
-        self.ended.retain(|job, _| over.contains(job));
-        for job in over {
+        self.ended.retain(|job, _| ended_jobs.contains(job));
+        for job in ended_jobs {
             if !self.ended.contains_key(job) {
                 let ended = EndedJob {
                     since,
@@ -83,7 +83,7 @@
         ended.since.filter(|_| cancelled).map(|at| now.since(at))
     }
 
-    pub fn learn(&mut self, job: &JobId, state: JobState) {
+    pub fn record_outcome(&mut self, job: &JobId, state: JobState) {
         if let Some(ended) = self.ended.get_mut(job) {
             ended.state = Some(state);
         }
@@ -100,7 +100,7 @@
         freed: impl Fn(&TaskAttempt) -> bool,
     ) -> Due {
         let mut due = Due::default();
-        let limit = Millis(cancel.0 - cancel.0 / RESERVE);
+        let limit = Millis(cancel.0 - cancel.0 / CLEANUP_DIVISOR);
         for (id, machine) in &cache.machines {
             if self.ended.is_empty() || !silent(id) {
                 continue;
@@ -115,11 +115,14 @@
                 }
                 match ended.state {
                     Some(JobState::Cancelled) => {
-                        due.give_up.push(id.clone());
+                        due.decommission.push(id.clone());
                         break;
                     }
                     Some(_) => {}
-                    None if ended.asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) => {
+                    None if ended
+                        .asked
+                        .is_none_or(|at| now.since(at) >= OUTCOME_QUERY_INTERVAL) =>
+                    {
                         ended.asked = Some(now);
                         due.ask.push(attempt.task.job.clone());
                     }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -8,9 +8,11 @@
 //! and the user hears of it once all of the job's tasks are proved gone: holders say so over the
 //! links, at once, and the mirror shows it a little later, whatever becomes of the links.
 
-mod rounds;
+mod acknowledgement;
+mod deadlines;
 
-pub use rounds::{RoundId, Rounds, View};
+pub use acknowledgement::{CacheView, CancellationRounds, RoundId};
+pub use deadlines::CancellationDeadlines;
 
 #[cfg(test)]
 mod tests;
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,7 +1,7 @@
 //! The decision compared with a slow plain model, over all orders in which the others' answers,
 //! the mirror's changes and a change of holder can come.
 
-use super::{Rounds, View};
+use super::{CacheView, CancellationRounds};
 use crate::ids::{JobId, Member, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,11 +74,11 @@
         Revision(10)
     };
     let job = JobId::from("job-1");
-    let mut rounds = Rounds::default();
+    let mut rounds = CancellationRounds::default();
     let round = rounds.open(&job, cancelled);
-    let mut view = View {
+    let mut view = CacheView {
         revision: Revision(9),
-        carriers: BTreeMap::from([(BLOCK, Some(FIRST))]),
+        machines_with_job: BTreeMap::from([(BLOCK, Some(FIRST))]),
     };
     let mut done = BTreeSet::new();
     let mut told = 0;
@@ -89,19 +89,21 @@
             Step::Moved => view.revision = view.revision.max(LATER),
             Step::Cleared => {}
             Step::First => {
-                rounds.on_known(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+                rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
             }
-            Step::Later => rounds.on_known(round, &job, &member("c2"), vec![]),
+            Step::Later => rounds.on_acknowledged(round, &job, &member("c2"), vec![]),
             Step::Proved => {
-                rounds.on_known(round, &job, &member("c2"), vec![(BLOCK, LATER)]);
+                rounds.on_acknowledged(round, &job, &member("c2"), vec![(BLOCK, LATER)]);
             }
         }
         // The stream is ordered: whoever has come so far has seen all that was before.
         if view.revision >= LATER {
-            view.carriers.values_mut().for_each(|f| *f = Some(LATER));
+            view.machines_with_job
+                .values_mut()
+                .for_each(|f| *f = Some(LATER));
         }
         if done.contains(&Step::Cleared) && view.revision >= cancelled {
-            view.carriers.clear();
+            view.machines_with_job.clear();
         }
         if rounds.is_settled(round, &view) {
             assert!(
@@ -130,17 +132,17 @@
 /// Numbers begin anew with each life of a process.
 #[test]
 fn an_answer_to_an_earlier_life_counts_for_nothing() {
-    let mut rounds = Rounds::default();
+    let mut rounds = CancellationRounds::default();
     let job = JobId::from("job-2");
     let round = rounds.open(&job, Revision(10));
-    let view = View {
+    let view = CacheView {
         revision: Revision(10),
-        carriers: BTreeMap::from([(BLOCK, Some(FIRST))]),
+        machines_with_job: BTreeMap::from([(BLOCK, Some(FIRST))]),
     };
     let stale = JobId::from("job-1");
-    rounds.on_known(round, &stale, &member("c1"), vec![(BLOCK, FIRST)]);
+    rounds.on_acknowledged(round, &stale, &member("c1"), vec![(BLOCK, FIRST)]);
     assert!(!rounds.is_settled(round, &view));
-    rounds.on_known(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+    rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
     assert!(rounds.is_settled(round, &view));
     rounds.close(round);
     assert!(!rounds.is_settled(round, &view));
@@ -149,13 +151,13 @@
 /// A block that nobody holds at present: whoever held it may still answer its machines.
 #[test]
 fn shard_without_an_owner_is_not_settled() {
-    let mut rounds = Rounds::default();
+    let mut rounds = CancellationRounds::default();
     let job = JobId::from("job-1");
     let round = rounds.open(&job, Revision(10));
-    rounds.on_known(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
-    let view = View {
+    rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+    let view = CacheView {
         revision: Revision(12),
-        carriers: BTreeMap::from([(BLOCK, None)]),
+        machines_with_job: BTreeMap::from([(BLOCK, None)]),
     };
     assert!(!rounds.is_settled(round, &view));
 }
--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -13,16 +13,16 @@
 const WINDOW: Millis = Millis(60_000);
 
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct ArrivalRate {
     /// Arrays of the window, those that are over by now as well: when, and their CPU seconds.
     came: BTreeMap<JobId, (UnixTime, f64)>,
     /// How far back it has seen all that came.
     since: Option<UnixTime>,
 }
 
-impl Flow {
+impl ArrivalRate {
     /// Notes what has come. Whoever has just begun to lead knows only what is unfinished.
-    pub fn look(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
+    pub fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
         let since = *self.since.get_or_insert(now);
         let old = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
         self.came.retain(|_, (at, _)| !old(*at));
--- a/src/cloud/arrival_rate/tests.rs
+++ b/src/cloud/arrival_rate/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn work_that_is_over_still_counts_until_its_window_has_passed() {
     let mut cache = WatchCache::new(&sample_config());
-    let mut flow = Flow::default();
+    let mut arrival_rate = ArrivalRate::default();
     let mut seen = Vec::new();
     for second in 0..200u64 {
         let now = UnixTime(1_000_000 + 1000 * second);
@@ -26,7 +26,7 @@
                 lease: None,
             });
         }
-        flow.look(now, &cache, 3.0);
+        arrival_rate.observe(now, &cache, 3.0);
         let gone = Event {
             delete: Some(keys::job(&id.as_str().into())),
             put: None,
@@ -34,7 +34,7 @@
             revision: Revision(2 * second + 2),
         };
         cache.apply(Revision(2 * second + 2), vec![gone]);
-        seen.push(flow.cpus(now));
+        seen.push(arrival_rate.cpus(now));
     }
     let spec = crate::protocol::tests::spec("job-1");
     let least = 10.0 * spec.need().cpus as f64 * spec.estimate_s;
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -1,14 +1,14 @@
 //! Decisions about the fleet. No I/O: calls are returned as effects.
 
-mod rentals;
-mod returns;
-mod silence;
+mod scale_in;
+mod scale_out;
+mod unresponsive;
 
+use super::arrival_rate::ArrivalRate;
 use super::demand::{self, Batch, Load};
-use super::flow::Flow;
 use crate::config::Config;
 use crate::ids::{MachineId, Millis, MonotonicTime, Resources, Revision, TypeName, UnixTime, Zone};
-use crate::placement::{Scheduler, Shortage, replicas, spare_replicas};
+use crate::placement::{Scheduler, UnmetDemand, replicas, spare_replicas};
 use crate::protocol::{
     Catalog, JobKind, JobSpec, ListedMachine, MachineState, MachineType, RentRequest,
 };
@@ -34,11 +34,11 @@
     Malformed,
 }
 
-const LIST: Millis = Millis(2500);
-const CATALOG: Millis = Millis(60_000);
-const NO_CAPACITY: Millis = Millis(15_000);
-const RETRY: Millis = Millis(1500);
-const MOST_DELETED: usize = 100;
+const LIST_INTERVAL: Millis = Millis(2500);
+const CATALOG_INTERVAL: Millis = Millis(60_000);
+const NO_CAPACITY_BACKOFF: Millis = Millis(15_000);
+const CLOUD_RETRY_DELAY: Millis = Millis(1500);
+const MAX_DELETIONS_PER_CALL: usize = 100;
 
 #[derive(Clone, Debug)]
 struct Boot {
@@ -50,35 +50,35 @@
 }
 
 #[derive(Debug)]
-struct Rental {
+struct PendingRental {
     request: RentRequest,
     sent: bool,
     retry_at: MonotonicTime,
     since: MonotonicTime,
 }
 
-pub struct Fleet {
+pub struct Autoscaler {
     config: Config,
     term: Revision,
     term_since: MonotonicTime,
     counter: u64,
     booting: BTreeMap<MachineId, Boot>,
     failed: BTreeSet<MachineId>,
-    rentals: Vec<Rental>,
+    rentals: Vec<PendingRental>,
     no_capacity: BTreeMap<(TypeName, Zone, bool), MonotonicTime>,
     deleting: BTreeMap<MachineId, MonotonicTime>,
     /// Since when a machine gets nothing new.
-    left: BTreeMap<MachineId, MonotonicTime>,
+    leaving_since: BTreeMap<MachineId, MonotonicTime>,
     /// Deleted lately: the list still shows them for a while.
     deleted: BTreeMap<MachineId, MonotonicTime>,
     /// The load of the last while, its latest, and what the usable machines hold.
     recent: VecDeque<(MonotonicTime, Load)>,
     load: Load,
-    flow: Flow,
+    arrival_rate: ArrivalRate,
     batches: Vec<Batch>,
     capacity: u64,
     /// What ordinary machines hold of it, and what is kept for the next replicas.
-    steady: u64,
+    on_demand: u64,
     spare: u64,
     pub unix_time: UnixTime,
     /// How many changes the state service takes in a second from all controllers.
@@ -86,11 +86,11 @@
     next_list: MonotonicTime,
     listing: bool,
     next_catalog: MonotonicTime,
-    next_return: MonotonicTime,
+    next_scale_in: MonotonicTime,
     catalog: Option<Catalog>,
 }
 
-impl Fleet {
+impl Autoscaler {
     pub fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
@@ -102,21 +102,21 @@
             rentals: Vec::new(),
             no_capacity: BTreeMap::new(),
             deleting: BTreeMap::new(),
-            left: BTreeMap::new(),
+            leaving_since: BTreeMap::new(),
             deleted: BTreeMap::new(),
             recent: VecDeque::new(),
             load: Load::default(),
-            flow: Flow::default(),
+            arrival_rate: ArrivalRate::default(),
             batches: Vec::new(),
             capacity: 0,
-            steady: 0,
+            on_demand: 0,
             spare: 0,
             unix_time: UnixTime(0),
             change_rate: config.state.rates.changes,
             next_list: MonotonicTime::default(),
             listing: false,
             next_catalog: MonotonicTime::default(),
-            next_return: MonotonicTime::default(),
+            next_scale_in: MonotonicTime::default(),
             catalog: None,
         }
     }
@@ -124,7 +124,7 @@
     pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
         self.next_catalog = now
             + if catalog.is_some() {
-                CATALOG
+                CATALOG_INTERVAL
             } else {
                 Millis(1000)
             };
@@ -159,7 +159,7 @@
         cache: &WatchCache,
     ) {
         self.listing = false;
-        self.next_list = now + LIST;
+        self.next_list = now + LIST_INTERVAL;
         let Some(machines) = machines else { return };
         for m in machines {
             if self.deleted.contains_key(&m.id) {
@@ -212,7 +212,7 @@
                     request.zone.clone(),
                     request.spot,
                 );
-                self.no_capacity.insert(kind, now + NO_CAPACITY);
+                self.no_capacity.insert(kind, now + NO_CAPACITY_BACKOFF);
             }
             RentOutcome::Malformed => {
                 self.rentals.remove(at);
@@ -220,7 +220,7 @@
             RentOutcome::Again => {
                 let rental = &mut self.rentals[at];
                 rental.sent = false;
-                rental.retry_at = now + RETRY;
+                rental.retry_at = now + CLOUD_RETRY_DELAY;
                 // Demand has changed since; the name is never used again, and what the request
                 // may still rent is found in the list.
                 if now.since(rental.since) > Millis(20_000) {
@@ -245,12 +245,12 @@
                 self.deleted.insert(id.clone(), now);
                 out.push(Effect::DropRecord(id.clone()));
             } else {
-                self.deleting.insert(id.clone(), now + RETRY);
+                self.deleting.insert(id.clone(), now + CLOUD_RETRY_DELAY);
             }
         }
     }
 
-    fn enter(&mut self, term: Revision, now: MonotonicTime) {
+    fn begin_term(&mut self, term: Revision, now: MonotonicTime) {
         if self.term != term {
             self.term = term;
             self.term_since = now;
@@ -258,12 +258,12 @@
             self.rentals.clear();
             self.deleting.clear();
             self.recent.clear();
-            self.flow.clear();
+            self.arrival_rate.clear();
             self.next_list = now;
         }
     }
 
-    pub fn drive(
+    pub fn step(
         &mut self,
         now: MonotonicTime,
         term: Revision,
@@ -271,7 +271,7 @@
         scheduler: &mut Scheduler,
         out: &mut Vec<Effect>,
     ) {
-        self.enter(term, now);
+        self.begin_term(term, now);
         if !self.listing && now >= self.next_list {
             self.listing = true;
             out.push(Effect::List);
@@ -285,10 +285,10 @@
         self.deleted.retain(|_, at| now.since(*at) < Millis(60_000));
         self.no_capacity.retain(|_, until| now < *until);
         // A machine whose record can't be removed yet is gone all the same: once is enough.
-        let silent = self.given_up(now, cache, scheduler);
-        self.give_up(now, silent);
+        let silent = self.machines_to_decommission(now, cache, scheduler);
+        self.decommission(now, silent);
         let needless = self.unused(now, cache, scheduler);
-        self.give_up(now, needless);
+        self.decommission(now, needless);
         // A record that came back with a late report, or whose removal failed, goes as well.
         for id in self.deleted.keys() {
             if cache.machines.contains_key(id) {
@@ -300,7 +300,7 @@
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(id, _)| id.clone())
-            .take(MOST_DELETED)
+            .take(MAX_DELETIONS_PER_CALL)
             .collect();
         if !due.is_empty() {
             for id in &due {
@@ -309,7 +309,7 @@
             }
             out.push(Effect::Delete(due));
         }
-        self.rent(now, cache, scheduler);
+        self.scale_out(now, cache, scheduler);
         for rental in &mut self.rentals {
             if !rental.sent && now >= rental.retry_at {
                 rental.sent = true;
@@ -335,7 +335,7 @@
     }
 
     /// These machines are deleted, whatever else is thought of them.
-    pub fn give_up(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
+    pub fn decommission(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
         for id in machines {
             if !self.deleted.contains_key(&id) {
                 self.deleting.entry(id).or_insert(now);
@@ -349,7 +349,7 @@
 }
 
 #[cfg(test)]
-use silence::Quiet;
+use unresponsive::OwnerSilence;
 
 #[cfg(test)]
 mod tests;
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -1,16 +1,16 @@
 //! Machines that are not needed any more: emptied, then returned.
 
 use super::*;
-use crate::cloud::turnaround::turnaround_s;
+use crate::cloud::slot_turnaround::turnaround_s;
 
 /// At most one in so many machines is emptied at a time.
-const RETURN_PART: usize = 50;
+const SCALE_IN_DIVISOR: usize = 50;
 /// The time between two rounds of it.
-const RETURN_PAUSE: Millis = Millis(800);
+const SCALE_IN_INTERVAL: Millis = Millis(800);
 
 /// A machine that could be emptied, in the order in which that is done.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Movable {
+struct DrainCandidate {
     spot: bool,
     replicas: usize,
     used: u64,
@@ -28,7 +28,7 @@
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
     };
-    let waiting = scheduler.shortages.iter();
+    let waiting = scheduler.unmet_demands.iter();
     let mut jobs = waiting.filter_map(|s| cache.jobs.get(&s.job));
     jobs.any(|job| {
         job.spec
@@ -36,7 +36,7 @@
     })
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Empties machines that the load has not needed for a while, the dearest first, and returns
     /// those that are empty. What runs on them may finish; replicas are moved.
     pub(super) fn unused(
@@ -49,17 +49,17 @@
         scheduler
             .leaving
             .retain(|id| cache.machines.contains_key(id));
-        let movable = self.measure_capacity(now, cache, scheduler);
-        let emptied = self.emptied(now, cache, scheduler);
-        if self.has_looked_on(now, cache) && now >= self.next_return {
-            let short = scheduler.shortages.iter().any(|s| s.tasks > 0);
+        let drain_candidates = self.measure_capacity(now, cache, scheduler);
+        let drained = self.drained(now, cache, scheduler);
+        if self.has_looked_on(now, cache) && now >= self.next_scale_in {
+            let short = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
             if !short {
-                self.send_away(now, movable, scheduler);
+                self.release_idle(now, drain_candidates, scheduler);
             } else if self.is_blocked(cache, scheduler) {
-                self.send_useless_away(now, movable, cache, scheduler);
+                self.release_unusable(now, drain_candidates, cache, scheduler);
             }
         }
-        emptied
+        drained
     }
 
     /// Takes the load as it is now, and forgets what is older than the time for which a machine
@@ -67,8 +67,8 @@
     fn measure_load(&mut self, now: MonotonicTime, cache: &WatchCache) {
         let turnaround = turnaround_s(cache, self.change_rate);
         let (mut load, batches) = demand::load(self.unix_time, cache, &self.config, turnaround);
-        self.flow.look(self.unix_time, cache, turnaround);
-        load.arrays = load.arrays.max(self.flow.cpus(self.unix_time));
+        self.arrival_rate.observe(self.unix_time, cache, turnaround);
+        load.arrays = load.arrays.max(self.arrival_rate.cpus(self.unix_time));
         self.recent.push_back((now, load));
         let window = idle_window(cache);
         let old = |at: MonotonicTime| now.since(at) > window;
@@ -86,23 +86,25 @@
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
-    ) -> Vec<Movable> {
-        (self.capacity, self.steady) = (0, 0);
-        let mut movable = Vec::new();
-        let present = cache.machines.iter();
-        for (id, machine) in present.filter(|(id, _)| scheduler.present(now, id)) {
+    ) -> Vec<DrainCandidate> {
+        (self.capacity, self.on_demand) = (0, 0);
+        let mut drain_candidates = Vec::new();
+        let counts_as_capacity = cache.machines.iter();
+        for (id, machine) in
+            counts_as_capacity.filter(|(id, _)| scheduler.counts_as_capacity(now, id))
+        {
             let spot = machine.record.spot;
             let room = cache
                 .machine_type(&machine.record.type_name)
                 .map_or(0, |t| t.room().cpus);
             self.capacity += room;
-            self.steady += if spot { 0 } else { room };
+            self.on_demand += if spot { 0 } else { room };
             let (replicas, in_use) = replicas(machine, cache);
             // Moving replicas costs them a moment: only where little is moved for much.
             if 4 * in_use.cpus > room {
                 continue;
             }
-            movable.push(Movable {
+            drain_candidates.push(DrainCandidate {
                 spot,
                 replicas,
                 used: machine.record.used().cpus,
@@ -110,26 +112,27 @@
                 id: id.clone(),
             });
         }
-        movable
+        drain_candidates
     }
 
     /// Those that are leaving go once nothing is on them, or can be on its way to them any more.
-    fn emptied(
+    fn drained(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        self.left.retain(|id, _| scheduler.leaving.contains(id));
+        self.leaving_since
+            .retain(|id, _| scheduler.leaving.contains(id));
         for id in &scheduler.leaving {
-            self.left.entry(id.clone()).or_insert(now);
+            self.leaving_since.entry(id.clone()).or_insert(now);
         }
         let empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
             let shard = id.shard(self.config.shards());
-            let left = self.left.get(*id);
+            let leaving_since = self.leaving_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && left.is_some_and(|at| !scheduler.allotted_before(shard, *at))
+                && leaving_since.is_some_and(|at| !scheduler.allotted_before(shard, *at))
         };
         scheduler
             .leaving
@@ -148,38 +151,43 @@
 
     /// Lets machines leave that the highest load of the last while did not need: a part of the
     /// fleet at a time, a small one gives up one, a large one several.
-    fn send_away(
+    fn release_idle(
         &mut self,
         now: MonotonicTime,
-        mut movable: Vec<Movable>,
+        mut drain_candidates: Vec<DrainCandidate>,
         scheduler: &mut Scheduler,
     ) {
         let peak = self
             .recent
             .iter()
             .fold(Load::default(), |p, (_, l)| p.max(*l));
-        let (mut cpus, mut steady) = (self.capacity, self.steady);
-        let mut most = 1 + movable.len() / RETURN_PART;
-        movable.sort();
-        for machine in movable {
+        let (mut cpus, mut on_demand) = (self.capacity, self.on_demand);
+        let mut most = 1 + drain_candidates.len() / SCALE_IN_DIVISOR;
+        drain_candidates.sort();
+        for machine in drain_candidates {
             let room = machine.room;
             let needless = cpus >= peak.total() + self.spare + room
-                && (machine.spot || steady >= peak.services + self.spare + room);
+                && (machine.spot || on_demand >= peak.services + self.spare + room);
             if !needless || most == 0 {
                 continue;
             }
             most -= 1;
             cpus -= room;
-            steady -= if machine.spot { 0 } else { room };
-            self.next_return = now + RETURN_PAUSE;
+            on_demand -= if machine.spot { 0 } else { room };
+            self.next_scale_in = now + SCALE_IN_INTERVAL;
             scheduler.leaving.insert(machine.id);
         }
     }
 
     /// Takes machines back that were to leave, when they are needed again after all.
-    pub(super) fn stay(&mut self, lack: &mut u64, cache: &WatchCache, scheduler: &mut Scheduler) {
-        let none_waits = scheduler.shortages.is_empty();
-        while *lack > 0 {
+    pub(super) fn reclaim_leaving(
+        &mut self,
+        cpu_shortfall: &mut u64,
+        cache: &WatchCache,
+        scheduler: &mut Scheduler,
+    ) {
+        let none_waits = scheduler.unmet_demands.is_empty();
+        while *cpu_shortfall > 0 {
             let back = scheduler
                 .leaving
                 .iter()
@@ -193,7 +201,7 @@
                 .get(&id)
                 .and_then(|m| cache.machine_type(&m.record.type_name))
                 .map_or(0, |t| t.room().cpus);
-            *lack = lack.saturating_sub(room.max(1));
+            *cpu_shortfall = cpu_shortfall.saturating_sub(room.max(1));
         }
     }
 
@@ -204,9 +212,9 @@
         let Some(catalog) = self.catalog.as_ref().or(stored) else {
             return false;
         };
-        let together = scheduler.shortages.iter().filter(|s| s.together);
-        together.into_iter().any(|shortage| {
-            let Some(job) = cache.jobs.get(&shortage.job) else {
+        let together = scheduler.unmet_demands.iter().filter(|s| s.together);
+        together.into_iter().any(|unmet_demand| {
+            let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
             };
             let spec = &job.spec;
@@ -216,32 +224,32 @@
             asked.next().is_none()
                 && !booting.any(|b| spec.allows(&b.type_name, &b.zone, b.spot))
                 && self
-                    .cheapest(catalog, cache, shortage, shortage.tasks)
+                    .cheapest(catalog, cache, unmet_demand, unmet_demand.tasks)
                     .is_none()
         })
     }
 
     /// Lets empty machines leave that nothing which waits may use: they take up what the cloud
     /// could give instead.
-    fn send_useless_away(
+    fn release_unusable(
         &mut self,
         now: MonotonicTime,
-        movable: Vec<Movable>,
+        drain_candidates: Vec<DrainCandidate>,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        let is_useless = |machine: &Movable| {
+        let is_useless = |machine: &DrainCandidate| {
             machine.used == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
         };
-        let most = 1 + movable.len() / RETURN_PART;
-        let useless: Vec<MachineId> = movable
+        let most = 1 + drain_candidates.len() / SCALE_IN_DIVISOR;
+        let useless: Vec<MachineId> = drain_candidates
             .into_iter()
             .filter(is_useless)
             .map(|machine| machine.id)
             .take(most)
             .collect();
         if !useless.is_empty() {
-            self.next_return = now + RETURN_PAUSE;
+            self.next_scale_in = now + SCALE_IN_INTERVAL;
             scheduler.leaving.extend(useless);
         }
     }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -2,22 +2,22 @@
 
 use super::*;
 
-const MOST_RENTED: u32 = 50;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Rentals that wait for their answers at most.
-const MOST_PENDING: usize = 16;
+const MAX_PENDING_RENTALS: usize = 16;
 /// Past this many boot times a machine is not counted on.
-const BOOT_LATE: f64 = 2.0;
+const LATE_BOOT_FACTOR: f64 = 2.0;
 
 /// A machine that is on its way, and the room on it that is not counted on yet.
-struct Coming {
+struct IncomingMachine {
     type_name: TypeName,
     zone: Zone,
     spot: bool,
     room: Resources,
 }
 
-impl Fleet {
-    pub(super) fn rent(
+impl Autoscaler {
+    pub(super) fn scale_out(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
@@ -32,46 +32,49 @@
         let Some(catalog) = self.catalog.as_ref().or(stored).cloned() else {
             return;
         };
-        let mut coming = self.coming(now, &catalog, cache);
-        let mut lack = self.lack(&catalog, &coming);
-        if scheduler.shortages.iter().any(|s| s.together) || lack > 0 {
-            let mut wanted = lack.max(1);
-            self.stay(&mut wanted, cache, scheduler);
-            lack = lack.min(wanted);
+        let mut incoming = self.incoming(now, &catalog, cache);
+        let mut cpu_shortfall = self.cpu_shortfall(&catalog, &incoming);
+        if scheduler.unmet_demands.iter().any(|s| s.together) || cpu_shortfall > 0 {
+            let mut wanted = cpu_shortfall.max(1);
+            self.reclaim_leaving(&mut wanted, cache, scheduler);
+            cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load, capacity = self.capacity, on_the_way = cpus(&coming), lack, shortages = scheduler.shortages.len(), leaving = scheduler.leaving.len(), "fleet");
-        for shortage in self.wanted(&coming, cache, scheduler) {
-            let left = lacking_tasks(&shortage, &mut lack, &mut coming, cache);
-            if !self.rent_for(now, &shortage, left, &mut coming, &catalog, cache) {
+        tracing::debug!(load = ?self.load, capacity = self.capacity, on_the_way = cpus(&incoming), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "fleet");
+        for unmet_demand in self.wanted(&incoming, cache, scheduler) {
+            let left = lacking_tasks(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
+            if !self.rent_machines_for(now, &unmet_demand, left, &mut incoming, &catalog, cache) {
                 return;
             }
         }
     }
 
     /// Machines that boot in time, and those that were asked for.
-    fn coming(&self, now: MonotonicTime, catalog: &Catalog, cache: &WatchCache) -> Vec<Coming> {
+    fn incoming(
+        &self,
+        now: MonotonicTime,
+        catalog: &Catalog,
+        cache: &WatchCache,
+    ) -> Vec<IncomingMachine> {
         let room = |name: &TypeName| {
             let machine_type = catalog.types.iter().find(|t| t.name == *name);
             machine_type.map(MachineType::room)
         };
-        let mut coming = Vec::new();
+        let mut incoming = Vec::new();
         for boot in self.booting.values() {
-            let late = BOOT_LATE * self.boot_time(&boot.type_name, cache);
+            let late = LATE_BOOT_FACTOR * self.boot_time(&boot.type_name, cache);
             let in_time = now.since(boot.rented) < Millis::from_secs(late);
-            coming.extend(
-                room(&boot.type_name)
-                    .filter(|_| in_time)
-                    .map(|room| Coming {
-                        type_name: boot.type_name.clone(),
-                        zone: boot.zone.clone(),
-                        spot: boot.spot,
-                        room,
-                    }),
-            );
+            incoming.extend(room(&boot.type_name).filter(|_| in_time).map(|room| {
+                IncomingMachine {
+                    type_name: boot.type_name.clone(),
+                    zone: boot.zone.clone(),
+                    spot: boot.spot,
+                    room,
+                }
+            }));
         }
         for request in self.rentals.iter().map(|r| &r.request) {
             for _ in 0..request.count {
-                coming.extend(room(&request.type_name).map(|room| Coming {
+                incoming.extend(room(&request.type_name).map(|room| IncomingMachine {
                     type_name: request.type_name.clone(),
                     zone: request.zone.clone(),
                     spot: request.spot,
@@ -79,33 +82,42 @@
                 }));
             }
         }
-        coming
+        incoming
     }
 
     /// The CPUs that arrays lack, by their deadlines and by what comes in.
-    fn lack(&self, catalog: &Catalog, coming: &[Coming]) -> u64 {
+    fn cpu_shortfall(&self, catalog: &Catalog, incoming: &[IncomingMachine]) -> u64 {
         let boot = catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
-        let capacity = (self.capacity + cpus(coming)).saturating_sub(self.load.services);
-        let lack = demand::lacking(&self.batches, capacity as f64, boot) as u64;
-        lack.max(self.flow.cpus(self.unix_time).saturating_sub(capacity))
+        let capacity = (self.capacity + cpus(incoming)).saturating_sub(self.load.services);
+        let cpu_shortfall = demand::lacking(&self.batches, capacity as f64, boot) as u64;
+        cpu_shortfall.max(
+            self.arrival_rate
+                .cpus(self.unix_time)
+                .saturating_sub(capacity),
+        )
     }
 
     /// The shortages to rent for. What must run all at once comes first: the rest shares what is
     /// left.
     fn wanted(
         &self,
-        coming: &[Coming],
+        incoming: &[IncomingMachine],
         cache: &WatchCache,
         scheduler: &Scheduler,
-    ) -> Vec<Shortage> {
-        let mut shortages = scheduler.shortages.clone();
-        let steady_coming: u64 = coming.iter().filter(|c| !c.spot).map(|c| c.room.cpus).sum();
-        let steady = self.steady + steady_coming;
+    ) -> Vec<UnmetDemand> {
+        let mut unmet_demands = scheduler.unmet_demands.clone();
+        let steady_coming: u64 = incoming
+            .iter()
+            .filter(|c| !c.spot)
+            .map(|c| c.room.cpus)
+            .sum();
+        let on_demand = self.on_demand + steady_coming;
         // The next replicas must not wait for a machine to boot.
-        if steady < self.load.services + self.spare && !shortages.iter().any(|s| s.together) {
+        if on_demand < self.load.services + self.spare && !unmet_demands.iter().any(|s| s.together)
+        {
             let mut jobs = cache.jobs.iter();
             let service = jobs.find(|(_, j)| j.spec.kind == JobKind::Service);
-            shortages.extend(service.map(|(id, job)| Shortage {
+            unmet_demands.extend(service.map(|(id, job)| UnmetDemand {
                 job: id.clone(),
                 need: job.spec.need(),
                 tasks: 1,
@@ -115,36 +127,37 @@
                 cached_only: false,
             }));
         }
-        shortages.sort_by_key(|s| !s.together);
-        merged(shortages, cache)
+        unmet_demands.sort_by_key(|s| !s.together);
+        merged(unmet_demands, cache)
     }
 
     /// Asks for machines for so many tasks, of the cheapest kinds that the cloud may have.
     /// `false`: no more may be asked for now.
-    fn rent_for(
+    fn rent_machines_for(
         &mut self,
         now: MonotonicTime,
-        shortage: &Shortage,
+        unmet_demand: &UnmetDemand,
         mut left: u64,
-        coming: &mut Vec<Coming>,
+        incoming: &mut Vec<IncomingMachine>,
         catalog: &Catalog,
         cache: &WatchCache,
     ) -> bool {
         while left > 0 {
-            let Some((machine_type, zone, spot)) = self.cheapest(catalog, cache, shortage, left)
+            let Some((machine_type, zone, spot)) =
+                self.cheapest(catalog, cache, unmet_demand, left)
             else {
                 break;
             };
-            let per = shortage.need.count_in(machine_type.room()).max(1);
-            let count = left.div_ceil(per).min(MOST_RENTED.into()) as u32;
+            let per = unmet_demand.need.count_in(machine_type.room()).max(1);
+            let count = left.div_ceil(per).min(MAX_MACHINES_PER_RENTAL.into()) as u32;
             let covered = left.min(per * u64::from(count));
             let last = covered - per * (u64::from(count) - 1);
             left -= covered;
-            coming.push(Coming {
+            incoming.push(IncomingMachine {
                 type_name: machine_type.name.clone(),
                 zone: zone.clone(),
                 spot,
-                room: machine_type.room() - shortage.need.times(last),
+                room: machine_type.room() - unmet_demand.need.times(last),
             });
             self.counter += 1;
             let request = RentRequest {
@@ -155,13 +168,13 @@
                 spot,
                 count,
             };
-            self.rentals.push(Rental {
+            self.rentals.push(PendingRental {
                 request,
                 sent: false,
                 retry_at: now,
                 since: now,
             });
-            if self.rentals.len() > MOST_PENDING {
+            if self.rentals.len() > MAX_PENDING_RENTALS {
                 return false;
             }
         }
@@ -174,13 +187,13 @@
         &self,
         catalog: &'a Catalog,
         cache: &WatchCache,
-        shortage: &Shortage,
+        unmet_demand: &UnmetDemand,
         left: u64,
     ) -> Option<(&'a MachineType, Zone, bool)> {
-        let spec = &cache.jobs.get(&shortage.job)?.spec;
+        let spec = &cache.jobs.get(&unmet_demand.job)?.spec;
         let mut best: Option<(f64, usize, &MachineType, Zone, bool)> = None;
         for machine_type in &catalog.types {
-            let per = shortage.need.count_in(machine_type.room());
+            let per = unmet_demand.need.count_in(machine_type.room());
             if per == 0 {
                 continue;
             }
@@ -203,7 +216,7 @@
                         machine_type.price
                     };
                     // Others will join a replica; a batch leaves with its last task.
-                    let tasks = if shortage.together { per } else { left };
+                    let tasks = if unmet_demand.together { per } else { left };
                     let cost = price * tasks.div_ceil(per) as f64 / tasks as f64;
                     let here = cache
                         .machines
@@ -223,35 +236,35 @@
     }
 }
 
-fn cpus(coming: &[Coming]) -> u64 {
-    coming.iter().map(|c| c.room.cpus).sum()
+fn cpus(incoming: &[IncomingMachine]) -> u64 {
+    incoming.iter().map(|c| c.room.cpus).sum()
 }
 
 /// The tasks of a shortage for which machines are to be rented. Tasks of arrays follow one another:
 /// only what their deadlines ask for is. What is on its way serves first those that must run all
 /// at once.
 fn lacking_tasks(
-    shortage: &Shortage,
-    lack: &mut u64,
-    coming: &mut [Coming],
+    unmet_demand: &UnmetDemand,
+    cpu_shortfall: &mut u64,
+    incoming: &mut [IncomingMachine],
     cache: &WatchCache,
 ) -> u64 {
-    let Some(job) = cache.jobs.get(&shortage.job) else {
+    let Some(job) = cache.jobs.get(&unmet_demand.job) else {
         return 0;
     };
     let spec = &job.spec;
-    let at_once = shortage.together || !is_served(shortage, spec, coming, cache);
+    let at_once = unmet_demand.together || !is_served(unmet_demand, spec, incoming, cache);
     if !at_once {
-        let cpus = shortage.need.cpus;
-        let tasks = lack.div_ceil(cpus.max(1)).min(shortage.tasks);
-        *lack = lack.saturating_sub(tasks * cpus);
+        let cpus = unmet_demand.need.cpus;
+        let tasks = cpu_shortfall.div_ceil(cpus.max(1)).min(unmet_demand.tasks);
+        *cpu_shortfall = cpu_shortfall.saturating_sub(tasks * cpus);
         return tasks;
     }
-    let mut left = shortage.tasks;
-    for machine in coming {
+    let mut left = unmet_demand.tasks;
+    for machine in incoming {
         if left > 0 && spec.allows(&machine.type_name, &machine.zone, machine.spot) {
-            let tasks = shortage.need.count_in(machine.room).min(left);
-            machine.room = machine.room - shortage.need.times(tasks);
+            let tasks = unmet_demand.need.count_in(machine.room).min(left);
+            machine.room = machine.room - unmet_demand.need.times(tasks);
             left -= tasks;
         }
     }
@@ -260,33 +273,38 @@
 
 /// Whether any machine of the fleet, or on its way, may run a shortage's tasks, however busy it
 /// is. Otherwise it needs one, however idle the others are.
-fn is_served(shortage: &Shortage, spec: &JobSpec, coming: &[Coming], cache: &WatchCache) -> bool {
+fn is_served(
+    unmet_demand: &UnmetDemand,
+    spec: &JobSpec,
+    incoming: &[IncomingMachine],
+    cache: &WatchCache,
+) -> bool {
     let fits = |type_name: &TypeName, zone: &Zone, spot: bool| {
         let machine_type = cache.machine_type(type_name);
         spec.allows(type_name, zone, spot)
-            && machine_type.is_some_and(|t| shortage.need.fits(t.room()))
+            && machine_type.is_some_and(|t| unmet_demand.need.fits(t.room()))
     };
     let mut there = cache.machines.values().map(|m| &m.record);
-    coming.iter().any(|c| fits(&c.type_name, &c.zone, c.spot))
+    incoming.iter().any(|c| fits(&c.type_name, &c.zone, c.spot))
         || there.any(|r| fits(&r.type_name, &r.zone, r.spot))
 }
 
 /// Arrays that may use the same machines rent together: calls are few, and each may bring many
 /// machines. They keep the place of the first of them.
-fn merged(shortages: Vec<Shortage>, cache: &WatchCache) -> Vec<Shortage> {
-    let mut list: Vec<Shortage> = Vec::new();
-    for shortage in shortages {
-        let spec = |s: &Shortage| cache.jobs.get(&s.job).map(|j| j.spec.clone());
-        let same = |other: &&mut Shortage| {
-            let alike = match (spec(&shortage), spec(other)) {
+fn merged(unmet_demands: Vec<UnmetDemand>, cache: &WatchCache) -> Vec<UnmetDemand> {
+    let mut list: Vec<UnmetDemand> = Vec::new();
+    for unmet_demand in unmet_demands {
+        let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
+        let same = |other: &&mut UnmetDemand| {
+            let alike = match (spec(&unmet_demand), spec(other)) {
                 (Some(a), Some(b)) => (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot),
                 _ => false,
             };
-            alike && !shortage.together && !other.together && other.need == shortage.need
+            alike && !unmet_demand.together && !other.together && other.need == unmet_demand.need
         };
         match list.iter_mut().find(same) {
-            Some(other) => other.tasks += shortage.tasks,
-            None => list.push(shortage),
+            Some(other) => other.tasks += unmet_demand.tasks,
+            None => list.push(unmet_demand),
         }
     }
     list
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -8,16 +8,22 @@
 #[test]
 fn a_holder_that_alone_misses_many_machines_is_doubted_and_a_cut_off_zone_is_not() {
     let id = MachineId::from("vm-1");
-    let quiet = |count, overdue, silent| Quiet {
+    let quiet = |count, overdue, silent| OwnerSilence {
         count,
         overdue,
         silent: vec![&id; silent],
     };
-    assert!(quiet(300, 90, 20).is_doubtful((600, 3)));
-    assert!(quiet(300, 200, 160).is_doubtful((600, 400)), "most of them");
-    assert!(!quiet(300, 90, 20).is_doubtful((600, 170)), "of all alike");
-    assert!(!quiet(300, 20, 20).is_doubtful((600, 2)), "a few");
-    assert!(!quiet(20, 3, 1).is_doubtful((40, 0)), "a small fleet");
+    assert!(quiet(300, 90, 20).is_owner_suspect((600, 3)));
+    assert!(
+        quiet(300, 200, 160).is_owner_suspect((600, 400)),
+        "most of them"
+    );
+    assert!(
+        !quiet(300, 90, 20).is_owner_suspect((600, 170)),
+        "of all alike"
+    );
+    assert!(!quiet(300, 20, 20).is_owner_suspect((600, 2)), "a few");
+    assert!(!quiet(20, 3, 1).is_owner_suspect((40, 0)), "a small fleet");
 }
 
 /// Found in an incident: while the state service was down, a machine that had gone silent
@@ -48,7 +54,7 @@
         });
     }
     let mut scheduler = Scheduler::new(&config);
-    let mut fleet = Fleet::new(&config);
+    let mut autoscaler = Autoscaler::new(&config);
     let mut deletions = 0;
     for turn in 0..50 {
         let now = MonotonicTime(10_000 + turn * 400);
@@ -58,7 +64,7 @@
                 machine: id.clone(),
                 fence: Revision(5),
                 silent: Millis(30_000),
-                missed: Millis(30_000),
+                since_direct_heartbeat: Millis(30_000),
                 confirmed: true,
                 notice: None,
                 unrecorded: None,
@@ -67,11 +73,11 @@
             &cache,
         );
         let mut out = Vec::new();
-        fleet.drive(now, Revision(1), &cache, &mut scheduler, &mut out);
+        autoscaler.step(now, Revision(1), &cache, &mut scheduler, &mut out);
         for effect in out {
             if let Effect::Delete(ids) = effect {
                 deletions += 1;
-                fleet.on_deleted(now, &ids, true, &mut Vec::new());
+                autoscaler.on_deleted(now, &ids, true, &mut Vec::new());
             }
         }
     }
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -3,30 +3,30 @@
 use super::*;
 
 /// Past this many boot times a machine will not come up any more.
-const BOOT_GIVEN_UP: f64 = 4.0;
+const FAILED_BOOT_FACTOR: f64 = 4.0;
 /// Seconds that a boot counts as at least.
-const SHORTEST_BOOT: f64 = 10.0;
+const MIN_BOOT_S: f64 = 10.0;
 
-impl Fleet {
+impl Autoscaler {
     /// Machines that failed, never came up, or have been silent for too long. Deleting them is
     /// also the proof that their tasks are gone.
-    pub(super) fn given_up(
+    pub(super) fn machines_to_decommission(
         &self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
         let mut list: Vec<MachineId> = self.failed.iter().cloned().collect();
-        list.extend(self.never_up(now, cache));
+        list.extend(self.failed_to_boot(now, cache));
         list.extend(self.silent(now, cache, scheduler));
         list
     }
 
     /// Machines that have taken far too long to boot.
-    fn never_up(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
+    fn failed_to_boot(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
         let limit = |boot: &Boot| {
             let boot_time = self.boot_time(&boot.type_name, cache);
-            Millis::from_secs(BOOT_GIVEN_UP * boot_time.max(SHORTEST_BOOT))
+            Millis::from_secs(FAILED_BOOT_FACTOR * boot_time.max(MIN_BOOT_S))
         };
         let late = self
             .booting
@@ -47,7 +47,7 @@
         let patience = self.patience(cache);
         let overdue =
             self.config.heartbeat_interval + Millis(self.config.heartbeat_interval.0 / 4 + 500);
-        let mut by_owner: BTreeMap<&str, Quiet<'_>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
             let shard_record = cache.shards.get(&id.shard(self.config.shards()));
             let Some(shard_record) = shard_record.filter(|l| l.revision == health.last.fence)
@@ -68,14 +68,14 @@
         });
         for quiet in by_owner.into_values() {
             let rest = (all.0 - quiet.count, all.1 - quiet.overdue);
-            let doubtful = quiet.is_doubtful(rest);
+            let doubtful = quiet.is_owner_suspect(rest);
             let silent = quiet.silent;
             // But most may really be gone: after a while they are given up all the same, or
             // their work would wait for ever (simulated seed 45).
-            let given_up = silent.into_iter().filter(|id| {
+            let machines_to_decommission = silent.into_iter().filter(|id| {
                 !doubtful || scheduler.health[*id].last.silent >= Millis(4 * patience.0)
             });
-            list.extend(given_up.cloned());
+            list.extend(machines_to_decommission.cloned());
         }
         list
     }
@@ -83,7 +83,7 @@
 
 /// What a holder says of its machines.
 #[derive(Debug, Default)]
-pub(super) struct Quiet<'a> {
+pub(super) struct OwnerSilence<'a> {
     pub count: usize,
     /// A report of theirs should have come by now.
     pub overdue: usize,
@@ -91,12 +91,12 @@
     pub silent: Vec<&'a MachineId>,
 }
 
-impl Quiet<'_> {
+impl OwnerSilence<'_> {
     /// Whether it is rather the holder that hears nothing: most of its machines are silent, or far
     /// more than of all others, `rest`, though blocks are dealt out over zones and types alike. The
     /// first of them are silent for long while the most have a moment left: what is overdue counts
     /// (Tramite fleet, apart: a hundred healthy machines were deleted before it was clear).
-    pub fn is_doubtful(&self, rest: (usize, usize)) -> bool {
+    pub fn is_owner_suspect(&self, rest: (usize, usize)) -> bool {
         let most = self.silent.len() > 1.max(self.count / 2);
         let (others, overdue) = rest;
         // More than an eighth, and more than three times the others' part.
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,9 @@
 //! The leader's duty towards the cloud: the catalog, renting for demand, returning what is idle,
 //! deleting what never came up or went silent.
 
+mod arrival_rate;
+mod autoscaler;
 mod demand;
-mod fleet;
-mod flow;
-mod overdue;
-mod turnaround;
+mod slot_turnaround;
 
-pub use fleet::{Effect, Fleet, RentOutcome};
-pub use overdue::Overdue;
+pub use autoscaler::{Autoscaler, Effect, RentOutcome};
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -4,7 +4,7 @@
 //! Where tasks end faster than records can be changed, places wait until their machine's record is
 //! written again: that is time for which capacity has to be there, too.
 
-use crate::placement::RECORDS_SHARE;
+use crate::placement::RECORD_WRITE_SHARE;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::WatchCache;
@@ -22,7 +22,7 @@
     let wait = wait_s(
         cache.machines.len() as f64,
         ends.sum(),
-        changes * RECORDS_SHARE,
+        changes * RECORD_WRITE_SHARE,
     );
     wait.max(LEAST)
 }
--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -54,7 +54,7 @@
 #[test]
 fn records_of_the_version_in_production_are_read() {
     let job: JobRecord = serde_json::from_value(golden("job")).expect("job");
-    assert!(!job.is_waiting() && job.spec.dependencies.is_empty());
+    assert!(!job.is_blocked() && job.spec.dependencies.is_empty());
     assert_eq!(job.spec.id.as_str(), JOB);
     let old = json!({"incarnation": 12, "grant": 7});
     let member: MemberRecord = serde_json::from_value(old).expect("member");
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -9,7 +9,7 @@
 use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message};
 use crate::protocol::{Catalog, ExitReason, JobState};
 use crate::store::records::{
-    Bitmap, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, OverRecord, PlanBatch,
+    Bitmap, FinalRecord, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, PlanBatch,
     PlanRecord, ShardRecord,
 };
 use serde::Serialize;
@@ -59,7 +59,7 @@
         machine: machine(),
         fence: Revision(41),
         silent: Millis(1200),
-        missed: Millis(3000),
+        since_direct_heartbeat: Millis(3000),
         confirmed: true,
         notice: Some(Millis(8000)),
         unrecorded: Some(machine_record()),
@@ -122,7 +122,7 @@
         ),
         (
             "CancelledKnown",
-            Message::CancelledKnown {
+            Message::CancellationAcknowledged {
                 round: RoundId(3),
                 job: job(),
                 settled: vec![(ShardId(4), Revision(41))],
@@ -130,7 +130,7 @@
         ),
         (
             "Ask",
-            Message::Ask {
+            Message::ForwardedRequest {
                 id: 8,
                 post: true,
                 path: "/work".into(),
@@ -139,7 +139,7 @@
         ),
         (
             "Reply",
-            Message::Reply {
+            Message::ForwardedResponse {
                 id: 8,
                 status: 201,
                 body: b"{}".to_vec(),
@@ -147,10 +147,10 @@
         ),
         (
             "Word",
-            Message::Word {
-                served: true,
-                hears: vec![member()],
-                misses: vec![machine()],
+            Message::PeerStatus {
+                store_reachable: true,
+                reachable_peers: vec![member()],
+                missing_machines: vec![machine()],
             },
         ),
         (
@@ -158,10 +158,10 @@
             Message::Relay {
                 to: member(),
                 from: "mooring-2".into(),
-                message: Box::new(Message::Strays(vec![machine()])),
+                message: Box::new(Message::MisdirectedHeartbeats(vec![machine()])),
             },
         ),
-        ("Strays", Message::Strays(vec![machine()])),
+        ("Strays", Message::MisdirectedHeartbeats(vec![machine()])),
         ("Health", health()),
     ]
 }
@@ -217,7 +217,7 @@
         crate::protocol::tests::spec(JOB),
         UnixTime(1_700_000_000_000),
     );
-    let over = |state, tasks| OverRecord { state, tasks };
+    let over = |state, tasks| FinalRecord { state, tasks };
     vec![
         ("leader", json_of(&leader)),
         ("block", json_of(&shard)),
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,9 +1,9 @@
 //! The platform's settings file, checked before anything starts.
 
-mod state_limits;
+mod store_limits;
 mod team;
 
-pub use state_limits::{StateLimits, StateRates};
+pub use store_limits::{StateLimits, StateRates};
 pub use team::Team;
 
 use crate::ids::{Member, Millis, Pipeline, Resources, TeamId, Zone};
@@ -93,7 +93,7 @@
     #[serde(default)]
     objectives: Vec<FileObjective>,
     workers: FileWorkers,
-    state: state_limits::FileState,
+    state: store_limits::FileState,
     cloud: FileCloud,
     quota: FileQuota,
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,16 +3,16 @@
 
 mod cancel;
 mod dependents;
-mod lead;
+mod leader;
 
-use crate::cancellation::{RoundId, Rounds, View};
-use crate::cloud::{self, Fleet, Overdue, RentOutcome};
+use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds, RoundId};
+use crate::cloud::{self, Autoscaler, RentOutcome};
 use crate::config::Config;
 use crate::ids::{
     FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, Millis, MonotonicTime, Revision,
     ShardId, TaskAttempt,
 };
-use crate::leadership::{Hearing, Leadership};
+use crate::leadership::{Leadership, ReachabilityMonitor};
 use crate::peers::{AttemptOutcome, Message};
 use crate::placement::{self, Scheduler};
 use crate::planning::{History, counter, plan_job};
@@ -20,10 +20,10 @@
 use crate::protocol::{Catalog, Command, Heartbeat, JobState, ListedMachine, RentRequest};
 use crate::store::TxnOutcome;
 use crate::store::keys;
+use crate::store::rate_limiter::RequestClass;
 use crate::store::records::{PlanBatch, PlanRecord};
-use crate::store::tokens::Class;
 use crate::store::watch_cache::WatchCache;
-use crate::workers::{self, CallOutcome, HeartbeatAnswer, ShardOwner};
+use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, ShardOwner};
 use dependents::Dependents;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -49,7 +49,7 @@
 pub enum Effect {
     Txn {
         requester: TxnRequester,
-        class: Class,
+        class: RequestClass,
         txn: Txn,
     },
     Call {
@@ -65,33 +65,33 @@
     List,
     Catalog,
     /// Read how a job that is over has ended.
-    Standing(JobId),
+    QueryOutcome(JobId),
 }
 
-const SCHEDULE_PAUSE: Millis = Millis(15);
-const SCHEDULE_EVERY: Millis = Millis(500);
-const FLEET_EVERY: Millis = Millis(400);
-const SYNC_EVERY: Millis = Millis(200);
-const HISTORY_EVERY: Millis = Millis(5000);
-const CLEAN_EVERY: Millis = Millis(2000);
-const OVERDUE_EVERY: Millis = Millis(1000);
+const MIN_SCHEDULE_INTERVAL: Millis = Millis(15);
+const MAX_SCHEDULE_INTERVAL: Millis = Millis(500);
+const AUTOSCALER_INTERVAL: Millis = Millis(400);
+const RECONCILE_INTERVAL: Millis = Millis(200);
+const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
+const CLEANUP_INTERVAL: Millis = Millis(2000);
+const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
 /// A holder's own deletion that was not carried out is asked for again after this.
-const GIVE_UP_AGAIN: Millis = Millis(3000);
+const DECOMMISSION_RETRY_INTERVAL: Millis = Millis(3000);
 /// Plans gather for so long, or until a record is half full, to be written in one change.
-const PLANS_GATHER: Millis = Millis(1000);
+const PLAN_BATCH_DELAY: Millis = Millis(1000);
 /// Counters that are brought up to date at once.
-const FOLDS: usize = 4;
+const MAX_COUNTERS_FOLDED: usize = 4;
 /// A release without an outcome is tried again after this.
-const RELEASE_AGAIN: Millis = Millis(4000);
+const COMPLETION_RETRY_INTERVAL: Millis = Millis(4000);
 /// Machine types that the state service refused for their size are offered again after this.
-const CATALOG_AGAIN: Millis = Millis(60_000);
+const CATALOG_RETRY_INTERVAL: Millis = Millis(60_000);
 /// The removal of a machine's record is tried again after this.
-const DROP_AGAIN: Millis = Millis(1000);
+const RECORD_DELETION_RETRY_INTERVAL: Millis = Millis(1000);
 /// For so long at the most it waits for jobs that are counted there.
-const COUNTED_FOR: Millis = Millis(60_000);
-const UNHEARD: Millis = Millis(10_000);
+const MAX_COUNTED_WAIT: Millis = Millis(60_000);
+const UNREPORTED_MACHINE_TIMEOUT: Millis = Millis(10_000);
 /// The turns of a large fleet lie further apart, by so many machines for a millisecond.
-const MACHINES_PER_MS: usize = 4;
+const MACHINES_PER_SCHEDULE_MS: usize = 4;
 
 pub struct Controller {
     config: Config,
@@ -99,35 +99,35 @@
     pub leadership: Leadership,
     pub shard_owner: ShardOwner,
     pub scheduler: Scheduler,
-    pub fleet: Fleet,
-    hearing: Hearing,
-    overdue: Overdue,
-    next_overdue: MonotonicTime,
+    pub autoscaler: Autoscaler,
+    reachability: ReachabilityMonitor,
+    cancellation_deadlines: CancellationDeadlines,
+    next_cancellation_scan: MonotonicTime,
     /// Machines whose deletion was asked for without leading, and when.
-    giving_up: BTreeMap<MachineId, MonotonicTime>,
-    rounds: Rounds,
+    decommissioning: BTreeMap<MachineId, MonotonicTime>,
+    rounds: CancellationRounds,
     history: History,
     /// Plans that are made and not yet written.
     plans: BTreeMap<JobId, PlanRecord>,
     plans_in_flight: bool,
     plans_since: MonotonicTime,
-    plans_again: MonotonicTime,
+    plans_retry_at: MonotonicTime,
     plan_batch: u64,
-    releasing: BTreeMap<JobId, MonotonicTime>,
+    completing: BTreeMap<JobId, MonotonicTime>,
     dependents: Dependents,
     catalog_in_flight: bool,
-    catalog_again: MonotonicTime,
+    catalog_retry_at: MonotonicTime,
     dropping: BTreeMap<MachineId, MonotonicTime>,
     /// Since when machines are gone whose records still stand.
     gone_since: BTreeMap<MachineId, MonotonicTime>,
     /// Since when no holder has spoken of a machine without a record.
-    unheard: BTreeMap<MachineId, MonotonicTime>,
-    dirty: bool,
+    unreported_since: BTreeMap<MachineId, MonotonicTime>,
+    needs_scheduling: bool,
     next_schedule: MonotonicTime,
     last_schedule: MonotonicTime,
-    next_fleet: MonotonicTime,
-    assured: MonotonicTime,
-    next_sync: MonotonicTime,
+    next_autoscaler_step: MonotonicTime,
+    lease_valid_until: MonotonicTime,
+    next_reconcile: MonotonicTime,
     next_history: MonotonicTime,
     next_clean: MonotonicTime,
 }
@@ -141,31 +141,31 @@
             leadership: Leadership::new(config, incarnation),
             shard_owner: ShardOwner::new(config, incarnation),
             scheduler: Scheduler::new(config),
-            fleet: Fleet::new(config),
-            hearing: Hearing::new(config),
-            overdue: Overdue::default(),
-            next_overdue: zero,
-            giving_up: BTreeMap::new(),
-            rounds: Rounds::default(),
+            autoscaler: Autoscaler::new(config),
+            reachability: ReachabilityMonitor::new(config),
+            cancellation_deadlines: CancellationDeadlines::default(),
+            next_cancellation_scan: zero,
+            decommissioning: BTreeMap::new(),
+            rounds: CancellationRounds::default(),
             history: History::default(),
             plans: BTreeMap::new(),
             plans_in_flight: false,
             plans_since: zero,
-            plans_again: zero,
+            plans_retry_at: zero,
             plan_batch: 0,
-            releasing: BTreeMap::new(),
+            completing: BTreeMap::new(),
             dependents: Dependents::default(),
             catalog_in_flight: false,
-            catalog_again: zero,
+            catalog_retry_at: zero,
             dropping: BTreeMap::new(),
             gone_since: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            dirty: false,
+            unreported_since: BTreeMap::new(),
+            needs_scheduling: false,
             next_schedule: zero,
             last_schedule: zero,
-            next_fleet: zero,
-            assured: zero,
-            next_sync: zero,
+            next_autoscaler_step: zero,
+            lease_valid_until: zero,
+            next_reconcile: zero,
             next_history: zero,
             next_clean: zero,
         }
@@ -173,23 +173,23 @@
 
     /// The grant holds at least until then. Whoever can't say so may lead no longer without
     /// knowing it: it then stops nothing and leaves the cloud alone, since others place by now.
-    pub fn assure(&mut self, until: MonotonicTime) {
-        self.assured = until;
+    pub fn set_lease_deadline(&mut self, until: MonotonicTime) {
+        self.lease_valid_until = until;
     }
 
     pub fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
         self.leadership.set_lease(lease, &self.cache);
-        self.turn(now)
+        self.run_due_work(now)
     }
 
     /// A mirror read anew takes the old one's place.
     pub fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
         cache.keep_cancelled(&self.cache);
         self.cache = cache;
-        self.shard_owner.look_again();
-        self.dirty = true;
-        self.next_sync = now;
-        self.turn(now)
+        self.shard_owner.compare_all_trackers();
+        self.needs_scheduling = true;
+        self.next_reconcile = now;
+        self.run_due_work(now)
     }
 
     /// The next changes of the stream; also the jobs that ended by them.
@@ -204,7 +204,7 @@
             .filter_map(|e| keys::machine_of(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
         let ended = self.cache.apply(revision, events);
-        self.dirty = true;
+        self.needs_scheduling = true;
         let mut out = Vec::new();
         self.shard_owner
             .on_changed(now, &touched, &self.cache, &mut out);
@@ -238,7 +238,7 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (Option<HeartbeatAnswer>, Vec<Effect>) {
-        if !self.shard_owner.takes_relayed(now, &heartbeat.machine) {
+        if !self.shard_owner.accepts_relayed(now, &heartbeat.machine) {
             return (None, Vec::new());
         }
         let (answer, effects) = self.process_heartbeat(now, heartbeat, true);
@@ -247,13 +247,13 @@
 
     /// Machines held here whose reports have not come straight for so long that they may be cut
     /// off.
-    pub fn misses(&self, now: MonotonicTime) -> Vec<MachineId> {
-        self.shard_owner.misses(now)
+    pub fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
+        self.shard_owner.missing_machines(now)
     }
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
-    pub fn set_cut(&mut self, cut: bool) {
-        self.shard_owner.cut = cut;
+    pub fn set_partitioned(&mut self, partitioned: bool) {
+        self.shard_owner.partitioned = partitioned;
     }
 
     pub fn on_call(
@@ -261,7 +261,7 @@
         now: MonotonicTime,
         machine: &MachineId,
         token: FencingToken,
-        outcome: CallOutcome,
+        outcome: DirectCallOutcome,
     ) -> Vec<Effect> {
         let mut out = Vec::new();
         self.shard_owner
@@ -280,7 +280,7 @@
             TxnRequester::ShardOwner(machine) => {
                 self.shard_owner
                     .on_txn(now, machine, outcome, &mut self.cache, &mut out);
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
             TxnRequester::Leadership => self.leadership.on_txn(now, outcome),
             TxnRequester::Plans(jobs) => {
@@ -288,7 +288,7 @@
                 // Under any other outcome they are written, or somebody else leads. A refusal
                 // for want of tokens comes back at once: without a pause it would go round and
                 // round (entry 37769b7d).
-                self.plans_again = now + PLANS_GATHER;
+                self.plans_retry_at = now + PLAN_BATCH_DELAY;
                 let again = matches!(outcome, TxnOutcome::Refused);
                 for job in jobs.iter().filter(|_| again) {
                     let plan = self.cache.plan(job).cloned();
@@ -298,7 +298,7 @@
             TxnRequester::Release(job) => {
                 let known = !matches!(outcome, TxnOutcome::Unknown);
                 if known && !matches!(outcome, TxnOutcome::Committed(_)) {
-                    self.releasing.remove(job);
+                    self.completing.remove(job);
                 }
                 if matches!(outcome, TxnOutcome::Committed(_)) {
                     self.learn_outcome(job, JobState::Done);
@@ -316,7 +316,7 @@
                     tracing::error!(
                         "the machine types do not fit into a value of the state service"
                     );
-                    self.catalog_again = now + CATALOG_AGAIN;
+                    self.catalog_retry_at = now + CATALOG_RETRY_INTERVAL;
                 }
             }
             TxnRequester::Nobody => {}
@@ -335,27 +335,27 @@
             } => {
                 self.learn_cancelled(now, &job, revision, age, &mut effects);
                 let settled = self.settled(now, &job);
-                let known = Message::CancelledKnown {
+                let known = Message::CancellationAcknowledged {
                     round,
                     job,
                     settled,
                 };
                 effects.push(Effect::Peer(from.clone(), known));
             }
-            Message::CancelledKnown {
+            Message::CancellationAcknowledged {
                 round,
                 job,
                 settled,
-            } => self.rounds.on_known(round, &job, from, settled),
-            message => self.deliver(now, message, &mut effects),
+            } => self.rounds.on_acknowledged(round, &job, from, settled),
+            message => self.dispatch(now, message, &mut effects),
         }
-        effects.extend(self.turn(now));
+        effects.extend(self.run_due_work(now));
         effects
     }
 
     pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) -> Vec<Effect> {
-        self.fleet.on_catalog(now, catalog);
-        self.turn(now)
+        self.autoscaler.on_catalog(now, catalog);
+        self.run_due_work(now)
     }
 
     pub fn on_list(
@@ -363,8 +363,8 @@
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
     ) -> Vec<Effect> {
-        self.fleet.on_list(now, machines, &self.cache);
-        self.turn(now)
+        self.autoscaler.on_list(now, machines, &self.cache);
+        self.run_due_work(now)
     }
 
     pub fn on_rent(
@@ -373,52 +373,57 @@
         request: &RentRequest,
         outcome: RentOutcome,
     ) -> Vec<Effect> {
-        self.fleet.on_rent(now, request, outcome);
-        self.turn(now)
+        self.autoscaler.on_rent(now, request, outcome);
+        self.run_due_work(now)
     }
 
     pub fn on_deleted(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) -> Vec<Effect> {
         let mut cloud = Vec::new();
-        self.fleet.on_deleted(now, ids, ok, &mut cloud);
+        self.autoscaler.on_deleted(now, ids, ok, &mut cloud);
         let mut effects = self.cloud_effects(now, cloud);
-        effects.extend(self.turn(now));
+        effects.extend(self.run_due_work(now));
         effects
     }
 
-    pub fn on_standing(&mut self, now: MonotonicTime, job: &JobId, state: JobState) -> Vec<Effect> {
-        self.overdue.learn(job, state);
+    pub fn on_job_outcome(
+        &mut self,
+        now: MonotonicTime,
+        job: &JobId,
+        state: JobState,
+    ) -> Vec<Effect> {
+        self.cancellation_deadlines.record_outcome(job, state);
         self.learn_outcome(job, state);
-        self.next_overdue = now;
-        self.turn(now)
+        self.next_cancellation_scan = now;
+        self.run_due_work(now)
     }
 
     pub fn tick(&mut self, now: MonotonicTime, unix_time: crate::ids::UnixTime) -> Vec<Effect> {
-        self.fleet.unix_time = unix_time;
+        self.autoscaler.unix_time = unix_time;
         self.scheduler.unix_time = unix_time;
-        self.turn(now)
+        self.run_due_work(now)
     }
 
     /// How many changes the state service takes in a second from all controllers.
     pub fn set_change_rate(&mut self, changes: f64) {
         self.shard_owner.set_change_rate(changes);
         self.scheduler.set_change_rate(changes);
-        self.fleet.change_rate = changes;
+        self.autoscaler.change_rate = changes;
     }
 
     /// When the next tick is due; events may ask for an earlier one.
-    pub fn wants_turn_at(&self, now: MonotonicTime) -> MonotonicTime {
-        let schedule = if self.dirty {
+    pub fn next_tick_at(&self, now: MonotonicTime) -> MonotonicTime {
+        let schedule = if self.needs_scheduling {
             self.next_schedule
         } else {
-            now + SCHEDULE_EVERY
+            now + MAX_SCHEDULE_INTERVAL
         };
-        schedule.min(self.next_sync)
+        schedule.min(self.next_reconcile)
     }
 
-    fn finish(&mut self, now: MonotonicTime, out: Vec<workers::Effect>) -> Vec<Effect> {
+    fn finish(&mut self, now: MonotonicTime, out: Vec<worker_control::Effect>) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.apply_owner_effects(now, out, &mut effects);
-        effects.extend(self.turn(now));
+        effects.extend(self.run_due_work(now));
         effects
     }
 
@@ -426,18 +431,18 @@
     fn apply_owner_effects(
         &mut self,
         now: MonotonicTime,
-        out: Vec<workers::Effect>,
+        out: Vec<worker_control::Effect>,
         effects: &mut Vec<Effect>,
     ) {
         let mut queue = VecDeque::from(out);
         while let Some(effect) = queue.pop_front() {
             match effect {
-                workers::Effect::Txn { machine, txn } => effects.push(Effect::Txn {
+                worker_control::Effect::Txn { machine, txn } => effects.push(Effect::Txn {
                     requester: TxnRequester::ShardOwner(machine),
-                    class: Class::Place,
+                    class: RequestClass::Place,
                     txn,
                 }),
-                workers::Effect::Call {
+                worker_control::Effect::Call {
                     machine,
                     addr,
                     token,
@@ -450,23 +455,23 @@
                     epoch,
                     commands,
                 }),
-                workers::Effect::ToLeader(message) => {
+                worker_control::Effect::ToLeader(message) => {
                     let Some(leader) = &self.cache.leader else {
                         continue;
                     };
                     if leader.value.member == self.config.member {
-                        self.deliver(now, message, effects);
+                        self.dispatch(now, message, effects);
                     } else {
                         effects.push(Effect::Peer(leader.value.member.clone(), message));
                     }
                 }
-                workers::Effect::Found(id, record) => {
+                worker_control::Effect::Found(id, record) => {
                     self.cache.discover(id, record);
-                    self.shard_owner.look_again();
-                    self.next_sync = now;
+                    self.shard_owner.compare_all_trackers();
+                    self.next_reconcile = now;
                 }
-                workers::Effect::Lost(id) => self.cache.forget(&id),
-                workers::Effect::RenewShard(shard) => self.renew(shard, effects),
+                worker_control::Effect::Lost(id) => self.cache.forget(&id),
+                worker_control::Effect::RenewShard(shard) => self.renew(shard, effects),
             }
         }
     }
@@ -475,13 +480,13 @@
         if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
             effects.push(Effect::Txn {
                 requester: TxnRequester::Nobody,
-                class: Class::Place,
+                class: RequestClass::Place,
                 txn,
             });
         }
     }
 
-    fn deliver(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
+    fn dispatch(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
         let mut out = Vec::new();
         match message {
             Message::Allot(allotment) => {
@@ -499,15 +504,15 @@
                 for (_, attempt, done) in &attempts {
                     if let Some(job) = self.cache.jobs.get_mut(&attempt.task.job).filter(|_| *done)
                     {
-                        job.tell(attempt.task.index);
+                        job.report_done(attempt.task.index);
                     }
                 }
                 self.scheduler.on_freed(attempts);
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
             Message::Refused { fence, attempts } => {
                 self.scheduler.on_refused(fence, &attempts);
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
             Message::EndedAttempt(ended) => {
                 if ended.end == AttemptOutcome::Done
@@ -517,9 +522,11 @@
                         .add(pipeline, &ended.type_name, ended.estimate_s, ran);
                 }
                 self.scheduler.on_ended(now, &ended, &self.cache);
-                self.dirty = true;
+                self.needs_scheduling = true;
+            }
+            Message::MisdirectedHeartbeats(machines) => {
+                self.reachability.on_misdirected_heartbeats(now, machines)
             }
-            Message::Strays(machines) => self.hearing.on_strays(now, machines),
             Message::Health(health) => {
                 let urgent = health.len() == 1;
                 for h in &health {
@@ -528,59 +535,59 @@
                     }
                 }
                 self.scheduler.on_health(now, health, &self.cache);
-                self.dirty |= urgent;
+                self.needs_scheduling |= urgent;
             }
             // Dealt with before they get here.
             Message::Hello { .. }
-            | Message::Word { .. }
+            | Message::PeerStatus { .. }
             | Message::Relay { .. }
-            | Message::Ask { .. }
-            | Message::Reply { .. }
+            | Message::ForwardedRequest { .. }
+            | Message::ForwardedResponse { .. }
             | Message::Cancelled { .. }
-            | Message::CancelledKnown { .. } => {}
+            | Message::CancellationAcknowledged { .. } => {}
         }
         self.apply_owner_effects(now, out, effects);
     }
 
     /// Does whatever is due. Called after every input.
-    fn turn(&mut self, now: MonotonicTime) -> Vec<Effect> {
+    fn run_due_work(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if now >= self.next_sync {
-            self.next_sync = now + SYNC_EVERY;
+        if now >= self.next_reconcile {
+            self.next_reconcile = now + RECONCILE_INTERVAL;
             let mut out = Vec::new();
-            self.shard_owner.sync(now, &self.cache, &mut out);
+            self.shard_owner.reconcile(now, &self.cache, &mut out);
             self.apply_owner_effects(now, out, &mut effects);
         }
-        if let Some(txn) = self.leadership.drive(now, &self.cache) {
+        if let Some(txn) = self.leadership.step(now, &self.cache) {
             effects.push(Effect::Txn {
                 requester: TxnRequester::Leadership,
-                class: Class::Lease,
+                class: RequestClass::Lease,
                 txn,
             });
         }
-        let overdue = now >= self.next_overdue;
-        if overdue {
-            self.next_overdue = now + OVERDUE_EVERY;
-            self.overdue.look(now, &self.cache);
+        let cancellation_deadlines = now >= self.next_cancellation_scan;
+        if cancellation_deadlines {
+            self.next_cancellation_scan = now + CANCELLATION_SCAN_INTERVAL;
+            self.cancellation_deadlines.scan(now, &self.cache);
         }
         match self.leadership.settled_term(&self.cache) {
-            Some(term) if now < self.assured => {
-                if overdue {
-                    self.give_up_overdue(now, &mut effects);
+            Some(term) if now < self.lease_valid_until => {
+                if cancellation_deadlines {
+                    self.decommission_overdue(now, &mut effects);
                     let health = self.scheduler.health.values().map(|h| &h.last);
                     let shards = self.config.shards();
-                    self.hearing.judge(now, shards, health, &self.cache);
-                    self.leadership.resting = self.hearing.resting();
+                    self.reachability.evaluate(now, shards, health, &self.cache);
+                    self.leadership.quarantined = self.reachability.quarantined();
                 }
-                self.lead(now, term, &mut effects);
+                self.step_leader(now, term, &mut effects);
             }
             // Perhaps somebody else leads by now.
-            Some(_) => self.give_up_own(now, overdue, &mut effects),
+            Some(_) => self.decommission_owned(now, cancellation_deadlines, &mut effects),
             None => {
-                self.give_up_own(now, overdue, &mut effects);
+                self.decommission_owned(now, cancellation_deadlines, &mut effects);
                 self.plans.clear();
                 self.dependents.clear();
-                self.releasing.clear();
+                self.completing.clear();
                 self.history.clear();
             }
         }
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -5,7 +5,7 @@
 impl Controller {
     /// Tells everybody of a cancellation that is committed; [`Self::is_settled`] says when its
     /// user may hear of it.
-    pub fn announce(
+    pub fn announce_cancellation(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
@@ -15,17 +15,20 @@
         let mut effects = Vec::new();
         self.learn_cancelled(now, job, revision, age, &mut effects);
         let round = self.rounds.open(job, revision);
-        effects.extend(self.turn(now));
+        effects.extend(self.run_due_work(now));
         effects.extend(self.ask_round(now, round));
         (round, effects)
     }
 
     /// Asks the others, once more if need be: what they answered first was perhaps not proved yet.
     pub fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
-        let Some((job, revision)) = self.rounds.asks(round) else {
+        let Some((job, revision)) = self.rounds.pending_cancellation(round) else {
             return Vec::new();
         };
-        let age = self.overdue.age(now, job).unwrap_or_default();
+        let age = self
+            .cancellation_deadlines
+            .age(now, job)
+            .unwrap_or_default();
         let message = Message::Cancelled {
             round,
             job: job.clone(),
@@ -39,20 +42,24 @@
     }
 
     pub fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
-        let Some(job) = self.rounds.asks(round).map(|(job, _)| job.clone()) else {
+        let Some(job) = self
+            .rounds
+            .pending_cancellation(round)
+            .map(|(job, _)| job.clone())
+        else {
             return false;
         };
         let settled = self.settled(now, &job);
         self.rounds
-            .on_known(round, &job, &self.config.member, settled);
-        let carriers = self.cache.carriers(&job).map(|id| {
+            .on_acknowledged(round, &job, &self.config.member, settled);
+        let machines_with_job = self.cache.machines_with_job(&job).map(|id| {
             let shard = id.shard(self.config.shards());
             let shard_record = self.cache.shards.get(&shard);
             (shard, shard_record.map(|l| l.revision))
         });
-        let view = View {
+        let view = CacheView {
             revision: self.cache.revision,
-            carriers: carriers.collect(),
+            machines_with_job: machines_with_job.collect(),
         };
         self.rounds.is_settled(round, &view)
     }
@@ -61,10 +68,11 @@
     /// nor a deletion was answered for as long as users allow, it has to do that this holder
     /// knows: a user is not left without an answer for longer.
     pub(super) fn settled(&self, now: MonotonicTime, job: &JobId) -> Vec<(ShardId, Revision)> {
-        let age = self.overdue.age(now, job);
+        let age = self.cancellation_deadlines.age(now, job);
         let long = age.is_some_and(|a| a >= self.config.cancel);
-        let gone = |id: &MachineId| self.fleet.is_deleted(id);
-        self.shard_owner.settled(job, long, gone, &self.cache)
+        let gone = |id: &MachineId| self.autoscaler.is_deleted(id);
+        self.shard_owner
+            .cleared_shards(job, long, gone, &self.cache)
     }
 
     pub fn close_round(&mut self, round: RoundId) {
@@ -81,52 +89,57 @@
         effects: &mut Vec<Effect>,
     ) {
         self.cache.cancel(job, revision);
-        let carriers = self.cache.carriers(job).cloned().collect();
-        self.overdue.cancelled(now, job, age);
+        let machines_with_job = self.cache.machines_with_job(job).cloned().collect();
+        self.cancellation_deadlines.cancelled(now, job, age);
         let mut out = Vec::new();
         self.shard_owner
-            .on_changed(now, &carriers, &self.cache, &mut out);
+            .on_changed(now, &machines_with_job, &self.cache, &mut out);
         self.apply_owner_effects(now, out, effects);
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Gives up machines on which a cancelled job's tasks could not be stopped in time.
-    pub(super) fn give_up_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let patience = self.fleet.patience(&self.cache);
+    pub(super) fn decommission_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        let patience = self.autoscaler.patience(&self.cache);
         let silent = |id: &MachineId| self.scheduler.is_silent(now, id, patience, &self.cache);
         let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
-        let due = self
-            .overdue
-            .due(now, self.config.cancel, &self.cache, silent, freed);
-        effects.extend(due.ask.into_iter().map(Effect::Standing));
-        if !due.give_up.is_empty() {
-            tracing::info!(machines = ?due.give_up, "cancelled work can't be stopped there");
-            self.fleet.give_up(now, due.give_up);
-            self.next_fleet = now;
+        let due =
+            self.cancellation_deadlines
+                .due(now, self.config.cancel, &self.cache, silent, freed);
+        effects.extend(due.ask.into_iter().map(Effect::QueryOutcome));
+        if !due.decommission.is_empty() {
+            tracing::info!(machines = ?due.decommission, "cancelled work can't be stopped there");
+            self.autoscaler.decommission(now, due.decommission);
+            self.next_autoscaler_step = now;
         }
     }
 
     /// The same by a holder that does not lead, or does not know that it still does: a deletion
     /// needs the cloud and no fence. In an outage of the state service nobody leads for certain.
-    pub(super) fn give_up_own(&mut self, now: MonotonicTime, due: bool, effects: &mut Vec<Effect>) {
+    pub(super) fn decommission_owned(
+        &mut self,
+        now: MonotonicTime,
+        due: bool,
+        effects: &mut Vec<Effect>,
+    ) {
         if !due {
             return;
         }
-        let patience = self.fleet.patience(&self.cache);
+        let patience = self.autoscaler.patience(&self.cache);
         let shard_owner = &self.shard_owner;
         let silent = |id: &MachineId| shard_owner.is_silent(now, id, patience);
         let freed = |attempt: &TaskAttempt| shard_owner.is_gone(attempt);
-        let due = self
-            .overdue
-            .due(now, self.config.cancel, &self.cache, silent, freed);
-        self.giving_up
-            .retain(|_, at| now.since(*at) < GIVE_UP_AGAIN);
-        let (asked, fleet) = (&self.giving_up, &self.fleet);
-        let new = |id: &MachineId| !asked.contains_key(id) && !fleet.is_deleted(id);
-        let ids: Vec<MachineId> = due.give_up.into_iter().filter(new).collect();
+        let due =
+            self.cancellation_deadlines
+                .due(now, self.config.cancel, &self.cache, silent, freed);
+        self.decommissioning
+            .retain(|_, at| now.since(*at) < DECOMMISSION_RETRY_INTERVAL);
+        let (asked, autoscaler) = (&self.decommissioning, &self.autoscaler);
+        let new = |id: &MachineId| !asked.contains_key(id) && !autoscaler.is_deleted(id);
+        let ids: Vec<MachineId> = due.decommission.into_iter().filter(new).collect();
         if !ids.is_empty() {
             tracing::info!(machines = ?ids, "cancelled work can't be stopped on machines held here");
-            self.giving_up
+            self.decommissioning
                 .extend(ids.iter().map(|id| (id.clone(), now)));
             effects.push(Effect::Delete(ids));
         }
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -7,19 +7,19 @@
 
 use super::*;
 use crate::planning::cancel_dependents;
+use crate::store::dependency_graph::JobOutcome;
 use crate::store::records::JobRecord;
-use crate::store::waiting::Outcome;
 
 /// A question, or a write, without an outcome is repeated after this.
-const AGAIN: Millis = Millis(1000);
+const RETRY_INTERVAL: Millis = Millis(1000);
 /// A write that certainly was not executed.
-const REFUSED_AGAIN: Millis = Millis(200);
+const REFUSED_RETRY_INTERVAL: Millis = Millis(200);
 /// Questions and releases under way at the most, so that a new leader that finds thousands of
 /// waiting jobs leaves requests for everything else.
-const UNDER_WAY: usize = 16;
+const MAX_IN_FLIGHT: usize = 16;
 /// Whoever cancels a job cancels its dependents too, before its user is told. The leader leaves
 /// them alone for so long, and then does what that controller did not get to.
-const CANCELLER_FIRST: Millis = Millis(1500);
+const CANCELLER_HEAD_START: Millis = Millis(1500);
 
 /// What the leader has asked and written, until when it waits for the outcome.
 #[derive(Debug, Default)]
@@ -43,41 +43,43 @@
 
 impl Controller {
     /// Does whatever dependent jobs need now.
-    pub(super) fn drive_dependents(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        if self.cache.waiting.len() == 0 {
+    pub(super) fn step_dependents(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        if self.cache.dependency_graph.len() == 0 {
             self.dependents.clear();
             return;
         }
         self.dependents.expire(now);
-        self.ask_outcomes(now, effects);
+        self.query_outcomes(now, effects);
         self.release_ready(now, effects);
-        self.pass_cancellations_on(now, effects);
+        self.propagate_cancellations(now, effects);
     }
 
     /// Has the final records read of jobs that others need and that have left the mirror.
-    fn ask_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let room = UNDER_WAY.saturating_sub(self.dependents.asked.len());
-        let unasked = self.cache.waiting.unknown();
+    fn query_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.asked.len());
+        let unasked = self.cache.dependency_graph.with_unknown_outcome();
         let unasked = unasked.filter(|id| !self.dependents.asked.contains_key(*id));
         let ids: Vec<JobId> = unasked.take(room).cloned().collect();
         for id in ids {
-            self.dependents.asked.insert(id.clone(), now + AGAIN);
-            effects.push(Effect::Standing(id));
+            self.dependents
+                .asked
+                .insert(id.clone(), now + RETRY_INTERVAL);
+            effects.push(Effect::QueryOutcome(id));
         }
     }
 
     /// Releases jobs that need nothing more, the most urgent first.
     fn release_ready(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let room = UNDER_WAY.saturating_sub(self.dependents.releasing.len());
+        let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.releasing.len());
         if room == 0 {
             return;
         }
-        let waiting = &self.cache.waiting;
-        let ready = waiting.ready();
+        let dependency_graph = &self.cache.dependency_graph;
+        let ready = dependency_graph.ready();
         let idle = ready.filter(|id| !self.dependents.releasing.contains_key(*id));
         let mut ids: Vec<JobId> = idle.cloned().collect();
         ids.sort_by_cached_key(|id| {
-            let urgency = waiting.urgency(id);
+            let urgency = dependency_graph.urgency(id);
             let finish_by = urgency.and_then(|u| u.finish_by);
             let latest = finish_by.unwrap_or(crate::ids::UnixTime(u64::MAX));
             (std::cmp::Reverse(urgency.map(|u| u.priority)), latest)
@@ -89,10 +91,12 @@
             let mut txn = Txn::default();
             txn.require(keys::job(&id), revision);
             txn.put(keys::job(&id), &record, None);
-            self.dependents.releasing.insert(id.clone(), now + AGAIN);
+            self.dependents
+                .releasing
+                .insert(id.clone(), now + RETRY_INTERVAL);
             effects.push(Effect::Txn {
                 requester: TxnRequester::Dependent(id),
-                class: Class::Accept,
+                class: RequestClass::Accept,
                 txn,
             });
         }
@@ -100,7 +104,7 @@
 
     /// A waiting job's revision, and its record as released now.
     fn released(&self, id: &JobId) -> Option<(Revision, JobRecord)> {
-        let job = self.cache.waiting.get(id)?;
+        let job = self.cache.dependency_graph.get(id)?;
         let now = self.scheduler.unix_time.max(job.accepted);
         let mut record = JobRecord::new((*job.spec).clone(), job.accepted);
         record.released = Some(now);
@@ -115,7 +119,7 @@
             }
             // The mirror is behind, or others release and cancel as well: what it shows then decides.
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Failed(..) => {
-                let until = now + REFUSED_AGAIN;
+                let until = now + REFUSED_RETRY_INTERVAL;
                 self.dependents.releasing.insert(id.clone(), until);
             }
             TxnOutcome::Unknown => {}
@@ -127,10 +131,10 @@
         let Some((_, record)) = self.released(id) else {
             return;
         };
-        let group = self.cache.waiting.group_machines(id).to_vec();
+        let group = self.cache.dependency_graph.group_machines(id).to_vec();
         self.cache.put_job(id.clone(), record, revision);
         self.prefer(id, group);
-        self.dirty = true;
+        self.needs_scheduling = true;
         self.next_schedule = MonotonicTime::default();
     }
 
@@ -149,17 +153,17 @@
     /// A final record was read, or written here.
     pub(super) fn learn_outcome(&mut self, job: &JobId, state: JobState) {
         let outcome = match state {
-            JobState::Done => Outcome::Done,
-            JobState::Cancelled => Outcome::Cancelled,
+            JobState::Done => JobOutcome::Done,
+            JobState::Cancelled => JobOutcome::Cancelled,
             JobState::Queued | JobState::Running => return,
         };
         self.dependents.asked.remove(job);
-        self.cache.note_outcome(job, outcome);
+        self.cache.record_job_outcome(job, outcome);
     }
 
     /// Cancels what needs a cancelled job, where the controller that cancelled it has not done so.
-    fn pass_cancellations_on(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let Some(cancelled) = self.cache.waiting.cancelled().next() else {
+    fn propagate_cancellations(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        let Some(cancelled) = self.cache.dependency_graph.cancelled().next() else {
             self.dependents.cancel_at = None;
             return;
         };
@@ -167,16 +171,16 @@
             < *self
                 .dependents
                 .cancel_at
-                .get_or_insert(now + CANCELLER_FIRST)
+                .get_or_insert(now + CANCELLER_HEAD_START)
         {
             return;
         }
-        self.dependents.cancel_at = Some(now + REFUSED_AGAIN);
+        self.dependents.cancel_at = Some(now + REFUSED_RETRY_INTERVAL);
         let ops = self.config.state.txn_ops;
         if let Some((txn, jobs)) = cancel_dependents(cancelled, &self.cache, ops) {
             effects.push(Effect::Txn {
                 requester: TxnRequester::CancelledDependents(jobs),
-                class: Class::Accept,
+                class: RequestClass::Accept,
                 txn,
             });
         }
@@ -187,6 +191,6 @@
         for job in jobs {
             self.cache.cancel(job, revision);
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -4,24 +4,29 @@
 use crate::planning::counter::Layout;
 
 impl Controller {
-    pub(super) fn lead(&mut self, now: MonotonicTime, term: Revision, effects: &mut Vec<Effect>) {
-        self.drive_dependents(now, effects);
-        let due = (self.dirty && now >= self.next_schedule)
-            || now.since(self.last_schedule) >= SCHEDULE_EVERY;
+    pub(super) fn step_leader(
+        &mut self,
+        now: MonotonicTime,
+        term: Revision,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.step_dependents(now, effects);
+        let due = (self.needs_scheduling && now >= self.next_schedule)
+            || now.since(self.last_schedule) >= MAX_SCHEDULE_INTERVAL;
         if due {
-            self.dirty = false;
+            self.needs_scheduling = false;
             self.last_schedule = now;
-            let pause = Millis((self.cache.machines.len() / MACHINES_PER_MS) as u64);
-            self.next_schedule = now + SCHEDULE_PAUSE + pause;
+            let pause = Millis((self.cache.machines.len() / MACHINES_PER_SCHEDULE_MS) as u64);
+            self.next_schedule = now + MIN_SCHEDULE_INTERVAL + pause;
             self.plan(now);
             self.release(now, effects);
             let mut out = Vec::new();
-            self.scheduler.drive(now, term, &self.cache, &mut out);
+            self.scheduler.step(now, term, &self.cache, &mut out);
             for effect in out {
                 match effect {
                     placement::Effect::ToShardOwner(member, message) => {
                         if member == self.config.member {
-                            self.deliver(now, *message, effects);
+                            self.dispatch(now, *message, effects);
                         } else {
                             effects.push(Effect::Peer(member, *message));
                         }
@@ -31,16 +36,16 @@
             }
         }
         self.write_plans(now, term, effects);
-        if now >= self.next_fleet {
-            self.next_fleet = now + FLEET_EVERY;
+        if now >= self.next_autoscaler_step {
+            self.next_autoscaler_step = now + AUTOSCALER_INTERVAL;
             let mut out = Vec::new();
-            self.fleet
-                .drive(now, term, &self.cache, &mut self.scheduler, &mut out);
+            self.autoscaler
+                .step(now, term, &self.cache, &mut self.scheduler, &mut out);
             effects.extend(self.cloud_effects(now, out));
             self.store_catalog(now, effects);
         }
         if now >= self.next_history {
-            self.next_history = now + HISTORY_EVERY;
+            self.next_history = now + HISTORY_WRITE_INTERVAL;
             if let Some((pipeline, record)) = self
                 .history
                 .next(&self.cache, self.config.state.value_bytes)
@@ -50,23 +55,23 @@
                 txn.put(keys::history(&pipeline), &record, None);
                 effects.push(Effect::Txn {
                     requester: TxnRequester::Nobody,
-                    class: Class::Record,
+                    class: RequestClass::Record,
                     txn,
                 });
             }
         }
         if now >= self.next_clean {
-            self.next_clean = now + CLEAN_EVERY;
+            self.next_clean = now + CLEANUP_INTERVAL;
             self.forget_lost(now);
             self.fold(effects);
             let mut txn = Txn::default();
-            for key in self.cache.orphans(self.config.state.txn_ops) {
+            for key in self.cache.orphaned_keys(self.config.state.txn_ops) {
                 txn.delete(key);
             }
             if !txn.changes.is_empty() {
                 effects.push(Effect::Txn {
                     requester: TxnRequester::Nobody,
-                    class: Class::Record,
+                    class: RequestClass::Record,
                     txn,
                 });
             }
@@ -78,7 +83,7 @@
         let jobs = self.cache.jobs.iter();
         let unplanned = jobs.filter(|(_, job)| job.plan.is_none());
         let unplanned = unplanned.map(|(id, _)| id);
-        let unplanned = unplanned.chain(self.cache.waiting.unplanned());
+        let unplanned = unplanned.chain(self.cache.dependency_graph.unplanned());
         let new: Vec<JobId> = unplanned.cloned().collect();
         for id in new {
             for (planned, plan) in plan_job(&id, &self.cache) {
@@ -100,8 +105,8 @@
     ) {
         let room = self.config.state.value_bytes / 2;
         let full = 600 * self.plans.len() > room;
-        let due = full || now.since(self.plans_since) >= PLANS_GATHER;
-        let waits = self.plans_in_flight || now < self.plans_again;
+        let due = full || now.since(self.plans_since) >= PLAN_BATCH_DELAY;
+        let waits = self.plans_in_flight || now < self.plans_retry_at;
         if self.plans.is_empty() || waits || !due {
             return;
         }
@@ -130,23 +135,24 @@
         self.plans_in_flight = true;
         effects.push(Effect::Txn {
             requester: TxnRequester::Plans(batch.into_keys().collect()),
-            class: Class::Record,
+            class: RequestClass::Record,
             txn,
         });
     }
 
     /// Ends jobs all of whose tasks are counted as done.
     pub(super) fn release(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        self.releasing
-            .retain(|id, at| self.cache.jobs.contains_key(id) && now.since(*at) < RELEASE_AGAIN);
+        self.completing.retain(|id, at| {
+            self.cache.jobs.contains_key(id) && now.since(*at) < COMPLETION_RETRY_INTERVAL
+        });
         for (id, job) in &self.cache.jobs {
-            if !self.releasing.contains_key(id)
+            if !self.completing.contains_key(id)
                 && let Some(txn) = counter::release(id, job, &Layout::new(&self.config))
             {
-                self.releasing.insert(id.clone(), now);
+                self.completing.insert(id.clone(), now);
                 effects.push(Effect::Txn {
                     requester: TxnRequester::Release(id.clone()),
-                    class: Class::Accept,
+                    class: RequestClass::Accept,
                     txn,
                 });
             }
@@ -158,14 +164,17 @@
     /// forgotten before that it was never used (simulated seed 557 of the crowded days).
     pub(super) fn forget_lost(&mut self, now: MonotonicTime) {
         let unrecorded = self.cache.machines.iter();
-        let unheard: Vec<MachineId> = unrecorded
-            .filter(|(id, m)| m.revision == Revision(0) && !self.scheduler.heard_of(now, id))
+        let unreported_since: Vec<MachineId> = unrecorded
+            .filter(|(id, m)| {
+                m.revision == Revision(0) && !self.scheduler.has_recent_health(now, id)
+            })
             .map(|(id, _)| id.clone())
             .collect();
-        self.unheard.retain(|id, _| unheard.contains(id));
-        for id in unheard {
-            let since = *self.unheard.entry(id.clone()).or_insert(now);
-            if now.since(since) >= UNHEARD {
+        self.unreported_since
+            .retain(|id, _| unreported_since.contains(id));
+        for id in unreported_since {
+            let since = *self.unreported_since.entry(id.clone()).or_insert(now);
+            if now.since(since) >= UNREPORTED_MACHINE_TIMEOUT {
                 self.cache.forget(&id);
             }
         }
@@ -178,7 +187,7 @@
         // Where there is room beside them they cost nothing, and go when their jobs end.
         let full = records.filter(|r| r.done_size() > most / 4 && r.size() > most / 2);
         let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
-        for id in jobs.into_iter().take(FOLDS) {
+        for id in jobs.into_iter().take(MAX_COUNTERS_FOLDED) {
             let mut txn = Txn::default();
             if let Some(job) = self.cache.jobs.get(id) {
                 let room = self.config.state.txn_ops;
@@ -187,7 +196,7 @@
             if !txn.changes.is_empty() {
                 effects.push(Effect::Txn {
                     requester: TxnRequester::Nobody,
-                    class: Class::Place,
+                    class: RequestClass::Place,
                     txn,
                 });
             }
@@ -195,16 +204,16 @@
     }
 
     pub(super) fn store_catalog(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        if self.catalog_in_flight || now < self.catalog_again {
+        if self.catalog_in_flight || now < self.catalog_retry_at {
             return;
         }
-        if let Some(catalog) = self.fleet.catalog_to_store(&self.cache) {
+        if let Some(catalog) = self.autoscaler.catalog_to_store(&self.cache) {
             self.catalog_in_flight = true;
             let mut txn = Txn::default();
             txn.put(keys::CATALOG, catalog, None);
             effects.push(Effect::Txn {
                 requester: TxnRequester::Catalog,
-                class: Class::Place,
+                class: RequestClass::Place,
                 txn,
             });
         }
@@ -230,7 +239,8 @@
 
     /// Removes the record of a machine that is gone.
     fn drop_record(&mut self, now: MonotonicTime, id: &MachineId, effects: &mut Vec<Effect>) {
-        self.dropping.retain(|_, at| now.since(*at) < DROP_AGAIN);
+        self.dropping
+            .retain(|_, at| now.since(*at) < RECORD_DELETION_RETRY_INTERVAL);
         if self.dropping.contains_key(id) || self.waits_for_counted(now, id) {
             return;
         }
@@ -261,7 +271,7 @@
         }
         effects.push(Effect::Txn {
             requester: TxnRequester::Nobody,
-            class: Class::Place,
+            class: RequestClass::Place,
             txn,
         });
     }
@@ -279,7 +289,7 @@
         let counts = counted.any(|done| self.cache.jobs.contains_key(&done.job));
         counts
             && record.jobs.is_empty()
-            && now.since(since) < COUNTED_FOR
+            && now.since(since) < MAX_COUNTED_WAIT
             && self.scheduler.changes_are_scarce(now)
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -70,8 +70,8 @@
     let mut controller = alone();
     let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
     let asked = effects.iter().any(|e| matches!(e, Effect::Call { .. }));
-    assert!(asked && controller.shard_owner.desk_count() == 0);
-    let done = CallOutcome::Done(heartbeat(5));
+    assert!(asked && controller.shard_owner.tracked_count() == 0);
+    let done = DirectCallOutcome::Done(heartbeat(5));
     controller.on_call(
         MonotonicTime(1010),
         &"vm-1".into(),
@@ -79,7 +79,7 @@
         done,
     );
     controller.tick(MonotonicTime(1500), crate::ids::UnixTime(1500));
-    assert_eq!(controller.shard_owner.desk_count(), 1);
+    assert_eq!(controller.shard_owner.tracked_count(), 1);
 }
 
 /// A leader that the state service refuses alone went on renting, and emptied machines that
@@ -88,12 +88,12 @@
 fn a_leader_that_is_not_sure_of_its_grant_leaves_the_cloud_alone() {
     let mut controller = alone();
     let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::List));
-    controller.assure(MonotonicTime(2000));
+    controller.set_lease_deadline(MonotonicTime(2000));
     assert!(calls(
         controller.tick(MonotonicTime(1000), crate::ids::UnixTime(1000))
     ));
     let mut later = alone();
-    later.assure(MonotonicTime(2000));
+    later.set_lease_deadline(MonotonicTime(2000));
     assert!(!calls(
         later.tick(MonotonicTime(3000), crate::ids::UnixTime(3000))
     ));
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -6,19 +6,19 @@
 use crate::protocol::{
     Catalog, ListedMachine, MachineList, MachineNames, RentRequest, machines_path, path,
 };
-use crate::store::tokens::{Bucket, Class};
+use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const CALL: Duration = Duration::from_secs(4);
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 const BODY_LIMIT: usize = 2 * 1024 * 1024;
 const MOST_PAGES: usize = 40;
 
 pub struct CloudCalls {
     client: Client,
     addr: SocketAddr,
-    bucket: RefCell<Bucket>,
+    bucket: RefCell<TokenBucket>,
     started: Instant,
 }
 
@@ -27,7 +27,7 @@
         Self {
             client: Client::new(BODY_LIMIT, 1),
             addr,
-            bucket: RefCell::new(Bucket::new(rps)),
+            bucket: RefCell::new(TokenBucket::new(rps)),
             started,
         }
     }
@@ -35,29 +35,34 @@
     /// Deletions come first, then rentals, then lists and the catalog.
     async fn call(
         &self,
-        class: Class,
+        class: RequestClass,
         method: Method,
         path: &str,
         body: &impl serde::Serialize,
     ) -> Option<Response> {
         let now = MonotonicTime(self.started.elapsed().as_millis() as u64);
-        if !self.bucket.borrow_mut().try_take(now, 1.0, class) {
+        if !self.bucket.borrow_mut().try_acquire(now, 1.0, class) {
             return None;
         }
         let body = match method {
             Method::Get => Vec::new(),
             _ => serde_json::to_vec(body).ok()?,
         };
-        let answer = self.client.call(self.addr, method, path, &body, CALL).await;
+        let answer = self
+            .client
+            .call(self.addr, method, path, &body, CALL_TIMEOUT)
+            .await;
         let response = answer.ok()?;
         if response.status == 429 {
-            self.bucket.borrow_mut().exhaust(now);
+            self.bucket.borrow_mut().drain(now);
         }
         Some(response)
     }
 
     async fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
-        let response = self.call(Class::Accept, Method::Get, path, &()).await?;
+        let response = self
+            .call(RequestClass::Accept, Method::Get, path, &())
+            .await?;
         if response.status != 200 {
             return None;
         }
@@ -85,7 +90,7 @@
 
     pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
         let answer = self
-            .call(Class::Place, Method::Post, path::MACHINES, request)
+            .call(RequestClass::Place, Method::Post, path::MACHINES, request)
             .await;
         match answer {
             Some(r) if r.status == 200 => serde_json::from_slice::<MachineNames>(&r.body)
@@ -105,7 +110,12 @@
             machines: ids.to_vec(),
         };
         let answer = self
-            .call(Class::Lease, Method::Post, path::DELETE_MACHINES, &names)
+            .call(
+                RequestClass::Lease,
+                Method::Post,
+                path::DELETE_MACHINES,
+                &names,
+            )
             .await;
         answer.is_some_and(|r| r.status == 200)
     }
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -1,7 +1,7 @@
 //! What a peer has to decide, over the link: users' requests while the state service serves others
 //! but not this controller, and reports of workers that can't reach the holder of their machine.
 
-use super::{Node, TELL, routes};
+use super::{Node, PEER_STATUS_INTERVAL, http_routes};
 use crate::http::{Method, Request, Response};
 use crate::ids::{MachineId, Member};
 use crate::peers::Message;
@@ -12,18 +12,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_millis(1500);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
 /// More at a time than this are refused at once.
-const MOST: usize = 500;
+const MAX_FORWARDED: usize = 500;
 
 #[derive(Default)]
-pub struct Forwarded {
+pub struct ForwardedRequests {
     next: Cell<u64>,
     waiting: RefCell<BTreeMap<u64, Sender<Response>>>,
 }
 
-impl Forwarded {
-    pub fn settle(&self, id: u64, status: u16, body: Vec<u8>) {
+impl ForwardedRequests {
+    pub fn complete(&self, id: u64, status: u16, body: Vec<u8>) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
             waiting.send(Response::new(status, body));
         }
@@ -31,13 +31,15 @@
 }
 
 /// Asks a peer that the state service serves. `None`: there is none, or it did not answer.
-pub async fn ask(node: &Rc<Node>, request: &Request) -> Option<Response> {
+pub async fn forward_request(node: &Rc<Node>, request: &Request) -> Option<Response> {
     let peer = {
         let served = node.peers_served.borrow();
-        let recent = served.iter().filter(|(_, at)| at.elapsed() < 3 * TELL);
+        let recent = served
+            .iter()
+            .filter(|(_, at)| at.elapsed() < 3 * PEER_STATUS_INTERVAL);
         recent.max_by_key(|(_, at)| **at).map(|(m, _)| m.clone())?
     };
-    let response = ask_of(node, &peer, request).await;
+    let response = forward_to(node, &peer, request).await;
     response.filter(|r| r.status < 500)
 }
 
@@ -49,35 +51,40 @@
     request: &Request,
 ) -> Option<Response> {
     let now = node.now();
-    if !node.routes.borrow().may_miss(now, owner, machine) {
+    if !node.routes.borrow().may_be_missing(now, owner, machine) {
         return None;
     }
-    let response = ask_of(node, owner, request).await;
+    let response = forward_to(node, owner, request).await;
     response.filter(|r| r.status == 200)
 }
 
-async fn ask_of(node: &Rc<Node>, peer: &Member, request: &Request) -> Option<Response> {
-    if node.forwarded.waiting.borrow().len() >= MOST {
+async fn forward_to(node: &Rc<Node>, peer: &Member, request: &Request) -> Option<Response> {
+    if node.forwarded.waiting.borrow().len() >= MAX_FORWARDED {
         return None;
     }
     let id = node.forwarded.next.get() + 1;
     node.forwarded.next.set(id);
-    let (answer, result) = oneshot();
-    node.forwarded.waiting.borrow_mut().insert(id, answer);
-    let message = Message::Ask {
+    let (answer_forwarded, result) = oneshot();
+    node.forwarded
+        .waiting
+        .borrow_mut()
+        .insert(id, answer_forwarded);
+    let message = Message::ForwardedRequest {
         id,
         post: request.method == Method::Post,
         path: request.path.clone(),
         body: request.body.clone(),
     };
     node.send(peer, message);
-    let response = runtime::timeout(PATIENCE, result.get()).await.flatten();
+    let response = runtime::timeout(FORWARD_TIMEOUT, result.get())
+        .await
+        .flatten();
     node.forwarded.waiting.borrow_mut().remove(&id);
     response
 }
 
 /// Decides a peer's request here; it is never handed on again.
-pub async fn answer(
+pub async fn answer_forwarded(
     node: Rc<Node>,
     from: Member,
     id: u64,
@@ -88,13 +95,13 @@
     let method = if post { Method::Post } else { Method::Get };
     let request = Request { method, path, body };
     let response = if post && request.path == path::HEARTBEAT {
-        routes::relayed_heartbeat(&node, &request.body)
+        http_routes::relayed_heartbeat(&node, &request.body)
     } else {
-        routes::user_request(&node, &request)
+        http_routes::user_request(&node, &request)
             .await
             .unwrap_or_else(|| Response::error(404, "no such path"))
     };
-    let reply = Message::Reply {
+    let reply = Message::ForwardedResponse {
         id,
         status: response.status,
         body: response.body,
--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -1,14 +1,14 @@
 //! The public side: which request goes to which duty.
 
-use super::{Node, forward};
+use super::{Node, forwarding};
 use crate::admin::Settings;
 use crate::http::{Method, Request, Response};
 use crate::ids::FencingToken;
 use crate::protocol::store::Txn;
 use crate::protocol::{self, Heartbeat, path};
-use crate::store::tokens::Class;
+use crate::store::rate_limiter::RequestClass;
 use crate::store::{TxnOutcome, keys};
-use crate::workers::HeartbeatAnswer;
+use crate::worker_control::HeartbeatAnswer;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -18,12 +18,12 @@
 
 /// Answers by duty and status, and how long each took.
 #[derive(Default)]
-pub struct Stats {
+pub struct ResponseStats {
     counts: RefCell<BTreeMap<(&'static str, u16), u64>>,
     times: RefCell<BTreeMap<&'static str, Histogram<u32>>>,
 }
 
-impl Stats {
+impl ResponseStats {
     fn note(&self, duty: &'static str, status: u16, since: Instant) {
         *self.counts.borrow_mut().entry((duty, status)).or_default() += 1;
         let mut times = self.times.borrow_mut();
@@ -89,7 +89,7 @@
         _ => match user_request(node, request).await {
             // Not for us to decide, perhaps for a peer.
             Some(response) if response.status == 503 => {
-                let forwarded = forward::ask(node, request).await;
+                let forwarded = forwarding::forward_request(node, request).await;
                 (user_duty(request), forwarded.unwrap_or(response))
             }
             Some(response) => (user_duty(request), response),
@@ -112,15 +112,15 @@
     let rest = path.strip_prefix(path::JOBS)?;
     if rest.is_empty() {
         return Some(match request.method {
-            Method::Post => node.intake.submit(&request.body).await,
+            Method::Post => node.api.submit(&request.body).await,
             _ => Response::wrong_method("POST"),
         });
     }
     let job = rest.strip_prefix('/').filter(|job| !job.is_empty())?;
     match (request.method, job.split_once('/')) {
-        (Method::Get, None) => Some(node.intake.poll(job).await),
+        (Method::Get, None) => Some(node.api.poll(job).await),
         (_, None) => Some(Response::wrong_method("GET")),
-        (Method::Post, Some((id, path::CANCEL))) => Some(node.intake.cancel(id).await),
+        (Method::Post, Some((id, path::CANCEL))) => Some(node.api.cancel(id).await),
         (_, Some((_, path::CANCEL))) => Some(Response::wrong_method("POST")),
         _ => None,
     }
@@ -132,16 +132,16 @@
         Err(message) => return Response::error(400, &message),
     };
     if !node.loaded.get() {
-        return Response::later("not ready yet", 1);
+        return Response::retry_later("not ready yet", 1);
     }
     let (answer, effects) = node
         .controller
         .borrow_mut()
         .on_heartbeat(node.now(), &heartbeat);
-    node.carry_out(effects);
+    node.execute(effects);
     if let HeartbeatAnswer::Redirect(Some(owner)) = &answer {
         let machine = &heartbeat.machine;
-        let answer = forward::forward_heartbeat(node, owner, machine, request).await;
+        let answer = forwarding::forward_heartbeat(node, owner, machine, request).await;
         if let Some(response) = answer {
             return response;
         }
@@ -168,7 +168,7 @@
         .controller
         .borrow_mut()
         .on_relayed_heartbeat(now, &heartbeat);
-    node.carry_out(effects);
+    node.execute(effects);
     heartbeat_response(answer.unwrap_or(HeartbeatAnswer::Redirect(None)))
 }
 
@@ -176,7 +176,7 @@
     if node.is_ready() {
         Response::json(200, &json!({"ready": true}))
     } else {
-        Response::later("not ready", 1)
+        Response::retry_later("not ready", 1)
     }
 }
 
@@ -199,10 +199,10 @@
     let mut txn = Txn::default();
     txn.require(keys::SETTINGS, revision);
     txn.put(keys::SETTINGS, &new, None);
-    match node.store.txn(Class::Accept, &txn).await {
+    match node.store.txn(RequestClass::Accept, &txn).await {
         TxnOutcome::Committed(_) => Response::json(200, &new),
-        TxnOutcome::Failed(..) => Response::later("changed by somebody else just now", 1),
-        _ => Response::later("the state service did not take it", 1),
+        TxnOutcome::Failed(..) => Response::retry_later("changed by somebody else just now", 1),
+        _ => Response::retry_later("the state service did not take it", 1),
     }
 }
 
@@ -237,13 +237,13 @@
         "revision": cache.revision,
         "blocks": shards,
         "machines": machines,
-        "booting": controller.fleet.booting(),
+        "booting": controller.autoscaler.booting(),
         "teams": cache.team_usage(),
         "jobs": cache.jobs.len(),
-        "waiting_jobs": cache.waiting.len(),
-        "waiting_tasks": controller.scheduler.shortages.iter().map(|s| s.tasks).sum::<u64>(),
+        "waiting_jobs": cache.dependency_graph.len(),
+        "waiting_tasks": controller.scheduler.unmet_demands.iter().map(|s| s.tasks).sum::<u64>(),
         "allotted": controller.scheduler.allotted_count(),
-        "held_machines": controller.shard_owner.desk_count(),
+        "held_machines": controller.shard_owner.tracked_count(),
         "state_service": {
             "up": node.store.is_up(), "request_tokens": requests, "write_tokens": writes,
             "calls": counters.calls.get(), "refused": counters.refused.get(),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,24 +1,24 @@
 //! The process: sockets, routines and clocks around the decisions.
 
-mod cancellations;
+mod cancellation_waits;
 mod cloud_calls;
-mod forward;
-mod routes;
+mod forwarding;
+mod http_routes;
 
+use crate::api::JobApi;
 use crate::config::Config;
 use crate::controller::{Controller, Effect, TxnRequester};
 use crate::http::{self, Client, Failure, Method};
 use crate::ids::{FencingToken, Incarnation, MachineId, MonotonicTime, UnixTime, WorkerEpoch};
-use crate::intake::Intake;
 use crate::leadership::keep_lease;
-use crate::peers::{Links, Message, Routes, listen};
+use crate::peers::{Links, Message, RelayRoutes, listen};
 use crate::protocol::store::Txn;
 use crate::protocol::{self, Command, Heartbeat, path};
 use crate::runtime::{self, Scope, TcpListener, channel};
 use crate::store::records::ProgramVersion;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Store, StoreError, keys};
-use crate::workers::CallOutcome;
+use crate::worker_control::DirectCallOutcome;
 use cloud_calls::CloudCalls;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,10 +26,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CALL: Duration = Duration::from_millis(1500);
-const FOLLOW: Duration = Duration::from_secs(20);
-const FOLLOW_PAUSE: Duration = Duration::from_millis(120);
-const TELL: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
+const PEER_STATUS_INTERVAL: Duration = Duration::from_millis(700);
 /// Largest report that is read: a worker's lines are bounded, its list of tasks is not.
 const HEARTBEAT_BODY_LIMIT: usize = 1024 * 1024;
 
@@ -42,13 +42,13 @@
     workers: Client,
     cloud: CloudCalls,
     links: Links,
-    routes: RefCell<Routes>,
-    intake: Intake,
+    routes: RefCell<RelayRoutes>,
+    api: JobApi,
     loaded: Cell<bool>,
     /// When a peer last said that the state service serves it.
     peers_served: RefCell<BTreeMap<crate::ids::Member, Instant>>,
-    forwarded: forward::Forwarded,
-    stats: routes::Stats,
+    forwarded: forwarding::ForwardedRequests,
+    stats: http_routes::ResponseStats,
 }
 
 /// Runs a controller until the process is ended.
@@ -77,16 +77,21 @@
         started,
     ));
     let controller = Rc::new(RefCell::new(Controller::new(&config, incarnation)));
-    let (cancellations, told) = channel();
+    let (cancellation_waits, told) = channel();
     let links = Links::start(&config.member, incarnation, &config.peers, &mut scope);
     let node = Rc::new(Node {
-        intake: Intake::new(&config, store.clone(), controller.clone(), cancellations),
+        api: JobApi::new(
+            &config,
+            store.clone(),
+            controller.clone(),
+            cancellation_waits,
+        ),
         cloud: CloudCalls::new(config.cloud_addr, config.cloud_rps, started),
         workers: Client::new(HEARTBEAT_BODY_LIMIT, config.sockets / 5),
         loaded: Cell::new(false),
         peers_served: RefCell::default(),
-        forwarded: forward::Forwarded::default(),
-        stats: routes::Stats::default(),
+        forwarded: forwarding::ForwardedRequests::default(),
+        stats: http_routes::ResponseStats::default(),
         config,
         incarnation,
         started,
@@ -97,11 +102,11 @@
     });
     let version = ProgramVersion::CURRENT.0;
     tracing::info!(member = %node.config.member, %incarnation, version, "controller started");
-    scope.spawn(leases(node.clone()));
-    scope.spawn(mirror(node.clone()));
-    scope.spawn(ticker(node.clone()));
-    scope.spawn(teller(node.clone()));
-    scope.spawn(cancellations::tell(node.clone(), told));
+    scope.spawn(maintain_lease(node.clone()));
+    scope.spawn(watch_store(node.clone()));
+    scope.spawn(tick_loop(node.clone()));
+    scope.spawn(publish_peer_status(node.clone()));
+    scope.spawn(cancellation_waits::tell(node.clone(), told));
     let heard = node.clone();
     scope.spawn(listen(
         peer,
@@ -110,13 +115,13 @@
     let limit = node.config.sockets * 6 / 10;
     let routed = node.clone();
     http::serve(public, limit, move |request| {
-        routes::route(routed.clone(), request)
+        http_routes::route(routed.clone(), request)
     })
     .await;
     Ok(())
 }
 
-async fn leases(node: Rc<Node>) {
+async fn maintain_lease(node: Rc<Node>) {
     // Whoever holds a grant is given blocks: not before the mirror shows what is in them.
     while !node.loaded.get() {
         runtime::sleep(Duration::from_millis(10)).await;
@@ -135,19 +140,19 @@
         move |lease| {
             tracing::info!(held = lease.is_some(), "grant");
             let effects = told.controller.borrow_mut().set_lease(told.now(), lease);
-            told.carry_out(effects);
+            told.execute(effects);
         },
         move |until| {
             let until = until.saturating_duration_since(assured.started);
             let until = MonotonicTime(until.as_millis() as u64);
-            assured.controller.borrow_mut().assure(until);
+            assured.controller.borrow_mut().set_lease_deadline(until);
         },
     )
     .await;
 }
 
 /// Keeps the mirror: a snapshot, then the stream of changes; anew when the stream is lost.
-async fn mirror(node: Rc<Node>) {
+async fn watch_store(node: Rc<Node>) {
     loop {
         match snapshot(&node.store, &node.config).await {
             Ok(cache) => {
@@ -155,9 +160,9 @@
                 tracing::info!(%revision, jobs = cache.jobs.len(), machines = cache.machines.len(), "mirror read");
                 node.loaded.set(true);
                 let effects = node.controller.borrow_mut().on_snapshot(node.now(), cache);
-                node.carry_out(effects);
+                node.execute(effects);
                 loop {
-                    match node.store.follow(keys::LIVE, revision, FOLLOW).await {
+                    match node.store.watch(keys::LIVE, revision, WATCH_TIMEOUT).await {
                         Ok(events) => {
                             revision = revision.max(events.revision);
                             let (effects, _) = node.controller.borrow_mut().on_events(
@@ -165,10 +170,10 @@
                                 events.revision,
                                 events.events,
                             );
-                            node.carry_out(effects);
+                            node.execute(effects);
                             // Each answer costs a request: the fewer are left, the more changes
                             // gather for the next one.
-                            runtime::sleep(node.store.pause(FOLLOW_PAUSE)).await;
+                            runtime::sleep(node.store.watch_delay(MAX_WATCH_DELAY)).await;
                         }
                         Err(StoreError::Gone) => break,
                         Err(StoreError::Unavailable) => {
@@ -207,36 +212,36 @@
     Ok(cache)
 }
 
-async fn ticker(node: Rc<Node>) {
+async fn tick_loop(node: Rc<Node>) {
     loop {
         let now = node.now();
-        let at = node.controller.borrow().wants_turn_at(now);
+        let at = node.controller.borrow().next_tick_at(now);
         let wait = at.since(now).0.clamp(5, 100);
         runtime::sleep(Duration::from_millis(wait)).await;
         let mut controller = node.controller.borrow_mut();
         controller.set_change_rate(node.store.rates().changes);
         let effects = controller.tick(node.now(), UnixTime::now());
         drop(controller);
-        node.carry_out(effects);
+        node.execute(effects);
     }
 }
 
 /// Says a word to the peers. One that the state service refuses alone can then tell that from an
 /// outage and hand users' requests on, and ways around a cut are known.
-async fn teller(node: Rc<Node>) {
+async fn publish_peer_status(node: Rc<Node>) {
     loop {
-        runtime::sleep(TELL).await;
+        runtime::sleep(PEER_STATUS_INTERVAL).await;
         let now = node.now();
-        let word = Message::Word {
-            served: node.store.is_up(),
-            hears: node.routes.borrow().hears(now),
-            misses: node.controller.borrow().misses(now),
+        let word = Message::PeerStatus {
+            store_reachable: node.store.is_up(),
+            reachable_peers: node.routes.borrow().reachable_peers(now),
+            missing_machines: node.controller.borrow().missing_machines(now),
         };
         for peer in node.config.peers.keys() {
             node.links.send(peer, word.clone());
         }
-        let cut = node.routes.borrow().is_cut(now);
-        node.controller.borrow_mut().set_cut(cut);
+        let cut = node.routes.borrow().has_partition(now);
+        node.controller.borrow_mut().set_partitioned(cut);
     }
 }
 
@@ -247,15 +252,20 @@
 
     fn on_peer(self: &Rc<Self>, from: &crate::ids::Member, message: Message) {
         let message = match message {
-            Message::Word {
-                served,
-                hears,
-                misses,
+            Message::PeerStatus {
+                store_reachable,
+                reachable_peers,
+                missing_machines,
             } => {
                 let now = self.now();
-                self.routes.borrow_mut().on_word(now, from, hears, misses);
+                self.routes.borrow_mut().on_peer_status(
+                    now,
+                    from,
+                    reachable_peers,
+                    missing_machines,
+                );
                 let mut all = self.peers_served.borrow_mut();
-                if served {
+                if store_reachable {
                     all.insert(from.clone(), Instant::now());
                 } else {
                     all.remove(from);
@@ -278,7 +288,7 @@
                 }
                 return;
             }
-            Message::Ask {
+            Message::ForwardedRequest {
                 id,
                 post,
                 path,
@@ -286,13 +296,13 @@
             } => {
                 let node = self.clone();
                 let from = from.clone();
-                runtime::spawn(
-                    async move { forward::answer(node, from, id, post, path, body).await },
-                );
+                runtime::spawn(async move {
+                    forwarding::answer_forwarded(node, from, id, post, path, body).await
+                });
                 return;
             }
-            Message::Reply { id, status, body } => {
-                self.forwarded.settle(id, status, body);
+            Message::ForwardedResponse { id, status, body } => {
+                self.forwarded.complete(id, status, body);
                 return;
             }
             other => other,
@@ -301,13 +311,13 @@
             .controller
             .borrow_mut()
             .on_peer(self.now(), from, message);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     /// Sends a message to a peer, straight or through one that hears it.
     fn send(&self, to: &crate::ids::Member, message: Message) {
-        let through = self.routes.borrow().through(self.now(), to).cloned();
-        match through {
+        let relay = self.routes.borrow().relay_for(self.now(), to).cloned();
+        match relay {
             None => self.links.send(to, message),
             Some(between) => {
                 let message = Message::Relay {
@@ -321,7 +331,7 @@
     }
 
     /// Starts a routine for each effect; each hands its outcome back.
-    fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
+    fn execute(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             let node = self.clone();
             match effect {
@@ -349,7 +359,7 @@
                         node.controller
                             .borrow_mut()
                             .on_rent(node.now(), &request, outcome);
-                    node.carry_out(effects);
+                    node.execute(effects);
                 }),
                 Effect::Delete(ids) => runtime::spawn(async move {
                     let ok = node.cloud.delete(&ids).await;
@@ -358,24 +368,27 @@
                         .controller
                         .borrow_mut()
                         .on_deleted(node.now(), &ids, ok);
-                    node.carry_out(effects);
+                    node.execute(effects);
                 }),
-                Effect::Standing(job) => runtime::spawn(async move {
-                    if let Some(state) = node.intake.standing(&job).await {
+                Effect::QueryOutcome(job) => runtime::spawn(async move {
+                    if let Some(state) = node.api.final_outcome(&job).await {
                         let now = node.now();
-                        let effects = node.controller.borrow_mut().on_standing(now, &job, state);
-                        node.carry_out(effects);
+                        let effects = node
+                            .controller
+                            .borrow_mut()
+                            .on_job_outcome(now, &job, state);
+                        node.execute(effects);
                     }
                 }),
                 Effect::List => runtime::spawn(async move {
                     let list = node.cloud.list().await;
                     let effects = node.controller.borrow_mut().on_list(node.now(), list);
-                    node.carry_out(effects);
+                    node.execute(effects);
                 }),
                 Effect::Catalog => runtime::spawn(async move {
                     let catalog = node.cloud.catalog().await;
                     let effects = node.controller.borrow_mut().on_catalog(node.now(), catalog);
-                    node.carry_out(effects);
+                    node.execute(effects);
                 }),
             }
         }
@@ -384,7 +397,7 @@
     async fn run_txn(
         self: Rc<Self>,
         requester: TxnRequester,
-        class: crate::store::tokens::Class,
+        class: crate::store::rate_limiter::RequestClass,
         txn: Txn,
     ) {
         let outcome = self.store.txn(class, &txn).await;
@@ -393,7 +406,7 @@
             .controller
             .borrow_mut()
             .on_txn(self.now(), &requester, &outcome);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     async fn run_call(
@@ -405,25 +418,25 @@
         commands: Vec<Command>,
     ) {
         let outcome = match addr.parse::<SocketAddr>() {
-            Err(_) => CallOutcome::NotSent,
+            Err(_) => DirectCallOutcome::NotSent,
             Ok(addr) => {
                 let body = protocol::commands(token, Some(epoch), &commands);
                 let answer = self
                     .workers
-                    .call(addr, Method::Post, path::COMMANDS, &body, CALL)
+                    .call(addr, Method::Post, path::COMMANDS, &body, CALL_TIMEOUT)
                     .await;
                 match answer {
                     Ok(response) => {
                         let heartbeat = Heartbeat::parse(&response.body).ok();
                         match (response.status, heartbeat) {
-                            (200, Some(heartbeat)) => CallOutcome::Done(heartbeat),
-                            (200, None) => CallOutcome::Unknown,
-                            (409 | 400, heartbeat) => CallOutcome::Rejected(heartbeat),
-                            _ => CallOutcome::Unknown,
+                            (200, Some(heartbeat)) => DirectCallOutcome::Done(heartbeat),
+                            (200, None) => DirectCallOutcome::Unknown,
+                            (409 | 400, heartbeat) => DirectCallOutcome::Rejected(heartbeat),
+                            _ => DirectCallOutcome::Unknown,
                         }
                     }
-                    Err(Failure::NotSent) => CallOutcome::NotSent,
-                    Err(Failure::Unknown | Failure::TooLarge) => CallOutcome::Unknown,
+                    Err(Failure::NotSent) => DirectCallOutcome::NotSent,
+                    Err(Failure::Unknown | Failure::TooLarge) => DirectCallOutcome::Unknown,
                 }
             }
         };
@@ -431,7 +444,7 @@
             .controller
             .borrow_mut()
             .on_call(self.now(), &machine, token, outcome);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     /// Whether users are served here. A node that the state service refuses alone hands requests
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// The answer to what can't be taken now: at once, and saying when to come back.
-    pub fn later(message: &str, seconds: u32) -> Self {
+    pub fn retry_later(message: &str, seconds: u32) -> Self {
         Self {
             retry_after: Some(seconds),
             ..Self::error(503, message)
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -45,7 +45,10 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back() {
-    let text = String::from_utf8(super::server::encode(&Response::later("busy", 3), false));
+    let text = String::from_utf8(super::server::encode(
+        &Response::retry_later("busy", 3),
+        false,
+    ));
     assert!(text.expect("text").contains("\r\nRetry-After: 3\r\n"));
 }
 
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -145,21 +145,21 @@
 }
 
 /// Bits of a token that count a holder's own rises; the block's revision stands above them.
-const RISE_BITS: u32 = 20;
+const RAISE_BITS: u32 = 20;
 
 impl FencingToken {
     /// The token of a machine under a block's record. Any later record of the block outranks all
     /// rises under an earlier one, so they need no record of their own.
-    pub fn of(fence: Revision, rise: u32) -> Self {
-        Self((fence.0 << RISE_BITS) | u64::from(rise))
+    pub fn of(fence: Revision, raise: u32) -> Self {
+        Self((fence.0 << RAISE_BITS) | u64::from(raise))
     }
 
     pub fn fence(self) -> Revision {
-        Revision(self.0 >> RISE_BITS)
+        Revision(self.0 >> RAISE_BITS)
     }
 
     /// One more rise under the same record, while it has room for one.
-    pub fn raised(self) -> Option<Self> {
+    pub fn next_raise(self) -> Option<Self> {
         let next = Self(self.0 + 1);
         (next.fence() == self.fence()).then_some(next)
     }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -3,25 +3,25 @@
 use crate::ids::{Incarnation, LeaseId, Member, Revision};
 use crate::protocol::store::Txn;
 use crate::runtime;
+use crate::store::rate_limiter::RequestClass;
 use crate::store::records::MemberRecord;
-use crate::store::tokens::Class;
 use crate::store::{Store, StoreError, TxnOutcome, keys};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Ends what an earlier life of this controller left, then holds a grant for ever. `tell` hears
 /// of each new grant, and of its loss; `assure` until when it holds for certain.
 pub async fn keep_lease(
     store: Rc<Store>,
-    me: Member,
+    member: Member,
     incarnation: Incarnation,
     life: impl Fn() -> Duration,
     tell: impl Fn(Option<LeaseId>),
     assure: impl Fn(Instant),
 ) {
-    let key = keys::member(&me);
+    let key = keys::member(&member);
     loop {
         // Sent before the request leaves: the grant can't end sooner than this says.
         let sent = Instant::now();
@@ -33,7 +33,7 @@
                 extend(&store, lease, life_now, sent, &assure).await;
                 tell(None);
             }
-            None => runtime::sleep(RETRY).await,
+            None => runtime::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -44,7 +44,7 @@
     incarnation: Incarnation,
     life: Duration,
 ) -> Option<LeaseId> {
-    let old = store.get(Class::Lease, key).await.ok()?;
+    let old = store.get(RequestClass::Lease, key).await.ok()?;
     let mut revision = Revision(0);
     if let Some(item) = old {
         let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
@@ -60,7 +60,7 @@
     txn.require(key, revision);
     let record = MemberRecord::new(incarnation, lease);
     txn.put(key, &record, Some(lease));
-    match store.txn(Class::Lease, &txn).await {
+    match store.txn(RequestClass::Lease, &txn).await {
         TxnOutcome::Committed(_) => Some(lease),
         _ => {
             store.revoke_lease(lease).await.ok();
@@ -89,7 +89,7 @@
             // In an outage grants keep their time; only the service can say that it is gone.
             Err(StoreError::Unavailable) => {
                 tracing::debug!(late = ?sent.elapsed(), "grant not extended");
-                runtime::sleep(RETRY).await;
+                runtime::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,11 +1,11 @@
 //! Who leads, and who holds which block: decided by compare-and-set on the state service, with
 //! records that go when their writer's grant goes.
 
-mod hearing;
 mod lease;
+mod reachability;
 
-pub use hearing::Hearing;
 pub use lease::keep_lease;
+pub use reachability::ReachabilityMonitor;
 
 use crate::config::Config;
 use crate::ids::{Incarnation, LeaseId, Member, Millis, MonotonicTime, Revision, ShardId};
@@ -15,10 +15,10 @@
 use crate::store::{TxnOutcome, keys};
 use std::collections::{BTreeMap, BTreeSet};
 
-const RETRY: Millis = Millis(300);
+const RETRY_DELAY: Millis = Millis(300);
 
 pub struct Leadership {
-    me: Member,
+    member: Member,
     incarnation: Incarnation,
     shards: u32,
     txn_ops: usize,
@@ -27,15 +27,15 @@
     retry_at: MonotonicTime,
     retry_revision: Revision,
     /// The leader's record that was ours under a grant which has ended since.
-    lost: Revision,
+    ended_term: Revision,
     /// Who is given no blocks, while there is somebody else.
-    pub resting: BTreeSet<Member>,
+    pub quarantined: BTreeSet<Member>,
 }
 
 impl Leadership {
     pub fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
-            me: config.member.clone(),
+            member: config.member.clone(),
             incarnation,
             shards: config.shards(),
             txn_ops: config.state.txn_ops,
@@ -43,8 +43,8 @@
             in_flight: false,
             retry_at: MonotonicTime::default(),
             retry_revision: Revision(0),
-            lost: Revision(0),
-            resting: BTreeSet::new(),
+            ended_term: Revision(0),
+            quarantined: BTreeSet::new(),
         }
     }
 
@@ -60,7 +60,7 @@
         if self.lease != lease
             && let Some(term) = self.term(cache)
         {
-            self.lost = term;
+            self.ended_term = term;
         }
         self.lease = lease;
     }
@@ -70,8 +70,9 @@
     /// its allotments fail at the blocks' fences.
     pub fn term(&self, cache: &WatchCache) -> Option<Revision> {
         let leader = cache.leader.as_ref()?;
-        let mine = leader.value.member == self.me && leader.value.incarnation == self.incarnation;
-        (mine && leader.revision > self.lost).then_some(leader.revision)
+        let mine =
+            leader.value.member == self.member && leader.value.incarnation == self.incarnation;
+        (mine && leader.revision > self.ended_term).then_some(leader.revision)
     }
 
     /// The term, once every block was rewritten in it: then the mirror holds every placement
@@ -88,7 +89,7 @@
     }
 
     /// The next transaction that leadership needs, if any.
-    pub fn drive(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
+    pub fn step(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
         let lease = self.lease?;
         if self.in_flight || now < self.retry_at {
             return None;
@@ -117,7 +118,7 @@
                 self.retry_at = now + Millis(20);
             }
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => {
-                self.retry_at = now + RETRY;
+                self.retry_at = now + RETRY_DELAY;
             }
         }
     }
@@ -126,7 +127,7 @@
         let mut txn = Txn::default();
         txn.require(keys::LEADER, Revision(0));
         let record = LeaderRecord {
-            member: self.me.clone(),
+            member: self.member.clone(),
             incarnation: self.incarnation,
         };
         txn.put(keys::LEADER, &record, Some(lease));
@@ -136,7 +137,7 @@
     /// Rewrites blocks that are of an earlier term, have lost their holder, or would be better
     /// held elsewhere. Holders that live keep what they hold.
     fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
-        let rests = |m: &Member| self.resting.contains(m) && cache.members.len() > 1;
+        let rests = |m: &Member| self.quarantined.contains(m) && cache.members.len() > 1;
         let able = cache.members.keys().filter(|m| !rests(m));
         let mut loads: BTreeMap<&Member, usize> = able.map(|m| (m, 0)).collect();
         if loads.is_empty() {
