--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -12,40 +12,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Of a holder's machines, so many must be silent to it: one in this many.
-const SILENT_PART: usize = 2;
+const MIN_SILENT_DIVISOR: usize = 2;
 /// And so many of those must be heard elsewhere.
-const HEARD_PART: usize = 4;
+const MIN_HEARD_DIVISOR: usize = 4;
 
-pub struct Hearing {
+pub struct ReachabilityMonitor {
     heartbeat_interval: Millis,
     /// How long a holder gets no blocks back: what cut it off may last.
-    rest: Millis,
+    quarantine_period: Millis,
     /// When a machine last reported to a controller that does not hold it.
-    strays: BTreeMap<MachineId, MonotonicTime>,
-    resting: BTreeMap<Member, MonotonicTime>,
+    misdirected: BTreeMap<MachineId, MonotonicTime>,
+    quarantined: BTreeMap<Member, MonotonicTime>,
 }
 
-impl Hearing {
+impl ReachabilityMonitor {
     pub fn new(config: &Config) -> Self {
         Self {
             heartbeat_interval: config.heartbeat_interval,
-            rest: Millis(2 * config.worker_lease.0),
-            strays: BTreeMap::new(),
-            resting: BTreeMap::new(),
+            quarantine_period: Millis(2 * config.worker_lease.0),
+            misdirected: BTreeMap::new(),
+            quarantined: BTreeMap::new(),
         }
     }
 
-    pub fn on_strays(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
-        self.strays.extend(machines.into_iter().map(|id| (id, now)));
+    pub fn on_misdirected_heartbeats(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
+        self.misdirected
+            .extend(machines.into_iter().map(|id| (id, now)));
     }
 
     /// Holders that get no blocks at present.
-    pub fn resting(&self) -> BTreeSet<Member> {
-        self.resting.keys().cloned().collect()
+    pub fn quarantined(&self) -> BTreeSet<Member> {
+        self.quarantined.keys().cloned().collect()
     }
 
     /// Judges all holders by what they said last of their machines.
-    pub fn judge<'a>(
+    pub fn evaluate<'a>(
         &mut self,
         now: MonotonicTime,
         shards: u32,
@@ -53,8 +54,8 @@
         cache: &WatchCache,
     ) {
         let fresh = Millis(2 * self.heartbeat_interval.0);
-        self.strays.retain(|_, at| now.since(*at) < fresh);
-        self.resting.retain(|_, until| now < *until);
+        self.misdirected.retain(|_, at| now.since(*at) < fresh);
+        self.quarantined.retain(|_, until| now < *until);
         let patience = self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
         let mut owners: BTreeMap<&Member, (usize, usize, usize)> = BTreeMap::new();
         for last in health {
@@ -69,17 +70,21 @@
             counts.0 += 1;
             // Through others a holder may hear them all: its commands get nowhere for all that
             // (Savannah fleet, apart: 0.83 to 0.73 while only silence counted).
-            if last.silent.max(last.missed) >= patience {
+            if last.silent.max(last.since_direct_heartbeat) >= patience {
                 counts.1 += 1;
-                counts.2 += usize::from(self.strays.contains_key(&last.machine));
+                counts.2 += usize::from(self.misdirected.contains_key(&last.machine));
             }
         }
         let others = cache.members.len();
         for (member, (all, silent, heard)) in owners {
-            let deaf = silent * SILENT_PART > all && heard * HEARD_PART > silent && heard > 1;
-            if deaf && self.resting.len() + 1 < others && !self.resting.contains_key(member) {
+            let deaf = silent * MIN_SILENT_DIVISOR > all
+                && heard * MIN_HEARD_DIVISOR > silent
+                && heard > 1;
+            if deaf && self.quarantined.len() + 1 < others && !self.quarantined.contains_key(member)
+            {
                 tracing::info!(%member, all, silent, heard, "a holder hears nothing of machines that others hear");
-                self.resting.insert(member.clone(), now + self.rest);
+                self.quarantined
+                    .insert(member.clone(), now + self.quarantine_period);
             }
         }
     }
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -38,7 +38,7 @@
         machine: format!("vm-{n:03}").as_str().into(),
         fence: Revision(5),
         silent: Millis(silent),
-        missed: Millis(silent),
+        since_direct_heartbeat: Millis(silent),
         confirmed: true,
         notice: None,
         unrecorded: None,
@@ -50,18 +50,18 @@
 #[test]
 fn a_holder_that_hears_its_machines_through_others_alone_is_relieved() {
     let (config, cache) = scene();
-    let mut hearing = Hearing::new(&config);
+    let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| MachineHealth {
-            missed: Millis(if n % 3 == 1 { 9000 } else { 100 }),
+            since_direct_heartbeat: Millis(if n % 3 == 1 { 9000 } else { 100 }),
             ..health(n, 100)
         })
         .collect();
     let of_c1 = (0..60).filter(|n| n % 3 == 1);
-    let strays = of_c1.map(|n| health(n, 0).machine).collect();
-    hearing.on_strays(MonotonicTime(1000), strays);
-    hearing.judge(MonotonicTime(1100), config.shards(), all.iter(), &cache);
-    let deaf: Vec<Member> = hearing.resting().into_iter().collect();
+    let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
+    reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
+    reachability.evaluate(MonotonicTime(1100), config.shards(), all.iter(), &cache);
+    let deaf: Vec<Member> = reachability.quarantined().into_iter().collect();
     assert_eq!(deaf, ["c1".into()]);
 }
 
@@ -69,26 +69,32 @@
 #[test]
 fn only_a_holder_whose_silent_machines_others_hear_is_relieved() {
     let (config, cache) = scene();
-    let mut hearing = Hearing::new(&config);
+    let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
         .collect();
-    let judge = |hearing: &mut Hearing, now: u64| {
-        hearing.judge(MonotonicTime(now), config.shards(), all.iter(), &cache);
-        hearing.resting()
+    let evaluate = |reachability: &mut ReachabilityMonitor, now: u64| {
+        reachability.evaluate(MonotonicTime(now), config.shards(), all.iter(), &cache);
+        reachability.quarantined()
     };
     assert!(
-        judge(&mut hearing, 1000).is_empty(),
+        evaluate(&mut reachability, 1000).is_empty(),
         "perhaps a zone is cut off"
     );
     let of = |m: u32| (0..60).filter(move |n| n % 3 == m);
     let named = |m: u32| of(m).map(|n| health(n, 0).machine).collect();
-    hearing.on_strays(MonotonicTime(2000), named(2));
-    assert!(judge(&mut hearing, 2100).is_empty(), "those are not silent");
-    hearing.on_strays(MonotonicTime(3000), named(1));
-    let deaf: Vec<Member> = judge(&mut hearing, 3100).into_iter().collect();
+    reachability.on_misdirected_heartbeats(MonotonicTime(2000), named(2));
+    assert!(
+        evaluate(&mut reachability, 2100).is_empty(),
+        "those are not silent"
+    );
+    reachability.on_misdirected_heartbeats(MonotonicTime(3000), named(1));
+    let deaf: Vec<Member> = evaluate(&mut reachability, 3100).into_iter().collect();
     assert_eq!(deaf, ["c1".into()]);
     let later = 3100 + 2 * config.worker_lease.0;
-    hearing.judge(MonotonicTime(later), config.shards(), [].iter(), &cache);
-    assert!(hearing.resting().is_empty(), "and tried again later");
+    reachability.evaluate(MonotonicTime(later), config.shards(), [].iter(), &cache);
+    assert!(
+        reachability.quarantined().is_empty(),
+        "and tried again later"
+    );
 }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -36,24 +36,24 @@
     let mut cache = WatchCache::new(&sample_config());
     let mut leadership = Leadership::new(&sample_config(), Incarnation(1));
     assert!(
-        leadership.drive(MonotonicTime(0), &cache).is_none(),
+        leadership.step(MonotonicTime(0), &cache).is_none(),
         "no grant, no claim"
     );
     leadership.set_lease(Some(LeaseId(101)), &cache);
     for (n, member) in ["c0", "c1", "c2"].into_iter().enumerate() {
         join(&mut cache, 2 + n as u64, member, 1 + n as u64);
     }
-    let claim = leadership.drive(MonotonicTime(0), &cache).expect("claim");
+    let claim = leadership.step(MonotonicTime(0), &cache).expect("claim");
     assert_eq!(claim.conditions[0].revision, Revision(0));
     assert!(
-        leadership.drive(MonotonicTime(1), &cache).is_none(),
+        leadership.step(MonotonicTime(1), &cache).is_none(),
         "one at a time"
     );
     commit(&mut cache, 10, &claim);
     leadership.on_txn(MonotonicTime(2), &TxnOutcome::Committed(Revision(10)));
     assert_eq!(leadership.term(&cache), Some(Revision(10)));
     assert_eq!(leadership.settled_term(&cache), None);
-    let lease = leadership.drive(MonotonicTime(3), &cache).expect("lease");
+    let lease = leadership.step(MonotonicTime(3), &cache).expect("lease");
     assert!(
         lease
             .conditions
@@ -78,16 +78,16 @@
     join(&mut cache, 2, "c0", 1);
     join(&mut cache, 3, "c1", 2);
     for at in [10, 11] {
-        let txn = leadership.drive(MonotonicTime(at), &cache).expect("txn");
+        let txn = leadership.step(MonotonicTime(at), &cache).expect("txn");
         commit(&mut cache, at, &txn);
         leadership.on_txn(MonotonicTime(at), &TxnOutcome::Committed(Revision(at)));
     }
     assert!(
-        leadership.drive(MonotonicTime(12), &cache).is_none(),
+        leadership.step(MonotonicTime(12), &cache).is_none(),
         "nothing to change"
     );
     join(&mut cache, 12, "c1", 7);
-    let txn = leadership.drive(MonotonicTime(13), &cache).expect("txn");
+    let txn = leadership.step(MonotonicTime(13), &cache).expect("txn");
     let rewritten = txn.changes.len();
     commit(&mut cache, 13, &txn);
     assert_eq!(rewritten, 3);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,7 @@
 //! laurellanding: a cluster scheduler.
 
 mod admin;
+mod api;
 mod cancellation;
 mod cloud;
 #[cfg(test)]
@@ -10,7 +11,6 @@
 mod daemon;
 mod http;
 mod ids;
-mod intake;
 mod leadership;
 mod peers;
 mod placement;
@@ -18,9 +18,9 @@
 mod protocol;
 mod runtime;
 #[cfg(test)]
-mod sim;
+mod simulation;
 mod store;
-mod workers;
+mod worker_control;
 
 use clap::{Parser, Subcommand};
 use config::Config;
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -45,29 +45,29 @@
     },
     /// The sender knows of a cancellation. In these blocks that it holds all of the job's tasks are
     /// proved gone.
-    CancelledKnown {
+    CancellationAcknowledged {
         round: RoundId,
         job: JobId,
         settled: Vec<(ShardId, Revision)>,
     },
     /// A user's request that the sender can't decide: the state service does not serve it.
-    Ask {
+    ForwardedRequest {
         id: u64,
         post: bool,
         path: String,
         body: Vec<u8>,
     },
-    Reply {
+    ForwardedResponse {
         id: u64,
         status: u16,
         body: Vec<u8>,
     },
     /// What every controller tells all others all the time: whether the state service serves it,
     /// whom it hears, and which machines that it holds don't reach it.
-    Word {
-        served: bool,
-        hears: Vec<Member>,
-        misses: Vec<MachineId>,
+    PeerStatus {
+        store_reachable: bool,
+        reachable_peers: Vec<Member>,
+        missing_machines: Vec<MachineId>,
     },
     /// To be passed on to a controller that the sender can't reach itself.
     Relay {
@@ -76,7 +76,7 @@
         message: Box<Message>,
     },
     /// Any controller to the leader: machines that reported to it and that others hold.
-    Strays(Vec<MachineId>),
+    MisdirectedHeartbeats(Vec<MachineId>),
     /// Holder to leader: what it knows of its machines.
     Health(Vec<MachineHealth>),
 }
@@ -120,7 +120,7 @@
     /// Time without a word, reports and answered probes alike.
     pub silent: Millis,
     /// Time without a report that came straight from it, and not through another controller.
-    pub missed: Millis,
+    pub since_direct_heartbeat: Millis,
     /// It has said so under the holder's own token.
     pub confirmed: bool,
     pub notice: Option<Millis>,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -3,7 +3,7 @@
 mod frame;
 mod link;
 mod messages;
-mod routes;
+mod relay_routes;
 
 #[cfg(test)]
 pub use frame::encode as encode_frame;
@@ -11,7 +11,7 @@
 pub use messages::{
     Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message, attempt_number,
 };
-pub use routes::Routes;
+pub use relay_routes::RelayRoutes;
 
 /// What the other side of a link makes of a message: simulated days send each through its frame,
 /// since a record that can't be read there once stopped all links (entry 5b6cc840).
--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -1,9 +1,9 @@
 //! The leader's books for what the mirror doesn't show yet: allotments that are on their way, and
 //! placements that are proved gone while their machines' records still stand.
 
-use super::accounts::Accounts;
 use super::candidates::Pending;
-use super::record_room::ANY_JOB;
+use super::quota_usage::QuotaUsage;
+use super::record_capacity::ANY_JOB;
 use crate::ids::{
     JobId, MachineId, Millis, MonotonicTime, Resources, Revision, ShardId, TaskAttempt, TeamId,
 };
@@ -31,7 +31,7 @@
 pub(super) type AllottedTasks<'a> = BTreeMap<&'a JobId, BTreeMap<u32, &'a MachineId>>;
 
 #[derive(Default)]
-pub(super) struct Ledger {
+pub(super) struct AllotmentLedger {
     allotted: BTreeMap<TaskAttempt, Allotted>,
     /// Proved gone, though their machines' records still stand.
     freed: BTreeMap<TaskAttempt, MachineId>,
@@ -39,7 +39,7 @@
     renewed: BTreeMap<ShardId, MonotonicTime>,
 }
 
-impl Ledger {
+impl AllotmentLedger {
     pub fn allot(&mut self, attempt: TaskAttempt, allotted: Allotted) {
         self.allotted.insert(attempt, allotted);
     }
@@ -116,11 +116,11 @@
     }
 
     /// Books what the mirror doesn't show on the teams' accounts, and sums it up by machine.
-    pub fn book(&self, accounts: &mut Accounts<'_>, cache: &WatchCache) -> Pending<'_> {
+    pub fn book(&self, quota_usage: &mut QuotaUsage<'_>, cache: &WatchCache) -> Pending<'_> {
         let mut pending = Pending::default();
         let mut last: BTreeMap<&MachineId, &JobId> = BTreeMap::new();
         for (attempt, a) in &self.allotted {
-            accounts.charge(&a.team, a.need);
+            quota_usage.charge(&a.team, a.need);
             let sum = pending.promised.entry(&a.machine).or_default();
             *sum = *sum + a.need;
             let known = last.insert(&a.machine, &attempt.task.job) == Some(&attempt.task.job);
@@ -131,7 +131,7 @@
             let record = cache.machines.get(machine).map(|m| &m.record);
             let placed = record.and_then(|r| r.jobs.iter().find(|p| p.job == attempt.task.job));
             if let Some(placed) = placed {
-                accounts.credit(&placed.team, placed.need);
+                quota_usage.credit(&placed.team, placed.need);
                 let sum = pending.freed.entry(machine).or_default();
                 *sum = *sum + placed.need;
                 let bytes = pending.freed_bytes.entry(machine).or_default();
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,6 +1,6 @@
 //! The machines that can take work in one scheduling pass.
 
-use super::record_room::RecordRoom;
+use super::record_capacity::RecordCapacity;
 use super::replicas::replicas;
 use crate::config::Config;
 use crate::ids::{MachineId, Member, Resources, Revision, ShardId, TypeName, Zone};
@@ -22,7 +22,7 @@
     /// What is left of it, less what this pass has given out.
     pub free: Resources,
     /// What is left of its record.
-    pub record: RecordRoom,
+    pub record: RecordCapacity,
     pub images: Vec<&'a str>,
     pub fetch_gb_per_s: f64,
     pub replicas: usize,
@@ -70,7 +70,7 @@
             room,
             fetch_gb_per_s: machine_type.fetch_gb_per_s.max(0.01),
             free: room - used,
-            record: RecordRoom::new(
+            record: RecordCapacity::new(
                 record,
                 config.state.value_bytes,
                 bytes(&pending.promised_bytes),
--- a/src/placement/fault_tracking.rs
+++ b/src/placement/fault_tracking.rs
@@ -5,7 +5,7 @@
 
 /// Failures of different jobs, with no success since, that make a machine suspect.
 const SUSPECT: usize = 2;
-const SHUN: Millis = Millis(60_000);
+const QUARANTINE_PERIOD: Millis = Millis(60_000);
 const FIRST_PAUSE: u64 = 1000;
 const LONGEST_PAUSE: u64 = 60_000;
 
@@ -40,7 +40,7 @@
         faults.count += 1;
         // A job that fails on other machines too speaks against itself.
         if !elsewhere && (faults.jobs.len() >= SUSPECT || faults.count >= 3) {
-            faults.shunned_until = now + SHUN;
+            faults.shunned_until = now + QUARANTINE_PERIOD;
         }
         let faults = self.jobs.entry(job.clone()).or_default();
         faults.machines.insert(machine.clone());
@@ -58,7 +58,7 @@
         self.jobs.remove(job);
     }
 
-    pub fn shunned(&self, now: MonotonicTime, machine: &MachineId) -> bool {
+    pub fn is_quarantined(&self, now: MonotonicTime, machine: &MachineId) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|m| now < m.shunned_until)
--- a/src/placement/fault_tracking/tests.rs
+++ b/src/placement/fault_tracking/tests.rs
@@ -8,8 +8,8 @@
         faults.failed(MonotonicTime(i as u64), &job.into(), &sick);
         assert!(!faults.paused(MonotonicTime(i as u64), &job.into()));
     }
-    assert!(faults.shunned(MonotonicTime(5), &sick));
-    assert!(!faults.shunned(MonotonicTime(5) + SHUN, &sick));
+    assert!(faults.is_quarantined(MonotonicTime(5), &sick));
+    assert!(!faults.is_quarantined(MonotonicTime(5) + QUARANTINE_PERIOD, &sick));
 }
 
 #[test]
@@ -22,7 +22,7 @@
         faults.failed(MonotonicTime(0), &job, &machine);
         let pause = (0..100).find(|s| !faults.paused(MonotonicTime(s * 1000), &job));
         pauses.push(pause.expect("a bound"));
-        assert!(!faults.shunned(MonotonicTime(1), &machine));
+        assert!(!faults.is_quarantined(MonotonicTime(1), &machine));
     }
     assert_eq!(pauses[0], 0);
     assert!(pauses.windows(2).all(|w| w[0] <= w[1]) && pauses[11] >= 16);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,26 +1,26 @@
 //! The leader's duty: team accounts, the order of jobs, where each task is allotted, and what
 //! is stopped to make room.
 
-mod accounts;
+mod allotment_ledger;
 mod candidates;
-mod faults;
+mod fault_tracking;
 mod gangs;
-mod ledger;
-mod order;
-mod pass;
 mod preemption;
-mod preference;
-mod record_room;
+mod queue_order;
+mod queue_turns;
+mod quota_usage;
+mod ranking;
+mod record_capacity;
 mod replicas;
 mod scheduler;
-mod shortage;
-mod turns;
-mod zone_rule;
+mod scheduling_pass;
+mod unmet_demand;
+mod zone_constraint;
 
-pub use order::service_order;
+pub use queue_order::service_order;
 pub use replicas::{replicas, spare_replicas};
-pub use scheduler::{Effect, RECORDS_SHARE, Scheduler};
-pub use shortage::Shortage;
+pub use scheduler::{Effect, RECORD_WRITE_SHARE, Scheduler};
+pub use unmet_demand::UnmetDemand;
 
 #[cfg(test)]
 mod tests;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,11 +1,11 @@
 //! Which tasks are stopped: to make room for others, to save them in time, or to move replicas
 //! off machines that go.
 
-use super::accounts::Accounts;
 use super::candidates::Candidate;
-use super::record_room::RecordRoom;
+use super::quota_usage::QuotaUsage;
+use super::record_capacity::RecordCapacity;
 use super::scheduler::Health;
-use super::shortage::Shortage;
+use super::unmet_demand::UnmetDemand;
 use crate::config::Config;
 use crate::ids::{
     JobId, MachineId, Millis, MonotonicTime, Resources, TaskAttempt, TaskId, UnixTime,
@@ -34,7 +34,7 @@
     pub candidates: &'a [Candidate<'a>],
     /// Room that only replicas may take, by candidate.
     pub reserve: &'a [Resources],
-    pub accounts: &'a Accounts<'a>,
+    pub quota_usage: &'a QuotaUsage<'a>,
     /// Jobs within their team's guarantee.
     pub within: &'a BTreeSet<JobId>,
     /// Stopped already, and perhaps not gone yet.
@@ -50,7 +50,7 @@
     pub fn moves(&self) -> Vec<Stop> {
         let mut stops: Vec<Stop> = Vec::new();
         let mut free: Vec<Resources> = self.candidates.iter().map(|c| c.free).collect();
-        let mut records: Vec<RecordRoom> =
+        let mut records: Vec<RecordCapacity> =
             self.candidates.iter().map(|c| c.record.clone()).collect();
         let noticed = self.health.iter().filter(|(_, h)| h.last.notice.is_some());
         for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
@@ -106,30 +106,30 @@
     }
 
     /// Tasks to stop so that those of a higher priority, or within a guarantee, get room.
-    pub fn for_shortages(&self, shortages: &[Shortage]) -> Vec<Stop> {
+    pub fn for_unmet_demands(&self, unmet_demands: &[UnmetDemand]) -> Vec<Stop> {
         let mut stops = Vec::new();
         let mut coming = self.room_that_comes();
         let mut gone: BTreeSet<TaskAttempt> = self.preempted.keys().cloned().collect();
         let lowest = self.lowest_placed();
         let mut looks = LOOKS;
-        for shortage in shortages {
-            let Some(job) = self.cache.jobs.get(&shortage.job) else {
+        for unmet_demand in unmet_demands {
+            let Some(job) = self.cache.jobs.get(&unmet_demand.job) else {
                 continue;
             };
             let spec = &job.spec;
             // Tasks end all the time, and those of a guarantee are next in line: work is only
             // thrown away for them once waiting won't do.
             let age = Millis(self.unix_time.0.saturating_sub(job.eligible.0));
-            let guaranteed = self.within.contains(&shortage.job) && self.is_worth_room(age);
+            let guaranteed = self.within.contains(&unmet_demand.job) && self.is_worth_room(age);
             let others = self.config.teams.keys().filter(|t| **t != spec.team);
-            let borrowed = guaranteed && others.into_iter().any(|t| self.accounts.borrows(t));
+            let borrowed = guaranteed && others.into_iter().any(|t| self.quota_usage.borrows(t));
             if !borrowed && lowest.is_none_or(|p| p >= job.priority()) {
                 continue;
             }
             // Room that is about to come free needs no look at the machines.
-            let covered = tasks_in(shortage.need, coming).min(shortage.tasks);
-            coming = coming - shortage.need.times(covered);
-            let mut left = (shortage.tasks - covered).min(MOST_AT_ONCE);
+            let covered = tasks_in(unmet_demand.need, coming).min(unmet_demand.tasks);
+            coming = coming - unmet_demand.need.times(covered);
+            let mut left = (unmet_demand.tasks - covered).min(MOST_AT_ONCE);
             while left > 0 {
                 if looks == 0 {
                     return stops;
@@ -137,7 +137,7 @@
                 looks -= 1;
                 // Tasks of arrays are small and many: one look makes room for several.
                 let at_once = if spec.kind == JobKind::Array { left } else { 1 };
-                let best = self.cheapest_room(shortage, job, at_once, guaranteed, &gone);
+                let best = self.cheapest_room(unmet_demand, job, at_once, guaranteed, &gone);
                 let Some((machine, victims)) = best else {
                     break;
                 };
@@ -167,7 +167,7 @@
     /// many of `tasks` as fit.
     fn cheapest_room(
         &self,
-        shortage: &Shortage,
+        unmet_demand: &UnmetDemand,
         job: &LiveJob,
         tasks: u64,
         guaranteed: bool,
@@ -180,7 +180,7 @@
                 && victim.spec.team != spec.team
                 && victim.priority() <= priority
                 && !self.within.contains(&victim.spec.id)
-                && self.accounts.beyond_guarantee(&placed.team, placed.need);
+                && self.quota_usage.beyond_guarantee(&placed.team, placed.need);
             let fair = victim.priority() < priority || over;
             (fair && !gone.contains(attempt)).then_some(victim.priority())
         };
@@ -188,7 +188,7 @@
             .candidates
             .iter()
             .zip(self.reserve)
-            .filter(|(c, _)| !(shortage.cached_only || guaranteed) || c.has_image(spec))
+            .filter(|(c, _)| !(unmet_demand.cached_only || guaranteed) || c.has_image(spec))
             .filter_map(|(c, reserve)| {
                 let kept = match spec.kind {
                     JobKind::Service => Resources::default(),
--- a/src/placement/queue_turns.rs
+++ b/src/placement/queue_turns.rs
@@ -1,8 +1,8 @@
 //! The turns that waiting jobs get in a scheduling pass, in their order.
 
 use super::candidates::{Candidate, image_rooms};
-use super::order::{oldest_first, rank};
-use super::pass::Inputs;
+use super::queue_order::{oldest_first, rank};
+use super::scheduling_pass::PassInputs;
 use crate::ids::{JobId, Millis, Resources, UnixTime};
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
@@ -13,17 +13,17 @@
 /// wait costs more than it saves, and places of few tasks use up changes (Savannah fleet, calm).
 const FETCH_PART: f64 = 0.2;
 /// An array that has waited so long for its first task takes any place.
-const PATIENT: Millis = Millis(60_000);
+const ARRAY_PATIENCE: Millis = Millis(60_000);
 /// A waiting job's turn.
 #[derive(Clone, Copy)]
-pub(super) struct Turn<'a> {
+pub(super) struct QueueTurn<'a> {
     pub id: &'a JobId,
     pub job: &'a LiveJob,
     /// Only places where the job's image is.
     pub cached_only: bool,
 }
 
-impl Turn<'_> {
+impl QueueTurn<'_> {
     pub fn kind(&self) -> JobKind {
         self.job.spec.kind
     }
@@ -34,7 +34,7 @@
 }
 
 /// Jobs that lack tasks, in the order in which they are served.
-fn waiting<'a>(input: &Inputs<'a>) -> Vec<(&'a JobId, &'a LiveJob)> {
+fn waiting<'a>(input: &PassInputs<'a>) -> Vec<(&'a JobId, &'a LiveJob)> {
     let lacks = |job: &LiveJob| job.done_count() + (job.placed.len() as u32) < job.spec.tasks;
     let mut waiting: Vec<(&JobId, &LiveJob)> = input
         .cache
@@ -50,12 +50,15 @@
 /// Where more waits than there is room for, each place goes to the first in the order whose
 /// image is there; what is left goes to whoever is first. On a full fleet a third of all
 /// tasks fetched images for a third of their own time (Tramite fleet, busy).
-pub(super) fn turns<'a>(input: &Inputs<'a>, candidates: &[Candidate<'a>]) -> Vec<Turn<'a>> {
+pub(super) fn queue_turns<'a>(
+    input: &PassInputs<'a>,
+    candidates: &[Candidate<'a>],
+) -> Vec<QueueTurn<'a>> {
     let waiting = waiting(input);
     let covered = image_rooms(candidates);
     let rates = candidates.iter().map(|c| c.fetch_gb_per_s);
     let slowest = rates.fold(f64::INFINITY, f64::min);
-    let turn = |(id, job): &(&'a JobId, &'a LiveJob), cached_only| Turn {
+    let turn = |(id, job): &(&'a JobId, &'a LiveJob), cached_only| QueueTurn {
         id,
         job,
         cached_only,
@@ -86,5 +89,5 @@
         && !spec.one_zone
         && !spec.spread
         && room >= 2 * spec.need().cpus * u64::from(left)
-        && (begun || age < PATIENT)
+        && (begun || age < ARRAY_PATIENCE)
 }
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -5,12 +5,12 @@
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
-pub struct Accounts<'a> {
+pub struct QuotaUsage<'a> {
     teams: &'a BTreeMap<TeamId, Team>,
     used: BTreeMap<TeamId, Resources>,
 }
 
-impl<'a> Accounts<'a> {
+impl<'a> QuotaUsage<'a> {
     pub fn new(teams: &'a BTreeMap<TeamId, Team>, used: BTreeMap<TeamId, Resources>) -> Self {
         Self { teams, used }
     }
--- a/src/placement/quota_usage/tests.rs
+++ b/src/placement/quota_usage/tests.rs
@@ -10,7 +10,7 @@
     {
         let config = crate::config::tests::sample_config();
         let teams: Vec<TeamId> = config.teams.keys().cloned().collect();
-        let mut accounts = Accounts::new(&config.teams, BTreeMap::new());
+        let mut quota_usage = QuotaUsage::new(&config.teams, BTreeMap::new());
         let mut log: Vec<(TeamId, Resources)> = Vec::new();
         for (team, cpus, memory) in steps {
             let team = &teams[team];
@@ -22,12 +22,12 @@
             while used(&log) + (model + 1) * need.cpus <= config.teams[team].limit().cpus {
                 model += 1;
             }
-            prop_assert_eq!(accounts.allows(team, need), model);
+            prop_assert_eq!(quota_usage.allows(team, need), model);
             if model > 0 {
-                accounts.charge(team, need);
+                quota_usage.charge(team, need);
                 log.push((team.clone(), need));
             }
-            prop_assert_eq!(accounts.used(team).cpus, used(&log));
+            prop_assert_eq!(quota_usage.used(team).cpus, used(&log));
         }
     }
 }
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -1,8 +1,8 @@
 //! Which machines a job would rather have.
 
 use super::candidates::Candidate;
-use super::faults::Faults;
-use super::zone_rule::ZoneRule;
+use super::fault_tracking::Faults;
+use super::zone_constraint::ZoneConstraint;
 use crate::ids::{JobId, MachineId, Resources};
 use crate::protocol::{JobKind, JobSpec};
 use crate::store::watch_cache::LiveJob;
@@ -15,7 +15,7 @@
 const CHOICES: usize = 6;
 
 /// Where, and how, a job looks for room.
-pub(super) struct Search<'a> {
+pub(super) struct CandidateSearch<'a> {
     /// How many tasks it has, while each machine that is used costs a change that is scarce.
     pub most: Option<u64>,
     pub among: Option<&'a [usize]>,
@@ -25,7 +25,7 @@
     pub cached_only: bool,
 }
 
-impl Search<'_> {
+impl CandidateSearch<'_> {
     fn free(&self, candidates: &[Candidate<'_>], at: usize) -> Resources {
         match self.reserve {
             Some(reserve) => candidates[at].free - reserve[at],
@@ -45,7 +45,7 @@
         &self,
         id: &JobId,
         job: &LiveJob,
-        zones: &ZoneRule,
+        zones: &ZoneConstraint,
         faults: &Faults,
         candidates: &[Candidate<'_>],
     ) -> Vec<usize> {
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -10,17 +10,17 @@
 
 /// The bytes of one machine's record that are left for placements.
 #[derive(Clone, Debug)]
-pub(super) struct RecordRoom {
+pub(super) struct RecordCapacity {
     left: usize,
     /// The last job that was given room here: its next task needs less.
     last: Option<JobId>,
 }
 
-impl RecordRoom {
+impl RecordCapacity {
     /// `promised`: what allotments under way will add. `freed`: what goes with the next change.
     pub fn new(record: &MachineRecord, value_bytes: usize, promised: usize, freed: usize) -> Self {
         let placed = record.size() - record.done_size() + promised;
-        let most = MachineRecord::room_for_placements(value_bytes);
+        let most = MachineRecord::placement_capacity(value_bytes);
         Self {
             left: (most + freed).saturating_sub(placed),
             last: None,
--- a/src/placement/record_capacity/tests.rs
+++ b/src/placement/record_capacity/tests.rs
@@ -6,7 +6,7 @@
 fn what_is_given_room_fits_into_the_value() {
     for (value_bytes, jobs) in [(2048, 1), (2048, 40), (8192, 3), (1024, 40)] {
         let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
-        let mut room = RecordRoom::new(&record, value_bytes, 0, 0);
+        let mut room = RecordCapacity::new(&record, value_bytes, 0, 0);
         let mut placed = 0;
         for n in 0..400u32 {
             let mut spec = crate::protocol::tests::spec("job-000001");
@@ -28,7 +28,7 @@
             );
             placed += 1;
         }
-        let most = MachineRecord::room_for_placements(value_bytes);
+        let most = MachineRecord::placement_capacity(value_bytes);
         let size = serde_json::to_vec(&record).expect("json").len();
         assert!(placed >= 3 && size <= most, "{placed} tasks, {size} bytes");
         assert!(2 * size > most, "{size} of {most} bytes used");
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of services on machines, and the room that is kept for the next ones.
 
 use super::candidates::Candidate;
-use super::record_room::ANY_JOB;
+use super::record_capacity::ANY_JOB;
 use crate::ids::Resources;
 use crate::protocol::JobKind;
 use crate::store::records::PlacedJob;
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -1,23 +1,25 @@
 //! Allots tasks to blocks. The leader counts every placement that is not proved gone and every
 //! allotment of its term, and prefers each job's placement group; the holders place.
 
-use super::accounts::Accounts;
+use super::allotment_ledger::{AllotmentLedger, Allotted};
 use super::candidates;
-use super::faults::Faults;
+use super::fault_tracking::Faults;
 use super::gangs::Gangs;
-use super::ledger::{Allotted, Ledger};
-use super::order::guaranteed;
-use super::pass::{AWAIT, Attempts, Inputs, Outgoing, Pass, State};
 use super::preemption::{Preemption, Stop};
+use super::queue_order::guaranteed;
+use super::quota_usage::QuotaUsage;
 use super::replicas::reserve;
-use super::shortage::Shortage;
+use super::scheduling_pass::{
+    AttemptNumbers, IMAGE_WAIT_LIMIT, PassInputs, PassState, PendingAllotment, SchedulingPass,
+};
+use super::unmet_demand::UnmetDemand;
 use crate::config::Config;
 use crate::ids::{
     JobId, MachineId, Member, Millis, MonotonicTime, Revision, ShardId, TaskAttempt, UnixTime,
 };
 use crate::peers::{AttemptOutcome, EndedAttempt, MachineHealth, Message};
 use crate::protocol::ExitReason;
-use crate::store::tokens::Bucket;
+use crate::store::rate_limiter::TokenBucket;
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -36,7 +38,7 @@
 const PREEMPT: Millis = Millis(10_000);
 /// The part of the state service's changes that arrays are placed with: each machine that is
 /// given tasks has its record written for them, and others need changes as well.
-pub const RECORDS_SHARE: f64 = 0.65;
+pub const RECORD_WRITE_SHARE: f64 = 0.65;
 /// Below this part of a second's worth changes are scarce.
 const SCARCE: f64 = 0.5;
 
@@ -50,18 +52,18 @@
 /// The leader's decisions on placement, and what it remembers between passes.
 pub struct Scheduler {
     config: Rc<Config>,
-    attempt_numbers: Attempts,
-    ledger: Ledger,
+    attempt_numbers: AttemptNumbers,
+    allotment_ledger: AllotmentLedger,
     pub health: BTreeMap<MachineId, Health>,
     pub faults: Faults,
     gangs: Gangs,
     preempted: BTreeMap<TaskAttempt, MonotonicTime>,
     /// Services for which a place with their image is being made.
-    awaiting: BTreeMap<JobId, MonotonicTime>,
+    awaiting_image: BTreeMap<JobId, MonotonicTime>,
     /// What arrays may cost in changes of machines' records.
-    records: Bucket,
+    records: TokenBucket,
     change_rate: f64,
-    pub shortages: Vec<Shortage>,
+    pub unmet_demands: Vec<UnmetDemand>,
     pub unix_time: UnixTime,
     /// Machines on their way out: they get nothing new.
     pub leaving: BTreeSet<MachineId>,
@@ -71,16 +73,16 @@
     pub fn new(config: &Config) -> Self {
         Self {
             config: Rc::new(config.clone()),
-            attempt_numbers: Attempts::default(),
-            ledger: Ledger::default(),
+            attempt_numbers: AttemptNumbers::default(),
+            allotment_ledger: AllotmentLedger::default(),
             health: BTreeMap::new(),
             faults: Faults::default(),
             gangs: Gangs::default(),
             preempted: BTreeMap::new(),
-            awaiting: BTreeMap::new(),
-            records: Bucket::new(config.state.rates.changes * RECORDS_SHARE),
+            awaiting_image: BTreeMap::new(),
+            records: TokenBucket::new(config.state.rates.changes * RECORD_WRITE_SHARE),
             change_rate: config.state.rates.changes,
-            shortages: Vec::new(),
+            unmet_demands: Vec::new(),
             unix_time: UnixTime(0),
             leaving: BTreeSet::new(),
         }
@@ -93,7 +95,7 @@
 
     /// Whether the changes that arrays may be placed with are used up at present.
     pub fn changes_are_scarce(&mut self, now: MonotonicTime) -> bool {
-        self.records.part(now) < SCARCE
+        self.records.available_fraction(now) < SCARCE
     }
 
     /// Takes a holder's word on its machines. One that the state service refuses alone goes on
@@ -118,15 +120,15 @@
     }
 
     pub fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
-        self.ledger.on_freed(attempts);
+        self.allotment_ledger.on_freed(attempts);
     }
 
     pub fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
-        self.ledger.on_refused(fence, attempts);
+        self.allotment_ledger.on_refused(fence, attempts);
     }
 
     pub fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt, cache: &WatchCache) {
-        self.ledger.on_ended(ended, cache);
+        self.allotment_ledger.on_ended(ended, cache);
         self.preempted.remove(&ended.attempt);
         let job = &ended.attempt.task.job;
         if !matches!(ended.end, AttemptOutcome::Absent) {
@@ -141,10 +143,10 @@
         }
     }
 
-    fn enter(&mut self, term: Revision) {
+    fn begin_term(&mut self, term: Revision) {
         if self.attempt_numbers.term != term {
-            self.attempt_numbers = Attempts::of_term(term);
-            self.ledger.begin_term();
+            self.attempt_numbers = AttemptNumbers::of_term(term);
+            self.allotment_ledger.begin_term();
             self.preempted.clear();
             self.faults.clear();
             self.gangs.clear();
@@ -153,75 +155,80 @@
     }
 
     /// One pass over all waiting jobs.
-    pub fn drive(
+    pub fn step(
         &mut self,
         now: MonotonicTime,
         term: Revision,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        self.enter(term);
-        self.records.set_rate(now, self.change_rate * RECORDS_SHARE);
-        let unanswered = self.ledger.reconcile(now, cache);
+        self.begin_term(term);
+        self.records
+            .set_rate(now, self.change_rate * RECORD_WRITE_SHARE);
+        let unanswered = self.allotment_ledger.reconcile(now, cache);
         out.extend(unanswered.into_iter().map(Effect::RenewShard));
         self.forget(now, cache);
-        let (stops, allotments) = self.pass(now, cache);
+        let (stops, allotments) = self.scheduling_pass(now, cache);
         self.send_stops(now, stops, cache, out);
         self.send_allotments(now, allotments, out);
     }
 
     /// Decides what is allotted, and what is stopped.
-    fn pass(&mut self, now: MonotonicTime, cache: &WatchCache) -> (Vec<Stop>, Vec<Outgoing>) {
+    fn scheduling_pass(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+    ) -> (Vec<Stop>, Vec<PendingAllotment>) {
         let config = self.config.clone();
-        let mut accounts = Accounts::new(&config.teams, cache.team_usage());
-        let pending = self.ledger.book(&mut accounts, cache);
-        let usable = |id: &MachineId| self.usable(now, id, cache);
-        let candidates = candidates::collect(cache, &config, &pending, usable);
+        let mut quota_usage = QuotaUsage::new(&config.teams, cache.team_usage());
+        let pending = self.allotment_ledger.book(&mut quota_usage, cache);
+        let is_usable = |id: &MachineId| self.is_usable(now, id, cache);
+        let candidates = candidates::collect(cache, &config, &pending, is_usable);
         let within = guaranteed(&config.teams, cache.jobs.iter());
-        let inputs = Inputs {
+        let inputs = PassInputs {
             now,
             unix_time: self.unix_time,
             config: &config,
             cache,
             faults: &self.faults,
             within: &within,
-            allotted: self.ledger.tasks(),
+            allotted: self.allotment_ledger.tasks(),
             reserve: reserve(cache, &candidates),
             written: candidates
                 .iter()
                 .map(|c| pending.promised.contains_key(c.id))
                 .collect(),
         };
-        let state = State {
+        let state = PassState {
             gangs: &mut self.gangs,
             attempt_numbers: &mut self.attempt_numbers,
             records: &mut self.records,
-            awaiting: &mut self.awaiting,
+            awaiting_image: &mut self.awaiting_image,
         };
-        let mut pass = Pass::new(inputs, state, accounts, candidates);
-        pass.run();
-        let mut wanted = std::mem::take(&mut pass.quick);
+        let mut scheduling_pass = SchedulingPass::new(inputs, state, quota_usage, candidates);
+        scheduling_pass.run();
+        let mut wanted = std::mem::take(&mut scheduling_pass.image_demands);
         // What waits for changes does not start sooner where something is stopped, and what is
         // stopped has to be placed again, with changes that are lacking.
-        let shortages = pass.shortages.iter().cloned();
-        wanted.extend(shortages.filter(|s| s.together || !pass.changes_spent));
+        let unmet_demands = scheduling_pass.unmet_demands.iter().cloned();
+        wanted.extend(unmet_demands.filter(|s| s.together || !scheduling_pass.changes_spent));
         let preemption = Preemption {
             unix_time: self.unix_time,
             config: &config,
             cache,
-            candidates: &pass.candidates,
-            reserve: &pass.input.reserve,
-            accounts: &pass.accounts,
+            candidates: &scheduling_pass.candidates,
+            reserve: &scheduling_pass.input.reserve,
+            quota_usage: &scheduling_pass.quota_usage,
             within: &within,
             preempted: &self.preempted,
             health: &self.health,
             leaving: &self.leaving,
         };
-        let mut stops = preemption.for_shortages(&wanted);
+        let mut stops = preemption.for_unmet_demands(&wanted);
         stops.extend(preemption.moves());
         stops.extend(preemption.savings());
-        let allotments = std::mem::take(&mut pass.allotments);
-        self.shortages = std::mem::take(&mut pass.shortages);
+        let allotments = std::mem::take(&mut scheduling_pass.allotments);
+        self.unmet_demands = std::mem::take(&mut scheduling_pass.unmet_demands);
         (stops, allotments)
     }
 
@@ -253,24 +260,24 @@
     fn send_allotments(
         &mut self,
         now: MonotonicTime,
-        allotments: Vec<Outgoing>,
+        allotments: Vec<PendingAllotment>,
         out: &mut Vec<Effect>,
     ) {
-        for outgoing in allotments {
-            let allotment = outgoing.allotment;
+        for pending_allotment in allotments {
+            let allotment = pending_allotment.allotment;
             for attempt in &allotment.attempts {
                 let allotted = Allotted {
                     shard: allotment.shard,
                     fence: allotment.fence,
-                    machine: outgoing.machine.clone(),
-                    team: outgoing.team.clone(),
-                    need: outgoing.need,
+                    machine: pending_allotment.machine.clone(),
+                    team: pending_allotment.team.clone(),
+                    need: pending_allotment.need,
                     at: now,
                 };
-                self.ledger.allot(attempt.clone(), allotted);
+                self.allotment_ledger.allot(attempt.clone(), allotted);
             }
             let message = Box::new(Message::Allot(allotment));
-            out.push(Effect::ToShardOwner(outgoing.owner, message));
+            out.push(Effect::ToShardOwner(pending_allotment.owner, message));
         }
     }
 
@@ -279,8 +286,9 @@
         self.preempted.retain(|_, at| now.since(*at) < PREEMPT);
         self.health.retain(|id, _| cache.machines.contains_key(id));
         self.gangs.retain(&cache.jobs);
-        self.awaiting
-            .retain(|id, at| cache.jobs.contains_key(id) && now.since(*at) < Millis(10 * AWAIT.0));
+        self.awaiting_image.retain(|id, at| {
+            cache.jobs.contains_key(id) && now.since(*at) < Millis(10 * IMAGE_WAIT_LIMIT.0)
+        });
         self.faults.retain(
             |job| cache.jobs.contains_key(job),
             |machine| cache.machines.contains_key(machine),
@@ -288,7 +296,7 @@
     }
 
     /// Whether a holder has spoken of a machine lately.
-    pub fn heard_of(&self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub fn has_recent_health(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let health = self.health.get(id);
         health.is_some_and(|h| now.since(h.at) < HEALTH_AGE)
     }
@@ -311,12 +319,12 @@
 
     /// Whether a holder has told that a placement is proved gone.
     pub fn is_freed(&self, attempt: &TaskAttempt) -> bool {
-        self.ledger.is_freed(attempt)
+        self.allotment_ledger.is_freed(attempt)
     }
 
     /// Whether a machine can take work: its holder has it, under the present token, and no
     /// notice or fault stands against it.
-    pub fn usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
+    pub fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
         let shard = id.shard(self.config.shards());
         let fence = cache.shards.get(&shard).map(|b| b.revision);
         let healthy = self.health.get(id).is_some_and(|h| {
@@ -326,25 +334,25 @@
                 && now.since(h.at) < HEALTH_AGE
                 && h.last.silent < self.config.heartbeat_interval + Millis(2000)
         });
-        healthy && !self.faults.shunned(now, id) && !self.leaving.contains(id)
+        healthy && !self.faults.is_quarantined(now, id) && !self.leaving.contains(id)
     }
 
     /// Whether a machine counts as capacity. One whose holder has just changed is of no use for
     /// a moment, but it is there: renting for it would be renting twice.
-    pub fn present(&self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let lost = self.health.get(id).is_some_and(|h| {
             h.last.notice.is_some()
                 || h.last.silent >= self.config.heartbeat_interval + Millis(2000)
         });
-        !lost && !self.faults.shunned(now, id) && !self.leaving.contains(id)
+        !lost && !self.faults.is_quarantined(now, id) && !self.leaving.contains(id)
     }
     /// Whether something that was allotted to a block before a time is still on its way: only
     /// that can come to a machine which has been left out of the lists since.
     pub fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
-        self.ledger.allotted_before(shard, at)
+        self.allotment_ledger.allotted_before(shard, at)
     }
 
     pub fn allotted_count(&self) -> usize {
-        self.ledger.allotted_count()
+        self.allotment_ledger.allotted_count()
     }
 }
--- a/src/placement/scheduling_pass.rs
+++ b/src/placement/scheduling_pass.rs
@@ -1,15 +1,15 @@
 //! One scheduling pass: every waiting job in its order gets the room that is left for it.
 
-use super::accounts::Accounts;
+use super::allotment_ledger::AllottedTasks;
 use super::candidates::Candidate;
-use super::faults::Faults;
+use super::fault_tracking::Faults;
 use super::gangs::{Gangs, Next, missing};
-use super::ledger::AllottedTasks;
 use super::preemption::victims;
-use super::preference::{Search, choices};
-use super::shortage::Shortage;
-use super::turns::{Turn, turns};
-use super::zone_rule::ZoneRule;
+use super::queue_turns::{QueueTurn, queue_turns};
+use super::quota_usage::QuotaUsage;
+use super::ranking::{CandidateSearch, choices};
+use super::unmet_demand::UnmetDemand;
+use super::zone_constraint::ZoneConstraint;
 use crate::config::Config;
 use crate::ids::{
     AttemptNumber, JobId, MachineId, Member, Millis, MonotonicTime, Resources, Revision,
@@ -17,30 +17,30 @@
 };
 use crate::peers::{Allotment, attempt_number};
 use crate::protocol::JobKind;
+use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::PlacedJob;
-use crate::store::tokens::{Bucket, Class};
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds of fetching that a replica is spared if possible.
-const QUICK: f64 = 0.8;
+const MAX_QUICK_FETCH_S: f64 = 0.8;
 /// How long it waits for the place that is being made.
-pub(super) const AWAIT: Millis = Millis(1200);
+pub(super) const IMAGE_WAIT_LIMIT: Millis = Millis(1200);
 /// While a smaller part of a second's worth of changes is left, tasks go where one change places
 /// the most. Near the full: else single tasks on nearly full machines use up what a large array
 /// needs next.
-const PLENTY: f64 = 0.9;
+const AMPLE_BUDGET_FRACTION: f64 = 0.9;
 /// Tasks of one allotment.
-const BATCH: usize = 400;
+const MAX_TASKS_PER_ALLOTMENT: usize = 400;
 
 /// Numbers of attempts: never used twice, since a term's number leads them.
 #[derive(Default)]
-pub(super) struct Attempts {
+pub(super) struct AttemptNumbers {
     pub term: Revision,
     counter: u64,
 }
 
-impl Attempts {
+impl AttemptNumbers {
     pub fn of_term(term: Revision) -> Self {
         Self { term, counter: 0 }
     }
@@ -52,7 +52,7 @@
 }
 
 /// An allotment on its way out, with what it is booked under.
-pub(super) struct Outgoing {
+pub(super) struct PendingAllotment {
     pub owner: Member,
     pub machine: MachineId,
     pub team: TeamId,
@@ -69,16 +69,16 @@
 
 /// What was found for a request.
 #[derive(Default)]
-struct Found {
+struct PlacementResult {
     /// By candidate.
-    batch: Vec<(usize, Outgoing)>,
+    batch: Vec<(usize, PendingAllotment)>,
     /// Tasks without a place.
     left: u64,
     /// There was room on machines whose records no change could be spent on.
     changes_spent: bool,
 }
 
-impl Found {
+impl PlacementResult {
     fn tasks(&self) -> usize {
         self.batch
             .iter()
@@ -88,7 +88,7 @@
 }
 
 /// What a pass starts from.
-pub(super) struct Inputs<'a> {
+pub(super) struct PassInputs<'a> {
     pub now: MonotonicTime,
     pub unix_time: UnixTime,
     pub config: &'a Config,
@@ -105,19 +105,19 @@
 }
 
 /// What a pass changes of the scheduler's state.
-pub(super) struct State<'a> {
+pub(super) struct PassState<'a> {
     pub gangs: &'a mut Gangs,
-    pub attempt_numbers: &'a mut Attempts,
+    pub attempt_numbers: &'a mut AttemptNumbers,
     /// What arrays may cost in changes of machines' records.
-    pub records: &'a mut Bucket,
+    pub records: &'a mut TokenBucket,
     /// Services for which a place with their image is being made.
-    pub awaiting: &'a mut BTreeMap<JobId, MonotonicTime>,
+    pub awaiting_image: &'a mut BTreeMap<JobId, MonotonicTime>,
 }
 
-pub(super) struct Pass<'a> {
-    pub input: Inputs<'a>,
-    state: State<'a>,
-    pub accounts: Accounts<'a>,
+pub(super) struct SchedulingPass<'a> {
+    pub input: PassInputs<'a>,
+    state: PassState<'a>,
+    pub quota_usage: QuotaUsage<'a>,
     pub candidates: Vec<Candidate<'a>>,
     /// The candidates with room for arrays. Most machines are full most of the time.
     roomy: Vec<usize>,
@@ -125,47 +125,47 @@
     unwritten: u64,
     /// The tasks that each job was given on machines that have its image.
     given: BTreeMap<&'a JobId, usize>,
-    pub shortages: Vec<Shortage>,
+    pub unmet_demands: Vec<UnmetDemand>,
     /// Arrays found room on machines whose records no change could be spent on.
     pub changes_spent: bool,
     /// Replicas for which lower work is to make room where their image is.
-    pub quick: Vec<Shortage>,
-    pub allotments: Vec<Outgoing>,
+    pub image_demands: Vec<UnmetDemand>,
+    pub allotments: Vec<PendingAllotment>,
 }
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     pub fn new(
-        input: Inputs<'a>,
-        state: State<'a>,
-        accounts: Accounts<'a>,
+        input: PassInputs<'a>,
+        state: PassState<'a>,
+        quota_usage: QuotaUsage<'a>,
         candidates: Vec<Candidate<'a>>,
     ) -> Self {
         let roomy = (0..candidates.len()).collect();
-        let mut pass = Self {
+        let mut scheduling_pass = Self {
             input,
             state,
-            accounts,
+            quota_usage,
             candidates,
             roomy,
             unwritten: 0,
             given: BTreeMap::new(),
-            shortages: Vec::new(),
+            unmet_demands: Vec::new(),
             changes_spent: false,
-            quick: Vec::new(),
+            image_demands: Vec::new(),
             allotments: Vec::new(),
         };
-        pass.drop_full();
-        pass
+        scheduling_pass.drop_full();
+        scheduling_pass
     }
 
     /// Gives every waiting job its turn.
     pub fn run(&mut self) {
-        for turn in turns(&self.input, &self.candidates) {
+        for turn in queue_turns(&self.input, &self.candidates) {
             self.serve(turn);
         }
     }
 
-    fn serve(&mut self, turn: Turn<'a>) {
+    fn serve(&mut self, turn: QueueTurn<'a>) {
         if turn.cached_only && self.roomy.is_empty() {
             return;
         }
@@ -176,7 +176,8 @@
         let Some(request) = request.filter(|r| !r.open.is_empty()) else {
             return;
         };
-        let zones = ZoneRule::new(turn.job, self.input.allotted.get(turn.id), self.input.cache);
+        let zones =
+            ZoneConstraint::new(turn.job, self.input.allotted.get(turn.id), self.input.cache);
         let order = self.order(turn, &request, &zones);
         if turn.kind() == JobKind::Service && self.waits_for_image(turn, &request, &order) {
             return;
@@ -186,14 +187,14 @@
     }
 
     /// The tasks of a job that were allotted, in this pass or before, and are not on record.
-    fn allotted_count(&self, turn: Turn<'a>) -> usize {
+    fn allotted_count(&self, turn: QueueTurn<'a>) -> usize {
         let before = self.input.allotted.get(turn.id).map_or(0, BTreeMap::len);
         before + self.given.get(turn.id).copied().unwrap_or(0)
     }
 
     /// All of a gang's tasks, or what one that has not started yet has lost.
-    fn gang_request(&mut self, turn: Turn<'a>) -> Option<Request> {
-        let room = self.accounts.allows(&turn.job.spec.team, turn.need());
+    fn gang_request(&mut self, turn: QueueTurn<'a>) -> Option<Request> {
+        let room = self.quota_usage.allows(&turn.job.spec.team, turn.need());
         let open = missing(turn.job, self.input.allotted.get(turn.id));
         let (now, wait) = (self.input.now, self.input.config.gang_wait);
         let allotted = self.allotted_count(turn);
@@ -215,10 +216,10 @@
     }
 
     /// As many tasks of an array or a service as the team's limit allows.
-    fn tasks_request(&mut self, turn: Turn<'a>) -> Option<Request> {
-        let Turn { id, job, .. } = turn;
-        let room = self.accounts.allows(&job.spec.team, turn.need());
-        let mut allowed = room.min(BATCH as u64) as usize;
+    fn tasks_request(&mut self, turn: QueueTurn<'a>) -> Option<Request> {
+        let QueueTurn { id, job, .. } = turn;
+        let room = self.quota_usage.allows(&job.spec.team, turn.need());
+        let mut allowed = room.min(MAX_TASKS_PER_ALLOTMENT as u64) as usize;
         let going = self.allotted_count(turn);
         if let Some(trial) = self.input.faults.trial(id) {
             allowed = allowed.min(trial.saturating_sub(job.placed.len() + going));
@@ -226,7 +227,7 @@
         if turn.kind() == JobKind::Array && self.roomy.is_empty() {
             let ended = job.done_count() as usize + job.placed.len() + going;
             let left = (job.spec.tasks as usize).saturating_sub(ended).min(allowed);
-            self.report_shortage(turn, left as u64);
+            self.report_unmet_demand(turn, left as u64);
             return None;
         }
         let already = self.input.allotted.get(id);
@@ -244,25 +245,30 @@
 
     /// Notes tasks for which there is no room. What only waits for its machine's record to be
     /// written lacks no machine.
-    fn report_shortage(&mut self, turn: Turn<'a>, left: u64) {
+    fn report_unmet_demand(&mut self, turn: QueueTurn<'a>, left: u64) {
         let cpus = turn.need().cpus;
         let waits = left.min(self.unwritten / cpus.max(1));
         self.unwritten -= waits * cpus;
         if left > waits {
-            let short = Shortage::of(turn.id, turn.job, left - waits);
-            self.shortages.push(short);
+            let short = UnmetDemand::of(turn.id, turn.job, left - waits);
+            self.unmet_demands.push(short);
         }
     }
 
     /// The machines for a request, best first.
-    fn order(&mut self, turn: Turn<'a>, request: &Request, zones: &ZoneRule) -> Vec<usize> {
+    fn order(
+        &mut self,
+        turn: QueueTurn<'a>,
+        request: &Request,
+        zones: &ZoneConstraint,
+    ) -> Vec<usize> {
         let now = self.input.now;
         let array = turn.kind() == JobKind::Array;
         let tasks = request.open.len();
-        let scarce = self.state.records.part(now) < PLENTY
+        let scarce = self.state.records.available_fraction(now) < AMPLE_BUDGET_FRACTION
             || tasks as f64 > 0.5 * self.state.records.level(now);
         let reserved = turn.kind() != JobKind::Service;
-        let search = Search {
+        let search = CandidateSearch {
             most: (scarce && array).then_some(tasks as u64),
             among: array.then_some(self.roomy.as_slice()),
             reserve: reserved.then_some(self.input.reserve.as_slice()),
@@ -274,17 +280,17 @@
 
     /// A replica that would have to fetch its image rather takes the place of lower work where
     /// the image is, and waits a moment for that.
-    fn waits_for_image(&mut self, turn: Turn<'a>, request: &Request, order: &[usize]) -> bool {
-        let Turn { id, job, .. } = turn;
+    fn waits_for_image(&mut self, turn: QueueTurn<'a>, request: &Request, order: &[usize]) -> bool {
+        let QueueTurn { id, job, .. } = turn;
         let spec = &job.spec;
         let best = order.first().map(|at| &self.candidates[*at]);
-        if best.is_none_or(|c| c.fetch_seconds(spec) <= QUICK) {
+        if best.is_none_or(|c| c.fetch_seconds(spec) <= MAX_QUICK_FETCH_S) {
             return false;
         }
         let now = self.input.now;
-        let asked = self.state.awaiting.get(id).copied();
+        let asked = self.state.awaiting_image.get(id).copied();
         if let Some(at) = asked {
-            return now.since(at) < AWAIT;
+            return now.since(at) < IMAGE_WAIT_LIMIT;
         }
         let cache = self.input.cache;
         let lower = |attempt: &TaskAttempt, _: &PlacedJob| {
@@ -297,10 +303,10 @@
             .filter(|c| c.has_image(spec))
             .any(|c| victims(c, spec, Resources::default(), 1, cache, lower).is_some());
         if place {
-            self.state.awaiting.insert(id.clone(), now);
-            self.quick.push(Shortage {
+            self.state.awaiting_image.insert(id.clone(), now);
+            self.image_demands.push(UnmetDemand {
                 cached_only: true,
-                ..Shortage::of(id, job, request.open.len() as u64)
+                ..UnmetDemand::of(id, job, request.open.len() as u64)
             });
         }
         place
@@ -309,13 +315,13 @@
     /// Takes room on the machines of an order until all tasks have theirs.
     fn fill(
         &mut self,
-        turn: Turn<'a>,
+        turn: QueueTurn<'a>,
         request: &Request,
         order: &[usize],
-        mut zones: ZoneRule,
-    ) -> Found {
+        mut zones: ZoneConstraint,
+    ) -> PlacementResult {
         let mut open = request.open.iter().copied().peekable();
-        let mut found = Found::default();
+        let mut found = PlacementResult::default();
         for (rank, at) in order.iter().copied().enumerate() {
             if !self.may_change_record(turn, at) {
                 found.changes_spent = true;
@@ -335,8 +341,9 @@
                 &self.candidates,
                 alone,
             );
-            let outgoing = self.outgoing(turn, at, tasks, request.attempt_number, choices);
-            found.batch.push((at, outgoing));
+            let pending_allotment =
+                self.pending_allotment(turn, at, tasks, request.attempt_number, choices);
+            found.batch.push((at, pending_allotment));
             if open.peek().is_none() {
                 break;
             }
@@ -347,20 +354,20 @@
 
     /// Whether a change of a machine's record can be spent, for an array. What must run at once
     /// is never held back for that.
-    fn may_change_record(&mut self, turn: Turn<'a>, at: usize) -> bool {
+    fn may_change_record(&mut self, turn: QueueTurn<'a>, at: usize) -> bool {
         if turn.kind() != JobKind::Array || self.input.written[at] {
             return true;
         }
         let taken = self
             .state
             .records
-            .try_take(self.input.now, 1.0, Class::Place);
+            .try_acquire(self.input.now, 1.0, RequestClass::Place);
         self.input.written[at] |= taken;
         taken
     }
 
     /// Takes room for one more task on a machine, if it is there and the job's zones allow it.
-    fn takes_one(&mut self, turn: Turn<'a>, at: usize, zones: &mut ZoneRule) -> bool {
+    fn takes_one(&mut self, turn: QueueTurn<'a>, at: usize, zones: &mut ZoneConstraint) -> bool {
         let held = match turn.kind() {
             JobKind::Service => Resources::default(),
             JobKind::Array | JobKind::Gang => self.input.reserve[at],
@@ -377,15 +384,15 @@
         takes
     }
 
-    fn outgoing(
+    fn pending_allotment(
         &mut self,
-        turn: Turn<'a>,
+        turn: QueueTurn<'a>,
         at: usize,
         tasks: Vec<u32>,
         fixed: Option<AttemptNumber>,
         preferred: Vec<MachineId>,
-    ) -> Outgoing {
-        let Turn { id, job, .. } = turn;
+    ) -> PendingAllotment {
+        let QueueTurn { id, job, .. } = turn;
         let spec = &job.spec;
         let candidate = &self.candidates[at];
         let age_ms = self.input.unix_time.0.saturating_sub(job.eligible.0);
@@ -398,7 +405,7 @@
             },
             number: fixed.unwrap_or_else(|| attempt_numbers.next()),
         });
-        Outgoing {
+        PendingAllotment {
             owner: candidate.owner.clone(),
             machine: candidate.id.clone(),
             team: spec.team.clone(),
@@ -414,8 +421,8 @@
     }
 
     /// Books what was found for a job, and what was not.
-    fn settle(&mut self, turn: Turn<'a>, request: &Request, found: Found) {
-        let Turn { id, job, .. } = turn;
+    fn settle(&mut self, turn: QueueTurn<'a>, request: &Request, found: PlacementResult) {
+        let QueueTurn { id, job, .. } = turn;
         if found.changes_spent {
             self.changes_spent = true;
             self.keep_written();
@@ -423,7 +430,7 @@
         if turn.cached_only {
             self.given.insert(id, found.tasks());
         } else {
-            self.report_shortage(turn, found.left);
+            self.report_unmet_demand(turn, found.left);
         }
         if found.left > 0 && turn.kind() == JobKind::Gang {
             self.give_back(turn, found);
@@ -439,18 +446,18 @@
                 .gangs
                 .launched(self.input.now, id, attempt_number);
         }
-        for (_, outgoing) in found.batch {
-            let count = outgoing.allotment.attempts.len() as u64;
-            self.accounts
+        for (_, pending_allotment) in found.batch {
+            let count = pending_allotment.allotment.attempts.len() as u64;
+            self.quota_usage
                 .charge(&job.spec.team, turn.need().times(count));
-            self.allotments.push(outgoing);
+            self.allotments.push(pending_allotment);
         }
     }
 
     /// All or none: what was found for a part of a gang goes back.
-    fn give_back(&mut self, turn: Turn<'a>, found: Found) {
-        for (at, outgoing) in found.batch {
-            let count = outgoing.allotment.attempts.len() as u64;
+    fn give_back(&mut self, turn: QueueTurn<'a>, found: PlacementResult) {
+        for (at, pending_allotment) in found.batch {
+            let count = pending_allotment.allotment.attempts.len() as u64;
             let free = self.candidates[at].free;
             self.candidates[at].free = free + turn.need().times(count);
             self.candidates[at].record.give_back(count);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -74,7 +74,7 @@
             machine: id.clone(),
             fence: self.cache.shards[&shard].revision,
             silent: Millis(0),
-            missed: Millis(0),
+            since_direct_heartbeat: Millis(0),
             confirmed: true,
             notice: None,
             unrecorded: None,
@@ -118,9 +118,9 @@
         spec
     }
 
-    fn drive(&mut self) -> (Vec<Allotment>, Vec<TaskAttempt>) {
+    fn step(&mut self) -> (Vec<Allotment>, Vec<TaskAttempt>) {
         let mut out = Vec::new();
-        self.scheduler.drive(NOW, TERM, &self.cache, &mut out);
+        self.scheduler.step(NOW, TERM, &self.cache, &mut out);
         let (mut allotments, mut stops) = (Vec::new(), Vec::new());
         for effect in out {
             match effect {
@@ -144,15 +144,15 @@
         s.kind = JobKind::Gang;
         s.tasks = 5;
     });
-    assert!(scene.drive().0.is_empty(), "four fit, five are needed");
-    assert_eq!(scene.scheduler.shortages.len(), 1);
+    assert!(scene.step().0.is_empty(), "four fit, five are needed");
+    assert_eq!(scene.scheduler.unmet_demands.len(), 1);
     scene.machine(2, "b", false, &[]);
-    let (allotments, _) = scene.drive();
+    let (allotments, _) = scene.step();
     let attempts: Vec<&TaskAttempt> = allotments.iter().flat_map(|a| &a.attempts).collect();
     let numbers: BTreeSet<AttemptNumber> = attempts.iter().map(|a| a.number).collect();
     assert_eq!((attempts.len(), numbers.len()), (5, 1));
     assert!(attempts.iter().all(|a| a.task.job == gang.id));
-    assert!(scene.drive().0.is_empty(), "nothing is allotted twice");
+    assert!(scene.step().0.is_empty(), "nothing is allotted twice");
 }
 
 /// Found on a day with crashes: machines of a lost holder were rented a second time.
@@ -160,16 +160,16 @@
 fn a_machine_whose_holder_changes_is_unusable_for_a_moment_but_stays_capacity() {
     let mut scene = Scene::new();
     let id = scene.machine(1, "a", false, &[]);
-    assert!(scene.scheduler.usable(NOW, &id, &scene.cache));
+    assert!(scene.scheduler.is_usable(NOW, &id, &scene.cache));
     let shard = id.shard(scene.config.shards());
     let record = scene.cache.shards[&shard].value.clone();
     scene.put(keys::shard(shard), &record);
-    assert!(!scene.scheduler.usable(NOW, &id, &scene.cache));
-    assert!(scene.scheduler.present(NOW, &id));
+    assert!(!scene.scheduler.is_usable(NOW, &id, &scene.cache));
+    assert!(scene.scheduler.counts_as_capacity(NOW, &id));
     let mut silent = scene.health(&id);
     silent.silent = Millis(60_000);
     scene.scheduler.on_health(NOW, vec![silent], &scene.cache);
-    assert!(!scene.scheduler.present(NOW, &id));
+    assert!(!scene.scheduler.counts_as_capacity(NOW, &id));
 }
 
 /// Under lasting overload neither higher work, nor earlier deadlines, nor other teams' guarantees
@@ -196,7 +196,7 @@
                 j.deadline_s = Some(20.0);
             });
         }
-        let (allotments, _) = scene.drive();
+        let (allotments, _) = scene.step();
         assert_eq!(allotments[0].attempts[0].task.job, old.id);
     }
 }
@@ -213,8 +213,8 @@
         ..scene.health(&id)
     };
     scene.scheduler.on_health(NOW, vec![earlier], &scene.cache);
-    assert!(scene.scheduler.usable(NOW, &id, &scene.cache));
-    assert!(scene.scheduler.present(NOW, &id));
+    assert!(scene.scheduler.is_usable(NOW, &id, &scene.cache));
+    assert!(scene.scheduler.counts_as_capacity(NOW, &id));
 }
 
 /// Found in simulated days with late copies, seed 61.
@@ -230,7 +230,7 @@
         j.spot = false;
         j.tasks = 3;
     });
-    let (allotments, _) = scene.drive();
+    let (allotments, _) = scene.step();
     assert_eq!(allotments.len(), 1);
     assert_eq!(allotments[0].preferred, vec![own]);
 }
@@ -250,10 +250,10 @@
     scene
         .scheduler
         .on_health(NOW, vec![noticed.clone()], &scene.cache);
-    assert!(scene.drive().1.is_empty(), "too late to save");
+    assert!(scene.step().1.is_empty(), "too late to save");
     noticed.notice = Some(Millis(8000));
     scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
-    let (_, stops) = scene.drive();
+    let (_, stops) = scene.step();
     assert_eq!(stops.len(), 1);
     assert_eq!(stops[0].task.job, saving.id);
 }
@@ -305,7 +305,7 @@
             s.estimate_s = 20.0;
         });
         scene.scheduler.unix_time = UnixTime(unix_time);
-        let (allotments, _) = scene.drive();
+        let (allotments, _) = scene.step();
         let attempts = allotments.iter().flat_map(|a| &a.attempts);
         let of = |id: &JobId| attempts.clone().filter(|r| r.task.job == *id).count();
         (of(&first.id), of(&second.id))
@@ -318,14 +318,14 @@
 #[test]
 fn only_lower_work_and_work_beyond_a_guarantee_makes_room() {
     let mut scene = borrowing();
-    assert!(scene.drive().1.is_empty());
+    assert!(scene.step().1.is_empty());
     let red = scene.job(2, |s| s.tasks = 1);
-    assert!(scene.drive().1.is_empty(), "too late to be prompt");
+    assert!(scene.step().1.is_empty(), "too late to be prompt");
     scene.scheduler.unix_time = UnixTime(907_000);
-    let (_, stops) = scene.drive();
+    let (_, stops) = scene.step();
     assert_eq!(stops.len(), 1, "red is within its guarantee, blue beyond");
     assert!(
-        scene.drive().1.is_empty(),
+        scene.step().1.is_empty(),
         "room that is coming is not asked for twice"
     );
 
@@ -336,7 +336,7 @@
         s.image = "another".into();
     });
     scene.scheduler.unix_time = UnixTime(907_000);
-    assert!(scene.drive().1.is_empty());
+    assert!(scene.step().1.is_empty());
 
     // The same team's work of the same priority makes no room.
     let mut scene = Scene::new();
@@ -344,12 +344,12 @@
     let attempts: Vec<_> = (0..4).map(|i| (&first, i, u64::from(i))).collect();
     scene.machine(1, "a", false, &attempts);
     scene.job(2, |s| s.tasks = 1);
-    assert!(scene.drive().1.is_empty());
+    assert!(scene.step().1.is_empty());
     scene.job(3, |s| {
         s.tasks = 1;
         s.priority = Priority::High;
     });
-    let (_, stops) = scene.drive();
+    let (_, stops) = scene.step();
     assert_eq!(stops.len(), 1);
     assert_eq!(
         stops[0].task.index, 3,
@@ -398,7 +398,7 @@
                 s.zone = [None, Some("a".into()), Some("b".into())][zone as usize].clone();
             }));
         }
-        let (allotments, stops) = scene.drive();
+        let (allotments, stops) = scene.step();
         prop_assert!(stops.is_empty());
         let by_id: BTreeMap<&str, &JobSpec> = specs.iter().map(|s| (s.id.as_str(), s)).collect();
         let used = used(&scene, &allotments, &by_id);
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -33,10 +33,10 @@
 fn a_pass_makes_room_for_many_tasks_whatever_is_coming_already() {
     let mut scene = full_of_idle_work(30);
     array(&mut scene, 2, 50);
-    assert_eq!(scene.drive().1.len(), 50);
-    assert!(scene.drive().1.is_empty(), "their room is coming");
+    assert_eq!(scene.step().1.len(), 50);
+    assert!(scene.step().1.is_empty(), "their room is coming");
     array(&mut scene, 3, 40);
-    assert_eq!(scene.drive().1.len(), 40, "beside what is coming");
+    assert_eq!(scene.step().1.len(), 40, "beside what is coming");
 }
 
 #[test]
@@ -47,7 +47,7 @@
         s.cpus = 3.0;
     });
     // Two idle tasks of 2 CPUs for the first of 3, one more for the second.
-    let stops = scene.drive().1;
+    let stops = scene.step().1;
     assert_eq!(stops.len(), 5);
 }
 
@@ -69,7 +69,7 @@
     scene.machine(7, "a", false, &[(&service, 0, 900), (&idle, 0, 901)]);
     // Two spare replicas of 1 CPU are kept there: of 8 CPUs 3 are free for others.
     array(&mut scene, 4, 6);
-    let (allotments, stops) = scene.drive();
+    let (allotments, stops) = scene.step();
     let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
     assert_eq!(given, 1);
     assert_eq!(stops.len(), 5);
@@ -90,7 +90,7 @@
     scene.machine(5, "a", false, &attempts);
     array(&mut scene, 3, 8);
     let mut out = Vec::new();
-    scene.scheduler.drive(NOW, TERM, &scene.cache, &mut out);
+    scene.scheduler.step(NOW, TERM, &scene.cache, &mut out);
     let mut graces: BTreeMap<JobId, Vec<Millis>> = BTreeMap::new();
     for effect in out {
         if let Effect::ToShardOwner(_, message) = effect
@@ -123,7 +123,7 @@
         s.tasks = 6;
         s.image_gb = 9.0;
     });
-    let (allotments, _) = scene.drive();
+    let (allotments, _) = scene.step();
     let on = |id: &MachineId| -> usize {
         let there = allotments.iter().filter(|a| a.preferred[0] == *id);
         there.map(|a| a.attempts.len()).sum()
@@ -146,7 +146,7 @@
             scene.machine(n, "a", false, &[]);
         }
         array(&mut scene, 2, 50);
-        let (allotments, stops) = scene.drive();
+        let (allotments, stops) = scene.step();
         let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
         (given, stops.len())
     };
@@ -171,5 +171,5 @@
         s.tasks = 4;
         s.cpus = 8.0;
     });
-    assert!(!scene.drive().1.is_empty());
+    assert!(!scene.step().1.is_empty());
 }
--- a/src/placement/unmet_demand.rs
+++ b/src/placement/unmet_demand.rs
@@ -7,7 +7,7 @@
 
 /// Tasks for which no machine has room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shortage {
+pub struct UnmetDemand {
     pub job: JobId,
     /// What each of the tasks takes.
     pub need: Resources,
@@ -21,7 +21,7 @@
     pub cached_only: bool,
 }
 
-impl Shortage {
+impl UnmetDemand {
     pub(super) fn of(id: &JobId, job: &LiveJob, tasks: u64) -> Self {
         let spec = &job.spec;
         Self {
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 
 /// Keeps a job's tasks in one zone, or spread over zones, as it asks.
-pub(super) struct ZoneRule {
+pub(super) struct ZoneConstraint {
     one_zone: bool,
     /// The most tasks that one zone may have.
     most: Option<u32>,
     counts: BTreeMap<Zone, u32>,
 }
 
-impl ZoneRule {
+impl ZoneConstraint {
     pub fn new(
         job: &LiveJob,
         allotted: Option<&BTreeMap<u32, &MachineId>>,
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -7,7 +7,7 @@
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
 use crate::store::keys;
-use crate::store::records::OverRecord;
+use crate::store::records::FinalRecord;
 use crate::store::watch_cache::WatchCache;
 
 /// A final record and the deletion of the live one.
@@ -20,17 +20,17 @@
     cache: &WatchCache,
     max_ops: usize,
 ) -> Option<(Txn, Vec<JobId>)> {
-    let mut dependents = cache.waiting.descendants(cancelled);
+    let mut dependents = cache.dependency_graph.descendants(cancelled);
     dependents.truncate((max_ops / CHANGES_EACH).max(1));
     let mut txn = Txn::default();
     for id in &dependents {
-        let job = cache.waiting.get(id)?;
-        let record = OverRecord {
+        let job = cache.dependency_graph.get(id)?;
+        let record = FinalRecord {
             state: JobState::Cancelled,
             tasks: job.spec.tasks,
         };
         txn.require(keys::job(id), job.revision);
-        txn.put(keys::over(id), &record, None);
+        txn.put(keys::final_state(id), &record, None);
         txn.delete(keys::job(id));
     }
     (!dependents.is_empty()).then_some((txn, dependents))
--- a/src/planning/counter.rs
+++ b/src/planning/counter.rs
@@ -7,7 +7,7 @@
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
 use crate::store::keys;
-use crate::store::records::{Bitmap, OverRecord};
+use crate::store::records::{Bitmap, FinalRecord};
 use crate::store::watch_cache::LiveJob;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -77,11 +77,11 @@
     }
     let mut txn = Txn::default();
     txn.require(keys::job(id), job.revision);
-    let over = OverRecord {
+    let over = FinalRecord {
         state: JobState::Done,
         tasks: job.spec.tasks,
     };
-    txn.put(keys::over(id), &over, None);
+    txn.put(keys::final_state(id), &over, None);
     txn.delete(keys::job(id));
     for segment in job.segments.keys().take(layout.txn_ops.saturating_sub(2)) {
         txn.delete(keys::segment(id, *segment));
--- a/src/planning/counter/tests.rs
+++ b/src/planning/counter/tests.rs
@@ -136,7 +136,7 @@
         }
     }
     assert!(!cache.jobs.contains_key(&id) && keys_held.largest <= config.state.value_bytes);
-    assert!(folds > 20 && keys_held.held.contains_key(&keys::over(&id)));
+    assert!(folds > 20 && keys_held.held.contains_key(&keys::final_state(&id)));
 }
 
 #[test]
--- a/src/planning/graph.rs
+++ b/src/planning/graph.rs
@@ -124,8 +124,8 @@
         from.drain(..n).collect()
     };
     if let Some(group) = parent {
-        let stay = take(&mut short, cap);
-        groups.join(&stay, group);
+        let reclaim_leaving = take(&mut short, cap);
+        groups.join(&reclaim_leaving, group);
     }
     while !long.is_empty() && !short.is_empty() {
         let mut pair = take(&mut long, 1);
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -27,7 +27,7 @@
         let Some(spec) = cache.job_spec(member) else {
             continue;
         };
-        if member != id && !cache.waiting.contains(member) {
+        if member != id && !cache.dependency_graph.contains(member) {
             continue;
         }
         let joined = joined_parent(at, &graph, &made.groups);
@@ -59,7 +59,7 @@
         let parents = cache.job_spec(&next).map(|spec| spec.dependencies.clone());
         let parents = parents.into_iter().flatten();
         let parents = parents.filter(|p| cache.job_spec(p).is_some());
-        let near = parents.chain(cache.waiting.dependents(&next).cloned());
+        let near = parents.chain(cache.dependency_graph.dependents(&next).cloned());
         for other in near {
             if found.len() < MEMBERS && found.insert(other.clone()) {
                 queue.push_back(other);
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -30,7 +30,7 @@
     pub const LEASES: &str = "/grants";
     pub const TXN: &str = "/txn";
     pub const KV: &str = "/kv";
-    pub const FOLLOW: &str = "/follow";
+    pub const WATCH: &str = "/follow";
 }
 
 #[cfg(test)]
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -126,9 +126,9 @@
     let tail = after.map_or_else(String::new, |a| format!("&after={a}"));
     format!("{}?prefix={prefix}{tail}&most=1000", super::path::KV)
 }
-pub fn follow_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
+pub fn watch_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
     format!(
         "{}?prefix={prefix}&after={after}&block_ms={wait_ms}",
-        super::path::FOLLOW
+        super::path::WATCH
     )
 }
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -1,24 +1,24 @@
 //! Users who cancel, through one controller and then another, and the state service that refuses
 //! the leader alone just then.
 
-use super::world::{Breakage, CANCEL, MEMBERS, What, World};
+use super::cluster::{CANCEL, DisabledGuard, MEMBERS, SimulatedCluster, SimulationEvent};
+use crate::api::dependencies::CancellationCascade;
 use crate::cancellation::RoundId;
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
-use crate::intake::dependencies::Cascade;
 use crate::protocol::store::Txn;
 use crate::protocol::{JobState, TaskState};
-use crate::store::records::{LeaderRecord, OverRecord};
+use crate::store::records::{FinalRecord, LeaderRecord};
 use crate::store::{TxnOutcome, keys};
 
 /// How long a controller waits until the tasks are gone, and how often it asks.
 const PATIENCE: u64 = 900;
-const LOOK: u64 = 60;
+const POLL_INTERVAL: u64 = 60;
 /// How long a controller takes to cancel what needs a cancelled job.
 const CASCADE: u64 = 600;
 /// Users repeat what was not answered.
 const AGAIN: u64 = 1000;
 
-impl World {
+impl SimulatedCluster {
     pub fn cancel(&mut self, id: &JobId) {
         if self.cancelling.insert(id.clone()) {
             self.ask_cancellation(id.clone());
@@ -30,12 +30,12 @@
         let now = self.now;
         let able = |n: &usize| {
             let node = &self.nodes[*n];
-            let served = node.store_cut_until <= now || node.over.contains(&job);
+            let served = node.store_cut_until <= now || node.final_records_seen.contains(&job);
             node.controller.is_some() && node.frozen_until <= now && served
         };
         let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
         if able.is_empty() {
-            self.after(AGAIN, What::Cancel(job));
+            self.after(AGAIN, SimulationEvent::Cancel(job));
             return;
         }
         let node = able[self.pick(0, able.len() as u64 - 1) as usize];
@@ -43,8 +43,8 @@
             self.cancelling.remove(&job);
             return;
         };
-        self.nodes[node].over.insert(job.clone());
-        if self.breakage == Breakage::ToldAtOnce {
+        self.nodes[node].final_records_seen.insert(job.clone());
+        if self.disabled_guard == DisabledGuard::ToldAtOnce {
             self.confirm(&job);
             return;
         }
@@ -52,26 +52,26 @@
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return;
         };
-        let (round, effects) = controller.announce(now, &job, revision, Millis(0));
-        self.carry_out(node, effects);
+        let (round, effects) = controller.announce_cancellation(now, &job, revision, Millis(0));
+        self.execute(node, effects);
         let until = MonotonicTime(now.0 + PATIENCE);
         self.tell_cancelled(node, life, job, round, until);
     }
 
     /// The change that cancelled the job, now or before. `None`: it is done, or unknown.
     fn commit_cancellation(&mut self, job: &JobId) -> Option<Revision> {
-        if let Some((value, revision, _)) = self.store.keys.get(&keys::over(job)) {
-            let record: OverRecord = serde_json::from_value(value.clone()).expect("record");
+        if let Some((value, revision, _)) = self.store.keys.get(&keys::final_state(job)) {
+            let record: FinalRecord = serde_json::from_value(value.clone()).expect("record");
             return (record.state == JobState::Cancelled).then_some(*revision);
         }
         let revision = self.store.keys.get(&keys::job(job))?.1;
         let mut txn = Txn::default();
         txn.require(keys::job(job), revision);
-        let record = OverRecord {
+        let record = FinalRecord {
             state: JobState::Cancelled,
             tasks: self.jobs[job].tasks,
         };
-        txn.put(keys::over(job), &record, None);
+        txn.put(keys::final_state(job), &record, None);
         txn.delete(keys::job(job));
         // The meeting takes place where the controller that the state service refuses holds a
         // machine with the job on it.
@@ -79,7 +79,7 @@
             .refused_alone()
             .is_some_and(|node| self.holds(node, job))
         {
-            self.met += 1;
+            self.fault_encounters += 1;
         }
         let outcome = self.ask(txn);
         self.check_over();
@@ -101,7 +101,7 @@
         let asked = &mut self.nodes[node];
         let controller = asked.controller.as_mut().filter(|_| asked.life == life);
         let Some(controller) = controller else {
-            self.after(AGAIN, What::Cancel(job));
+            self.after(AGAIN, SimulationEvent::Cancel(job));
             return;
         };
         if controller.is_settled(now, round) {
@@ -109,19 +109,22 @@
             self.begin_cascade(node, life, job);
         } else if self.now < until {
             let effects = controller.ask_round(now, round);
-            self.carry_out(node, effects);
-            self.after(LOOK, What::Told(node, life, job, round, until));
+            self.execute(node, effects);
+            self.after(
+                POLL_INTERVAL,
+                SimulationEvent::Told(node, life, job, round, until),
+            );
         } else {
             controller.close_round(round);
-            self.after(AGAIN, What::Cancel(job));
+            self.after(AGAIN, SimulationEvent::Cancel(job));
         }
     }
 
     fn begin_cascade(&mut self, node: usize, life: u64, job: JobId) {
-        let Some((_, revision, _)) = self.store.keys.get(&keys::over(&job)) else {
+        let Some((_, revision, _)) = self.store.keys.get(&keys::final_state(&job)) else {
             return;
         };
-        let cascade = Cascade::new(&job, *revision);
+        let cascade = CancellationCascade::new(&job, *revision);
         let until = MonotonicTime(self.now.0 + CASCADE);
         self.cascade(node, life, job, cascade, until);
     }
@@ -158,14 +161,14 @@
         let outage = self.pick(CANCEL, 2 * CANCEL);
         self.nodes[leader].store_cut_until = MonotonicTime(self.now.0 + gap);
         let before = self.pick(50, gap);
-        self.after(before, What::CancelRunning);
-        self.after(gap, What::Outage(outage));
+        self.after(before, SimulationEvent::CancelRunning);
+        self.after(gap, SimulationEvent::Outage(outage));
         match self.pick(0, 5) {
             0 => {
                 let until = MonotonicTime(self.now.0 + self.pick(500, gap + outage));
                 self.nodes[leader].peers_cut_until = until;
             }
-            1 => self.after(before + 100, What::Flap),
+            1 => self.after(before + 100, SimulationEvent::Flap),
             2 => {
                 let ms = self.pick(CANCEL, 2 * CANCEL);
                 let until = MonotonicTime(self.now.0 + before + ms);
@@ -191,7 +194,7 @@
         for node in &mut self.nodes {
             node.store_cut_until = until;
         }
-        self.after(ms, What::OutageEnds);
+        self.after(ms, SimulationEvent::OutageEnds);
     }
 
     /// All grants have their full time again.
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -1,8 +1,9 @@
 //! Simulated time, the network between the parts, the troubles, and the checks.
 
 use super::digest::Digest;
-use super::outside::{StoreModel, Worker, WorkerTask};
 use super::pipelines::PipelineCounts;
+use super::stand_ins::{StoreModel, Worker, WorkerTask};
+use crate::api::dependencies::CancellationCascade;
 use crate::cancellation::RoundId;
 use crate::cloud::RentOutcome;
 use crate::config::tests::sample_config;
@@ -12,17 +13,16 @@
     FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, MonotonicTime, Revision,
     WorkerEpoch,
 };
-use crate::intake::dependencies::Cascade;
 use crate::peers::{Message, over_link};
 use crate::protocol::store::Txn;
 use crate::protocol::{
     Catalog, Command, ExitReason, Heartbeat, JobKind, JobSpec, JobState, ListedMachine,
     MachineState, TaskState,
 };
-use crate::store::records::{MemberRecord, OverRecord, ProgramVersion};
-use crate::store::tokens::Bucket;
+use crate::store::rate_limiter::TokenBucket;
+use crate::store::records::{FinalRecord, MemberRecord, ProgramVersion};
 use crate::store::{TxnOutcome, keys};
-use crate::workers::{CallOutcome, HeartbeatAnswer};
+use crate::worker_control::{DirectCallOutcome, HeartbeatAnswer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -30,7 +30,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Trouble {
+pub struct Faults {
     pub crashes: bool,
     pub lost_answers: bool,
     pub machines: bool,
@@ -83,11 +83,11 @@
     pub zones: usize,
 }
 
-pub const SMALL: Shape = Shape {
+pub const THREE_CONTROLLERS: Shape = Shape {
     members: 3,
     zones: 2,
 };
-pub const FIVE: Shape = Shape {
+pub const FIVE_CONTROLLERS: Shape = Shape {
     members: 5,
     zones: 3,
 };
@@ -102,7 +102,7 @@
     }
 }
 
-impl Trouble {
+impl Faults {
     pub const NONE: Self = Self {
         crashes: false,
         lost_answers: false,
@@ -156,7 +156,7 @@
 
 /// A guard that is deliberately missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breakage {
+pub enum DisabledGuard {
     None,
     /// A command without an answer counts as never sent.
     LostCallsUnsent,
@@ -186,7 +186,7 @@
     OldVersionsTrusted,
 }
 
-pub enum What {
+pub enum SimulationEvent {
     Tick(usize),
     Watch(usize),
     Extend(usize),
@@ -201,7 +201,7 @@
         Vec<Command>,
         u32,
     ),
-    CallDone(usize, u64, MachineId, FencingToken, CallOutcome),
+    CallDone(usize, u64, MachineId, FencingToken, DirectCallOutcome),
     /// To, from.
     Peer(usize, usize, Message),
     Worker(MachineId),
@@ -214,7 +214,7 @@
     Cloud(usize, u64, Effect),
     Boot(MachineId),
     Start(usize),
-    Trouble,
+    Faults,
     Flap,
     User,
     Gangs,
@@ -232,14 +232,14 @@
     /// A user submits a job that names others, or does so again.
     Submit(JobSpec),
     /// What needs a cancelled job is cancelled too, until then.
-    Cascade(usize, u64, JobId, Cascade, MonotonicTime),
+    CancellationCascade(usize, u64, JobId, CancellationCascade, MonotonicTime),
     /// A controller ends and comes back as the present version.
     Upgrade(usize),
     /// The state service takes less from now on.
     LowerLimits,
 }
 
-impl What {
+impl SimulationEvent {
     /// The controller that has to do something.
     fn node(&self) -> Option<usize> {
         match self {
@@ -250,7 +250,7 @@
             | Self::CallDone(node, ..)
             | Self::Peer(node, ..)
             | Self::Told(node, ..)
-            | Self::Cascade(node, ..)
+            | Self::CancellationCascade(node, ..)
             | Self::Heartbeat(node, ..)
             | Self::Copy(node, _) => Some(*node),
             _ => None,
@@ -258,7 +258,7 @@
     }
 }
 
-pub struct Entry(MonotonicTime, u64, What);
+pub struct Entry(MonotonicTime, u64, SimulationEvent);
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
@@ -289,7 +289,7 @@
     pub peers_cut_until: MonotonicTime,
     pub frozen_until: MonotonicTime,
     /// Cancelled jobs whose record this life has written or read.
-    pub over: BTreeSet<JobId>,
+    pub final_records_seen: BTreeSet<JobId>,
     /// It runs the earlier version of the program.
     pub earlier: bool,
 }
@@ -305,7 +305,7 @@
     pub tasks: (u64, u64),
     /// What the state service takes a second.
     pub changes: f64,
-    pub rates: Vec<Bucket>,
+    pub rates: Vec<TokenBucket>,
     pub counts: Counts,
 }
 
@@ -319,15 +319,15 @@
     pub ended: u64,
 }
 
-pub struct World {
+pub struct SimulatedCluster {
     pub now: MonotonicTime,
     /// Services submitted to a large fleet.
     pub services: u64,
     pub order: u64,
     pub queue: BinaryHeap<Reverse<Entry>>,
     pub rng: StdRng,
-    pub trouble: Trouble,
-    pub breakage: Breakage,
+    pub faults: Faults,
+    pub disabled_guard: DisabledGuard,
     pub store: StoreModel,
     pub nodes: Vec<Node>,
     pub workers: BTreeMap<MachineId, Worker>,
@@ -357,10 +357,10 @@
     /// Since when a job has nothing on any machine and could have.
     pub left_waiting: BTreeMap<JobId, MonotonicTime>,
     /// How often troubles met as the day's name says.
-    pub met: u64,
+    pub fault_encounters: u64,
     pub over_seen: BTreeMap<JobId, JobState>,
     pub healed: bool,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: u64,
     /// Machines that were deleted.
     pub gone: BTreeSet<MachineId>,
@@ -383,12 +383,17 @@
 /// A machine that nothing reaches for so long must have been given up.
 pub const DEAF: u64 = 36_000;
 
-impl World {
-    pub fn new(seed: u64, trouble: Trouble, breakage: Breakage) -> Self {
-        Self::of_shape(seed, trouble, breakage, SMALL)
+impl SimulatedCluster {
+    pub fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
+        Self::of_shape(seed, faults, disabled_guard, THREE_CONTROLLERS)
     }
 
-    pub fn of_shape(seed: u64, trouble: Trouble, breakage: Breakage, shape: Shape) -> Self {
+    pub fn of_shape(
+        seed: u64,
+        faults: Faults,
+        disabled_guard: DisabledGuard,
+        shape: Shape,
+    ) -> Self {
         let (members, zones) = (shape.members, shape.zones);
         let nodes = (0..members).map(|i| {
             let mut config = sample_config();
@@ -407,20 +412,20 @@
                 store_cut_until: MonotonicTime(0),
                 peers_cut_until: MonotonicTime(0),
                 frozen_until: MonotonicTime(0),
-                over: BTreeSet::new(),
-                earlier: trouble.upgrade,
+                final_records_seen: BTreeSet::new(),
+                earlier: faults.upgrade,
             }
         });
-        let mut world = Self {
+        let mut cluster = Self {
             now: MonotonicTime(0),
             services: 0,
             order: 0,
             queue: BinaryHeap::new(),
             rng: StdRng::seed_from_u64(seed),
-            trouble,
-            breakage,
+            faults,
+            disabled_guard,
             store: StoreModel {
-                ignore_fences: breakage == Breakage::FencesIgnored,
+                ignore_fences: disabled_guard == DisabledGuard::FencesIgnored,
                 ..StoreModel::default()
             },
             nodes: nodes.collect(),
@@ -442,10 +447,10 @@
             killed: 0,
             healed_at: MonotonicTime(0),
             left_waiting: BTreeMap::new(),
-            met: 0,
+            fault_encounters: 0,
             over_seen: BTreeMap::new(),
             healed: false,
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
             gone: BTreeSet::new(),
             ghosts: BTreeMap::new(),
@@ -455,30 +460,30 @@
             digest: Digest::default(),
         };
         for _ in 0..4 {
-            let id = world.new_machine(false);
-            world.after(0, What::Boot(id));
+            let id = cluster.new_machine(false);
+            cluster.after(0, SimulationEvent::Boot(id));
         }
         for node in 0..members {
-            world.after(10 * node as u64, What::Start(node));
+            cluster.after(10 * node as u64, SimulationEvent::Start(node));
         }
-        world.after(3000, What::User);
-        world.after(500, What::Gangs);
-        world.after(8000, What::Trouble);
-        if trouble.upgrade || trouble.limits {
-            world.begin_upgrade();
+        cluster.after(3000, SimulationEvent::User);
+        cluster.after(500, SimulationEvent::Gangs);
+        cluster.after(8000, SimulationEvent::Faults);
+        if faults.upgrade || faults.limits {
+            cluster.begin_upgrade();
         }
-        if trouble.leaders {
-            world.after(12_000, What::EndLeader);
+        if faults.leaders {
+            cluster.after(12_000, SimulationEvent::EndLeader);
         }
-        world
+        cluster
     }
 
-    pub fn after(&mut self, ms: u64, what: What) {
+    pub fn after(&mut self, ms: u64, event: SimulationEvent) {
         self.order += 1;
         self.queue.push(Reverse(Entry(
             MonotonicTime(self.now.0 + ms),
             self.order,
-            what,
+            event,
         )));
     }
 
@@ -505,7 +510,7 @@
             if self.outage_until <= self.now {
                 self.store.expire(self.now);
             }
-            self.happen(entry.2);
+            self.handle_event(entry.2);
         }
     }
 
@@ -530,7 +535,7 @@
         for node in &mut self.nodes {
             node.frozen_until = self.now;
         }
-        self.trouble = Trouble::default();
+        self.faults = Faults::default();
         for node in &mut self.nodes {
             node.store_cut_until = self.now;
             node.peers_cut_until = self.now;
@@ -545,7 +550,7 @@
     }
 
     pub fn unfinished(&self) -> Vec<&JobId> {
-        let ended = |id: &JobId| self.store.keys.contains_key(&keys::over(id));
+        let ended = |id: &JobId| self.store.keys.contains_key(&keys::final_state(id));
         let arrays = self.jobs.iter().filter(|(_, s)| s.kind != JobKind::Service);
         arrays.map(|(id, _)| id).filter(|id| !ended(id)).collect()
     }
@@ -565,7 +570,7 @@
         let more = scale.machines.0.saturating_sub(self.workers.len());
         for _ in 0..more {
             let id = self.new_machine(false);
-            self.after(0, What::Boot(id));
+            self.after(0, SimulationEvent::Boot(id));
         }
         for node in &mut self.nodes {
             node.config.state.rates.changes = changes;
@@ -597,27 +602,27 @@
         }
     }
 
-    pub fn happen(&mut self, what: What) {
+    pub fn handle_event(&mut self, event: SimulationEvent) {
         // What comes to a controller that stands still is held for it.
-        let frozen = what.node().map(|n| self.nodes[n].frozen_until);
+        let frozen = event.node().map(|n| self.nodes[n].frozen_until);
         if let Some(until) = frozen.filter(|until| *until > self.now) {
-            self.after(until.since(self.now).0 + 1, what);
+            self.after(until.since(self.now).0 + 1, event);
             return;
         }
-        match what {
-            What::Start(node) => self.start(node),
-            What::Tick(node) => {
+        match event {
+            SimulationEvent::Start(node) => self.start(node),
+            SimulationEvent::Tick(node) => {
                 let now = self.now;
                 self.tell_cut(node);
                 if let Some(c) = self.nodes[node].controller.as_mut() {
                     let effects = c.tick(now, crate::ids::UnixTime(now.0));
-                    self.carry_out(node, effects);
-                    self.after(25, What::Tick(node));
+                    self.execute(node, effects);
+                    self.after(25, SimulationEvent::Tick(node));
                 }
             }
-            What::Watch(node) => self.watch(node),
-            What::Extend(node) => self.extend(node),
-            What::Txn(node, life, requester, txn, answered) => {
+            SimulationEvent::Watch(node) => self.watch(node),
+            SimulationEvent::Extend(node) => self.extend(node),
+            SimulationEvent::Txn(node, life, requester, txn, answered) => {
                 let cut = self.nodes[node].store_cut_until > self.now;
                 let outcome = if (cut && answered) || !self.admits(node, &requester, &txn) {
                     TxnOutcome::Refused
@@ -626,46 +631,48 @@
                 };
                 self.check_over();
                 if let Some(ms) = self.repeat() {
-                    let again = What::Txn(node, life, requester.clone(), txn, false);
+                    let again = SimulationEvent::Txn(node, life, requester.clone(), txn, false);
                     self.after(ms, again);
                 }
                 // What comes once more may bring a record back for a while: see `check_ghosts_go`.
                 if let TxnOutcome::Committed(revision) = &outcome
                     && answered
-                    && !self.trouble.lost_answers
-                    && !self.trouble.slow
+                    && !self.faults.lost_answers
+                    && !self.faults.slow
                     && !self.healed
                 {
                     self.check_ghosts(*revision);
                 }
                 if answered {
                     let ms = self.pick(1, 4);
-                    self.after(ms, What::TxnDone(node, life, requester, outcome));
+                    self.after(ms, SimulationEvent::TxnDone(node, life, requester, outcome));
                 }
             }
-            What::TxnDone(node, life, requester, outcome) => {
+            SimulationEvent::TxnDone(node, life, requester, outcome) => {
                 let now = self.now;
                 self.with(node, life, |c| c.on_txn(now, &requester, &outcome));
             }
-            What::Call(node, life, id, token, epoch, commands, tries) => {
+            SimulationEvent::Call(node, life, id, token, epoch, commands, tries) => {
                 self.call(node, life, id, token, epoch, commands, tries);
             }
-            What::CallDone(node, life, id, token, outcome) => {
+            SimulationEvent::CallDone(node, life, id, token, outcome) => {
                 let now = self.now;
                 self.with(node, life, |c| c.on_call(now, &id, token, outcome));
             }
-            What::Peer(node, from, message) => {
+            SimulationEvent::Peer(node, from, message) => {
                 let (now, life) = (self.now, self.nodes[node].life);
                 let from = Member::from(MEMBERS[from]);
                 self.with(node, life, |c| c.on_peer(now, &from, message));
             }
-            What::Worker(id) => self.work(&id),
-            What::Heartbeat(node, id, ticket, heartbeat) => {
+            SimulationEvent::Worker(id) => self.work(&id),
+            SimulationEvent::Heartbeat(node, id, ticket, heartbeat) => {
                 self.heartbeat(node, id, ticket, heartbeat)
             }
-            What::Copy(node, heartbeat) => self.copy(node, &heartbeat),
-            What::Answer(id, ticket, token, commands) => self.answer(&id, ticket, token, &commands),
-            What::Redirect(id, ticket, to) => {
+            SimulationEvent::Copy(node, heartbeat) => self.copy(node, &heartbeat),
+            SimulationEvent::Answer(id, ticket, token, commands) => {
+                self.answer(&id, ticket, token, &commands)
+            }
+            SimulationEvent::Redirect(id, ticket, to) => {
                 let (now, members) = (self.now, self.nodes.len());
                 if let Some(w) = self.workers.get_mut(&id)
                     && w.deaf_until <= now
@@ -684,20 +691,20 @@
                     }
                 }
             }
-            What::Cloud(node, life, effect) => self.cloud(node, life, effect),
-            What::Boot(id) => {
+            SimulationEvent::Cloud(node, life, effect) => self.cloud(node, life, effect),
+            SimulationEvent::Boot(id) => {
                 if let Some(w) = self.workers.get_mut(&id) {
                     w.dead = false;
                     w.answered = self.now;
-                    self.after(0, What::Worker(id));
+                    self.after(0, SimulationEvent::Worker(id));
                 }
             }
-            What::Trouble => self.make_trouble(),
-            What::Flap => self.flap(),
-            What::Deaf(id) => {
+            SimulationEvent::Faults => self.inject_faults(),
+            SimulationEvent::Flap => self.flap(),
+            SimulationEvent::Deaf(id) => {
                 let stands = self.workers.get(&id).is_some_and(|w| !w.dead);
                 // Without a leader, or a state service, no record of a machine goes.
-                let t = &self.trouble;
+                let t = &self.faults;
                 let led = !(t.crashes || t.gap || t.leaders || t.away || t.slow);
                 let only = led && !self.healed;
                 let due = MonotonicTime(self.stood_still_until.0 + DEAF);
@@ -705,29 +712,29 @@
                     // Nobody could notice while controllers stood still.
                     let deaf = self.workers.get(&id).is_some_and(|w| w.deaf_until >= due);
                     if deaf {
-                        self.after(due.since(self.now).0, What::Deaf(id));
+                        self.after(due.since(self.now).0, SimulationEvent::Deaf(id));
                     }
                 } else if stands && only && self.store.keys.contains_key(&keys::machine(&id)) {
-                    self.breaks("kept_deaf", &id);
+                    self.record_violation("kept_deaf", &id);
                 }
             }
-            What::User => self.user(),
-            What::Gangs => self.gangs(),
-            What::Cancel(job) => self.ask_cancellation(job),
-            What::Told(node, life, job, round, until) => {
+            SimulationEvent::User => self.user(),
+            SimulationEvent::Gangs => self.gangs(),
+            SimulationEvent::Cancel(job) => self.ask_cancellation(job),
+            SimulationEvent::Told(node, life, job, round, until) => {
                 self.tell_cancelled(node, life, job, round, until);
             }
-            What::CancelRunning => self.cancel_running(),
-            What::Outage(ms) => self.begin_outage(ms),
-            What::EndLeader => self.end_leader(),
-            What::CancelAtEnd(job) => self.cancel(&job),
-            What::Submit(spec) => self.submit_dependent(spec),
-            What::Cascade(node, life, job, cascade, until) => {
+            SimulationEvent::CancelRunning => self.cancel_running(),
+            SimulationEvent::Outage(ms) => self.begin_outage(ms),
+            SimulationEvent::EndLeader => self.end_leader(),
+            SimulationEvent::CancelAtEnd(job) => self.cancel(&job),
+            SimulationEvent::Submit(spec) => self.submit_dependent(spec),
+            SimulationEvent::CancellationCascade(node, life, job, cascade, until) => {
                 self.cascade(node, life, job, cascade, until);
             }
-            What::Upgrade(node) => self.upgrade(node),
-            What::LowerLimits => self.lower_limits(),
-            What::OutageEnds => {
+            SimulationEvent::Upgrade(node) => self.upgrade(node),
+            SimulationEvent::LowerLimits => self.lower_limits(),
+            SimulationEvent::OutageEnds => {
                 if self.outage_until <= self.now {
                     self.end_outage();
                 }
@@ -740,7 +747,7 @@
             && let Some(controller) = self.nodes[node].controller.as_mut()
         {
             let effects = f(controller);
-            self.carry_out(node, effects);
+            self.execute(node, effects);
         }
     }
 
@@ -748,24 +755,24 @@
         // Without the state service there is no mirror and no grant: it answers nobody.
         let cut = self.nodes[node].store_cut_until;
         if cut > self.now {
-            self.after(cut.since(self.now).0, What::Start(node));
+            self.after(cut.since(self.now).0, SimulationEvent::Start(node));
             return;
         }
         let incarnation = Incarnation(self.pick(1, 1 << 40));
         let n = &mut self.nodes[node];
         n.life += 1;
         n.position = Revision(0);
-        n.over.clear();
+        n.final_records_seen.clear();
         let mut controller = Controller::new(&n.config, incarnation);
         let effects = controller.on_snapshot(self.now, self.store.snapshot(&n.config, n.earlier));
         n.position = self.store.revision;
         n.controller = Some(controller);
         n.old_lease = n.lease.take();
-        self.carry_out(node, effects);
+        self.execute(node, effects);
         self.enter(node, incarnation);
-        self.after(1, What::Tick(node));
-        self.after(2, What::Watch(node));
-        self.after(1500, What::Extend(node));
+        self.after(1, SimulationEvent::Tick(node));
+        self.after(2, SimulationEvent::Watch(node));
+        self.after(1500, SimulationEvent::Extend(node));
     }
 
     /// Ends the earlier life's grant and takes a new one.
@@ -788,7 +795,7 @@
         self.nodes[node].lease = Some(lease);
         let (now, life) = (self.now, self.nodes[node].life);
         self.with(node, life, |c| {
-            c.assure(MonotonicTime(now.0 + 5000));
+            c.set_lease_deadline(MonotonicTime(now.0 + 5000));
             c.set_lease(now, Some(lease))
         });
     }
@@ -803,7 +810,7 @@
             if let Some(until) = self.store.leases.get_mut(&lease) {
                 *until = MonotonicTime(self.now.0 + 5000);
                 if let Some(c) = self.nodes[node].controller.as_mut() {
-                    c.assure(MonotonicTime(self.now.0 + 5000));
+                    c.set_lease_deadline(MonotonicTime(self.now.0 + 5000));
                 }
             } else if let Some(c) = &self.nodes[node].controller {
                 let incarnation = c.leadership.incarnation();
@@ -812,7 +819,7 @@
                 self.enter(node, incarnation);
             }
         }
-        self.after(1500, What::Extend(node));
+        self.after(1500, SimulationEvent::Extend(node));
     }
 
     pub fn watch(&mut self, node: usize) {
@@ -834,10 +841,10 @@
         } else {
             self.pick(2, 12)
         };
-        self.after(ms, What::Watch(node));
+        self.after(ms, SimulationEvent::Watch(node));
     }
 
-    pub fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
+    pub fn execute(&mut self, node: usize, effects: Vec<Effect>) {
         let life = self.nodes[node].life;
         self.count_dependents(&effects);
         for effect in effects {
@@ -846,22 +853,26 @@
                 Effect::Txn {
                     requester: TxnRequester::CancelledDependents(_),
                     ..
-                } if self.breakage == Breakage::DependentsKept => {}
+                } if self.disabled_guard == DisabledGuard::DependentsKept => {}
                 Effect::Txn { requester, txn, .. } => {
                     let slow = self.slow_until > self.now;
                     let lost =
-                        (self.trouble.lost_answers && self.chance(12)) || (slow && self.chance(30));
+                        (self.faults.lost_answers && self.chance(12)) || (slow && self.chance(30));
                     let ms = match (lost, slow) {
                         (true, _) => self.pick(1, 20_000),
                         (false, true) => self.pick(100, 1400),
                         (false, false) => self.pick(1, 5),
                     };
                     if lost {
-                        let done =
-                            What::TxnDone(node, life, requester.clone(), TxnOutcome::Unknown);
+                        let done = SimulationEvent::TxnDone(
+                            node,
+                            life,
+                            requester.clone(),
+                            TxnOutcome::Unknown,
+                        );
                         self.after(1500, done);
                     }
-                    self.after(ms, What::Txn(node, life, requester, txn, !lost));
+                    self.after(ms, SimulationEvent::Txn(node, life, requester, txn, !lost));
                 }
                 Effect::Call {
                     machine,
@@ -873,7 +884,7 @@
                     let ms = self.pick(1, 5);
                     self.after(
                         ms,
-                        What::Call(node, life, machine, token, epoch, commands, 0),
+                        SimulationEvent::Call(node, life, machine, token, epoch, commands, 0),
                     );
                 }
                 Effect::Peer(member, message) => {
@@ -887,20 +898,20 @@
                     let parted = self.parted(zone_of(node, members), zone_of(to, members)) > now;
                     let cut = cut(node) || cut(to) || parted;
                     if parted && let Some(between) = self.between(node, to) {
-                        self.after(10, What::Peer(to, node, over_link(&message)));
+                        self.after(10, SimulationEvent::Peer(to, node, over_link(&message)));
                         self.relayed += u64::from(between != node);
                         continue;
                     }
-                    let lost = cut || (self.trouble.lost_answers && self.chance(5));
+                    let lost = cut || (self.faults.lost_answers && self.chance(5));
                     if !lost {
                         let ms = self.pick(1, 5);
-                        self.after(ms, What::Peer(to, node, over_link(&message)));
+                        self.after(ms, SimulationEvent::Peer(to, node, over_link(&message)));
                     }
                 }
                 effect => {
-                    let at_once = self.breakage == Breakage::MissingCountsAsDone;
+                    let at_once = self.disabled_guard == DisabledGuard::MissingCountsAsDone;
                     let ms = if at_once { 0 } else { self.pick(50, 200) };
-                    self.after(ms, What::Cloud(node, life, effect));
+                    self.after(ms, SimulationEvent::Cloud(node, life, effect));
                 }
             }
         }
@@ -918,12 +929,12 @@
         tries: u32,
     ) {
         let now = self.now;
-        let lost = self.trouble.lost_answers && self.chance(10);
-        let unanswered = match self.breakage {
-            Breakage::LostCallsUnsent => CallOutcome::NotSent,
-            _ => CallOutcome::Unknown,
+        let lost = self.faults.lost_answers && self.chance(10);
+        let unanswered = match self.disabled_guard {
+            DisabledGuard::LostCallsUnsent => DirectCallOutcome::NotSent,
+            _ => DirectCallOutcome::Unknown,
         };
-        let ghost = self.breakage == Breakage::GhostsAnswer && self.gone.contains(&id);
+        let ghost = self.disabled_guard == DisabledGuard::GhostsAnswer && self.gone.contains(&id);
         let cut = self.workers.get(&id).map(|w| self.held(node, w.zone));
         let Some(worker) = self.workers.get_mut(&id).filter(|w| !w.dead) else {
             if ghost {
@@ -932,20 +943,35 @@
                 let heartbeat = ghost.heartbeat(id.as_str());
                 self.after(
                     2,
-                    What::CallDone(node, life, id, token, CallOutcome::Done(heartbeat)),
+                    SimulationEvent::CallDone(
+                        node,
+                        life,
+                        id,
+                        token,
+                        DirectCallOutcome::Done(heartbeat),
+                    ),
                 );
                 return;
             }
             if tries == 0 {
-                self.after(1500, What::CallDone(node, life, id, token, unanswered));
+                self.after(
+                    1500,
+                    SimulationEvent::CallDone(node, life, id, token, unanswered),
+                );
             }
             return;
         };
-        if worker.deaf_until > now && self.breakage == Breakage::DeafObey {
+        if worker.deaf_until > now && self.disabled_guard == DisabledGuard::DeafObey {
             let heartbeat = worker.heartbeat(id.as_str());
             self.after(
                 2,
-                What::CallDone(node, life, id, token, CallOutcome::Done(heartbeat)),
+                SimulationEvent::CallDone(
+                    node,
+                    life,
+                    id,
+                    token,
+                    DirectCallOutcome::Done(heartbeat),
+                ),
             );
             return;
         }
@@ -962,17 +988,17 @@
         if silent > now || (lost && tries == 0) {
             // Held, and carried out when the machine goes on, long after the sender gave up.
             if tries == 0 {
-                let done = What::CallDone(node, life, id.clone(), token, unanswered);
+                let done = SimulationEvent::CallDone(node, life, id.clone(), token, unanswered);
                 self.after(1500, done);
             }
             let wait = silent.since(now).0.max(if lost { 15_000 } else { 0 }) + 3;
             self.after(
                 wait,
-                What::Call(node, life, id, token, epoch, commands, tries + 1),
+                SimulationEvent::Call(node, life, id, token, epoch, commands, tries + 1),
             );
             return;
         }
-        let idle = self.breakage == Breakage::StartsIgnored && self.healed;
+        let idle = self.disabled_guard == DisabledGuard::StartsIgnored && self.healed;
         let commands = if idle { Vec::new() } else { commands };
         let ok = token >= worker.token && epoch == worker.epoch;
         let mut launched = Vec::new();
@@ -985,21 +1011,22 @@
         self.check_starts(&id, &launched, tries == 0);
         if tries == 0 {
             let outcome = if ok {
-                CallOutcome::Done(heartbeat)
+                DirectCallOutcome::Done(heartbeat)
             } else {
-                CallOutcome::Rejected(Some(heartbeat))
+                DirectCallOutcome::Rejected(Some(heartbeat))
             };
-            self.after(2, What::CallDone(node, life, id, token, outcome));
+            self.after(2, SimulationEvent::CallDone(node, life, id, token, outcome));
         }
         if ok && let Some(ms) = self.repeat() {
-            let again = What::Call(node, life, id_again, token, epoch, orders_again, tries + 1);
+            let again =
+                SimulationEvent::Call(node, life, id_again, token, epoch, orders_again, tries + 1);
             self.after(ms, again);
         }
     }
 
     /// When what was just carried out comes once more, if it does.
     pub fn repeat(&mut self) -> Option<u64> {
-        let comes = self.trouble.repeats && self.chance(10);
+        let comes = self.faults.repeats && self.chance(10);
         comes.then(|| self.pick(200, 4 * LEASE))
     }
 
@@ -1054,27 +1081,30 @@
             }
         }
         for job in ended {
-            if self.trouble.ends && self.chance(30) {
+            if self.faults.ends && self.chance(30) {
                 let ms = self.pick(0, 60);
-                self.met += 1;
-                self.after(ms, What::CancelAtEnd(job));
+                self.fault_encounters += 1;
+                self.after(ms, SimulationEvent::CancelAtEnd(job));
             }
         }
         if let Some((node, heartbeat)) = send {
-            let late = self.trouble.lost_answers && self.chance(5);
+            let late = self.faults.lost_answers && self.chance(5);
             let ms = if late {
                 self.pick(3000, 9000)
             } else {
                 self.pick(1, 4)
             };
-            if self.trouble.copies && self.chance(8) {
+            if self.faults.copies && self.chance(8) {
                 let to = self.pick_node();
                 let ms = self.pick(1000, 4 * LEASE);
-                self.after(ms, What::Copy(to, heartbeat.clone()));
+                self.after(ms, SimulationEvent::Copy(to, heartbeat.clone()));
             }
-            self.after(ms, What::Heartbeat(node, id.clone(), ticket, heartbeat));
+            self.after(
+                ms,
+                SimulationEvent::Heartbeat(node, id.clone(), ticket, heartbeat),
+            );
         }
-        self.after(100, What::Worker(id.clone()));
+        self.after(100, SimulationEvent::Worker(id.clone()));
     }
 
     /// Gangs start together once all are there, end together, and notice a member's loss.
@@ -1130,7 +1160,7 @@
             let tasks = self.jobs[&id].tasks;
             self.done_runs.entry(id).or_default().extend(0..tasks);
         }
-        self.after(500, What::Gangs);
+        self.after(500, SimulationEvent::Gangs);
     }
 
     pub fn heartbeat(&mut self, node: usize, id: MachineId, ticket: u64, heartbeat: Heartbeat) {
@@ -1141,29 +1171,32 @@
                 return;
             }
             // It arrives after the cut; nobody waits for the answer any more.
-            self.after(held.since(now).0 + 3, What::Copy(node, heartbeat));
+            self.after(
+                held.since(now).0 + 3,
+                SimulationEvent::Copy(node, heartbeat),
+            );
             return;
         }
         let Some(c) = self.nodes[node].controller.as_mut() else {
-            self.after(5, What::Redirect(id, ticket, None));
+            self.after(5, SimulationEvent::Redirect(id, ticket, None));
             return;
         };
         let (mut answer, effects) = c.on_heartbeat(now, &heartbeat);
         self.digest.add_answer(node, &answer);
-        self.carry_out(node, effects);
+        self.execute(node, effects);
         let ms = self.pick(1, 4);
         if let HeartbeatAnswer::Redirect(Some(owner)) = &answer
-            && let Some(relayed) = self.hand_on(node, owner.clone(), &heartbeat)
+            && let Some(relayed) = self.forward_heartbeat(node, owner.clone(), &heartbeat)
         {
             answer = relayed;
         }
         match answer {
             HeartbeatAnswer::Commands(token, commands) => {
-                self.after(ms, What::Answer(id, ticket, token, commands));
+                self.after(ms, SimulationEvent::Answer(id, ticket, token, commands));
             }
             HeartbeatAnswer::Redirect(to) => {
                 let to = to.and_then(|t| MEMBERS.iter().position(|m| *m == t.as_str()));
-                self.after(ms, What::Redirect(id, ticket, to));
+                self.after(ms, SimulationEvent::Redirect(id, ticket, to));
             }
         }
     }
@@ -1173,7 +1206,7 @@
         let now = self.now;
         if let Some(c) = self.nodes[node].controller.as_mut() {
             let (_, effects) = c.on_heartbeat(now, heartbeat);
-            self.carry_out(node, effects);
+            self.execute(node, effects);
         }
     }
 
@@ -1202,10 +1235,10 @@
         if token < w.token {
             return;
         }
-        let idle = self.breakage == Breakage::StartsIgnored && self.healed;
+        let idle = self.disabled_guard == DisabledGuard::StartsIgnored && self.healed;
         let launched = w.obey(now, if idle { &[] } else { commands });
         w.answered = sent;
-        if self.breakage == Breakage::ForgottenAtOnce {
+        if self.disabled_guard == DisabledGuard::ForgottenAtOnce {
             w.forget_exited();
         }
         if token > w.token || !commands.is_empty() {
@@ -1225,7 +1258,7 @@
             };
             if let Some(again) = again {
                 // Nobody waits for the answer any more.
-                self.after(ms, What::Cloud(node, u64::MAX, again));
+                self.after(ms, SimulationEvent::Cloud(node, u64::MAX, again));
             }
         }
         match effect {
@@ -1239,7 +1272,7 @@
                     for id in &ids {
                         let boot = self.pick(1000, 6000);
                         if !self.chance(5) {
-                            self.after(boot, What::Boot(id.clone()));
+                            self.after(boot, SimulationEvent::Boot(id.clone()));
                         }
                     }
                     self.rented.insert(request.request.clone(), ids.clone());
@@ -1247,26 +1280,26 @@
                 });
                 let outcome = match ids.is_empty() {
                     true => RentOutcome::NoCapacity,
-                    false if self.trouble.lost_answers && self.chance(20) => RentOutcome::Again,
+                    false if self.faults.lost_answers && self.chance(20) => RentOutcome::Again,
                     false => RentOutcome::Rented(ids),
                 };
                 self.with(node, life, |c| c.on_rent(now, &request, outcome));
             }
             Effect::Delete(ids) => {
                 // With standing controllers alone no machine is at fault.
-                let alone = Trouble {
+                let alone = Faults {
                     freezes: true,
-                    crowd: self.trouble.crowd,
-                    ends: self.trouble.ends,
-                    ..Trouble::default()
+                    crowd: self.faults.crowd,
+                    ends: self.faults.ends,
+                    ..Faults::default()
                 };
-                let only = self.trouble == alone;
+                let only = self.faults == alone;
                 let busy = |w: &Worker| w.tasks.values().any(|t| t.state == TaskState::Running);
                 let healthy = |id: &&MachineId| self.workers.get(*id).is_some_and(busy);
                 if only && let Some(id) = ids.iter().find(healthy).cloned() {
-                    self.breaks("deleted_healthy", id);
+                    self.record_violation("deleted_healthy", id);
                 }
-                if self.breakage != Breakage::DeletionsTakenOnTrust {
+                if self.disabled_guard != DisabledGuard::DeletionsTakenOnTrust {
                     for id in &ids {
                         let gone = self.workers.remove(id).filter(|w| !w.dead);
                         let running = |t: &&WorkerTask| t.state == TaskState::Running;
@@ -1275,7 +1308,7 @@
                         self.gone.insert(id.clone());
                     }
                 }
-                let ok = !(self.trouble.lost_answers && self.chance(20));
+                let ok = !(self.faults.lost_answers && self.chance(20));
                 self.with(node, life, |c| c.on_deleted(now, &ids, ok));
             }
             Effect::List => {
@@ -1303,16 +1336,17 @@
                 .expect("catalog");
                 self.with(node, life, |c| c.on_catalog(now, Some(catalog)));
             }
-            Effect::Standing(job) => {
-                let over = self.store.keys.get(&keys::over(&job));
-                let record = over.and_then(|v| serde_json::from_value(v.0.clone()).ok());
+            Effect::QueryOutcome(job) => {
+                let final_records_seen = self.store.keys.get(&keys::final_state(&job));
+                let record =
+                    final_records_seen.and_then(|v| serde_json::from_value(v.0.clone()).ok());
                 let cut = self.nodes[node].store_cut_until > now;
-                if let Some(OverRecord { state, .. }) = record.filter(|_| !cut) {
-                    let state = match self.breakage {
-                        Breakage::MissingCountsAsDone => JobState::Done,
+                if let Some(FinalRecord { state, .. }) = record.filter(|_| !cut) {
+                    let state = match self.disabled_guard {
+                        DisabledGuard::MissingCountsAsDone => JobState::Done,
                         _ => state,
                     };
-                    self.with(node, life, |c| c.on_standing(now, &job, state));
+                    self.with(node, life, |c| c.on_job_outcome(now, &job, state));
                 }
             }
             Effect::Txn { .. } | Effect::Call { .. } | Effect::Peer(..) => {}
--- a/src/simulation/completion_interleavings.rs
+++ b/src/simulation/completion_interleavings.rs
@@ -3,13 +3,13 @@
 
 mod dependent;
 
-use super::outside::StoreModel;
+use super::stand_ins::StoreModel;
 use crate::config::tests::sample_config;
 use crate::ids::{JobId, MachineId, Revision, UnixTime};
 use crate::planning::counter::{self, Layout};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
-use crate::store::records::{JobRecord, MachineRecord, OverRecord};
+use crate::store::records::{FinalRecord, JobRecord, MachineRecord};
 use crate::store::{TxnOutcome, keys};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     let record = JobRecord::new(crate::protocol::tests::spec(id.as_str()), UnixTime(1));
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
-    txn.require(keys::over(id), Revision(0));
+    txn.require(keys::final_state(id), Revision(0));
     txn.put(keys::job(id), &record, None);
     txn
 }
@@ -40,11 +40,11 @@
 fn cancellation(id: &JobId, accepted: Revision) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::job(id), accepted);
-    let record = OverRecord {
+    let record = FinalRecord {
         state: JobState::Cancelled,
         tasks: 4,
     };
-    txn.put(keys::over(id), &record, None);
+    txn.put(keys::final_state(id), &record, None);
     txn.delete(keys::job(id));
     txn
 }
@@ -63,8 +63,8 @@
 }
 
 fn standing(store: &StoreModel, id: &JobId) -> Option<JobState> {
-    let (value, ..) = store.keys.get(&keys::over(id))?;
-    let record: OverRecord = serde_json::from_value(value.clone()).expect("record");
+    let (value, ..) = store.keys.get(&keys::final_state(id))?;
+    let record: FinalRecord = serde_json::from_value(value.clone()).expect("record");
     Some(record.state)
 }
 
--- a/src/simulation/completion_interleavings/dependent.rs
+++ b/src/simulation/completion_interleavings/dependent.rs
@@ -2,7 +2,7 @@
 //! the submission looks first and writes later, so what it saw may be old by then.
 
 use super::*;
-use crate::intake::dependencies::{Cascade, CascadeStep, Dependencies, Named};
+use crate::api::dependencies::{CancellationCascade, CascadeStep, Dependencies, DependencyState};
 use crate::protocol::JobKind;
 
 const PARENT: &str = "job-000001";
@@ -47,9 +47,9 @@
     fn look(&mut self) {
         let parent = JobId::from(PARENT);
         let named = match standing(&self.store, &parent) {
-            Some(JobState::Done) => Named::Done,
-            Some(_) => Named::Cancelled,
-            None => Named::Live {
+            Some(JobState::Done) => DependencyState::Done,
+            Some(_) => DependencyState::Cancelled,
+            None => DependencyState::Live {
                 kind: JobKind::Array,
                 revision: self.parent,
             },
@@ -81,7 +81,7 @@
         let TxnOutcome::Committed(revision) = outcome else {
             return;
         };
-        let mut cascade = Cascade::new(&parent, revision);
+        let mut cascade = CancellationCascade::new(&parent, revision);
         loop {
             let cache = self.store.snapshot(&sample_config(), false);
             match cascade.next(&cache, OPS) {
@@ -97,7 +97,7 @@
         self.told = true;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Look => self.look(),
             Event::Write => self.write(),
@@ -141,12 +141,12 @@
     for order in orders_of(&events) {
         let mut scene = Scene::new();
         for event in &order {
-            scene.happen(*event);
+            scene.handle_event(*event);
             let done = standing(&scene.store, &PARENT.into()) == Some(JobState::Done);
             if let Some(child) = scene.child() {
-                assert!(child.is_waiting() || done, "{order:?}: too early");
+                assert!(child.is_blocked() || done, "{order:?}: too early");
                 assert!(!scene.told, "{order:?}: left behind when the user was told");
-                waited += u64::from(child.is_waiting());
+                waited += u64::from(child.is_blocked());
             }
         }
         let child = standing(&scene.store, &CHILD.into());
--- a/src/simulation/dependent_days.rs
+++ b/src/simulation/dependent_days.rs
@@ -1,31 +1,38 @@
 //! Simulated days on which users submit pipelines, and on which controllers are upgraded.
 
 use super::assert_kept;
+use super::cluster::{
+    DisabledGuard, FIVE_CONTROLLERS, Faults, Shape, SimulatedCluster, THREE_CONTROLLERS,
+};
 use super::pipelines::PipelineCounts;
-use super::world::{Breakage, FIVE, SMALL, Shape, Trouble, World};
 
-const PIPELINES: Trouble = Trouble {
+const PIPELINES: Faults = Faults {
     pipelines: true,
-    ..Trouble::NONE
+    ..Faults::NONE
 };
 
 /// Jobs that need one another end one after the other: the longest chains on these days take some
 /// minutes once all is well.
 const END: u64 = 340_000;
 
-fn play_at(shape: Shape, seed: u64, trouble: Trouble, breakage: Breakage) -> World {
-    let mut world = super::play_at(shape, seed, trouble, breakage);
-    world.run(END);
-    world
+fn play_at(
+    shape: Shape,
+    seed: u64,
+    faults: Faults,
+    disabled_guard: DisabledGuard,
+) -> SimulatedCluster {
+    let mut cluster = super::play_at(shape, seed, faults, disabled_guard);
+    cluster.run(END);
+    cluster
 }
 
 /// Plays a day on each seed and sums up what became of the dependent jobs.
-fn days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, trouble: Trouble) -> PipelineCounts {
+fn days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, faults: Faults) -> PipelineCounts {
     let mut sum = PipelineCounts::default();
     for seed in seeds {
-        let world = play_at(shape, seed, trouble, Breakage::None);
-        assert_kept(&world, &format!("{name}, seed {seed}"));
-        sum.add(&world.pipelines);
+        let cluster = play_at(shape, seed, faults, DisabledGuard::None);
+        assert_kept(&cluster, &format!("{name}, seed {seed}"));
+        sum.add(&cluster.pipelines);
     }
     println!("{name}: {sum:?}");
     sum
@@ -42,7 +49,7 @@
 
 #[test]
 fn pipelines_finish_in_their_order_on_a_quiet_day() {
-    let counts = days("quiet pipelines", SMALL, 500..504, PIPELINES);
+    let counts = days("quiet pipelines", THREE_CONTROLLERS, 500..504, PIPELINES);
     assert_met(&counts);
     // Nobody is told of a cancellation while something that needs the job still waits.
     assert_eq!(counts.left_when_told, 0);
@@ -52,10 +59,10 @@
 #[test]
 fn rules_hold_for_pipelines_under_each_trouble() {
     let mut sum = PipelineCounts::default();
-    for (seed, (name, set)) in (510..).step_by(4).zip(super::SINGLE_TROUBLES) {
-        let mut trouble = PIPELINES;
-        set(&mut trouble);
-        let counts = days(name, SMALL, seed..seed + 3, trouble);
+    for (seed, (name, set)) in (510..).step_by(4).zip(super::SINGLE_FAULTS) {
+        let mut faults = PIPELINES;
+        set(&mut faults);
+        let counts = days(name, THREE_CONTROLLERS, seed..seed + 3, faults);
         assert!(counts.waited >= 10 && counts.released >= 5, "{counts:?}");
         sum.add(&counts);
     }
@@ -64,16 +71,21 @@
 
 #[test]
 fn rules_hold_for_pipelines_under_everything_at_once() {
-    let all = Trouble {
+    let all = Faults {
         pipelines: true,
-        ..Trouble::ALL
+        ..Faults::ALL
     };
-    let mut sum = days("pipelines and all", SMALL, 600..606, all);
-    let parted = Trouble {
+    let mut sum = days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
+    let parted = Faults {
         partition: true,
         ..all
     };
-    sum.add(&days("pipelines at five", FIVE, 606..610, parted));
+    sum.add(&days(
+        "pipelines at five",
+        FIVE_CONTROLLERS,
+        606..610,
+        parted,
+    ));
     assert_met(&sum);
 }
 
@@ -81,31 +93,36 @@
 /// are cancelled as they end.
 #[test]
 fn rules_hold_for_pipelines_while_leaders_change_and_parents_are_cancelled_at_their_end() {
-    let trouble = Trouble {
+    let faults = Faults {
         leaders: true,
         ends: true,
         flaps: true,
         lost_answers: true,
         ..PIPELINES
     };
-    assert_met(&days("leaders and ends", SMALL, 620..628, trouble));
+    assert_met(&days(
+        "leaders and ends",
+        THREE_CONTROLLERS,
+        620..628,
+        faults,
+    ));
 }
 
-const UPGRADE: Trouble = Trouble {
+const UPGRADE: Faults = Faults {
     upgrade: true,
     limits: true,
     ..PIPELINES
 };
 
-fn upgrade_days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, trouble: Trouble) {
+fn upgrade_days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, faults: Faults) {
     let (mut upgraded, mut put_off, mut lowered) = (0, 0, 0);
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let world = play_at(shape, seed, trouble, Breakage::None);
-        assert_kept(&world, &format!("{name}, seed {seed}"));
-        upgraded += world.nodes.iter().filter(|n| !n.earlier).count();
-        put_off += world.pipelines.put_off;
-        lowered += u64::from(world.store.limits.is_some());
+        let cluster = play_at(shape, seed, faults, DisabledGuard::None);
+        assert_kept(&cluster, &format!("{name}, seed {seed}"));
+        upgraded += cluster.nodes.iter().filter(|n| !n.earlier).count();
+        put_off += cluster.pipelines.put_off;
+        lowered += u64::from(cluster.store.limits.is_some());
     }
     assert_eq!(upgraded, shape.members * count as usize, "{name}");
     assert_eq!(lowered, count, "{name}");
@@ -116,48 +133,58 @@
 /// understands is put off until all have it.
 #[test]
 fn rules_hold_while_controllers_are_upgraded_and_the_limits_fall() {
-    upgrade_days("upgrade", SMALL, 640..646, UPGRADE);
-    upgrade_days("upgrade of five", FIVE, 646..648, UPGRADE);
-    let leaders = Trouble {
+    upgrade_days("upgrade", THREE_CONTROLLERS, 640..646, UPGRADE);
+    upgrade_days("upgrade of five", FIVE_CONTROLLERS, 646..648, UPGRADE);
+    let leaders = Faults {
         leaders: true,
         flaps: true,
         ..UPGRADE
     };
-    upgrade_days("upgrade and leaders", SMALL, 650..654, leaders);
-    let machines = Trouble {
+    upgrade_days("upgrade and leaders", THREE_CONTROLLERS, 650..654, leaders);
+    let machines = Faults {
         crashes: true,
         machines: true,
         crowd: true,
         ..UPGRADE
     };
-    upgrade_days("upgrade and machines", SMALL, 654..660, machines);
-    let late = Trouble {
+    upgrade_days(
+        "upgrade and machines",
+        THREE_CONTROLLERS,
+        654..660,
+        machines,
+    );
+    let late = Faults {
         lost_answers: true,
         repeats: true,
         slow: true,
         ..UPGRADE
     };
-    upgrade_days("upgrade and late effects", SMALL, 660..664, late);
-    let gap = Trouble {
+    upgrade_days(
+        "upgrade and late effects",
+        THREE_CONTROLLERS,
+        660..664,
+        late,
+    );
+    let gap = Faults {
         gap: true,
         ends: true,
         store_cuts: true,
         ..UPGRADE
     };
-    upgrade_days("upgrade and gap", SMALL, 664..668, gap);
+    upgrade_days("upgrade and gap", THREE_CONTROLLERS, 664..668, gap);
 }
 
 /// Once the limits have fallen nothing of this version is refused for its size again and again.
 #[test]
 fn little_is_refused_for_its_size_once_the_limits_have_fallen() {
     for seed in 670..674 {
-        let crowd = Trouble {
+        let crowd = Faults {
             crowd: true,
             ..UPGRADE
         };
-        let world = play_at(SMALL, seed, crowd, Breakage::None);
-        assert_kept(&world, &format!("limits, seed {seed}"));
-        let refused = world.store.too_large;
+        let cluster = play_at(THREE_CONTROLLERS, seed, crowd, DisabledGuard::None);
+        assert_kept(&cluster, &format!("limits, seed {seed}"));
+        let refused = cluster.store.too_large;
         assert!(refused <= 20, "seed {seed}: refused {refused} times");
     }
 }
@@ -165,18 +192,19 @@
 /// The checks are worth something only if they see a guard that is missing.
 #[test]
 fn a_broken_guard_of_dependent_jobs_is_caught() {
-    for (breakage, trouble, rule) in [
-        (Breakage::DependenciesIgnored, PIPELINES, "too_early"),
-        (Breakage::MissingCountsAsDone, PIPELINES, "too_early"),
-        (Breakage::DependentsKept, PIPELINES, "orphaned"),
-        (Breakage::OldVersionsTrusted, UPGRADE, "too_early"),
+    for (disabled_guard, faults, rule) in [
+        (DisabledGuard::DependenciesIgnored, PIPELINES, "too_early"),
+        (DisabledGuard::MissingCountsAsDone, PIPELINES, "too_early"),
+        (DisabledGuard::DependentsKept, PIPELINES, "orphaned"),
+        (DisabledGuard::OldVersionsTrusted, UPGRADE, "too_early"),
     ] {
-        let breaks = |seed: &u64| {
-            let world: World = play_at(SMALL, *seed, trouble, breakage);
-            world.broken.iter().any(|b| b.starts_with(rule))
+        let record_violation = |seed: &u64| {
+            let cluster: SimulatedCluster =
+                play_at(THREE_CONTROLLERS, *seed, faults, disabled_guard);
+            cluster.violations.iter().any(|b| b.starts_with(rule))
         };
-        let caught = (680..700).find(breaks);
-        println!("{breakage:?} seen with seed {caught:?}");
-        assert!(caught.is_some(), "{breakage:?} went unseen");
+        let caught = (680..700).find(record_violation);
+        println!("{disabled_guard:?} seen with seed {caught:?}");
+        assert!(caught.is_some(), "{disabled_guard:?} went unseen");
     }
 }
--- a/src/simulation/digest.rs
+++ b/src/simulation/digest.rs
@@ -4,11 +4,13 @@
 //! The bytes are hashed as they stand on the wire. A change of names, files or types in the
 //! program leaves every digest as it is; one that changes what the program does shows here.
 
-use super::world::{Breakage, FIVE, SMALL, Shape, Trouble, World};
+use super::cluster::{
+    DisabledGuard, FIVE_CONTROLLERS, Faults, Shape, SimulatedCluster, THREE_CONTROLLERS,
+};
 use crate::controller::Effect;
 use crate::peers::encode_frame;
 use crate::protocol;
-use crate::workers::HeartbeatAnswer;
+use crate::worker_control::HeartbeatAnswer;
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hasher};
 
@@ -55,7 +57,7 @@
             Effect::Delete(machines) => self.add_json(node, 4, machines),
             Effect::List => self.add(node, 5, b""),
             Effect::Catalog => self.add(node, 6, b""),
-            Effect::Standing(job) => self.add_json(node, 7, job),
+            Effect::QueryOutcome(job) => self.add_json(node, 7, job),
         }
     }
 
@@ -77,34 +79,34 @@
     }
 }
 
-fn print(name: &str, seed: u64, world: &World) {
-    let digest = &world.digest;
+fn print(name: &str, seed: u64, cluster: &SimulatedCluster) {
+    let digest = &cluster.digest;
     let (value, outputs) = (digest.value(), digest.outputs);
     println!("digest {name} {seed}: {value:016x} of {outputs} outputs");
 }
 
-fn play(name: &str, shape: Shape, seed: u64, trouble: Trouble) {
-    let mut world = super::play_at(shape, seed, trouble, Breakage::None);
-    if trouble.pipelines {
-        world.run(340_000);
+fn play(name: &str, shape: Shape, seed: u64, faults: Faults) {
+    let mut cluster = super::play_at(shape, seed, faults, DisabledGuard::None);
+    if faults.pipelines {
+        cluster.run(340_000);
     }
-    print(name, seed, &world);
+    print(name, seed, &cluster);
 }
 
 // Run by hand before and after a change that must not alter what the program does:
-// `cargo test sim::digest -- --ignored --nocapture | grep '^digest' | sort`.
+// `cargo test simulation::digest -- --ignored --nocapture | grep '^digest' | sort`.
 
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_quiet_days_and_single_troubles() {
     for seed in 700..706 {
-        play("quiet", SMALL, seed, Trouble::default());
+        play("quiet", THREE_CONTROLLERS, seed, Faults::default());
     }
-    for (seed, (name, add)) in (1000..).step_by(4).zip(super::SINGLE_TROUBLES) {
-        let mut trouble = Trouble::default();
-        add(&mut trouble);
+    for (seed, (name, add)) in (1000..).step_by(4).zip(super::SINGLE_FAULTS) {
+        let mut faults = Faults::default();
+        add(&mut faults);
         for seed in seed..seed + 4 {
-            play(name, SMALL, seed, trouble);
+            play(name, THREE_CONTROLLERS, seed, faults);
         }
     }
 }
@@ -112,42 +114,47 @@
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_days_with_pipelines() {
-    for (seed, (name, add)) in (1500..).zip(super::SINGLE_TROUBLES) {
-        let mut trouble = Trouble {
+    for (seed, (name, add)) in (1500..).zip(super::SINGLE_FAULTS) {
+        let mut faults = Faults {
             pipelines: true,
-            ..Trouble::default()
+            ..Faults::default()
         };
-        add(&mut trouble);
-        play(&format!("{name} with pipelines"), SMALL, seed, trouble);
+        add(&mut faults);
+        play(
+            &format!("{name} with pipelines"),
+            THREE_CONTROLLERS,
+            seed,
+            faults,
+        );
     }
 }
 
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_pairs_of_troubles() {
-    for (seed, (name, trouble)) in (2000..).zip(super::pairs()) {
-        play(&name, SMALL, seed, trouble);
+    for (seed, (name, faults)) in (2000..).zip(super::pairs()) {
+        play(&name, THREE_CONTROLLERS, seed, faults);
     }
 }
 
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_all_troubles_and_upgrades() {
-    let parted = Trouble {
+    let parted = Faults {
         partition: true,
-        ..Trouble::ALL
+        ..Faults::ALL
     };
-    let upgraded = Trouble {
+    let upgraded = Faults {
         pipelines: true,
         upgrade: true,
         limits: true,
-        ..Trouble::NONE
+        ..Faults::NONE
     };
     for seed in 720..726 {
-        play("all", SMALL, seed, Trouble::ALL);
-        play("all at five", FIVE, seed, parted);
-        play("upgrade and limits", SMALL, seed, upgraded);
-        play("upgrade at five", FIVE, seed, upgraded);
+        play("all", THREE_CONTROLLERS, seed, Faults::ALL);
+        play("all at five", FIVE_CONTROLLERS, seed, parted);
+        play("upgrade and limits", THREE_CONTROLLERS, seed, upgraded);
+        play("upgrade at five", FIVE_CONTROLLERS, seed, upgraded);
     }
 }
 
@@ -155,8 +162,8 @@
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_large_fleets() {
     for (seed, machines) in [(7, (300, 900)), (8, (120, 120)), (9, (1200, 1800))] {
-        let mut world = World::grown(seed, machines, 50.0, 500);
-        world.run(45_000);
-        print("grown", seed, &world);
+        let mut cluster = SimulatedCluster::grown(seed, machines, 50.0, 500);
+        cluster.run(45_000);
+        print("grown", seed, &cluster);
     }
 }
--- a/src/simulation/growth.rs
+++ b/src/simulation/growth.rs
@@ -1,35 +1,35 @@
 //! A fleet of the grown size against stand-ins with the settings' rates. What is asserted are
 //! counts, never times, so that growth can't creep back unseen.
 
-use super::world::{Breakage, Counts, Scale, Trouble, What, World};
+use super::cluster::{Counts, DisabledGuard, Faults, Scale, SimulatedCluster, SimulationEvent};
 use crate::controller::TxnRequester;
 use crate::ids::JobId;
 use crate::protocol::JobSpec;
 use crate::protocol::store::Txn;
 use crate::store::keys;
+use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::JobRecord;
-use crate::store::tokens::{Bucket, Class};
 use serde_json::json;
 
 /// The part of the changes that each controller may use.
 const SHARE: f64 = 0.5;
 
-impl World {
+impl SimulatedCluster {
     /// Hundreds of machines, and an array every so many ms.
     pub fn grown(seed: u64, machines: (usize, usize), changes: f64, array_ms: u64) -> Self {
-        let mut world = Self::new(seed, Trouble::default(), Breakage::None);
-        world.scale = Some(Scale {
+        let mut cluster = Self::new(seed, Faults::default(), DisabledGuard::None);
+        cluster.scale = Some(Scale {
             machines,
             slots: 16,
             array_ms,
             service_ms: 560,
             tasks: (20, 220),
             changes,
-            rates: vec![Bucket::new(changes * SHARE); 3],
+            rates: vec![TokenBucket::new(changes * SHARE); 3],
             counts: Counts::default(),
         });
-        world.settle_fleet();
-        world
+        cluster.settle_fleet();
+        cluster
     }
 
     /// Whether the rates let a transaction through, each controller within its share.
@@ -39,15 +39,17 @@
             return true;
         };
         let (name, class) = match requester {
-            TxnRequester::ShardOwner(_) => ("machines", Class::Place),
-            TxnRequester::Leadership => ("leadership", Class::Lease),
-            TxnRequester::Plans(_) => ("plans", Class::Record),
-            TxnRequester::Release(_) | TxnRequester::Dependent(_) => ("releases", Class::Place),
-            TxnRequester::CancelledDependents(_) => ("cancelled", Class::Accept),
-            TxnRequester::Catalog | TxnRequester::Nobody => ("other", Class::Place),
+            TxnRequester::ShardOwner(_) => ("machines", RequestClass::Place),
+            TxnRequester::Leadership => ("leadership", RequestClass::Lease),
+            TxnRequester::Plans(_) => ("plans", RequestClass::Record),
+            TxnRequester::Release(_) | TxnRequester::Dependent(_) => {
+                ("releases", RequestClass::Place)
+            }
+            TxnRequester::CancelledDependents(_) => ("cancelled", RequestClass::Accept),
+            TxnRequester::Catalog | TxnRequester::Nobody => ("other", RequestClass::Place),
         };
         let changes = txn.changes.len() as u64;
-        let admitted = scale.rates[node].try_take(now, changes as f64, class);
+        let admitted = scale.rates[node].try_acquire(now, changes as f64, class);
         let counts = &mut scale.counts;
         counts.transactions += 1;
         if admitted {
@@ -102,25 +104,25 @@
             }
         }
         let next = service_ms.min(array_ms) * array_ms / (service_ms + array_ms).max(1);
-        self.after(next.max(1), What::User);
+        self.after(next.max(1), SimulationEvent::User);
     }
 }
 
 /// Plays a day of a fleet; tells what it cost, the tasks started and the changes by their owners.
-fn cost(mut world: World, until: u64) -> (Counts, u64) {
-    world.run(until);
-    let counts = world.scale.take().expect("scale").counts;
+fn cost(mut cluster: SimulatedCluster, until: u64) -> (Counts, u64) {
+    cluster.run(until);
+    let counts = cluster.scale.take().expect("scale").counts;
     println!(
         "{counts:?}, {} starts, {} jobs",
-        world.starts,
-        world.jobs.len()
+        cluster.starts,
+        cluster.jobs.len()
     );
-    (counts, world.starts)
+    (counts, cluster.starts)
 }
 
 #[test]
 fn a_grown_fleet_costs_few_changes_for_each_task() {
-    let (counts, starts) = cost(World::grown(7, (300, 900), 50.0, 920), 120_000);
+    let (counts, starts) = cost(SimulatedCluster::grown(7, (300, 900), 50.0, 920), 120_000);
     let by = &counts.by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
@@ -134,7 +136,7 @@
 /// nothing is looked at again and again.
 #[test]
 fn an_overloaded_fleet_still_places_many_tasks_with_each_change() {
-    let (counts, starts) = cost(World::grown(8, (120, 120), 50.0, 300), 90_000);
+    let (counts, starts) = cost(SimulatedCluster::grown(8, (120, 120), 50.0, 300), 90_000);
     let by = &counts.by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
@@ -143,7 +145,7 @@
 /// Half as many machines again as the largest deployment so far.
 #[test]
 fn a_fleet_of_1800_costs_few_changes_for_each_task() {
-    let (counts, starts) = cost(World::grown(9, (1200, 1800), 70.0, 500), 60_000);
+    let (counts, starts) = cost(SimulatedCluster::grown(9, (1200, 1800), 70.0, 500), 60_000);
     let by = &counts.by_requester;
     assert!(starts > 8_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
@@ -153,12 +155,12 @@
 /// machine, and placing a task costs no more changes than on a smaller fleet.
 #[test]
 fn a_fleet_of_4500_is_known_whole_and_costs_few_changes_for_each_task() {
-    let mut world = World::grown(10, (4500, 4500), 90.0, 300);
-    world.run(15_000);
-    let leader = world.leader().expect("a leader");
-    let controller = world.nodes[leader].controller.as_ref().expect("it runs");
+    let mut cluster = SimulatedCluster::grown(10, (4500, 4500), 90.0, 300);
+    cluster.run(15_000);
+    let leader = cluster.leader().expect("a leader");
+    let controller = cluster.nodes[leader].controller.as_ref().expect("it runs");
     assert_eq!(controller.cache.machines.len(), 4500);
-    let (counts, starts) = cost(world, 45_000);
+    let (counts, starts) = cost(cluster, 45_000);
     let by = &counts.by_requester;
     assert!(starts > 20_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,11 +1,11 @@
 //! The rules, checked against what really runs.
 
-use super::outside::Worker;
-use super::world::{CANCEL, World};
+use super::cluster::{CANCEL, SimulatedCluster};
+use super::stand_ins::Worker;
 use crate::ids::{JobId, MachineId, MonotonicTime, Revision, TaskAttempt};
 use crate::protocol::{JobKind, JobState, TaskState};
 use crate::store::keys;
-use crate::store::records::OverRecord;
+use crate::store::records::FinalRecord;
 use std::collections::BTreeSet;
 
 /// What a stand-in machine has, in thousandths.
@@ -18,9 +18,9 @@
 /// The longest way of a command that is neither held nor lost.
 const JUST_SENT: u64 = 10;
 
-impl World {
-    pub fn breaks(&mut self, rule: &str, what: impl std::fmt::Display) {
-        self.broken
+impl SimulatedCluster {
+    pub fn record_violation(&mut self, rule: &str, what: impl std::fmt::Display) {
+        self.violations
             .push(format!("{rule} at {}: {what}", self.now.0));
     }
 
@@ -40,7 +40,7 @@
                     .is_some_and(|(_, _, value)| value.is_none())
         };
         if let Some(ghost) = self.gone.iter().find(new).cloned() {
-            self.breaks("brought_back", ghost);
+            self.record_violation("brought_back", ghost);
         }
     }
 
@@ -56,7 +56,7 @@
         for id in standing {
             let since = *self.ghosts.entry(id.clone()).or_insert(self.now);
             if self.now.since(since).0 > GHOST_STAYS {
-                self.breaks("ghost_stays", id);
+                self.record_violation("ghost_stays", id);
             }
         }
     }
@@ -66,21 +66,21 @@
         if self.scale.is_some() {
             return;
         }
-        let over: Vec<(JobId, OverRecord)> = self
+        let final_records_seen: Vec<(JobId, FinalRecord)> = self
             .jobs
             .keys()
             .filter_map(|id| {
-                let (value, _, _) = self.store.keys.get(&keys::over(id))?;
+                let (value, _, _) = self.store.keys.get(&keys::final_state(id))?;
                 Some((
                     id.clone(),
                     serde_json::from_value(value.clone()).expect("record"),
                 ))
             })
             .collect();
-        for (id, record) in over {
+        for (id, record) in final_records_seen {
             let before = self.over_seen.insert(id.clone(), record.state);
             if before.is_some_and(|s| s != record.state) {
-                self.breaks("went_back", &id);
+                self.record_violation("went_back", &id);
             }
             if before.is_none() && record.state == JobState::Cancelled {
                 self.check_reason(&id);
@@ -93,7 +93,7 @@
                     self.done_runs.get(&id),
                     self.jobs[&id].tasks
                 );
-                self.breaks("not_done", what);
+                self.record_violation("not_done", what);
             }
         }
     }
@@ -116,7 +116,7 @@
             .map(|(id, attempt, _)| format!("{attempt} on {id}"))
             .collect();
         for what in kept {
-            self.breaks("ran_cancelled", what);
+            self.record_violation("ran_cancelled", what);
         }
     }
 
@@ -135,12 +135,15 @@
             .collect();
         let mut waiting = Vec::new();
         for (id, spec) in &self.jobs {
-            let over = self.store.keys.contains_key(&keys::over(id));
+            let final_records_seen = self.store.keys.contains_key(&keys::final_state(id));
             let accepted = self.store.keys.contains_key(&keys::job(id));
             if self.waits_for_others(spec) {
                 continue;
             }
-            if over || !accepted || there.iter().any(|attempt| attempt.task.job == *id) {
+            if final_records_seen
+                || !accepted
+                || there.iter().any(|attempt| attempt.task.job == *id)
+            {
                 continue;
             }
             let used: u64 = there
@@ -182,7 +185,7 @@
         for id in waiting {
             let since = *self.left_waiting.entry(id.clone()).or_insert(now);
             if now.since(since).0 > WAITS {
-                self.breaks("left_waiting", &id);
+                self.record_violation("left_waiting", &id);
             }
         }
     }
@@ -223,7 +226,7 @@
                 .iter()
                 .any(|(id, r)| r.task == attempt.task && id != at)
             {
-                self.breaks("ran_twice", attempt);
+                self.record_violation("ran_twice", attempt);
             }
             self.check_too_early(&spec);
             let used: u64 = alive
@@ -233,7 +236,7 @@
                 .map(|s| s.need().cpus)
                 .sum();
             if used > self.nodes[0].config.teams[&spec.team].limit().cpus {
-                self.breaks("quota", attempt);
+                self.record_violation("quota", attempt);
             }
             let zone_of = |id: &MachineId| self.workers[id].zone;
             let mine: Vec<&str> = alive
@@ -245,18 +248,18 @@
             let one_zone = !spec.one_zone || here == mine.len();
             let spread = !spec.spread || here <= spec.tasks.div_ceil(2) as usize;
             if !one_zone || !spread || (self.workers[at].spot && !spec.spot) {
-                self.breaks("wrong_place", attempt);
+                self.record_violation("wrong_place", attempt);
             }
             let late = self
                 .cancelled
                 .get(&spec.id)
                 .is_some_and(|c| self.now.since(*c).0 > CANCEL);
             if late {
-                self.breaks("ran_cancelled", attempt);
+                self.record_violation("ran_cancelled", attempt);
             }
             let told = self.cancelled.get(&spec.id);
             if just_sent && told.is_some_and(|c| self.now.since(*c).0 > JUST_SENT) {
-                self.breaks("started_cancelled", attempt);
+                self.record_violation("started_cancelled", attempt);
             }
         }
     }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -2,80 +2,95 @@
 //! checked against what really runs. Three controllers' decisions run against them under
 //! crashes, cuts, lost answers and late copies; seeds are fixed, so every run is the same.
 
-mod cancel;
-mod checks;
+mod cancellations;
+mod cluster;
+mod completion_interleavings;
 mod dependent_days;
 mod digest;
-mod ends;
+mod fault_injection;
 mod growth;
-mod outside;
+mod invariants;
+mod partitions;
 mod pipelines;
-mod troubles;
+mod stand_ins;
 mod upgrade;
-mod users;
-mod world;
-mod zones;
-
-use world::{Breakage, FIVE, SMALL, Shape, Trouble, World};
-
-fn play(seed: u64, trouble: Trouble, breakage: Breakage) -> World {
-    play_at(SMALL, seed, trouble, breakage)
-}
-
-fn play_at(shape: Shape, seed: u64, trouble: Trouble, breakage: Breakage) -> World {
-    let mut world = World::of_shape(seed, trouble, breakage, shape);
-    world.run(120_000);
-    world.heal();
-    world.run(260_000);
-    world
-}
-
-fn assert_kept(world: &World, what: &str) {
-    assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
-    assert!(world.starts > 60, "{what}: only {} starts", world.starts);
-    let waiting = &world.cancelling;
+mod workload;
+
+use cluster::{
+    DisabledGuard, FIVE_CONTROLLERS, Faults, Shape, SimulatedCluster, THREE_CONTROLLERS,
+};
+
+fn play(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> SimulatedCluster {
+    play_at(THREE_CONTROLLERS, seed, faults, disabled_guard)
+}
+
+fn play_at(
+    shape: Shape,
+    seed: u64,
+    faults: Faults,
+    disabled_guard: DisabledGuard,
+) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::of_shape(seed, faults, disabled_guard, shape);
+    cluster.run(120_000);
+    cluster.heal();
+    cluster.run(260_000);
+    cluster
+}
+
+fn assert_kept(cluster: &SimulatedCluster, what: &str) {
+    assert!(
+        cluster.violations.is_empty(),
+        "{what}: {:?}",
+        cluster.violations
+    );
+    assert!(
+        cluster.starts > 60,
+        "{what}: only {} starts",
+        cluster.starts
+    );
+    let waiting = &cluster.cancelling;
     assert!(waiting.is_empty(), "{what}: never told {waiting:?}");
-    let left = world.unfinished();
+    let left = cluster.unfinished();
     assert!(left.is_empty(), "{what}: never finished {left:?}");
 }
 
 #[test]
 fn a_quiet_day_keeps_the_rules_and_finishes_its_work() {
-    assert_kept(&play(1, Trouble::default(), Breakage::None), "quiet");
+    assert_kept(&play(1, Faults::default(), DisabledGuard::None), "quiet");
 }
 
 #[test]
 fn rules_hold_while_controllers_crash() {
-    let crashes = Trouble {
+    let crashes = Faults {
         crashes: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("crashes", 10..14, crashes);
 }
 
 #[test]
 fn rules_hold_while_answers_are_lost_and_requests_are_carried_out_late() {
-    let losses = Trouble {
+    let losses = Faults {
         lost_answers: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("losses", 20..24, losses);
 }
 
 #[test]
 fn rules_hold_while_machines_are_cut_off_hang_and_die() {
-    let machines = Trouble {
+    let machines = Faults {
         machines: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("machines", 30..34, machines);
 }
 
 /// Days with one trouble, each on several seeds.
-fn days_with(name: &str, seeds: std::ops::Range<u64>, trouble: Trouble) {
+fn days_with(name: &str, seeds: std::ops::Range<u64>, faults: Faults) {
     for seed in seeds {
         assert_kept(
-            &play(seed, trouble, Breakage::None),
+            &play(seed, faults, DisabledGuard::None),
             &format!("{name}, seed {seed}"),
         );
     }
@@ -83,28 +98,28 @@
 
 #[test]
 fn rules_hold_while_machines_report_and_nothing_reaches_them() {
-    let deaf = Trouble {
+    let deaf = Faults {
         deaf: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("deaf machines", 50..54, deaf);
 }
 
 #[test]
 fn rules_hold_while_copies_of_reports_come_late() {
-    let copies = Trouble {
+    let copies = Faults {
         copies: true,
         machines: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("late copies", 60..64, copies);
 }
 
 #[test]
 fn rules_hold_while_a_controller_has_only_its_workers() {
-    let apart = Trouble {
+    let apart = Faults {
         apart: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("controllers apart", 70..74, apart);
 }
@@ -113,13 +128,13 @@
 /// until the machine is deleted (hunt 7f89873a).
 #[test]
 fn rules_hold_while_a_zone_is_cut_off_with_a_controller_in_it() {
-    let zone = Trouble {
+    let zone = Faults {
         zone: true,
         crowd: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("zone", 110..116, zone);
-    let crashes = Trouble {
+    let crashes = Faults {
         crashes: true,
         ..zone
     };
@@ -133,18 +148,21 @@
 /// and then nobody is served for longer than a cancellation has (gap day).
 #[test]
 fn rules_hold_while_cancellations_fall_between_a_refusal_and_an_outage() {
-    let gap = Trouble {
+    let gap = Faults {
         gap: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let mut met = 0;
+    let mut fault_encounters = 0;
     for seed in 140..150 {
-        let world = play(seed, gap, Breakage::None);
-        assert_kept(&world, &format!("gap, seed {seed}"));
-        met += world.met;
+        let cluster = play(seed, gap, DisabledGuard::None);
+        assert_kept(&cluster, &format!("gap, seed {seed}"));
+        fault_encounters += cluster.fault_encounters;
     }
-    assert!(met >= 10, "cancellations met the gap {met} times");
-    let more = Trouble {
+    assert!(
+        fault_encounters >= 10,
+        "cancellations met the gap {fault_encounters} times"
+    );
+    let more = Faults {
         crashes: true,
         lost_answers: true,
         machines: true,
@@ -155,64 +173,67 @@
 }
 
 /// Days whose troubles have to meet, counted, and then with crashes and machines at fault too.
-fn days_that_meet(name: &str, seeds: std::ops::Range<u64>, trouble: Trouble, at_least: u64) {
-    let mut met = 0;
+fn days_that_meet(name: &str, seeds: std::ops::Range<u64>, faults: Faults, at_least: u64) {
+    let mut fault_encounters = 0;
     for seed in seeds.clone() {
-        let world = play(seed, trouble, Breakage::None);
-        assert_kept(&world, &format!("{name}, seed {seed}"));
-        met += world.met;
+        let cluster = play(seed, faults, DisabledGuard::None);
+        assert_kept(&cluster, &format!("{name}, seed {seed}"));
+        fault_encounters += cluster.fault_encounters;
     }
-    assert!(met >= at_least, "{name}: met {met} times");
-    let more = Trouble {
+    assert!(
+        fault_encounters >= at_least,
+        "{name}: met {fault_encounters} times"
+    );
+    let more = Faults {
         crashes: true,
         machines: true,
         crowd: true,
-        ..trouble
+        ..faults
     };
     days_with(&format!("{name} and more"), seeds, more);
 }
 
 #[test]
 fn rules_hold_while_machines_reach_no_controller_and_commands_reach_them() {
-    let mute = Trouble {
+    let mute = Faults {
         mute: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_that_meet("mute machines", 160..164, mute, 20);
 }
 
 #[test]
 fn rules_hold_while_the_state_service_is_slow_and_carries_out_late() {
-    let slow = Trouble {
+    let slow = Faults {
         slow: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_that_meet("slow state service", 170..174, slow, 20);
 }
 
 #[test]
 fn rules_hold_while_leaders_change_ten_times_in_two_minutes() {
-    let leaders = Trouble {
+    let leaders = Faults {
         leaders: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_that_meet("leaders", 180..184, leaders, 20);
 }
 
 #[test]
 fn rules_hold_while_all_controllers_are_away_for_longer_than_a_lease() {
-    let away = Trouble {
+    let away = Faults {
         away: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_that_meet("all away", 190..194, away, 8);
 }
 
 #[test]
 fn rules_hold_while_cancellations_meet_the_end_of_a_task() {
-    let ends = Trouble {
+    let ends = Faults {
         ends: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_that_meet("cancelled at the end", 200..204, ends, 40);
 }
@@ -221,71 +242,77 @@
 /// around through the third, and work goes on everywhere.
 #[test]
 fn rules_hold_while_two_of_three_zones_cannot_reach_each_other() {
-    let parted = Trouble {
+    let parted = Faults {
         partition: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     let (mut relayed, mut killed) = (0, [0, 0]);
     for seed in 400..406 {
-        let world = play_at(FIVE, seed, parted, Breakage::None);
-        assert_kept(&world, &format!("zones apart, seed {seed}"));
-        assert!(world.met > 0, "seed {seed}: no zones were apart");
-        relayed += world.relayed;
-        killed[0] += world.killed;
-        let without = play_at(FIVE, seed, parted, Breakage::NoWayAround);
-        assert!(without.broken.is_empty(), "{:?}", without.broken);
+        let cluster = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::None);
+        assert_kept(&cluster, &format!("zones apart, seed {seed}"));
+        assert!(
+            cluster.fault_encounters > 0,
+            "seed {seed}: no zones were apart"
+        );
+        relayed += cluster.relayed;
+        killed[0] += cluster.killed;
+        let without = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::NoWayAround);
+        assert!(without.violations.is_empty(), "{:?}", without.violations);
         killed[1] += without.killed;
     }
     assert!(relayed > 500, "{relayed} went around");
     println!("lost {killed:?} with and without a way around");
     assert!(killed[0] * 3 <= killed[1], "lost {killed:?}");
     let more = [
-        Trouble {
+        Faults {
             leaders: true,
             ..parted
         },
-        Trouble {
+        Faults {
             gap: true,
             ..parted
         },
-        Trouble {
+        Faults {
             flaps: true,
             crowd: true,
             machines: true,
             ..parted
         },
-        Trouble {
+        Faults {
             away: true,
             ends: true,
             ..parted
         },
     ];
-    for (seed, trouble) in (406..).zip(more.into_iter().cycle().take(16)) {
-        let world = play_at(FIVE, seed, trouble, Breakage::None);
-        assert_kept(&world, &format!("zones apart and {trouble:?}, seed {seed}"));
+    for (seed, faults) in (406..).zip(more.into_iter().cycle().take(16)) {
+        let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
+        assert_kept(
+            &cluster,
+            &format!("zones apart and {faults:?}, seed {seed}"),
+        );
     }
 }
 
 #[test]
 fn rules_hold_with_five_controllers_in_three_zones_under_everything() {
     for seed in 430..438 {
-        let trouble = Trouble {
+        let faults = Faults {
             partition: true,
-            ..Trouble::ALL
+            ..Faults::ALL
         };
-        let world = play_at(FIVE, seed, trouble, Breakage::None);
-        assert_kept(&world, &format!("all at five, seed {seed}"));
+        let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
+        assert_kept(&cluster, &format!("all at five, seed {seed}"));
     }
 }
 
 #[test]
 fn rules_hold_while_controllers_stand_still_and_go_on() {
-    let freezes = Trouble {
+    let freezes = Faults {
         freezes: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("freezes", 120..126, freezes);
-    let crowd = Trouble {
+    let crowd = Faults {
         crowd: true,
         machines: true,
         crashes: true,
@@ -296,20 +323,20 @@
 
 #[test]
 fn rules_hold_while_processes_are_back_at_once_in_mid_election() {
-    let flaps = Trouble {
+    let flaps = Faults {
         flaps: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("back at once", 80..84, flaps);
 }
 
 #[test]
 fn limits_hold_while_leases_run_out_under_overload() {
-    let crowd = Trouble {
+    let crowd = Faults {
         crowd: true,
         machines: true,
         crashes: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     // Those that once broke a limit, or started a task twice, and a few others.
     for seed in [122, 173, 261, 557] {
@@ -320,13 +347,13 @@
 
 #[test]
 fn rules_hold_while_requests_that_were_carried_out_come_again() {
-    let repeats = Trouble {
+    let repeats = Faults {
         repeats: true,
         crowd: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
     days_with("repeats", 100..104, repeats);
-    let crashes = Trouble {
+    let crashes = Faults {
         crashes: true,
         machines: true,
         ..repeats
@@ -336,63 +363,64 @@
 
 #[test]
 fn rules_hold_under_everything_at_once() {
-    days_with("all", 40..48, Trouble::ALL);
+    days_with("all", 40..48, Faults::ALL);
 }
 
 /// The checks are worth something only if they see a guard that is missing.
 #[test]
 fn a_broken_guard_is_caught() {
     // Crashes raise the tokens, which hides what a late command would do.
-    let calm = Trouble {
+    let calm = Faults {
         lost_answers: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let all = Trouble {
+    let all = Faults {
         crashes: true,
         lost_answers: true,
         machines: true,
         store_cuts: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let copies = Trouble {
+    let copies = Faults {
         copies: true,
         machines: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let deaf = Trouble {
+    let deaf = Faults {
         deaf: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let repeats = Trouble {
+    let repeats = Faults {
         repeats: true,
         crowd: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let gap = Trouble {
+    let gap = Faults {
         gap: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    for (breakage, trouble) in [
-        (Breakage::ForgottenAtOnce, repeats),
-        (Breakage::LostCallsUnsent, calm),
-        (Breakage::DeletionsTakenOnTrust, all),
-        (Breakage::FencesIgnored, all),
-        (Breakage::GhostsAnswer, copies),
-        (Breakage::DeafObey, deaf),
-        (Breakage::ToldAtOnce, gap),
-        (Breakage::StartsIgnored, calm),
+    for (disabled_guard, faults) in [
+        (DisabledGuard::ForgottenAtOnce, repeats),
+        (DisabledGuard::LostCallsUnsent, calm),
+        (DisabledGuard::DeletionsTakenOnTrust, all),
+        (DisabledGuard::FencesIgnored, all),
+        (DisabledGuard::GhostsAnswer, copies),
+        (DisabledGuard::DeafObey, deaf),
+        (DisabledGuard::ToldAtOnce, gap),
+        (DisabledGuard::StartsIgnored, calm),
     ] {
-        let caught = (40..100).find(|seed| !play(*seed, trouble, breakage).broken.is_empty());
-        println!("{breakage:?} seen with seed {caught:?}");
-        assert!(caught.is_some(), "{breakage:?} went unseen");
+        let caught =
+            (40..100).find(|seed| !play(*seed, faults, disabled_guard).violations.is_empty());
+        println!("{disabled_guard:?} seen with seed {caught:?}");
+        assert!(caught.is_some(), "{disabled_guard:?} went unseen");
     }
 }
 
 /// Adds one trouble to those of a day.
-type AddTrouble = fn(&mut Trouble);
+type AddFault = fn(&mut Faults);
 
 /// Every trouble that days with two of them draw from, with its name.
-const SINGLE_TROUBLES: [(&str, AddTrouble); 18] = [
+const SINGLE_FAULTS: [(&str, AddFault); 18] = [
     ("crashes", |t| t.crashes = true),
     ("lost", |t| t.lost_answers = true),
     ("machines", |t| t.machines = true),
@@ -414,14 +442,14 @@
 ];
 
 /// Every two troubles at once.
-fn pairs() -> Vec<(String, Trouble)> {
+fn pairs() -> Vec<(String, Faults)> {
     let mut pairs = Vec::new();
-    for (i, (one, set)) in SINGLE_TROUBLES.iter().enumerate() {
-        for (other, set_other) in &SINGLE_TROUBLES[i + 1..] {
-            let mut trouble = Trouble::default();
-            set(&mut trouble);
-            set_other(&mut trouble);
-            pairs.push((format!("{one} and {other}"), trouble));
+    for (i, (one, set)) in SINGLE_FAULTS.iter().enumerate() {
+        for (other, set_other) in &SINGLE_FAULTS[i + 1..] {
+            let mut faults = Faults::default();
+            set(&mut faults);
+            set_other(&mut faults);
+            pairs.push((format!("{one} and {other}"), faults));
         }
     }
     pairs
@@ -430,8 +458,8 @@
 /// The seed follows from the pair, so that the pairs don't all meet the same day.
 #[test]
 fn rules_hold_while_any_two_troubles_meet() {
-    for (seed, (name, trouble)) in (300..).zip(pairs()) {
-        days_with(&name, seed..seed + 1, trouble);
+    for (seed, (name, faults)) in (300..).zip(pairs()) {
+        days_with(&name, seed..seed + 1, faults);
     }
 }
 
@@ -471,34 +499,34 @@
 /// Plays a day of the search once more.
 fn assert_searched_day_is_kept(seed: u64, expected: &str) {
     let pair = (seed - SEARCH_BEGINS) / SEEDS_OF_A_PAIR;
-    let (name, trouble) = pairs().into_iter().nth(pair as usize).expect("a pair");
+    let (name, faults) = pairs().into_iter().nth(pair as usize).expect("a pair");
     assert_eq!(name, expected);
-    let world = play(seed, trouble, Breakage::None);
-    assert_kept(&world, &format!("{name}, seed {seed}"));
+    let cluster = play(seed, faults, DisabledGuard::None);
+    assert_kept(&cluster, &format!("{name}, seed {seed}"));
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
 fn many_seeds_of_any_two_troubles() {
-    let mut broken = Vec::new();
-    for (n, (name, trouble)) in (0..).zip(pairs()) {
+    let mut violations = Vec::new();
+    for (n, (name, faults)) in (0..).zip(pairs()) {
         let first = SEARCH_BEGINS + SEEDS_OF_A_PAIR * n;
         for seed in first..first + SEEDS_OF_A_PAIR {
-            let world = play(seed, trouble, Breakage::None);
-            let (waiting, left) = (&world.cancelling, world.unfinished());
-            if !world.broken.is_empty() || !waiting.is_empty() || !left.is_empty() {
-                let rules = world.broken.first();
-                broken.push(format!(
+            let cluster = play(seed, faults, DisabledGuard::None);
+            let (waiting, left) = (&cluster.cancelling, cluster.unfinished());
+            if !cluster.violations.is_empty() || !waiting.is_empty() || !left.is_empty() {
+                let rules = cluster.violations.first();
+                violations.push(format!(
                     "{name}, seed {seed}: {rules:?} {waiting:?} {left:?}"
                 ));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
 fn many_seeds_of_everything_at_once() {
-    days_with("all", 1000..1200, Trouble::ALL);
+    days_with("all", 1000..1200, Faults::ALL);
 }
--- a/src/simulation/partitions.rs
+++ b/src/simulation/partitions.rs
@@ -1,12 +1,12 @@
 //! Two zones that can't reach each other, and the ways around.
 
-use super::world::{Breakage, LEASE, World, ZONES, zone_of};
+use super::cluster::{DisabledGuard, LEASE, SimulatedCluster, ZONES, zone_of};
 use crate::ids::{Member, MonotonicTime};
-use crate::peers::Routes;
+use crate::peers::RelayRoutes;
 use crate::protocol::Heartbeat;
-use crate::workers::HeartbeatAnswer;
+use crate::worker_control::HeartbeatAnswer;
 
-impl World {
+impl SimulatedCluster {
     pub fn part_zones(&mut self) {
         let spared = self.pick(0, self.zones as u64 - 1) as usize;
         let mut apart = ZONES[..self.zones].iter().enumerate();
@@ -15,7 +15,7 @@
             self.partition = [one, other];
             self.partition_until = MonotonicTime(self.now.0 + self.pick(LEASE, 4 * LEASE));
             self.partition_holds = self.chance(50);
-            self.met += 1;
+            self.fault_encounters += 1;
         }
     }
 
@@ -29,10 +29,10 @@
     }
 
     /// What every controller knows from the others' words: they say them all the time.
-    fn routes(&self, node: usize) -> Routes {
+    fn routes(&self, node: usize) -> RelayRoutes {
         let now = self.now;
         let members = self.nodes.len();
-        let hears = |one: usize, other: usize| {
+        let reachable_peers = |one: usize, other: usize| {
             let able = |n: usize| {
                 let node = &self.nodes[n];
                 let stands = node.frozen_until <= now && node.peers_cut_until <= now;
@@ -41,52 +41,52 @@
             let parted = self.parted(zone_of(one, members), zone_of(other, members)) > now;
             one != other && able(one) && able(other) && !parted
         };
-        let names = super::world::MEMBERS;
-        let mut routes = Routes::default();
-        for other in (0..members).filter(|other| hears(node, *other)) {
-            let heard = (0..members).filter(|n| hears(other, *n));
+        let names = super::cluster::MEMBERS;
+        let mut routes = RelayRoutes::default();
+        for other in (0..members).filter(|other| reachable_peers(node, *other)) {
+            let heard = (0..members).filter(|n| reachable_peers(other, *n));
             let heard = heard.map(|n| Member::from(names[n])).collect();
             let controller = self.nodes[other].controller.as_ref();
-            let misses = controller.map_or_else(Vec::new, |c| c.misses(now));
-            routes.on_word(now, &Member::from(names[other]), heard, misses);
+            let missing_machines = controller.map_or_else(Vec::new, |c| c.missing_machines(now));
+            routes.on_peer_status(now, &Member::from(names[other]), heard, missing_machines);
         }
         routes
     }
 
     /// Through whom a message goes to a controller across the cut.
     pub fn between(&self, node: usize, to: usize) -> Option<usize> {
-        if self.breakage == Breakage::NoWayAround {
+        if self.disabled_guard == DisabledGuard::NoWayAround {
             return None;
         }
-        let names = super::world::MEMBERS;
+        let names = super::cluster::MEMBERS;
         let routes = self.routes(node);
-        let through = routes.through(self.now, &Member::from(names[to]))?;
-        names.iter().position(|m| *m == through.as_str())
+        let relay_for = routes.relay_for(self.now, &Member::from(names[to]))?;
+        names.iter().position(|m| *m == relay_for.as_str())
     }
 
     /// Hands a report on to the holder of its machine, and brings the answer back.
-    pub fn hand_on(
+    pub fn forward_heartbeat(
         &mut self,
         node: usize,
         owner: Member,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatAnswer> {
-        if !self.trouble.partition || self.breakage == Breakage::NoWayAround {
+        if !self.faults.partition || self.disabled_guard == DisabledGuard::NoWayAround {
             return None;
         }
         let now = self.now;
         let routes = self.routes(node);
-        if !routes.may_miss(now, &owner, &heartbeat.machine) {
+        if !routes.may_be_missing(now, &owner, &heartbeat.machine) {
             return None;
         }
-        let mut members = super::world::MEMBERS.iter();
+        let mut members = super::cluster::MEMBERS.iter();
         let to = members.position(|m| *m == owner.as_str())?;
         let able = self.nodes[to].frozen_until <= now;
-        let reached =
-            able && self.between(node, to).is_some() || routes.hears(now).contains(&owner);
+        let reached = able && self.between(node, to).is_some()
+            || routes.reachable_peers(now).contains(&owner);
         let controller = self.nodes[to].controller.as_mut().filter(|_| reached)?;
         let (answer, effects) = controller.on_relayed_heartbeat(now, heartbeat);
-        self.carry_out(to, effects);
+        self.execute(to, effects);
         if let Some(answer) = &answer {
             self.digest.add_answer(to, answer);
         }
@@ -96,11 +96,11 @@
 
     /// What the daemon tells each controller after every word.
     pub fn tell_cut(&mut self, node: usize) {
-        if self.trouble.partition {
+        if self.faults.partition {
             let cut = self.partition_until > self.now
                 && self.partition.contains(&zone_of(node, self.nodes.len()));
             if let Some(controller) = self.nodes[node].controller.as_mut() {
-                controller.set_cut(cut);
+                controller.set_partitioned(cut);
             }
         }
     }
--- a/src/simulation/pipelines.rs
+++ b/src/simulation/pipelines.rs
@@ -1,12 +1,14 @@
 //! Users who submit jobs that need others, and what is checked of them: no task starts too early,
 //! and no job is left behind by the cancellation of one that it needs.
 
-use super::world::{Breakage, CANCEL, What, World};
+use super::cluster::{CANCEL, DisabledGuard, SimulatedCluster, SimulationEvent};
+use crate::api::dependencies::{
+    CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache,
+};
 use crate::controller::Effect;
 use crate::ids::{JobId, MonotonicTime, UnixTime};
-use crate::intake::dependencies::{Cascade, CascadeStep, Dependencies, Named, named_in_cache};
 use crate::protocol::{JobKind, JobSpec, JobState};
-use crate::store::records::{JobRecord, OverRecord};
+use crate::store::records::{FinalRecord, JobRecord};
 use crate::store::{TxnOutcome, keys};
 use std::collections::BTreeSet;
 
@@ -16,7 +18,7 @@
 const CHANGED: u64 = 20;
 /// Jobs that users name are among the last so many.
 const RECENT: u64 = 8;
-const LOOK: u64 = 15;
+const POLL_INTERVAL: u64 = 15;
 /// Percent of the cancelled jobs that users name all the same.
 const NAMED_ALL_THE_SAME: u64 = 10;
 
@@ -48,7 +50,7 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     /// Names some recent jobs, whatever has become of them. Users know only those that were
     /// accepted.
     pub fn name_dependencies(&mut self, spec: &mut JobSpec) {
@@ -72,7 +74,7 @@
 
     fn is_accepted(&self, id: &JobId) -> bool {
         let keys = &self.store.keys;
-        keys.contains_key(&keys::job(id)) || keys.contains_key(&keys::over(id))
+        keys.contains_key(&keys::job(id)) || keys.contains_key(&keys::final_state(id))
     }
 
     /// Submits a job that names others through some controller, as the intake does it.
@@ -81,16 +83,16 @@
             return;
         }
         let Some(node) = self.serving_node() else {
-            self.after(AGAIN, What::Submit(spec));
+            self.after(AGAIN, SimulationEvent::Submit(spec));
             return;
         };
         let Some(controller) = &self.nodes[node].controller else {
             return;
         };
-        let guarded = self.breakage != Breakage::OldVersionsTrusted;
+        let guarded = self.disabled_guard != DisabledGuard::OldVersionsTrusted;
         if guarded && !controller.cache.all_know_dependencies() {
             self.pipelines.put_off += 1;
-            self.after(AGAIN, What::Submit(spec));
+            self.after(AGAIN, SimulationEvent::Submit(spec));
             return;
         }
         let ids = spec.dependencies.iter();
@@ -100,13 +102,13 @@
     }
 
     fn write_submission(&mut self, spec: &JobSpec, dependencies: &Dependencies) {
-        let decided = match self.breakage {
-            Breakage::DependenciesIgnored => &Dependencies::Done,
+        let decided = match self.disabled_guard {
+            DisabledGuard::DependenciesIgnored => &Dependencies::Done,
             _ => dependencies,
         };
         let (now, ops) = (UnixTime(self.now.0), self.nodes[0].config.state.txn_ops);
         let Some((txn, state)) = decided.accept(spec, now, ops) else {
-            self.breaks("not_accepted", format!("{} {dependencies:?}", spec.id));
+            self.record_violation("not_accepted", format!("{} {dependencies:?}", spec.id));
             return;
         };
         match self.ask(txn) {
@@ -119,7 +121,7 @@
                     self.check_over();
                 }
             }
-            _ => self.after(CHANGED, What::Submit(spec.clone())),
+            _ => self.after(CHANGED, SimulationEvent::Submit(spec.clone())),
         }
     }
 
@@ -136,14 +138,14 @@
         able.get(at).copied()
     }
 
-    fn named(&self, node: usize, id: &JobId) -> Named {
+    fn named(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
         let shown = controller.and_then(|c| named_in_cache(id, &c.cache));
         // What the mirror shows may be old: the conditions of the write tell, and then the records
         // are read.
-        let stands = |named: &Named| {
+        let stands = |named: &DependencyState| {
             let found = self.store.keys.get(&keys::job(id)).map(|k| k.1);
-            matches!(named, Named::Live { revision, .. } if found == Some(*revision))
+            matches!(named, DependencyState::Live { revision, .. } if found == Some(*revision))
         };
         if let Some(live) = shown.filter(stands) {
             return live;
@@ -151,18 +153,18 @@
         if let Some((value, revision, _)) = self.store.keys.get(&keys::job(id)) {
             let record: JobRecord = serde_json::from_value(value.clone()).expect("record");
             let (kind, revision) = (record.spec.kind, *revision);
-            return Named::Live { kind, revision };
+            return DependencyState::Live { kind, revision };
         }
         match self.final_state(id) {
-            Some(JobState::Cancelled) => Named::Cancelled,
-            Some(_) => Named::Done,
-            None => Named::Never,
+            Some(JobState::Cancelled) => DependencyState::Cancelled,
+            Some(_) => DependencyState::Done,
+            None => DependencyState::Never,
         }
     }
 
     fn final_state(&self, id: &JobId) -> Option<JobState> {
-        let (value, ..) = self.store.keys.get(&keys::over(id))?;
-        let record: OverRecord = serde_json::from_value(value.clone()).expect("record");
+        let (value, ..) = self.store.keys.get(&keys::final_state(id))?;
+        let record: FinalRecord = serde_json::from_value(value.clone()).expect("record");
         Some(record.state)
     }
 
@@ -172,10 +174,10 @@
         node: usize,
         life: u64,
         job: JobId,
-        mut cascade: Cascade,
+        mut cascade: CancellationCascade,
         until: MonotonicTime,
     ) {
-        if self.breakage == Breakage::DependentsKept {
+        if self.disabled_guard == DisabledGuard::DependentsKept {
             self.confirm(&job);
             return;
         }
@@ -184,7 +186,7 @@
         let served = self.nodes[node].store_cut_until <= now;
         let asked = &mut self.nodes[node];
         let Some(controller) = asked.controller.as_mut().filter(|_| asked.life == life) else {
-            self.after(AGAIN, What::Cancel(job));
+            self.after(AGAIN, SimulationEvent::Cancel(job));
             return;
         };
         let step = cascade.next(&controller.cache, ops);
@@ -195,7 +197,7 @@
                 return;
             }
             _ if now > until => {
-                self.after(AGAIN, What::Cancel(job));
+                self.after(AGAIN, SimulationEvent::Cancel(job));
                 return;
             }
             CascadeStep::Write(txn, jobs) if served => {
@@ -212,7 +214,10 @@
             }
             CascadeStep::Write(..) | CascadeStep::Wait => {}
         }
-        self.after(LOOK, What::Cascade(node, life, job, cascade, until));
+        self.after(
+            POLL_INTERVAL,
+            SimulationEvent::CancellationCascade(node, life, job, cascade, until),
+        );
     }
 
     fn count_left(&mut self, told: &JobId) {
@@ -245,7 +250,7 @@
     pub fn check_too_early(&mut self, spec: &JobSpec) {
         let open = spec.dependencies.iter().find(|id| !self.is_done(id));
         if let Some(open) = open.cloned() {
-            self.breaks("too_early", format!("{} before {open}", spec.id));
+            self.record_violation("too_early", format!("{} before {open}", spec.id));
         }
     }
 
@@ -257,10 +262,10 @@
         };
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.keys.contains_key(&keys::job(id)));
-        let orphans = live.filter(|id| self.ancestors(id).iter().any(late));
-        let orphans: Vec<JobId> = orphans.cloned().collect();
-        for orphan in orphans {
-            self.breaks("orphaned", orphan);
+        let orphaned_keys = live.filter(|id| self.ancestors(id).iter().any(late));
+        let orphaned_keys: Vec<JobId> = orphaned_keys.cloned().collect();
+        for orphan in orphaned_keys {
+            self.record_violation("orphaned", orphan);
         }
     }
 
@@ -270,7 +275,7 @@
         let mut reasons = self.ancestors(id);
         reasons.insert(id.clone());
         if !reasons.iter().any(asked) {
-            self.breaks("cancelled_without_reason", id);
+            self.record_violation("cancelled_without_reason", id);
         }
     }
 
--- a/src/simulation/upgrade.rs
+++ b/src/simulation/upgrade.rs
@@ -3,7 +3,7 @@
 //! An earlier version is this one with a mirror that lacks the fields it does not know, with the
 //! limits of before, and without the word in its record that it understands dependent jobs.
 
-use super::world::{What, World};
+use super::cluster::{SimulatedCluster, SimulationEvent};
 
 /// When the first controller comes back as this version, and how far the others lie apart.
 const FIRST: u64 = 15_000;
@@ -16,13 +16,13 @@
 const VALUE_BYTES: usize = 1024;
 const TXN_OPS: usize = 4;
 
-impl World {
+impl SimulatedCluster {
     pub fn begin_upgrade(&mut self) {
-        let (upgrade, limits) = (self.trouble.upgrade, self.trouble.limits);
+        let (upgrade, limits) = (self.faults.upgrade, self.faults.limits);
         let mut at = FIRST;
         for node in 0..self.nodes.len() {
             if upgrade {
-                self.after(at, What::Upgrade(node));
+                self.after(at, SimulationEvent::Upgrade(node));
                 at += self.pick(APART.0, APART.1);
             } else {
                 self.know_limits(node);
@@ -30,13 +30,13 @@
         }
         if limits {
             let at = self.pick(LIMITS.0, LIMITS.1);
-            self.after(at, What::LowerLimits);
+            self.after(at, SimulationEvent::LowerLimits);
         }
     }
 
     /// This version keeps to the later limits from its start.
     fn know_limits(&mut self, node: usize) {
-        if self.trouble.limits {
+        if self.faults.limits {
             let state = &mut self.nodes[node].config.state;
             state.value_bytes = VALUE_BYTES;
             state.txn_ops = TXN_OPS;
@@ -46,11 +46,11 @@
     pub fn upgrade(&mut self, node: usize) {
         self.nodes[node].earlier = false;
         self.know_limits(node);
-        self.met += 1;
+        self.fault_encounters += 1;
         if self.nodes[node].controller.take().is_some() {
             self.nodes[node].life += 1;
             let ms = self.pick(AWAY.0, AWAY.1);
-            self.after(ms, What::Start(node));
+            self.after(ms, SimulationEvent::Start(node));
         }
     }
 
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -1,6 +1,6 @@
 //! What users ask of a small fleet.
 
-use super::world::{What, World};
+use super::cluster::{SimulatedCluster, SimulationEvent};
 use crate::controller::TxnRequester;
 use crate::ids::{JobId, Revision};
 use crate::protocol::store::Txn;
@@ -9,7 +9,7 @@
 use crate::store::{TxnOutcome, keys};
 use serde_json::json;
 
-impl World {
+impl SimulatedCluster {
     /// Submits, and cancels now and then.
     pub fn user(&mut self) {
         if self.scale.is_some() {
@@ -28,7 +28,7 @@
         let n = self.jobs.len();
         let id = format!("job-{n:06}");
         let mut body = crate::protocol::tests::submission(&id);
-        let most = if self.trouble.crowd { 24 } else { 9 };
+        let most = if self.faults.crowd { 24 } else { 9 };
         body["sheets"] = json!(self.pick(1, most));
         body["crew"] = json!(if self.chance(50) { "red" } else { "blue" });
         body["ebb"] = json!(self.chance(50));
@@ -45,7 +45,7 @@
             body["sheets"] = json!(self.pick(2, 5));
         }
         let mut spec = JobSpec::parse(body.to_string().as_bytes()).expect("valid");
-        if self.trouble.pipelines && spec.kind != JobKind::Service {
+        if self.faults.pipelines && spec.kind != JobKind::Service {
             self.name_dependencies(&mut spec);
         }
         if spec.dependencies.is_empty() {
@@ -56,7 +56,7 @@
             self.submit_dependent(spec);
         }
         // With a cancelled job goes all that needs it.
-        let cancelled = if self.trouble.pipelines { 8 } else { 25 };
+        let cancelled = if self.faults.pipelines { 8 } else { 25 };
         if n > 3 && self.chance(cancelled) {
             let at = self.pick(0, n as u64 - 1) as usize;
             if let Some(id) = self.jobs.keys().nth(at).cloned() {
@@ -64,17 +64,17 @@
             }
         }
         // The jobs of a pipeline come one right after another.
-        let ms = match self.trouble.pipelines && !self.trouble.crowd {
+        let ms = match self.faults.pipelines && !self.faults.crowd {
             true => self.pick(100, 2500),
             false => self.pick(1500, 6000),
         };
-        self.after(ms, What::User);
+        self.after(ms, SimulationEvent::User);
     }
 
     fn submit_alone(&mut self, spec: &JobSpec) {
         let mut txn = Txn::default();
         txn.require(keys::job(&spec.id), Revision(0));
-        txn.require(keys::over(&spec.id), Revision(0));
+        txn.require(keys::final_state(&spec.id), Revision(0));
         txn.put(
             keys::job(&spec.id),
             &JobRecord::new(spec.clone(), crate::ids::UnixTime(self.now.0)),
@@ -87,7 +87,10 @@
     pub fn ask(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
         if let Some(ms) = self.repeat() {
-            self.after(ms, What::Txn(0, u64::MAX, TxnRequester::Nobody, txn, false));
+            self.after(
+                ms,
+                SimulationEvent::Txn(0, u64::MAX, TxnRequester::Nobody, txn, false),
+            );
         }
         outcome
     }
