--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -14,13 +14,13 @@
 
 /// How a job that others need has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum JobOutcome {
     Done,
     Cancelled,
 }
 
 #[derive(Debug)]
-pub struct WaitingJob {
+pub struct BlockedJob {
     pub spec: Rc<JobSpec>,
     pub accepted: UnixTime,
     pub revision: Revision,
@@ -29,7 +29,7 @@
     unfinished: BTreeSet<JobId>,
 }
 
-impl WaitingJob {
+impl BlockedJob {
     pub fn new(
         spec: JobSpec,
         accepted: UnixTime,
@@ -52,16 +52,16 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Waiting {
-    jobs: BTreeMap<JobId, WaitingJob>,
+pub struct DependencyGraph {
+    jobs: BTreeMap<JobId, BlockedJob>,
     /// The waiting jobs that need a job, by that job; never empty.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
     /// What a job's dependents pass back to it, by that job.
     inherited: BTreeMap<JobId, Urgency>,
     /// How jobs with dependents have ended, as far as that is known.
-    outcomes: BTreeMap<JobId, Outcome>,
+    outcomes: BTreeMap<JobId, JobOutcome>,
     /// Jobs with dependents that have ended, without it being known how.
-    unknown: BTreeSet<JobId>,
+    with_unknown_outcome: BTreeSet<JobId>,
     /// Jobs with dependents that are known to be cancelled.
     cancelled: BTreeSet<JobId>,
     /// Waiting jobs without a plan.
@@ -72,8 +72,8 @@
     ran_on: BTreeMap<JobId, Vec<MachineId>>,
 }
 
-impl Waiting {
-    pub fn get(&self, id: &JobId) -> Option<&WaitingJob> {
+impl DependencyGraph {
+    pub fn get(&self, id: &JobId) -> Option<&BlockedJob> {
         self.jobs.get(id)
     }
 
@@ -112,8 +112,8 @@
     }
 
     /// Jobs with dependents that have ended, and of which it has to be read how.
-    pub fn unknown(&self) -> impl Iterator<Item = &JobId> {
-        self.unknown.iter()
+    pub fn with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
+        self.with_unknown_outcome.iter()
     }
 
     /// Cancelled jobs on which waiting jobs still depend.
@@ -151,7 +151,7 @@
         Some(self.inherited(id).map_or(own, |other| own.merge(other)))
     }
 
-    fn passed_back(&self, id: &JobId) -> Option<Urgency> {
+    fn urgency_for_dependencies(&self, id: &JobId) -> Option<Urgency> {
         let predicted = self.jobs.get(id)?.predicted();
         Some(self.urgency(id)?.before(predicted))
     }
@@ -161,7 +161,7 @@
     pub fn insert(
         &mut self,
         id: JobId,
-        mut job: WaitingJob,
+        mut job: BlockedJob,
         is_live: impl Fn(&JobId) -> bool,
     ) -> Vec<JobId> {
         let dependencies = job.spec.dependencies.clone();
@@ -169,10 +169,10 @@
             let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.clone());
             match self.outcomes.get(dependency) {
-                Some(Outcome::Done) => drop(job.unfinished.remove(dependency)),
-                Some(Outcome::Cancelled) => {}
+                Some(JobOutcome::Done) => drop(job.unfinished.remove(dependency)),
+                Some(JobOutcome::Cancelled) => {}
                 None if is_live(dependency) || self.jobs.contains_key(dependency) => {}
-                None => drop(self.unknown.insert(dependency.clone())),
+                None => drop(self.with_unknown_outcome.insert(dependency.clone())),
             }
         }
         if job.unfinished.is_empty() {
@@ -182,8 +182,8 @@
             self.unplanned.insert(id.clone());
         }
         self.jobs.insert(id.clone(), job);
-        self.stands(&id);
-        self.raise(&id)
+        self.mark_live(&id);
+        self.propagate_urgency(&id)
     }
 
     /// Takes out a job that waits no more. Returns the jobs whose urgency may have changed.
@@ -211,44 +211,44 @@
     fn forget(&mut self, id: &JobId) {
         self.dependents.remove(id);
         self.outcomes.remove(id);
-        self.unknown.remove(id);
+        self.with_unknown_outcome.remove(id);
         self.cancelled.remove(id);
         self.ran_on.remove(id);
     }
 
     fn has_ended(&self, id: &JobId) -> bool {
-        self.outcomes.contains_key(id) || self.unknown.contains(id)
+        self.outcomes.contains_key(id) || self.with_unknown_outcome.contains(id)
     }
 
     /// A job stands in the mirror, waiting or not.
-    pub fn stands(&mut self, id: &JobId) {
-        self.unknown.remove(id);
+    pub fn mark_live(&mut self, id: &JobId) {
+        self.with_unknown_outcome.remove(id);
     }
 
     /// A job has left the mirror.
-    pub fn has_left(&mut self, id: &JobId) {
+    pub fn mark_ended(&mut self, id: &JobId) {
         if self.has_dependents(id) && !self.outcomes.contains_key(id) {
-            self.unknown.insert(id.clone());
+            self.with_unknown_outcome.insert(id.clone());
         }
     }
 
     /// A job has ended, or is about to, and its tasks ran on these machines.
-    pub fn has_run_on(&mut self, id: &JobId, machines: &[MachineId]) {
+    pub fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
             self.ran_on.insert(id.clone(), machines.to_vec());
         }
     }
 
     /// Notes what a job's final record says.
-    pub fn note(&mut self, id: &JobId, outcome: Outcome) {
+    pub fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         let Some(dependents) = self.dependents.get(id) else {
             return;
         };
-        self.unknown.remove(id);
+        self.with_unknown_outcome.remove(id);
         self.outcomes.insert(id.clone(), outcome);
         match outcome {
-            Outcome::Cancelled => drop(self.cancelled.insert(id.clone())),
-            Outcome::Done => {
+            JobOutcome::Cancelled => drop(self.cancelled.insert(id.clone())),
+            JobOutcome::Done => {
                 for dependent in dependents {
                     if let Some(job) = self.jobs.get_mut(dependent) {
                         job.unfinished.remove(id);
@@ -263,25 +263,25 @@
 
     /// A plan predicts how long a waiting job takes. Returns the jobs whose urgency has changed.
     pub fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> Vec<JobId> {
-        let before = self.passed_back(id);
+        let before = self.urgency_for_dependencies(id);
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
         };
         job.plan = Some(plan);
         self.unplanned.remove(id);
         let dependencies = job.spec.dependencies.clone();
-        if self.passed_back(id) == before {
+        if self.urgency_for_dependencies(id) == before {
             return Vec::new();
         }
         self.recompute(dependencies)
     }
 
     /// Passes a new job's urgency back along its ancestors, as far as it changes anything.
-    fn raise(&mut self, id: &JobId) -> Vec<JobId> {
+    fn propagate_urgency(&mut self, id: &JobId) -> Vec<JobId> {
         let mut raised = Vec::new();
         let mut queue = VecDeque::from([id.clone()]);
         while let Some(next) = queue.pop_front() {
-            let Some(passed) = self.passed_back(&next) else {
+            let Some(passed) = self.urgency_for_dependencies(&next) else {
                 continue;
             };
             let dependencies = self.jobs[&next].spec.dependencies.clone();
@@ -303,7 +303,9 @@
         let mut changed = Vec::new();
         let mut queue = VecDeque::from(jobs);
         while let Some(next) = queue.pop_front() {
-            let passed = self.dependents(&next).filter_map(|d| self.passed_back(d));
+            let passed = self
+                .dependents(&next)
+                .filter_map(|d| self.urgency_for_dependencies(d));
             let new = passed.reduce(Urgency::merge);
             if new == self.inherited.get(&next).copied() {
                 continue;
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ModelState {
-    Waiting,
+    DependencyGraph,
     Live,
     Done,
     Cancelled,
@@ -63,14 +63,17 @@
 }
 
 impl Model {
-    fn stands(&self, job: usize) -> bool {
-        matches!(self.jobs[job].state, ModelState::Waiting | ModelState::Live)
+    fn mark_live(&self, job: usize) -> bool {
+        matches!(
+            self.jobs[job].state,
+            ModelState::DependencyGraph | ModelState::Live
+        )
     }
 
     fn children(&self, job: usize) -> Vec<usize> {
         let waits = |c: &usize| {
             let child = &self.jobs[*c];
-            child.state == ModelState::Waiting && child.parents.contains(&job)
+            child.state == ModelState::DependencyGraph && child.parents.contains(&job)
         };
         (0..self.jobs.len()).filter(waits).collect()
     }
@@ -112,7 +115,7 @@
 /// The real one, with the jobs that stand and do not wait beside it.
 #[derive(Default)]
 struct Real {
-    waiting: Waiting,
+    waiting: DependencyGraph,
     live: BTreeSet<JobId>,
 }
 
@@ -120,7 +123,7 @@
     fn accept(&mut self, job: usize, model: &ModelJob) {
         if model.state == ModelState::Live {
             self.live.insert(id(job));
-            self.waiting.stands(&id(job));
+            self.waiting.mark_live(&id(job));
             return;
         }
         let mut spec = crate::protocol::tests::spec(id(job).as_str());
@@ -128,7 +131,7 @@
         spec.priority = model.priority;
         spec.deadline_s = model.deadline;
         spec.estimate_s = model.predicted;
-        let waiting = WaitingJob::new(spec, UnixTime(0), Revision(1), None);
+        let waiting = BlockedJob::new(spec, UnixTime(0), Revision(1), None);
         let live = &self.live;
         self.waiting
             .insert(id(job), waiting, |id| live.contains(id));
@@ -137,7 +140,7 @@
     fn leave(&mut self, job: usize) {
         self.live.remove(&id(job));
         self.waiting.remove(&id(job));
-        self.waiting.has_left(&id(job));
+        self.waiting.mark_ended(&id(job));
     }
 }
 
@@ -163,7 +166,7 @@
     } else if parents.iter().all(|p| state(p) == ModelState::Done) {
         ModelState::Live
     } else {
-        ModelState::Waiting
+        ModelState::DependencyGraph
     };
     let job = ModelJob {
         parents,
@@ -183,34 +186,35 @@
         return;
     }
     let job = job % model.jobs.len();
-    if !model.stands(job) || (!cancelled && model.jobs[job].state == ModelState::Waiting) {
+    if !model.mark_live(job) || (!cancelled && model.jobs[job].state == ModelState::DependencyGraph)
+    {
         return;
     }
     let (state, outcome) = match cancelled {
-        true => (ModelState::Cancelled, Outcome::Cancelled),
-        false => (ModelState::Done, Outcome::Done),
+        true => (ModelState::Cancelled, JobOutcome::Cancelled),
+        false => (ModelState::Done, JobOutcome::Done),
     };
     model.jobs[job].state = state;
     // A final record may be known before the stream brings the change, or after, or only when it
     // is read.
     if noted && job.is_multiple_of(2) {
-        real.waiting.note(&id(job), outcome);
+        real.waiting.record_outcome(&id(job), outcome);
         real.leave(job);
     } else {
         real.leave(job);
         if noted {
-            real.waiting.note(&id(job), outcome);
+            real.waiting.record_outcome(&id(job), outcome);
         }
     }
 }
 
 fn read(model: &Model, real: &mut Real) {
-    let unknown: Vec<JobId> = real.waiting.unknown().cloned().collect();
-    for asked in unknown {
+    let with_unknown_outcome: Vec<JobId> = real.waiting.with_unknown_outcome().cloned().collect();
+    for asked in with_unknown_outcome {
         let job: usize = asked.as_str()[4..].parse().expect("a number");
         match model.jobs[job].state {
-            ModelState::Done => real.waiting.note(&asked, Outcome::Done),
-            ModelState::Cancelled => real.waiting.note(&asked, Outcome::Cancelled),
+            ModelState::Done => real.waiting.record_outcome(&asked, JobOutcome::Done),
+            ModelState::Cancelled => real.waiting.record_outcome(&asked, JobOutcome::Cancelled),
             state => panic!("{asked} is {state:?} and was taken for over"),
         }
     }
@@ -239,14 +243,15 @@
             );
             model.jobs[job].state = ModelState::Cancelled;
             real.leave(job);
-            real.waiting.note(&dependent, Outcome::Cancelled);
+            real.waiting
+                .record_outcome(&dependent, JobOutcome::Cancelled);
         }
     }
 }
 
 fn compare(model: &Model, real: &Real) {
     for (job, known) in model.jobs.iter().enumerate() {
-        let waits = known.state == ModelState::Waiting;
+        let waits = known.state == ModelState::DependencyGraph;
         assert_eq!(real.waiting.contains(&id(job)), waits, "{job}");
         if waits {
             assert_eq!(real.waiting.urgency(&id(job)), Some(model.urgency(job)));
@@ -321,7 +326,7 @@
         compare(&model, &real);
         // Nothing that could go on waits, and nothing that is doomed.
         for (job, known) in model.jobs.iter().enumerate() {
-            let waits = known.state == ModelState::Waiting;
+            let waits = known.state == ModelState::DependencyGraph;
             prop_assert!(!waits || (!model.may_start(job) && !model.is_doomed(job)));
         }
         // Nothing is kept of jobs on which none waits.
@@ -343,7 +348,7 @@
         priority: Priority::Low,
         deadline,
         predicted: 10.0,
-        state: ModelState::Waiting,
+        state: ModelState::DependencyGraph,
     };
     let first = ModelJob {
         state: ModelState::Live,
@@ -362,6 +367,6 @@
     }
     assert_eq!(real.waiting.descendants(&id(0)).len(), 2 * JOBS);
     real.leave(0);
-    real.waiting.note(&id(0), Outcome::Done);
+    real.waiting.record_outcome(&id(0), JobOutcome::Done);
     assert_eq!(real.waiting.ready().count(), JOBS + 1);
 }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -40,7 +40,7 @@
     format!("{HISTORY}{pipeline}")
 }
 /// Where a finished or cancelled job's final state is kept for good.
-pub fn over(job: &JobId) -> String {
+pub fn final_state(job: &JobId) -> String {
     format!("over/{job}")
 }
 
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -13,5 +13,5 @@
         Some(LiveKey::Shard(ShardId(4)))
     );
     assert_eq!(LiveKey::parse(LEADER), Some(LiveKey::Leader));
-    assert_eq!(LiveKey::parse(&over(&id)), None);
+    assert_eq!(LiveKey::parse(&final_state(&id)), None);
 }
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -23,7 +23,7 @@
     /// once done stays done: none is ever taken out but by its segment.
     pub counted: BTreeSet<u32>,
     /// Finished tasks that a holder has told of and no record shows yet.
-    pub(super) told: BTreeSet<u32>,
+    pub(super) reported_done: BTreeSet<u32>,
     /// Where each task's latest attempt is placed.
     pub placed: BTreeMap<u32, (MachineId, AttemptNumber)>,
     /// Earlier attempts that stand on record as well: a repeated transaction can bring the record
@@ -84,17 +84,18 @@
     }
 
     /// A holder has seen a task done. The tasks of a gang complete together.
-    pub fn tell(&mut self, index: u32) {
+    pub fn report_done(&mut self, index: u32) {
         match self.spec.kind {
-            JobKind::Gang => self.told.extend(0..self.spec.tasks),
-            _ => drop(self.told.insert(index)),
+            JobKind::Gang => self.reported_done.extend(0..self.spec.tasks),
+            _ => drop(self.reported_done.insert(index)),
         }
     }
 
     /// Whether all tasks are done, by the counter and by what holders have seen.
     pub fn is_complete(&self, segment_tasks: u32) -> bool {
-        let told = self.told.iter();
-        let more = told.filter(|i| **i < self.spec.tasks && !self.is_done(**i, segment_tasks));
+        let reported_done = self.reported_done.iter();
+        let more =
+            reported_done.filter(|i| **i < self.spec.tasks && !self.is_done(**i, segment_tasks));
         self.done_count() + more.count() as u32 >= self.spec.tasks
     }
 
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -154,7 +154,7 @@
 
     /// The stored size up to which placements may be added to a record that may have so many bytes:
     /// their ends need room as well.
-    pub fn room_for_placements(value_bytes: usize) -> usize {
+    pub fn placement_capacity(value_bytes: usize) -> usize {
         value_bytes - value_bytes / Self::PART_FOR_ENDS
     }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,14 +1,14 @@
 //! The state service: its client, the tokens that guard its rates, and the live mirror of
 //! what it holds.
 
+pub mod dependency_graph;
 pub mod keys;
 mod live_job;
 pub mod machine_record;
-mod rates;
+mod rate_choice;
+pub mod rate_limiter;
 pub mod records;
-pub mod tokens;
 pub mod urgency;
-pub mod waiting;
 pub mod watch_cache;
 
 use crate::config::{StateLimits, StateRates};
@@ -16,18 +16,18 @@
 use crate::ids::{LeaseId, MonotonicTime, Revision};
 use crate::protocol::path;
 use crate::protocol::store::{
-    Events, Item, Lease, Page, Txn, TxnAnswer, follow_path, key_path, lease_path, lease_request,
-    page_path, renewal_path,
+    Events, Item, Lease, Page, Txn, TxnAnswer, key_path, lease_path, lease_request, page_path,
+    renewal_path, watch_path,
 };
-use rates::RateChoice;
+use rate_choice::RateSelector;
+use rate_limiter::{RequestClass, TokenBucket};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use tokens::{Bucket, Class};
 
 /// Usual answers take some ms, a few take some hundred.
-const CALL: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum TxnOutcome {
@@ -54,9 +54,9 @@
 pub struct Store {
     client: Client,
     addr: SocketAddr,
-    requests: RefCell<Bucket>,
-    writes: RefCell<Bucket>,
-    rates: RefCell<RateChoice>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
+    rate_choice: RefCell<RateSelector>,
     /// This controller's part of the rates.
     share: f64,
     started: Instant,
@@ -72,7 +72,7 @@
     pub unknown: Cell<u64>,
     pub held_back: Cell<u64>,
     /// What each class has asked for and been given.
-    pub classes: RefCell<BTreeMap<Class, ClassUse>>,
+    pub classes: RefCell<BTreeMap<RequestClass, ClassUse>>,
 }
 
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
@@ -82,7 +82,7 @@
     pub held_back: u64,
 }
 
-fn bump(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
@@ -99,9 +99,9 @@
         Self {
             client: Client::new(answer_bytes, 1),
             addr,
-            requests: RefCell::new(Bucket::new(limits.rates.requests * share)),
-            writes: RefCell::new(Bucket::new(limits.rates.changes * share)),
-            rates: RefCell::new(RateChoice::new(limits.rates, limits.least_rates)),
+            requests: RefCell::new(TokenBucket::new(limits.rates.requests * share)),
+            writes: RefCell::new(TokenBucket::new(limits.rates.changes * share)),
+            rate_choice: RefCell::new(RateSelector::new(limits.rates, limits.least_rates)),
             share,
             started,
             failures: Cell::new(0),
@@ -128,30 +128,30 @@
 
     /// A pause that grows up to `longest` as the requests are used up. Never far below: the
     /// mirrors' watches alone took nearly half of all requests (Savannah fleet, calm).
-    pub fn pause(&self, longest: Duration) -> Duration {
-        let part = self.requests.borrow_mut().part(self.now());
-        longest.mul_f64((1.0 - part).clamp(0.25, 1.0))
+    pub fn watch_delay(&self, longest: Duration) -> Duration {
+        let available_fraction = self.requests.borrow_mut().available_fraction(self.now());
+        longest.mul_f64((1.0 - available_fraction).clamp(0.25, 1.0))
     }
 
     /// What the service takes in a second from all controllers, as far as it is known.
     pub fn rates(&self) -> StateRates {
-        self.rates.borrow().current(self.now())
+        self.rate_choice.borrow().current(self.now())
     }
 
-    fn follow_rates(&self, now: MonotonicTime) {
-        let rates = self.rates.borrow().current(now);
+    fn apply_current_rates(&self, now: MonotonicTime) {
+        let rate_choice = self.rate_choice.borrow().current(now);
         let (requests, writes) = (&self.requests, &self.writes);
         requests
             .borrow_mut()
-            .set_rate(now, rates.requests * self.share);
+            .set_rate(now, rate_choice.requests * self.share);
         writes
             .borrow_mut()
-            .set_rate(now, rates.changes * self.share);
+            .set_rate(now, rate_choice.changes * self.share);
     }
 
-    fn admit(&self, class: Class, writes: usize) -> bool {
+    fn admit(&self, class: RequestClass, writes: usize) -> bool {
         let now = self.now();
-        self.follow_rates(now);
+        self.apply_current_rates(now);
         let ok = self.requests.borrow_mut().allows(now, 1.0, class)
             && self.writes.borrow_mut().allows(now, writes as f64, class);
         let mut classes = self.counters.classes.borrow_mut();
@@ -162,7 +162,7 @@
             class.requests += 1;
             class.changes += writes as u64;
         } else {
-            bump(&self.counters.held_back);
+            increment(&self.counters.held_back);
             class.held_back += 1;
         }
         ok
@@ -175,7 +175,7 @@
         body: &[u8],
         limit: Duration,
     ) -> Result<(u16, Vec<u8>), Failure> {
-        bump(&self.counters.calls);
+        increment(&self.counters.calls);
         let answer = self.client.call(self.addr, method, path, body, limit).await;
         let answered = matches!(&answer, Ok(r) if r.status != 503 && r.status < 500);
         self.failures.set(if answered {
@@ -186,22 +186,22 @@
         match answer {
             Ok(response) => {
                 if response.status == 429 {
-                    bump(&self.counters.refused);
-                    self.rates.borrow_mut().refused(self.now());
-                    self.requests.borrow_mut().exhaust(self.now());
-                    self.writes.borrow_mut().exhaust(self.now());
+                    increment(&self.counters.refused);
+                    self.rate_choice.borrow_mut().refused(self.now());
+                    self.requests.borrow_mut().drain(self.now());
+                    self.writes.borrow_mut().drain(self.now());
                 }
                 Ok((response.status, response.body))
             }
             Err(failure) => {
-                bump(&self.counters.unknown);
+                increment(&self.counters.unknown);
                 Err(failure)
             }
         }
     }
 
     /// Runs a transaction if its class has a token for it.
-    pub async fn txn(&self, class: Class, txn: &Txn) -> TxnOutcome {
+    pub async fn txn(&self, class: RequestClass, txn: &Txn) -> TxnOutcome {
         if !self.admit(class, txn.changes.len()) {
             return TxnOutcome::Refused;
         }
@@ -209,7 +209,10 @@
             Ok(body) if body.len() <= 64 * 1024 => body,
             _ => return TxnOutcome::Invalid,
         };
-        match self.call(Method::Post, path::TXN, &body, CALL).await {
+        match self
+            .call(Method::Post, path::TXN, &body, CALL_TIMEOUT)
+            .await
+        {
             Ok((200, body)) => match serde_json::from_slice::<TxnAnswer>(&body) {
                 Ok(answer) => TxnOutcome::Committed(answer.revision),
                 Err(_) => TxnOutcome::Unknown,
@@ -231,11 +234,14 @@
         }
     }
 
-    pub async fn get(&self, class: Class, key: &str) -> Result<Option<Item>, StoreError> {
+    pub async fn get(&self, class: RequestClass, key: &str) -> Result<Option<Item>, StoreError> {
         if !self.admit(class, 0) {
             return Err(StoreError::Unavailable);
         }
-        match self.call(Method::Get, &key_path(key), b"", CALL).await {
+        match self
+            .call(Method::Get, &key_path(key), b"", CALL_TIMEOUT)
+            .await
+        {
             Ok((200, body)) => serde_json::from_slice(&body)
                 .map(Some)
                 .map_err(|_| StoreError::Unavailable),
@@ -245,23 +251,26 @@
     }
 
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
-        self.admit(Class::Lease, 0);
+        self.admit(RequestClass::Lease, 0);
         let path = page_path(prefix, after);
-        match self.call(Method::Get, &path, b"", 2 * CALL).await {
+        match self.call(Method::Get, &path, b"", 2 * CALL_TIMEOUT).await {
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| StoreError::Unavailable),
             _ => Err(StoreError::Unavailable),
         }
     }
 
-    pub async fn follow(
+    pub async fn watch(
         &self,
         prefix: &str,
         after: Revision,
         wait_up_to: Duration,
     ) -> Result<Events, StoreError> {
-        self.admit(Class::Lease, 0);
-        let path = follow_path(prefix, after, wait_up_to.as_millis() as u64);
-        match self.call(Method::Get, &path, b"", wait_up_to + CALL).await {
+        self.admit(RequestClass::Lease, 0);
+        let path = watch_path(prefix, after, wait_up_to.as_millis() as u64);
+        match self
+            .call(Method::Get, &path, b"", wait_up_to + CALL_TIMEOUT)
+            .await
+        {
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| StoreError::Unavailable),
             // So many changes at once, after half a minute without any, took most of the memory a
             // controller has; one above the bound was asked for again for ever, and the mirror
@@ -272,9 +281,12 @@
     }
 
     pub async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
-        self.admit(Class::Lease, 0);
+        self.admit(RequestClass::Lease, 0);
         let body = lease_request(life_ms);
-        match self.call(Method::Post, path::LEASES, &body, CALL).await {
+        match self
+            .call(Method::Post, path::LEASES, &body, CALL_TIMEOUT)
+            .await
+        {
             Ok((200, body)) => serde_json::from_slice::<Lease>(&body)
                 .map(|g| g.id)
                 .map_err(|_| StoreError::Unavailable),
@@ -283,9 +295,9 @@
     }
 
     pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.admit(Class::Lease, 0);
+        self.admit(RequestClass::Lease, 0);
         match self
-            .call(Method::Post, &renewal_path(lease), b"", CALL)
+            .call(Method::Post, &renewal_path(lease), b"", CALL_TIMEOUT)
             .await
         {
             Ok((200, _)) => Ok(()),
@@ -295,9 +307,9 @@
     }
 
     pub async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.admit(Class::Lease, 0);
+        self.admit(RequestClass::Lease, 0);
         match self
-            .call(Method::Delete, &lease_path(lease), b"", CALL)
+            .call(Method::Delete, &lease_path(lease), b"", CALL_TIMEOUT)
             .await
         {
             Ok((200 | 204 | 404, _)) => Ok(()),
--- a/src/store/rate_choice.rs
+++ b/src/store/rate_choice.rs
@@ -19,13 +19,13 @@
 }
 
 #[derive(Debug)]
-pub struct RateChoice {
+pub struct RateSelector {
     larger: StateRates,
     least: StateRates,
     lowered: Option<Lowered>,
 }
 
-impl RateChoice {
+impl RateSelector {
     pub fn new(larger: StateRates, least: StateRates) -> Self {
         Self {
             larger,
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -6,7 +6,7 @@
 /// What a call is for; earlier classes may use what later ones must leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Class {
+pub enum RequestClass {
     /// Grants, fences and the mirror: never held back.
     #[serde(rename = "grant")]
     Lease,
@@ -19,7 +19,7 @@
     Record,
 }
 
-impl Class {
+impl RequestClass {
     /// The part of a full bucket that this class leaves to those before it.
     fn reserve(self) -> f64 {
         match self {
@@ -34,14 +34,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: MonotonicTime,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Holds one second's worth, as the services themselves allow.
     pub fn new(rate: f64) -> Self {
         let burst = rate.max(1.0);
@@ -62,7 +62,7 @@
     }
 
     /// The part of a second's worth that is unused.
-    pub fn part(&mut self, now: MonotonicTime) -> f64 {
+    pub fn available_fraction(&mut self, now: MonotonicTime) -> f64 {
         self.level(now) / self.burst
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// A full bucket lets any class through, however much it asks for.
-    pub fn allows(&mut self, now: MonotonicTime, amount: f64, class: Class) -> bool {
+    pub fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         if amount == 0.0 {
             return true;
         }
@@ -86,7 +86,7 @@
         self.level = (self.level - amount).max(-self.burst);
     }
 
-    pub fn try_take(&mut self, now: MonotonicTime, amount: f64, class: Class) -> bool {
+    pub fn try_acquire(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         let ok = self.allows(now, amount, class);
         if ok {
             self.spend(amount);
@@ -95,7 +95,7 @@
     }
 
     /// The service itself said that it is too much: others use the rate as well.
-    pub fn exhaust(&mut self, now: MonotonicTime) {
+    pub fn drain(&mut self, now: MonotonicTime) {
         self.level = self.level(now).min(0.0);
     }
 }
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn under_overload_grants_and_placements_go_on_and_the_rest_is_refused() {
-    let mut bucket = Bucket::new(20.0);
+    let mut bucket = TokenBucket::new(20.0);
     let (mut granted, mut placed, mut polled) = (0, 0, 0);
     for ms in 0..10_000 {
         let now = MonotonicTime(ms);
         // Polls ask fifty times the rate; placements half of it.
-        polled += u32::from(bucket.try_take(now, 1.0, Class::Poll));
+        polled += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Poll));
         if ms % 100 == 0 {
-            placed += u32::from(bucket.try_take(now, 1.0, Class::Place));
+            placed += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Place));
         }
         if ms % 1000 == 0 {
-            granted += u32::from(bucket.try_take(now, 1.0, Class::Lease));
+            granted += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Lease));
         }
     }
     assert_eq!((granted, placed), (10, 100));
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_refusal_by_the_service_empties_the_bucket() {
-    let mut bucket = Bucket::new(10.0);
-    bucket.exhaust(MonotonicTime(0));
-    assert!(!bucket.try_take(MonotonicTime(50), 1.0, Class::Place));
-    assert!(bucket.try_take(MonotonicTime(200), 1.0, Class::Place));
+    let mut bucket = TokenBucket::new(10.0);
+    bucket.drain(MonotonicTime(0));
+    assert!(!bucket.try_acquire(MonotonicTime(50), 1.0, RequestClass::Place));
+    assert!(bucket.try_acquire(MonotonicTime(200), 1.0, RequestClass::Place));
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -81,14 +81,14 @@
     }
 
     /// Whether jobs that it depends on may not be done yet: none of its tasks may start.
-    pub fn is_waiting(&self) -> bool {
+    pub fn is_blocked(&self) -> bool {
         !self.spec.dependencies.is_empty() && self.released.is_none()
     }
 }
 
 /// How a job ended; written once and never changed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct FinalRecord {
     pub state: JobState,
     pub tasks: u32,
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -22,9 +22,9 @@
         }));
         let config = crate::config::tests::sample_config();
         let store = Store::new(addr, &config.state, 1.0, 2000, Instant::now());
-        let follow = |after| store.follow(keys::LIVE, Revision(after), Duration::ZERO);
-        assert_eq!(follow(1).await.err(), Some(StoreError::Gone));
-        assert_eq!(follow(2).await.map(|e| e.revision).ok(), Some(Revision(9)));
+        let watch = |after| store.watch(keys::LIVE, Revision(after), Duration::ZERO);
+        assert_eq!(watch(1).await.err(), Some(StoreError::Gone));
+        assert_eq!(watch(2).await.map(|e| e.revision).ok(), Some(Revision(9)));
         drop(scope);
     })
     .expect("loop");
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -5,13 +5,13 @@
 
 pub use super::live_job::LiveJob;
 
+use super::dependency_graph::{BlockedJob, DependencyGraph, JobOutcome};
 use super::keys::LiveKey;
 use super::records::{
     Bitmap, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, MemberRecord, PlanBatch,
     PlanRecord, ProgramVersion, ShardRecord,
 };
 use super::urgency::Urgency;
-use super::waiting::{Outcome, Waiting, WaitingJob};
 use crate::admin::Settings;
 use crate::config::Config;
 use crate::ids::{Image, JobId, MachineId, Member, Pipeline, Revision, ShardId, TeamId};
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 
 /// Images remembered for a machine; which it still caches is a guess anyway.
-const IMAGES: usize = 16;
+const MAX_REMEMBERED_IMAGES: usize = 16;
 
 #[derive(Clone, Debug)]
 pub struct Versioned<T> {
@@ -53,7 +53,7 @@
     /// Jobs whose tasks may run.
     pub jobs: BTreeMap<JobId, LiveJob>,
     /// Jobs that wait for others to be done. Nothing that counts or places work sees them.
-    pub waiting: Waiting,
+    pub dependency_graph: DependencyGraph,
     pub machines: BTreeMap<MachineId, LiveMachine>,
     /// Records that came before the job they belong to.
     early_segments: BTreeMap<(JobId, u32), Versioned<Bitmap>>,
@@ -82,7 +82,7 @@
             settings: None,
             history: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            waiting: Waiting::default(),
+            dependency_graph: DependencyGraph::default(),
             machines: BTreeMap::new(),
             early_segments: BTreeMap::new(),
             early_plans: BTreeMap::new(),
@@ -98,27 +98,28 @@
             self.cancelled.insert(job.clone(), revision);
         }
         self.remove_job(job);
-        self.waiting.note(job, Outcome::Cancelled);
+        self.dependency_graph
+            .record_outcome(job, JobOutcome::Cancelled);
     }
 
     /// The revision of a job's record, whether it waits or not.
     pub fn job_revision(&self, id: &JobId) -> Option<Revision> {
         let live = self.jobs.get(id).map(|job| job.revision);
-        live.or_else(|| self.waiting.get(id).map(|job| job.revision))
+        live.or_else(|| self.dependency_graph.get(id).map(|job| job.revision))
     }
 
     /// A job's plan, whether it waits or not.
     pub fn plan(&self, id: &JobId) -> Option<&PlanRecord> {
         match self.jobs.get(id) {
             Some(job) => job.plan.as_ref(),
-            None => self.waiting.get(id)?.plan.as_ref(),
+            None => self.dependency_graph.get(id)?.plan.as_ref(),
         }
     }
 
     /// A job's description, whether it waits or not.
     pub fn job_spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
         let live = self.jobs.get(id).map(|job| &job.spec);
-        live.or_else(|| self.waiting.get(id).map(|job| &job.spec))
+        live.or_else(|| self.dependency_graph.get(id).map(|job| &job.spec))
     }
 
     /// Whether every controller that takes part understands jobs that depend on others. One that
@@ -129,27 +130,27 @@
     }
 
     fn remove_job(&mut self, id: &JobId) {
-        let changed = self.waiting.remove(id);
+        let changed = self.dependency_graph.remove(id);
         self.update_urgency(&changed);
         if let Some(job) = self.jobs.remove(id) {
-            self.waiting.has_run_on(id, &job.ran_on);
+            self.dependency_graph.record_machines(id, &job.ran_on);
         }
-        self.waiting.has_left(id);
+        self.dependency_graph.mark_ended(id);
     }
 
     /// A job's final record was read or written; the stream may not have brought it yet.
-    pub fn note_outcome(&mut self, id: &JobId, outcome: Outcome) {
+    pub fn record_job_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         if let Some(job) = self.jobs.get(id) {
-            self.waiting.has_run_on(id, &job.ran_on);
+            self.dependency_graph.record_machines(id, &job.ran_on);
         }
-        self.waiting.note(id, outcome);
+        self.dependency_graph.record_outcome(id, outcome);
     }
 
     fn update_urgency(&mut self, changed: &[JobId]) {
         for id in changed {
             if let Some(job) = self.jobs.get_mut(id) {
                 let own = Urgency::of(&job.spec, job.accepted);
-                let inherited = self.waiting.inherited(id);
+                let inherited = self.dependency_graph.inherited(id);
                 job.urgency = inherited.map_or(own, |other| own.merge(other));
             }
         }
@@ -161,19 +162,19 @@
             job.plan = Some(plan);
             return true;
         }
-        let waits = self.waiting.contains(id);
+        let waits = self.dependency_graph.contains(id);
         if waits {
-            let changed = self.waiting.set_plan(id, plan);
+            let changed = self.dependency_graph.set_plan(id, plan);
             self.update_urgency(&changed);
         }
         waits
     }
 
     /// The machines on whose records a job stands.
-    pub fn carriers(&self, job: &JobId) -> impl Iterator<Item = &MachineId> {
+    pub fn machines_with_job(&self, job: &JobId) -> impl Iterator<Item = &MachineId> {
         let stands = move |m: &LiveMachine| m.record.jobs.iter().any(|g| g.job == *job);
-        let carriers = self.machines.iter().filter(move |(_, m)| stands(m));
-        carriers.map(|(id, _)| id)
+        let machines_with_job = self.machines.iter().filter(move |(_, m)| stands(m));
+        machines_with_job.map(|(id, _)| id)
     }
 
     /// A mirror that is read anew takes over which jobs are known to be cancelled.
@@ -288,16 +289,21 @@
 
     /// Takes a job's record from the stream, or from a transaction that was just committed.
     pub fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
-        if record.is_waiting() {
+        if record.is_blocked() {
             let plan = self.early_plans.remove(&id);
-            let job = WaitingJob::new(record.spec, record.accepted, revision, plan);
+            let job = BlockedJob::new(record.spec, record.accepted, revision, plan);
             let jobs = &self.jobs;
-            let raised = self.waiting.insert(id, job, |id| jobs.contains_key(id));
+            let raised = self
+                .dependency_graph
+                .insert(id, job, |id| jobs.contains_key(id));
             self.update_urgency(&raised);
             return;
         }
-        let waited = self.waiting.get(&id).and_then(|job| job.plan.clone());
-        let changed = self.waiting.remove(&id);
+        let waited = self
+            .dependency_graph
+            .get(&id)
+            .and_then(|job| job.plan.clone());
+        let changed = self.dependency_graph.remove(&id);
         self.update_urgency(&changed);
         let plan = waited.or_else(|| self.early_plans.remove(&id));
         self.put_live_job(id, record, revision, plan);
@@ -322,7 +328,7 @@
             .filter_map(|k| self.early_segments.remove(&k).map(|s| (k.1, s)))
             .collect();
         let own = Urgency::of(&record.spec, record.accepted);
-        let inherited = self.waiting.inherited(&id);
+        let inherited = self.dependency_graph.inherited(&id);
         let mut job = LiveJob {
             accepted: record.accepted,
             eligible: record.released.unwrap_or(record.accepted),
@@ -331,7 +337,7 @@
             revision,
             segments,
             counted: BTreeSet::new(),
-            told: BTreeSet::new(),
+            reported_done: BTreeSet::new(),
             placed: BTreeMap::new(),
             shadowed: Vec::new(),
             plan,
@@ -348,7 +354,7 @@
         for done in records.filter(|d| d.job == id) {
             job.count(done, self.segment_tasks);
         }
-        self.waiting.stands(&id);
+        self.dependency_graph.mark_live(&id);
         self.jobs.insert(id, job);
     }
 
@@ -407,7 +413,7 @@
                 job.count(done, self.segment_tasks);
             }
         }
-        let excess = images.len().saturating_sub(IMAGES);
+        let excess = images.len().saturating_sub(MAX_REMEMBERED_IMAGES);
         images.drain(..excess);
         let machine = LiveMachine {
             record,
@@ -485,7 +491,7 @@
     }
 
     /// Records left behind by jobs that ended: they are cleaned up at leisure.
-    pub fn orphans(&self, most: usize) -> Vec<String> {
+    pub fn orphaned_keys(&self, most: usize) -> Vec<String> {
         let segments = self.early_segments.keys();
         let live = |id: &JobId| self.job_revision(id).is_some();
         let plans = self.plan_batches.iter();
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -121,7 +121,7 @@
     );
     let job = &cache.jobs[&id];
     assert_eq!(job.open_tasks(1024).collect::<Vec<_>>(), vec![0, 1, 2]);
-    assert!(job.plan.is_some() && cache.orphans(4).is_empty());
+    assert!(job.plan.is_some() && cache.orphaned_keys(4).is_empty());
     let gone = Event {
         delete: Some(keys::job(&id)),
         put: None,
@@ -129,7 +129,7 @@
         revision: Revision(4),
     };
     assert_eq!(cache.apply(Revision(4), vec![gone]), vec![id]);
-    assert_eq!(cache.orphans(4), vec![keys::plans("1-1")]);
+    assert_eq!(cache.orphaned_keys(4), vec![keys::plans("1-1")]);
 }
 
 /// A task that is done stays done, whichever of its records comes or goes first.
--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -12,20 +12,20 @@
 
 /// How a start was sent by direct command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Direct {
+pub enum DirectLaunch {
     No,
     Pending,
     /// Answered: it was carried out then. A repeat has no effect while the worker lists the task.
-    Settled,
+    Answered,
     /// No answer: it may be carried out minutes late, even after the task was forgotten.
     Unknown,
 }
 
 /// A start that was sent under the desk's own token.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct LaunchRecord {
     pub epoch: WorkerEpoch,
-    pub direct: Direct,
+    pub direct: DirectLaunch,
     /// The report in whose response it was sent last. Workers drop late responses, and send
     /// their next report only after that, so a later report tells what became of it.
     pub in_response: Option<HeartbeatSequence>,
@@ -33,7 +33,7 @@
 
 /// What the latest report says of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum TaskPresence {
     /// Nothing certain.
     Unclear,
     /// Not there, and nothing that was sent can still start it.
@@ -54,7 +54,7 @@
 
 /// What a machine's record lacks.
 #[derive(Debug)]
-pub struct Ripe {
+pub struct UnwrittenChanges {
     pub since: MonotonicTime,
     pub incoming: usize,
     /// Placements that are proved gone, whether they are done, and the room they leave.
@@ -66,28 +66,29 @@
     pub urgent: bool,
 }
 
-impl Ripe {
+impl UnwrittenChanges {
     /// Grows with what one change would write, and with age, so that nothing waits for ever.
     /// Ends alone are worth nothing at first: the leader has been told of them, and a placement
     /// may follow that takes them along.
-    pub fn worth(&self, now: MonotonicTime) -> u64 {
+    pub fn write_priority(&self, now: MonotonicTime) -> u64 {
         let age = now.since(self.since).0;
         let ended = 300 * self.ended.len() as u64;
         if self.incoming > 0 {
             return 1000 * self.incoming as u64 + ended + age;
         }
-        let due = age >= ALONE || (self.idle && age >= IDLE);
+        let due =
+            age >= ENDS_ONLY_WRITE_DELAY_MS || (self.idle && age >= IDLE_MACHINE_WRITE_DELAY_MS);
         if due { ended + age } else { 0 }
     }
 }
 
 /// How long ends wait for a placement on their machine while changes are scarce, and the last
 /// ones of a machine.
-const ALONE: u64 = 10_000; //x
-const IDLE: u64 = 700;
+const ENDS_ONLY_WRITE_DELAY_MS: u64 = 10_000; //x
+const IDLE_MACHINE_WRITE_DELAY_MS: u64 = 700;
 
 /// A machine's token is not raised again within this time, but when nothing else helps.
-const RISE_PAUSE: Millis = Millis(4000);
+const TOKEN_RAISE_INTERVAL: Millis = Millis(4000);
 
 /// A transaction on its way.
 #[derive(Debug)]
@@ -98,41 +99,41 @@
 }
 
 #[derive(Debug)]
-pub struct Desk {
+pub struct MachineTracker {
     /// The block's revision.
     pub fence: Revision,
     /// The machine's token under it.
     token: FencingToken,
-    raised: MonotonicTime,
+    token_raised_at: MonotonicTime,
     pub opened: MonotonicTime,
     pub addr: String,
     pub epoch: WorkerEpoch,
     pub sequence: HeartbeatSequence,
     pub heartbeat_sequence: HeartbeatSequence,
     /// The highest that the worker had seen by its latest report.
-    seen: FencingToken,
+    seen_token: FencingToken,
     /// The latest report carried our token.
     pub confirmed: bool,
     /// A higher token exists: nothing more is sent until the mirror brings it.
     pub superseded: bool,
-    pub heard: MonotonicTime,
+    pub last_heartbeat: MonotonicTime,
     /// When it was last certain that something of ours arrives there.
-    pub reached: MonotonicTime,
+    pub last_reached: MonotonicTime,
     /// Direct commands in a row that had no answer.
     pub failed_calls: u32,
     pub notice: Option<MonotonicTime>,
     pub listed: BTreeMap<TaskAttempt, (TaskState, Option<ExitReason>)>,
-    pub starts: BTreeMap<TaskAttempt, Start>,
+    pub launches: BTreeMap<TaskAttempt, LaunchRecord>,
     pub stops: BTreeMap<TaskAttempt, (Millis, Option<MonotonicTime>)>,
     pub running_since: BTreeMap<TaskAttempt, MonotonicTime>,
     pub incoming: VecDeque<Incoming>,
-    pub ripe: Option<Ripe>,
+    pub unwritten: Option<UnwrittenChanges>,
     /// Committed here and not seen on the machine yet. Only these are ever started: whatever else
     /// is absent may have ended before, its room given out again, and only its end not written.
     /// Started once more it broke a team's limit (hunt 82e7ad15, simulated seed 173).
-    pub fresh: BTreeSet<TaskAttempt>,
+    pub launchable: BTreeSet<TaskAttempt>,
     /// Proved gone, and told to the leader before it was written.
-    pub told: BTreeSet<TaskAttempt>,
+    pub reported: BTreeSet<TaskAttempt>,
     /// To be refused once nothing that was sent can still place them.
     pub rejected: Vec<TaskAttempt>,
     pub txn: Option<PendingTxn>,
@@ -142,7 +143,7 @@
     /// A condition failed at this revision: the mirror must get there first.
     pub retry_revision: Revision,
     /// When a report last came straight from the machine.
-    straight: MonotonicTime,
+    direct_heartbeat_timeout: MonotonicTime,
     /// Since when its reports come through other controllers.
     relayed: Option<MonotonicTime>,
     /// A transaction under this revision of the record has no known outcome.
@@ -151,38 +152,38 @@
     pub next_call: MonotonicTime,
 }
 
-impl Desk {
+impl MachineTracker {
     pub fn new(fence: Revision, addr: &str, now: MonotonicTime) -> Self {
         Self {
             fence,
             token: FencingToken::of(fence, 0),
-            raised: now,
+            token_raised_at: now,
             opened: now,
             addr: addr.to_owned(),
             epoch: WorkerEpoch(1),
             sequence: HeartbeatSequence(0),
             heartbeat_sequence: HeartbeatSequence(0),
-            seen: FencingToken(0),
+            seen_token: FencingToken(0),
             confirmed: false,
             superseded: false,
-            heard: now,
-            reached: now,
+            last_heartbeat: now,
+            last_reached: now,
             failed_calls: 0,
             notice: None,
             listed: BTreeMap::new(),
-            starts: BTreeMap::new(),
+            launches: BTreeMap::new(),
             stops: BTreeMap::new(),
             running_since: BTreeMap::new(),
             incoming: VecDeque::new(),
-            ripe: None,
-            fresh: BTreeSet::new(),
-            told: BTreeSet::new(),
+            unwritten: None,
+            launchable: BTreeSet::new(),
+            reported: BTreeSet::new(),
             rejected: Vec::new(),
             txn: None,
             retry_at: now,
             too_large: false,
             retry_revision: Revision(0),
-            straight: now,
+            direct_heartbeat_timeout: now,
             relayed: None,
             uncertain: None,
             call: None,
@@ -192,31 +193,31 @@
 
     /// The block was rewritten: what was sent under the old token proves nothing any more, and
     /// transactions under the old fence can't be applied.
-    pub fn renew(&mut self, fence: Revision, now: MonotonicTime) {
+    pub fn reset(&mut self, fence: Revision, now: MonotonicTime) {
         self.fence = fence;
         self.token = FencingToken::of(fence, 0);
         self.opened = now;
         self.superseded = false;
-        self.void_starts();
+        self.void_launches();
         self.incoming.clear();
-        self.ripe = None;
-        self.told.clear();
+        self.unwritten = None;
+        self.reported.clear();
         self.rejected.clear();
         self.uncertain = None;
         self.next_call = now;
-        self.heard = now;
-        self.straight = now;
+        self.last_heartbeat = now;
+        self.direct_heartbeat_timeout = now;
         self.relayed = None;
-        self.reach(now);
+        self.mark_reached(now);
     }
 
     /// How long no report has come straight from the machine.
-    pub fn missed(&self, now: MonotonicTime) -> Millis {
-        now.since(self.straight)
+    pub fn since_direct_heartbeat(&self, now: MonotonicTime) -> Millis {
+        now.since(self.direct_heartbeat_timeout)
     }
 
-    pub fn is_missed(&self, now: MonotonicTime, straight: Millis) -> bool {
-        self.missed(now) > straight
+    pub fn is_missing(&self, now: MonotonicTime, direct_heartbeat_timeout: Millis) -> bool {
+        self.since_direct_heartbeat(now) > direct_heartbeat_timeout
     }
 
     pub fn is_relayed(&self) -> bool {
@@ -224,8 +225,8 @@
     }
 
     /// A report came straight from the machine.
-    pub fn on_straight(&mut self, now: MonotonicTime) {
-        self.straight = now;
+    pub fn on_direct_heartbeat(&mut self, now: MonotonicTime) {
+        self.direct_heartbeat_timeout = now;
         self.relayed = None;
     }
 
@@ -234,61 +235,63 @@
     ///
     /// Nothing else shows that answers arrive there: direct commands don't. So the token rises,
     /// and comes back with the next report.
-    pub fn takes_relayed(
+    pub fn accepts_relayed(
         &mut self,
         now: MonotonicTime,
-        straight: Millis,
+        direct_heartbeat_timeout: Millis,
         worker_lease: Millis,
     ) -> bool {
-        if !self.is_missed(now, straight) {
+        if !self.is_missing(now, direct_heartbeat_timeout) {
             return false;
         }
         if self.relayed.is_none() {
             // What failed before was tried on the straight way.
-            self.reach(now);
+            self.mark_reached(now);
         }
         let since = *self.relayed.get_or_insert(now);
         if now.since(since) >= Millis(worker_lease.0 / 2) {
             self.relayed = None;
             return false;
         }
-        if now.since(self.reached) > straight && !self.raised_lately(now) {
+        if now.since(self.last_reached) > direct_heartbeat_timeout
+            && !self.token_raised_recently(now)
+        {
             // The one before has not come back: as if a command had no answer.
             self.failed_calls += u32::from(!self.confirmed);
-            self.rise(now);
+            self.raise_token(now);
         }
         true
     }
 
     /// Once a report carries a higher token, no start that was sent under a lower one can take
     /// effect any more, however often it is repeated.
-    fn void_starts(&mut self) {
+    fn void_launches(&mut self) {
         self.confirmed = false;
-        self.starts.clear();
+        self.launches.clear();
     }
 
     /// Raises this machine's token alone, where a direct start stands in the way: one without an
     /// answer, or so many carried out that keeping them at the worker has become a burden. The
     /// block's record, and all that is under way in the block, stay as they are. `false`: there
     /// is no higher token under this record.
-    pub fn rise(&mut self, now: MonotonicTime) -> bool {
-        self.raised = now;
-        let Some(next) = self.token.raised() else {
+    pub fn raise_token(&mut self, now: MonotonicTime) -> bool {
+        self.token_raised_at = now;
+        let Some(next) = self.token.next_raise() else {
             return false;
         };
         self.token = next;
         self.next_call = now;
-        self.void_starts();
+        self.void_launches();
         true
     }
 
     /// Whether its token was raised a moment ago: once more would only cost calls.
-    pub fn raised_lately(&self, now: MonotonicTime) -> bool {
-        now.since(self.raised) < RISE_PAUSE
+    pub fn token_raised_recently(&self, now: MonotonicTime) -> bool {
+        now.since(self.token_raised_at) < TOKEN_RAISE_INTERVAL
     }
 
     /// Exited tasks that only a higher token lets the worker forget.
-    pub fn kept(&self) -> usize {
+    pub fn unforgettable_count(&self) -> usize {
         let held = |attempt: &&TaskAttempt| !self.may_forget(attempt);
         let exited = self
             .listed
@@ -298,17 +301,17 @@
     }
 
     /// Something of ours has arrived at the worker.
-    pub fn reach(&mut self, now: MonotonicTime) {
-        self.reached = now;
+    pub fn mark_reached(&mut self, now: MonotonicTime) {
+        self.last_reached = now;
         self.failed_calls = 0;
     }
 
     /// How long nothing shows that the machine can be used: nothing came from it, or nothing of
     /// ours gets there, though its reports still come.
     pub fn silent(&self, now: MonotonicTime) -> Millis {
-        let unheard = now.since(self.heard);
+        let unheard = now.since(self.last_heartbeat);
         if self.failed_calls >= 2 {
-            unheard.max(now.since(self.reached))
+            unheard.max(now.since(self.last_reached))
         } else {
             unheard
         }
@@ -320,16 +323,21 @@
 
     /// Takes a report if it is the newest. Late ones, and those that a higher token already
     /// governs, say nothing.
-    pub fn learn(&mut self, heartbeat: &Heartbeat, by_heartbeat: bool, now: MonotonicTime) {
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        by_heartbeat: bool,
+        now: MonotonicTime,
+    ) {
         // A copy that comes late is no sign of life either.
         if (heartbeat.epoch, heartbeat.sequence) <= (self.epoch, self.sequence)
             && self.sequence != HeartbeatSequence(0)
         {
             return;
         }
-        self.heard = self.heard.max(now);
-        if heartbeat.token == self.token && self.seen < heartbeat.token {
-            self.reach(now);
+        self.last_heartbeat = self.last_heartbeat.max(now);
+        if heartbeat.token == self.token && self.seen_token < heartbeat.token {
+            self.mark_reached(now);
         }
         if heartbeat.epoch > self.epoch {
             // The worker's lease ran out: it forgot all its tasks, and starts that were sent to
@@ -339,15 +347,15 @@
         }
         self.epoch = heartbeat.epoch;
         self.sequence = heartbeat.sequence;
-        self.seen = heartbeat.token;
+        self.seen_token = heartbeat.token;
         if by_heartbeat {
             self.heartbeat_sequence = heartbeat.sequence;
         }
         self.addr.clone_from(&heartbeat.addr);
         if heartbeat.token.fence() == self.fence && heartbeat.token > self.token {
             // An earlier desk of ours raised it, and what that one sent is not known here.
-            self.token = heartbeat.token.raised().unwrap_or(heartbeat.token);
-            self.void_starts();
+            self.token = heartbeat.token.next_raise().unwrap_or(heartbeat.token);
+            self.void_launches();
         }
         self.superseded = heartbeat.token > self.token;
         self.confirmed = heartbeat.token == self.token;
@@ -366,10 +374,10 @@
             .collect();
         // A start that was carried out has arrived.
         let started = |attempt: &TaskAttempt| {
-            self.starts.contains_key(attempt) && !self.running_since.contains_key(attempt)
+            self.launches.contains_key(attempt) && !self.running_since.contains_key(attempt)
         };
         if self.confirmed && self.listed.keys().any(started) {
-            self.reached = now;
+            self.last_reached = now;
             self.failed_calls = 0;
         }
         for (attempt, (state, _)) in &self.listed {
@@ -378,38 +386,40 @@
             }
         }
         let listed = &self.listed;
-        self.fresh.retain(|attempt| !listed.contains_key(attempt));
+        self.launchable
+            .retain(|attempt| !listed.contains_key(attempt));
         self.running_since
             .retain(|attempt, _| listed.contains_key(attempt));
         let epoch = self.epoch;
-        self.starts.retain(|_, s| s.epoch >= epoch);
-        self.stops
-            .retain(|attempt, _| listed.contains_key(attempt) || self.starts.contains_key(attempt));
+        self.launches.retain(|_, s| s.epoch >= epoch);
+        self.stops.retain(|attempt, _| {
+            listed.contains_key(attempt) || self.launches.contains_key(attempt)
+        });
     }
 
     /// What is certain about a placement. Only a report under our own token counts: no launch
     /// of an earlier holder can take effect after it.
-    pub fn presence(&self, attempt: &TaskAttempt) -> Presence {
+    pub fn presence(&self, attempt: &TaskAttempt) -> TaskPresence {
         if !self.confirmed {
-            return Presence::Unclear;
+            return TaskPresence::Unclear;
         }
         match self.listed.get(attempt) {
             Some((TaskState::Exited, exit_reason)) => {
-                Presence::Exited(exit_reason.unwrap_or(ExitReason::Error))
+                TaskPresence::Exited(exit_reason.unwrap_or(ExitReason::Error))
             }
-            Some((state, _)) => Presence::Alive(*state),
-            None => match self.starts.get(attempt) {
-                None => Presence::Absent,
-                Some(start) => match start.direct {
-                    Direct::Pending | Direct::Unknown => Presence::MayAppear,
-                    Direct::No | Direct::Settled => {
-                        if start
+            Some((state, _)) => TaskPresence::Alive(*state),
+            None => match self.launches.get(attempt) {
+                None => TaskPresence::Absent,
+                Some(launch) => match launch.direct {
+                    DirectLaunch::Pending | DirectLaunch::Unknown => TaskPresence::MayAppear,
+                    DirectLaunch::No | DirectLaunch::Answered => {
+                        if launch
                             .in_response
                             .is_none_or(|sequence| self.heartbeat_sequence > sequence)
                         {
-                            Presence::Absent
+                            TaskPresence::Absent
                         } else {
-                            Presence::Unclear
+                            TaskPresence::Unclear
                         }
                     }
                 },
@@ -423,45 +433,48 @@
     pub fn may_forget(&self, attempt: &TaskAttempt) -> bool {
         self.confirmed
             && self
-                .starts
+                .launches
                 .get(attempt)
-                .is_none_or(|s| s.direct == Direct::No)
+                .is_none_or(|s| s.direct == DirectLaunch::No)
     }
 
     /// Whether a placement is proved gone, and nothing that was sent can start it.
     pub fn is_gone(&self, attempt: &TaskAttempt) -> bool {
         let presence = self.presence(attempt);
-        matches!(presence, Presence::Absent | Presence::Exited(_))
+        matches!(presence, TaskPresence::Absent | TaskPresence::Exited(_))
     }
 
     /// Notes the outcome of direct starts. Another fence has forgotten them already.
-    pub fn settle(&mut self, commands: &[Command], direct: Direct) {
+    pub fn record_launch_outcomes(&mut self, commands: &[Command], direct: DirectLaunch) {
         for command in commands {
             if let Command::Launch(attempt) = command
-                && let Some(start) = self.starts.get_mut(attempt)
-                && start.direct == Direct::Pending
+                && let Some(launch) = self.launches.get_mut(attempt)
+                && launch.direct == DirectLaunch::Pending
             {
-                start.direct = direct;
-                if direct == Direct::No && start.in_response.is_none() {
-                    self.starts.remove(attempt);
+                launch.direct = direct;
+                if direct == DirectLaunch::No && launch.in_response.is_none() {
+                    self.launches.remove(attempt);
                 }
             }
         }
     }
 
-    pub fn mark_start(&mut self, attempt: &TaskAttempt, direct: bool) {
+    pub fn record_launch(&mut self, attempt: &TaskAttempt, direct: bool) {
         let epoch = self.epoch;
-        let start = self.starts.entry(attempt.clone()).or_insert(Start {
-            epoch,
-            direct: Direct::No,
-            in_response: None,
-        });
-        start.epoch = epoch;
+        let launch = self
+            .launches
+            .entry(attempt.clone())
+            .or_insert(LaunchRecord {
+                epoch,
+                direct: DirectLaunch::No,
+                in_response: None,
+            });
+        launch.epoch = epoch;
         if !direct {
-            start.in_response = Some(self.heartbeat_sequence);
-        } else if start.direct != Direct::Unknown {
+            launch.in_response = Some(self.heartbeat_sequence);
+        } else if launch.direct != DirectLaunch::Unknown {
             // An earlier one without an answer stays unanswered, whatever becomes of this one.
-            start.direct = Direct::Pending;
+            launch.direct = DirectLaunch::Pending;
         }
     }
 }
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -27,7 +27,7 @@
             let live = job.as_ref().and_then(|j| cache.jobs.get(j));
             let behind = fence.is_none_or(|f| f < allotment.fence)
                 || (live.is_none() && cache.revision < allotment.job_revision);
-            if behind && now.since(since) < ALLOT_PATIENCE {
+            if behind && now.since(since) < ALLOTMENT_WAIT_LIMIT {
                 self.waiting.push((since, allotment));
                 continue;
             }
@@ -43,8 +43,8 @@
                 });
                 match place {
                     Some((job, id)) => {
-                        if let Some(desk) = self.desks.get_mut(&id) {
-                            desk.incoming.push_back(Incoming {
+                        if let Some(tracker) = self.trackers.get_mut(&id) {
+                            tracker.incoming.push_back(Incoming {
                                 since: now,
                                 attempt,
                                 spec: job.spec.clone(),
@@ -63,7 +63,7 @@
                 }));
             }
             for id in touched {
-                self.drive(now, &id, cache, out);
+                self.step(now, &id, cache, out);
             }
         }
     }
@@ -79,17 +79,20 @@
     ) -> Option<MachineId> {
         let need = job.spec.need();
         let fits = |id: &&MachineId| -> Option<bool> {
-            let desk = self.desks.get(*id)?;
+            let tracker = self.trackers.get(*id)?;
             let record = &cache.machines.get(*id)?.record;
-            let usable = desk.confirmed && !desk.superseded && desk.notice.is_none();
+            let usable = tracker.confirmed && !tracker.superseded && tracker.notice.is_none();
             let allowed = job
                 .spec
                 .allows(&record.type_name, &record.zone, record.spot);
             let room = cache.machine_type(&record.type_name)?.room();
-            let freed = desk.ripe.as_ref().map_or(Resources::default(), |r| r.freed);
-            let free = room + freed - record.used() - self.promised(desk);
+            let freed = tracker
+                .unwritten
+                .as_ref()
+                .map_or(Resources::default(), |r| r.freed);
+            let free = room + freed - record.used() - self.promised(tracker);
             let in_shard = id.shard(self.shards) == allotment.shard;
-            let stored = self.stored_size(desk, record, attempt, &job.spec) <= self.value_bytes;
+            let stored = self.stored_size(tracker, record, attempt, &job.spec) <= self.value_bytes;
             Some(in_shard && usable && allowed && need.fits(free) && stored)
         };
         allotment
@@ -103,14 +106,14 @@
     /// has ended is not taken off: its end needs room too.
     fn stored_size(
         &self,
-        desk: &Desk,
+        tracker: &MachineTracker,
         record: &MachineRecord,
         attempt: &TaskAttempt,
         spec: &JobSpec,
     ) -> usize {
-        let ends = self.value_bytes - MachineRecord::room_for_placements(self.value_bytes);
+        let ends = self.value_bytes - MachineRecord::placement_capacity(self.value_bytes);
         let mut jobs = BTreeSet::new();
-        let incoming = desk.incoming.iter().map(|i| (&i.attempt, &*i.spec));
+        let incoming = tracker.incoming.iter().map(|i| (&i.attempt, &*i.spec));
         let added = incoming.chain([(attempt, spec)]).map(|(attempt, spec)| {
             let task = size::task(attempt.task.index, attempt.number);
             match jobs.insert(&attempt.task.job) {
@@ -124,8 +127,9 @@
     }
 
     /// What a desk has taken on that its record does not show yet.
-    pub(super) fn promised(&self, desk: &Desk) -> Resources {
-        desk.incoming
+    pub(super) fn promised(&self, tracker: &MachineTracker) -> Resources {
+        tracker
+            .incoming
             .iter()
             .fold(Resources::default(), |sum, i| sum + i.spec.need())
     }
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -4,91 +4,99 @@
 
 impl ShardOwner {
     /// Notes what a machine's record lacks: what is proved gone, what was allotted, what is done.
-    pub(super) fn ripen(
+    pub(super) fn note_unwritten(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
-            self.ripe.remove(id);
+        let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
+        else {
+            self.unwritten.remove(id);
             return;
         };
-        if desk.uncertain.is_some_and(|r| r != machine.revision) {
-            desk.uncertain = None;
+        if tracker.uncertain.is_some_and(|r| r != machine.revision) {
+            tracker.uncertain = None;
         }
         // A placement that was committed after all is no longer on its way.
-        desk.incoming.retain(|i| !machine.record.holds(&i.attempt));
-        desk.rejected
+        tracker
+            .incoming
+            .retain(|i| !machine.record.holds(&i.attempt));
+        tracker
+            .rejected
             .retain(|attempt| !machine.record.holds(attempt));
-        let idle = desk.txn.is_none();
+        let idle = tracker.txn.is_none();
         let stands = |i: &Incoming| {
             let job = cache.jobs.get(&i.attempt.task.job);
-            let late = idle && now.since(i.since) >= GIVEN_BACK;
+            let late = idle && now.since(i.since) >= PLACEMENT_EXPIRY;
             !late && job.is_some_and(|j| j.revision == i.job_revision)
         };
-        if !desk.incoming.iter().all(stands) {
-            let all = std::mem::take(&mut desk.incoming);
+        if !tracker.incoming.iter().all(stands) {
+            let all = std::mem::take(&mut tracker.incoming);
             let (kept, gone): (VecDeque<_>, VecDeque<_>) = all.into_iter().partition(stands);
-            desk.incoming = kept;
-            desk.rejected.extend(gone.into_iter().map(|i| i.attempt));
+            tracker.incoming = kept;
+            tracker.rejected.extend(gone.into_iter().map(|i| i.attempt));
         }
-        if desk.txn.is_some() {
-            self.ripe.remove(id);
+        if tracker.txn.is_some() {
+            self.unwritten.remove(id);
             return;
         }
-        if desk.uncertain.is_none() && !desk.rejected.is_empty() {
+        if tracker.uncertain.is_none() && !tracker.rejected.is_empty() {
             out.push(Effect::ToLeader(Message::Refused {
-                fence: desk.fence,
-                attempts: std::mem::take(&mut desk.rejected),
+                fence: tracker.fence,
+                attempts: std::mem::take(&mut tracker.rejected),
             }));
         }
-        let touch = desk.uncertain.is_some() && !desk.rejected.is_empty();
-        let ripe = ripe(desk, machine, cache, touch, now);
-        if let Some(ripe) = &ripe {
-            self.ripe.insert(id.clone());
-            self.urgent |= ripe.urgent && now >= desk.retry_at;
+        let touch = tracker.uncertain.is_some() && !tracker.rejected.is_empty();
+        let unwritten = unwritten(tracker, machine, cache, touch, now);
+        if let Some(unwritten) = &unwritten {
+            self.unwritten.insert(id.clone());
+            self.urgent |= unwritten.urgent && now >= tracker.retry_at;
         } else {
-            self.ripe.remove(id);
+            self.unwritten.remove(id);
         }
-        desk.ripe = ripe;
+        tracker.unwritten = unwritten;
     }
 
     /// Writes records while there are changes for it, those that are worth most first. What
     /// people or other decisions wait for goes at once.
     pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
-        if self.ripe.is_empty() || (now < self.next_flush && !self.urgent) {
+        if self.unwritten.is_empty() || (now < self.next_flush && !self.urgent) {
             return;
         }
         self.urgent = false;
-        self.next_flush = now + Millis((self.ripe.len() / RIPE_PER_MS) as u64);
-        let scarce = !self.records.allows(now, 1.0, Class::Place);
-        let leisure = self.records.part(now) >= LEISURE;
+        self.next_flush = now + Millis((self.unwritten.len() / UNWRITTEN_MACHINES_PER_MS) as u64);
+        let scarce = !self.records.allows(now, 1.0, RequestClass::Place);
+        let leisure = self.records.available_fraction(now) >= IDLE_BUDGET_FRACTION;
         let mut command: Vec<(u64, &MachineId)> = Vec::new();
-        for id in &self.ripe {
-            let Some(desk) = self.desks.get(id) else {
+        for id in &self.unwritten {
+            let Some(tracker) = self.trackers.get(id) else {
                 continue;
             };
-            let waits = now < desk.retry_at
-                || (cache.revision < desk.retry_revision && now < desk.retry_at + Millis(2000));
-            if let Some(ripe) = desk.ripe.as_ref().filter(|_| !waits && !desk.superseded)
-                && (leisure || now.since(ripe.since) >= GATHER)
-                && (ripe.urgent || (!scarce && ripe.worth(now) > 0))
+            let waits = now < tracker.retry_at
+                || (cache.revision < tracker.retry_revision
+                    && now < tracker.retry_at + Millis(2000));
+            if let Some(unwritten) = tracker
+                .unwritten
+                .as_ref()
+                .filter(|_| !waits && !tracker.superseded)
+                && (leisure || now.since(unwritten.since) >= WRITE_BATCH_DELAY)
+                && (unwritten.urgent || (!scarce && unwritten.write_priority(now) > 0))
             {
-                let worth = if ripe.urgent {
+                let write_priority = if unwritten.urgent {
                     u64::MAX
                 } else {
-                    ripe.worth(now)
+                    unwritten.write_priority(now)
                 };
-                command.push((worth, id));
+                command.push((write_priority, id));
             }
         }
-        command.sort_by_key(|(worth, _)| std::cmp::Reverse(*worth));
+        command.sort_by_key(|(write_priority, _)| std::cmp::Reverse(*write_priority));
         let command: Vec<(u64, MachineId)> =
             command.into_iter().map(|(w, id)| (w, id.clone())).collect();
-        for (worth, id) in command {
-            if worth < u64::MAX && !self.records.allows(now, 1.0, Class::Place) {
+        for (write_priority, id) in command {
+            if write_priority < u64::MAX && !self.records.allows(now, 1.0, RequestClass::Place) {
                 break;
             }
             if self.commit(now, &id, cache, out) {
@@ -106,15 +114,16 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) -> bool {
-        self.ripe.remove(id);
-        let (Some(desk), Some(machine)) = (self.desks.get_mut(id), cache.machines.get(id)) else {
+        self.unwritten.remove(id);
+        let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
+        else {
             return false;
         };
-        let Some(ripe) = desk.ripe.take() else {
+        let Some(unwritten) = tracker.unwritten.take() else {
             return false;
         };
         let mut txn = Txn::default();
-        txn.require(keys::shard(id.shard(self.shards)), desk.fence);
+        txn.require(keys::shard(id.shard(self.shards)), tracker.fence);
         txn.require(keys::machine(id), machine.revision);
         let mut record = machine.record.clone();
         let segment_tasks = self.segment_tasks;
@@ -123,8 +132,8 @@
             job.is_some_and(|j| j.needs(done, segment_tasks))
         });
         let mut ended = Vec::new();
-        for (attempt, _) in ripe.ended {
-            let Some(end) = ended_as(desk, &attempt, cache) else {
+        for (attempt, _) in unwritten.ended {
+            let Some(end) = attempt_outcome(tracker, &attempt, cache) else {
                 continue;
             };
             let job = cache.jobs.get(&attempt.task.job);
@@ -139,24 +148,30 @@
             record.remove(&attempt);
             ended.push((attempt, end));
         }
-        add_incoming(desk, &mut record, &mut txn, self.value_bytes, self.txn_ops);
-        if record.size() > self.value_bytes && desk.too_large {
+        add_incoming(
+            tracker,
+            &mut record,
+            &mut txn,
+            self.value_bytes,
+            self.txn_ops,
+        );
+        if record.size() > self.value_bytes && tracker.too_large {
             // It gets smaller with more ends.
-            desk.retry_at = now + TXN_RETRY;
+            tracker.retry_at = now + TXN_RETRY_DELAY;
             return false;
         }
-        desk.too_large = false;
+        tracker.too_large = false;
         let placed = |attempt: &TaskAttempt| record.holds(attempt);
-        desk.fresh.retain(placed);
-        let touch = desk.uncertain.is_some() && !desk.rejected.is_empty();
+        tracker.launchable.retain(placed);
+        let touch = tracker.uncertain.is_some() && !tracker.rejected.is_empty();
         if record == machine.record && !touch {
             return false;
         }
         txn.put(keys::machine(id), &record, None);
-        desk.txn = Some(PendingTxn {
+        tracker.txn = Some(PendingTxn {
             record,
             ended,
-            fence: desk.fence,
+            fence: tracker.fence,
         });
         out.push(Effect::Txn {
             machine: id.clone(),
@@ -168,7 +183,7 @@
 
 /// Adds what was allotted to a machine's record, as far as it fits. What does not is given back.
 fn add_incoming(
-    desk: &mut Desk,
+    tracker: &mut MachineTracker,
     record: &mut MachineRecord,
     txn: &mut Txn,
     value_bytes: usize,
@@ -176,7 +191,7 @@
 ) {
     let mut jobs_added = BTreeSet::new();
     let mut too_large = BTreeSet::new();
-    for incoming in &desk.incoming {
+    for incoming in &tracker.incoming {
         let job = &incoming.attempt.task.job;
         if !jobs_added.contains(job) && txn.conditions.len() + 1 > 4 * txn_ops {
             break;
@@ -190,24 +205,24 @@
             txn.require(keys::job(job), incoming.job_revision);
         }
         record.add(&incoming.attempt, &incoming.spec);
-        desk.fresh.insert(incoming.attempt.clone());
+        tracker.launchable.insert(incoming.attempt.clone());
     }
-    desk.incoming.retain(|i| !too_large.contains(&i.attempt));
-    desk.rejected.extend(too_large);
+    tracker.incoming.retain(|i| !too_large.contains(&i.attempt));
+    tracker.rejected.extend(too_large);
 }
 
 /// How a placement has ended, once that is proved.
-pub(super) fn ended_as(
-    desk: &Desk,
+pub(super) fn attempt_outcome(
+    tracker: &MachineTracker,
     attempt: &TaskAttempt,
     cache: &WatchCache,
 ) -> Option<AttemptOutcome> {
-    match desk.presence(attempt) {
-        Presence::Exited(ExitReason::Done) => Some(AttemptOutcome::Done),
-        Presence::Exited(exit_reason) => Some(AttemptOutcome::Exited(exit_reason)),
-        Presence::Absent
-            if desk.stops.contains_key(attempt)
-                || !desk.fresh.contains(attempt)
+    match tracker.presence(attempt) {
+        TaskPresence::Exited(ExitReason::Done) => Some(AttemptOutcome::Done),
+        TaskPresence::Exited(exit_reason) => Some(AttemptOutcome::Exited(exit_reason)),
+        TaskPresence::Absent
+            if tracker.stops.contains_key(attempt)
+                || !tracker.launchable.contains(attempt)
                 || !cache.jobs.contains_key(&attempt.task.job) =>
         {
             Some(AttemptOutcome::Absent)
@@ -217,34 +232,35 @@
 }
 
 /// What a record lacks, if anything, and how much it is worth to write it.
-pub(super) fn ripe(
-    desk: &Desk,
+pub(super) fn unwritten(
+    tracker: &MachineTracker,
     machine: &LiveMachine,
     cache: &WatchCache,
     touch: bool,
     now: MonotonicTime,
-) -> Option<Ripe> {
-    let mut ripe = Ripe {
-        since: desk.ripe.as_ref().map_or(now, |r| r.since),
-        incoming: desk.incoming.len(),
+) -> Option<UnwrittenChanges> {
+    let mut unwritten = UnwrittenChanges {
+        since: tracker.unwritten.as_ref().map_or(now, |r| r.since),
+        incoming: tracker.incoming.len(),
         ended: Vec::new(),
         freed: Resources::default(),
         idle: false,
         urgent: touch,
     };
     let waited_for = |kind: JobKind| kind != JobKind::Array;
-    ripe.urgent |= desk.incoming.iter().any(|i| waited_for(i.spec.kind));
+    unwritten.urgent |= tracker.incoming.iter().any(|i| waited_for(i.spec.kind));
     for (attempt, placed) in machine.record.runs() {
-        let Some(end) = ended_as(desk, &attempt, cache) else {
+        let Some(end) = attempt_outcome(tracker, &attempt, cache) else {
             continue;
         };
-        ripe.freed = ripe.freed + placed.need;
+        unwritten.freed = unwritten.freed + placed.need;
         if let Some(job) = cache.jobs.get(&attempt.task.job) {
             // A failure waits to be tried elsewhere.
-            ripe.urgent |= waited_for(job.spec.kind) || end != AttemptOutcome::Done;
+            unwritten.urgent |= waited_for(job.spec.kind) || end != AttemptOutcome::Done;
         }
-        ripe.ended.push((attempt, end == AttemptOutcome::Done));
+        unwritten.ended.push((attempt, end == AttemptOutcome::Done));
     }
-    ripe.idle = ripe.incoming == 0 && ripe.ended.len() == machine.record.runs().count();
-    (touch || ripe.incoming > 0 || !ripe.ended.is_empty()).then_some(ripe)
+    unwritten.idle =
+        unwritten.incoming == 0 && unwritten.ended.len() == machine.record.runs().count();
+    (touch || unwritten.incoming > 0 || !unwritten.ended.is_empty()).then_some(unwritten)
 }
