--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -2,4 +2,4 @@
 
 mod settings;
 
-pub use settings::Settings;
+pub(crate) use settings::Settings;
--- a/src/admin/settings.rs
+++ b/src/admin/settings.rs
@@ -1,5 +1,5 @@
-//! The operators' own settings: kept in the state service, changed through the API only, and
-//! taken up by every controller as the mirror brings them.
+//! The operators' own settings: kept in the key-value store, changed through the API only, and
+//! taken up by every controller as the watch cache brings them.
 
 use crate::ids::Millis;
 use serde::{Deserialize, Serialize};
@@ -7,14 +7,14 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Settings {
+pub(crate) struct Settings {
     /// Which of a pipeline's samples predicts its next run: 0.5 is the median.
     pub percentile: f64,
     /// Most jobs of one pipeline in a new placement group.
     pub group_cap: u32,
     /// Samples of a machine type that a prediction or a step-down needs.
     pub sample_count: u32,
-    /// Life of a controller's grant, and so of its blocks' leases.
+    /// Life of a controller's lease, and so of its shards' leases.
     pub lease_s: f64,
     /// How long a machine may be silent, answering no probe either, before it is given up.
     pub silent_s: f64,
@@ -54,7 +54,7 @@
 
 impl Settings {
     /// Applies a change. A bad one names its field and changes nothing.
-    pub fn change(&self, change: &Value) -> Result<Self, String> {
+    pub(crate) fn change(&self, change: &Value) -> Result<Self, String> {
         let Value::Object(change) = change else {
             return Err("the body must be a JSON object of settings".into());
         };
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    pub fn lease(&self) -> Millis {
+    pub(crate) fn lease(&self) -> Millis {
         Millis::from_secs(self.lease_s)
     }
 }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -2,7 +2,7 @@
 
 mod decision;
 
-pub use decision::{
+pub(crate) use decision::{
     CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache, new_job,
 };
 
@@ -65,7 +65,7 @@
         retry_later("the jobs that it names are changing")
     }
 
-    /// Looks all named jobs up. What the mirror shows of those that have `changed` is known to be
+    /// Looks all named jobs up. What the watch cache shows of those that have `changed` is known to be
     /// old.
     async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> Dependencies {
         let mut dependency_state = Vec::new();
@@ -119,7 +119,7 @@
                     let mut controller = self.controller.borrow_mut();
                     controller.dependents_cancelled(&jobs, at);
                 }
-                // Released, cancelled by others, or the mirror is behind.
+                // Released, cancelled by others, or the watch cache is behind.
                 TxnOutcome::Failed(..) => runtime::sleep(POLL_INTERVAL).await,
                 TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => return false,
             }
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -17,7 +17,7 @@
 
 /// How one of the named jobs stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DependencyState {
+pub(crate) enum DependencyState {
     /// Accepted and not over.
     Live {
         kind: JobKind,
@@ -31,7 +31,7 @@
 
 /// What a submission amounts to, by the jobs that it names.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Dependencies {
+pub(crate) enum Dependencies {
     /// These are not over, at these revisions.
     Open(Vec<(JobId, Revision)>),
     Done,
@@ -44,7 +44,7 @@
 impl Dependencies {
     /// Sums up how the jobs stand that `job` names. What is refused for good comes first, then
     /// what is not known.
-    pub fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
+    pub(crate) fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
         let (mut open, mut unknown, mut cancelled) = (Vec::new(), false, false);
         for (id, state) in named {
             if id == *job {
@@ -75,9 +75,14 @@
     ///
     /// A job that needs a cancelled one is accepted as cancelled. One that waits is accepted on the
     /// condition that the jobs it waits for stand as they were found, so whoever cancels one of
-    /// these finds, once the mirror has come up to that change, every job that needs it. Of a very
+    /// these finds, once the watch cache has come up to that change, every job that needs it. Of a very
     /// long list only the first are checked there; the leader finds out about the others.
-    pub fn accept(&self, spec: &JobSpec, now: UnixTime, max_ops: usize) -> Option<(Txn, JobState)> {
+    pub(crate) fn accept(
+        &self,
+        spec: &JobSpec,
+        now: UnixTime,
+        max_ops: usize,
+    ) -> Option<(Txn, JobState)> {
         let mut txn = new_job(&spec.id);
         let open = match self {
             Self::Refused(_) | Self::Unknown => return None,
@@ -104,15 +109,15 @@
 }
 
 /// The conditions under which a job is accepted: it is not known yet.
-pub fn new_job(id: &JobId) -> Txn {
+pub(crate) fn new_job(id: &JobId) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
     txn.require(keys::final_state(id), Revision(0));
     txn
 }
 
-/// How a job stands that the mirror shows. That one is missing there proves nothing.
-pub fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
+/// How a job stands that the watch cache shows. That one is missing there proves nothing.
+pub(crate) fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
     Some(DependencyState::Live {
         kind: cache.job_spec(id)?.kind,
         revision: cache.job_revision(id)?,
@@ -121,7 +126,7 @@
 
 /// The cancellation of everything that needs a job, step by step.
 #[derive(Debug)]
-pub struct CancellationCascade {
+pub(crate) struct CancellationCascade {
     cancelled: Vec<JobId>,
     /// The last change that cancelled any of them.
     revision: Revision,
@@ -129,17 +134,17 @@
 
 /// What the cascade needs next.
 #[derive(Debug)]
-pub enum CascadeStep {
+pub(crate) enum CascadeStep {
     /// All that need the job are cancelled.
     Complete,
-    /// The mirror has to come up to what was written.
+    /// The watch cache has to come up to what was written.
     Wait,
     Write(Txn, Vec<JobId>),
 }
 
 impl CancellationCascade {
     /// `revision`: the change that cancelled the job.
-    pub fn new(job: &JobId, revision: Revision) -> Self {
+    pub(crate) fn new(job: &JobId, revision: Revision) -> Self {
         Self {
             cancelled: vec![job.clone()],
             revision,
@@ -147,8 +152,8 @@
     }
 
     /// No job that needs a cancelled one is accepted as waiting after the change that cancelled it,
-    /// and the mirror shows all that were before, once it has come up to that change.
-    pub fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
+    /// and the watch cache shows all that were before, once it has come up to that change.
+    pub(crate) fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
         let mut cancelled = self.cancelled.iter();
         let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
         let found = self.cancelled.iter();
@@ -162,7 +167,7 @@
         }
     }
 
-    pub fn committed(&mut self, revision: Revision) {
+    pub(crate) fn committed(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 }
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -1,4 +1,4 @@
-//! Submissions that name other jobs, over HTTP against a stand-in of the state service.
+//! Submissions that name other jobs, over HTTP against a stand-in of the key-value store.
 
 use crate::api::JobApi;
 use crate::api::job_api::tests::{Scene, body, stand};
@@ -28,7 +28,7 @@
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         let job_api = body("job-2", |b| b["shape"] = json!("daemon"));
         assert_eq!(api.submit(&job_api).await.status, 201);
-        // At the controller that accepted them, and at one whose mirror shows them.
+        // At the controller that accepted them, and at one whose watch cache shows them.
         let (other, _asked_there) = scene.api(true);
         scene.catch_up(&other);
         for (n, api) in [&api, &other].into_iter().enumerate() {
@@ -175,7 +175,7 @@
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         assert_eq!(submit(&api, "job-2", json!(["job-1"])).await.status, 201);
         assert_eq!(submit(&api, "job-3", json!(["job-2"])).await.status, 201);
-        // Its mirror has not come up to the cancellation: it can't know of all that need the job.
+        // Its watch cache has not come up to the cancellation: it can't know of all that need the job.
         assert_eq!(api.cancel("job-1").await.status, 503);
         assert!(scene.state.borrow().keys.contains_key("live/job/job-2"));
         scene.catch_up(&api);
--- a/src/api/final_state.rs
+++ b/src/api/final_state.rs
@@ -9,7 +9,7 @@
 
 /// How a job ended, and whether its user may be told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FinalState {
+pub(super) struct FinalState {
     pub record: FinalRecord,
     pub revision: Revision,
     /// Its tasks are proved gone; always so for jobs that are done.
@@ -17,17 +17,17 @@
 }
 
 #[derive(Default)]
-pub struct FinalStateCache {
+pub(super) struct FinalStateCache {
     known: BTreeMap<JobId, FinalState>,
     order: VecDeque<JobId>,
 }
 
 impl FinalStateCache {
-    pub fn get(&self, id: &JobId) -> Option<FinalState> {
+    pub(super) fn get(&self, id: &JobId) -> Option<FinalState> {
         self.known.get(id).copied()
     }
 
-    pub fn put(&mut self, id: &JobId, final_state: FinalState) {
+    pub(super) fn put(&mut self, id: &JobId, final_state: FinalState) {
         if self.known.insert(id.clone(), final_state).is_none() {
             self.order.push_back(id.clone());
         }
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -1,4 +1,4 @@
-//! Submissions, polls and withdrawals, each decided by the state service.
+//! Submissions, polls and cancellations, each decided by the key-value store.
 
 use super::dependencies::new_job;
 use super::final_state::{FinalState, FinalStateCache};
@@ -21,7 +21,7 @@
 /// Short, since what stands in the way is mostly over in a second or two.
 const RETRY_AFTER_S: u32 = 1;
 
-pub struct JobApi {
+pub(crate) struct JobApi {
     pub(super) config: Config,
     pub(super) store: Rc<Store>,
     pub(super) controller: Rc<RefCell<Controller>>,
@@ -31,7 +31,7 @@
 }
 
 /// A cancellation that is committed, whose tasks have to be gone before its user is told.
-pub struct Cancellation {
+pub(crate) struct Cancellation {
     pub job: JobId,
     pub revision: Revision,
     /// When its transaction was sent, if by this controller.
@@ -40,7 +40,7 @@
     pub settled: Sender<bool>,
 }
 
-/// Where a job stands, as checked against the state service.
+/// Where a job stands, as checked against the key-value store.
 pub(super) enum JobLookup {
     Live(Item),
     Over(FinalState),
@@ -117,7 +117,7 @@
 
 impl JobApi {
     /// `cancellations`: what is to be told to the other controllers, and answered.
-    pub fn new(
+    pub(crate) fn new(
         config: &Config,
         store: Rc<Store>,
         controller: Rc<RefCell<Controller>>,
@@ -134,7 +134,7 @@
         }
     }
 
-    pub async fn submit(&self, body: &[u8]) -> Response {
+    pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
             Err(message) => return self.malformed(body, &message).await,
@@ -198,7 +198,7 @@
         }
     }
 
-    pub async fn poll(&self, id: &str) -> Response {
+    pub(crate) async fn poll(&self, id: &str) -> Response {
         if !valid_job_id(id) {
             return Response::error(404, "no such job");
         }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Counts are for display: they are the mirror's.
+    /// Counts are for display: they are the watch cache's.
     fn live_status(&self, id: &JobId) -> Response {
         let controller = self.controller.borrow();
         let (done, running) = controller.cache.jobs.get(id).map_or((0, 0), |j| {
@@ -332,14 +332,14 @@
     }
 
     /// How a job that is over has ended, if that can be read now.
-    pub async fn final_outcome(&self, id: &JobId) -> Option<JobState> {
+    pub(crate) async fn final_outcome(&self, id: &JobId) -> Option<JobState> {
         match self.cached_final_state(id) {
             Some(final_state) => Some(final_state.record.state),
             None => Some(self.read_final_state(id).await.ok()??.record.state),
         }
     }
 
-    pub async fn cancel(&self, id: &str) -> Response {
+    pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !valid_job_id(id) {
             return Response::error(404, "no such job");
         }
@@ -383,4 +383,4 @@
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/api/job_api/tests.rs
+++ b/src/api/job_api/tests.rs
@@ -57,9 +57,9 @@
     assert!(apart(JobKind::Array).is_none());
 }
 
-/// A state service that holds a few keys: enough for what the intake asks of it.
+/// A key-value store that holds a few keys: enough for what the intake asks of it.
 #[derive(Default)]
-pub struct StandIn {
+pub(crate) struct StandIn {
     pub keys: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
     pub away: bool,
@@ -108,14 +108,14 @@
     }
 }
 
-pub struct Scene {
+pub(crate) struct Scene {
     pub state: Rc<RefCell<StandIn>>,
     addr: SocketAddr,
     _served: Scope,
 }
 
 impl Scene {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
         let state = Rc::new(RefCell::new(StandIn::default()));
@@ -132,9 +132,9 @@
         }
     }
 
-    /// The intake of a controller that has just started: its mirror knows of no job, and of the
+    /// The intake of a controller that has just started: its watch cache knows of no job, and of the
     /// machine types only if it is told.
-    pub fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
+    pub(crate) fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let mut limits = config.state;
         limits.rates.requests = 1e4;
@@ -160,8 +160,8 @@
 }
 
 impl Scene {
-    /// Brings a controller's mirror up to what the state service holds, as the stream does.
-    pub fn catch_up(&self, api: &JobApi) {
+    /// Brings a controller's watch cache up to what the key-value store holds, as the stream does.
+    pub(crate) fn catch_up(&self, api: &JobApi) {
         let state = self.state.borrow();
         let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
         let mut cache = WatchCache::new(&api.config);
@@ -181,13 +181,13 @@
     }
 }
 
-pub fn body(id: &str, change: impl Fn(&mut Value)) -> Vec<u8> {
+pub(crate) fn body(id: &str, change: impl Fn(&mut Value)) -> Vec<u8> {
     let mut body = crate::protocol::tests::submission(id);
     change(&mut body);
     body.to_string().into_bytes()
 }
 
-pub fn stand(response: &Response) -> (u16, String) {
+pub(crate) fn stand(response: &Response) -> (u16, String) {
     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let standing = body["standing"].as_str().unwrap_or_default();
     (response.status, standing.to_owned())
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! The users' side: submissions, polls, withdrawals. Any controller serves it.
+//! The users' side: submissions, polls, cancellations. Any controller serves it.
 
-pub mod dependencies;
+pub(crate) mod dependencies;
 mod final_state;
 mod job_api;
 mod revision_check;
 
-pub use job_api::{Cancellation, JobApi};
+pub(crate) use job_api::{Cancellation, JobApi};
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -1,4 +1,4 @@
-//! Checks in bulk that jobs are still as the mirror shows them: a transaction that only compares
+//! Checks in bulk that jobs are still as the watch cache shows them: a transaction that only compares
 //! covers many polls with one request.
 
 use crate::ids::{JobId, Revision};
@@ -18,7 +18,7 @@
 const MAX_QUEUED_QUERIES: usize = 4000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RevisionStatus {
+pub(super) enum RevisionStatus {
     Unchanged,
     Changed,
     Unknown,
@@ -30,12 +30,12 @@
     answer: Sender<RevisionStatus>,
 }
 
-pub struct RevisionChecker {
+pub(super) struct RevisionChecker {
     queue: Sender<RevisionQuery>,
 }
 
 impl RevisionChecker {
-    pub fn start(store: Rc<Store>, most: usize) -> Self {
+    pub(super) fn start(store: Rc<Store>, most: usize) -> Self {
         let (queue, mut queries) = channel::<RevisionQuery>();
         runtime::spawn(async move {
             while let Some(first) = queries.recv().await {
@@ -54,7 +54,7 @@
         Self { queue }
     }
 
-    pub async fn check_revision(&self, job: &JobId, revision: Revision) -> RevisionStatus {
+    pub(super) async fn check_revision(&self, job: &JobId, revision: Revision) -> RevisionStatus {
         if self.queue.backlog() >= MAX_QUEUED_QUERIES {
             return RevisionStatus::Unknown;
         }
--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -6,13 +6,13 @@
 
 /// Names a round among those of one controller's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RoundId(pub u64);
+pub(crate) struct RoundId(pub u64);
 
-/// What the mirror of the controller that asks shows.
+/// What the watch cache of the controller that asks shows.
 #[derive(Debug)]
-pub struct CacheView {
+pub(crate) struct CacheView {
     pub revision: Revision,
-    /// The blocks with machines on whose records the job stands, and the fence of each, if it is
+    /// The shards with machines on whose records the job stands, and the fence of each, if it is
     /// held at present.
     pub machines_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
@@ -27,13 +27,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct CancellationRounds {
+pub(crate) struct CancellationRounds {
     next: u64,
     open: BTreeMap<RoundId, CancellationRound>,
 }
 
 impl CancellationRounds {
-    pub fn open(&mut self, job: &JobId, cancelled: Revision) -> RoundId {
+    pub(crate) fn open(&mut self, job: &JobId, cancelled: Revision) -> RoundId {
         self.next += 1;
         let id = RoundId(self.next);
         let round = CancellationRound {
@@ -45,20 +45,20 @@
         id
     }
 
-    pub fn close(&mut self, id: RoundId) {
+    pub(crate) fn close(&mut self, id: RoundId) {
         self.open.remove(&id);
     }
 
     /// The job, and the change that cancelled it.
-    pub fn pending_cancellation(&self, id: RoundId) -> Option<(&JobId, Revision)> {
+    pub(crate) fn pending_cancellation(&self, id: RoundId) -> Option<(&JobId, Revision)> {
         self.open.get(&id).map(|r| (&r.job, r.cancelled))
     }
 
-    /// `from` knows of the cancellation. It names the blocks that it holds, with their fences, in
+    /// `from` knows of the cancellation. It names the shards that it holds, with their fences, in
     /// which all of the job's tasks are proved gone: they never start again, so an answer can only
     /// gain by a later one. One to an earlier life of this process may name another job under the
     /// same number.
-    pub fn on_acknowledged(
+    pub(crate) fn on_acknowledged(
         &mut self,
         id: RoundId,
         job: &JobId,
@@ -75,9 +75,9 @@
     }
 
     /// Whether all tasks are gone. After the cancellation nothing more of the job is committed, so
-    /// a mirror that has come so far shows every block in which any of it can be; and whoever
-    /// holds such a block under that record, or a later one, has seen all that was placed there.
-    pub fn is_settled(&self, id: RoundId, view: &CacheView) -> bool {
+    /// a watch cache that has come so far shows every shard in which any of it can be; and whoever
+    /// holds such a shard under that record, or a later one, has seen all that was placed there.
+    pub(crate) fn is_settled(&self, id: RoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
         };
--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -2,8 +2,8 @@
 //! ends only with its machine: a controller inside a cut-off zone goes on answering its workers,
 //! so their leases never run out (hunt 7f89873a: `ran_cancelled`, 46 s after the cancellation).
 //!
-//! That a job is gone from the mirror does not say how it ended, and most end done; deleting
-//! machines for those would throw away healthy work. So the state service is asked first.
+//! That a job is gone from the watch cache does not say how it ended, and most end done; deleting
+//! machines for those would throw away healthy work. So the key-value store is asked first.
 
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime, TaskAttempt};
 use crate::protocol::JobState;
@@ -27,14 +27,14 @@
 /// Jobs that are over and still have tasks on record, since when, and how they ended. Every
 /// controller keeps it, so that the next leader knows the times as well.
 #[derive(Debug, Default)]
-pub struct CancellationDeadlines {
+pub(crate) struct CancellationDeadlines {
     ended: BTreeMap<JobId, EndedJob>,
     begun: bool,
 }
 
 /// What the leader does about them.
 #[derive(Debug, Default)]
-pub struct Due {
+pub(crate) struct Due {
     /// How these jobs ended has to be read.
     pub ask: Vec<JobId>,
     /// These machines have to go: their deletion is the proof.
@@ -43,7 +43,7 @@
 
 impl CancellationDeadlines {
     /// Notes which jobs are over. A process that has just begun can't know for how long.
-    pub fn scan(&mut self, now: MonotonicTime, cache: &WatchCache) {
+    pub(crate) fn scan(&mut self, now: MonotonicTime, cache: &WatchCache) {
         let since = self.begun.then_some(now);
         self.begun = true;
         let groups = cache.machines.values().flat_map(|m| &m.record.jobs);
@@ -65,7 +65,7 @@
     }
 
     /// A job was cancelled so long ago: known for certain, with no need to ask.
-    pub fn cancelled(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
+    pub(crate) fn cancelled(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
         let at = MonotonicTime(now.0.saturating_sub(age.0));
         let ended = self.ended.entry(job.clone()).or_insert(EndedJob {
             since: None,
@@ -77,13 +77,13 @@
     }
 
     /// How long ago a job was cancelled, if it is known and has tasks on record.
-    pub fn age(&self, now: MonotonicTime, job: &JobId) -> Option<Millis> {
+    pub(crate) fn age(&self, now: MonotonicTime, job: &JobId) -> Option<Millis> {
         let ended = self.ended.get(job)?;
         let cancelled = ended.state == Some(JobState::Cancelled);
         ended.since.filter(|_| cancelled).map(|at| now.since(at))
     }
 
-    pub fn record_outcome(&mut self, job: &JobId, state: JobState) {
+    pub(crate) fn record_outcome(&mut self, job: &JobId, state: JobState) {
         if let Some(ended) = self.ended.get_mut(job) {
             ended.state = Some(state);
         }
@@ -91,7 +91,7 @@
 
     /// The machines on which a cancelled job's time runs out, out of those that have been `silent`
     /// for so long that no command can be hoped to arrive, without the tasks that are `freed`.
-    pub fn due(
+    pub(crate) fn due(
         &mut self,
         now: MonotonicTime,
         cancel: Millis,
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,28 +1,28 @@
 //! The decision compared with a slow plain model, over all orders in which the others' answers,
-//! the mirror's changes and a change of holder can come.
+//! the watch cache's changes and a change of shard owner can come.
 
 use super::{CacheView, CancellationRounds};
 use crate::ids::{JobId, Member, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BLOCK: ShardId = ShardId(1);
-/// The block is leased to `c1`, and by a later record to `c2`.
+/// The shard is leased to `c1`, and by a later record to `c2`.
 const FIRST: Revision = Revision(5);
 const LATER: Revision = Revision(20);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    /// The asking controller's mirror comes up to the cancellation.
+    /// The asking controller's watch cache comes up to the cancellation.
     Mirror,
-    /// It comes up to the block's next holder.
+    /// It comes up to the shard's next shard owner.
     Moved,
-    /// The job's last record in the block goes, and the mirror shows it when it has come so far.
+    /// The job's last record in the shard goes, and the watch cache shows it when it has come so far.
     Cleared,
-    /// The first holder has proved gone what it placed.
+    /// The first shard owner has proved gone what it placed.
     First,
-    /// The later holder knows of the cancellation, and has proved nothing yet.
+    /// The later shard owner knows of the cancellation, and has proved nothing yet.
     Later,
-    /// The later holder has proved gone whatever stands there.
+    /// The later shard owner has proved gone whatever stands there.
     Proved,
 }
 
@@ -55,8 +55,8 @@
     all
 }
 
-/// Plain enumeration of what is there: a task that the first holder placed, and one that the later
-/// holder placed, if it held the block before the cancellation.
+/// Plain enumeration of what is there: a task that the first shard owner placed, and one that the later
+/// shard owner placed, if it held the shard before the cancellation.
 fn all_gone(done: &BTreeSet<Step>, moved_before: bool) -> bool {
     let happened = |s| done.contains(&s);
     let everything = happened(Step::Proved) || happened(Step::Cleared);
@@ -65,8 +65,8 @@
     first && later
 }
 
-/// `moved_before`: the block changed hands before the cancellation, and the asking controller's
-/// mirror may not know it yet.
+/// `moved_before`: the shard changed hands before the cancellation, and the asking controller's
+/// watch cache may not know it yet.
 fn play(order: &[Step], moved_before: bool) -> usize {
     let cancelled = if moved_before {
         Revision(30)
@@ -148,7 +148,7 @@
     assert!(!rounds.is_settled(round, &view));
 }
 
-/// A block that nobody holds at present: whoever held it may still answer its machines.
+/// A shard that nobody holds at present: whoever held it may still answer its machines.
 #[test]
 fn shard_without_an_owner_is_not_settled() {
     let mut rounds = CancellationRounds::default();
--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -13,7 +13,7 @@
 const WINDOW: Millis = Millis(60_000);
 
 #[derive(Debug, Default)]
-pub struct ArrivalRate {
+pub(super) struct ArrivalRate {
     /// Arrays of the window, those that are over by now as well: when, and their CPU seconds.
     came: BTreeMap<JobId, (UnixTime, f64)>,
     /// How far back it has seen all that came.
@@ -22,7 +22,7 @@
 
 impl ArrivalRate {
     /// Notes what has come. Whoever has just begun to lead knows only what is unfinished.
-    pub fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
+    pub(super) fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
         let since = *self.since.get_or_insert(now);
         let old = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
         self.came.retain(|_, (at, _)| !old(*at));
@@ -43,7 +43,7 @@
     }
 
     /// The CPUs that keep up with it; nothing is said before the window has been seen in full.
-    pub fn cpus(&self, now: UnixTime) -> u64 {
+    pub(super) fn cpus(&self, now: UnixTime) -> u64 {
         let seen = self.since.map_or(0, |at| now.0.saturating_sub(at.0));
         if seen < WINDOW.0 {
             return 0;
@@ -52,7 +52,7 @@
         (work / WINDOW.secs()) as u64
     }
 
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
 }
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     Rent(RentRequest),
     Delete(Vec<MachineId>),
     List,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug)]
-pub enum RentOutcome {
+pub(crate) enum RentOutcome {
     Rented(Vec<MachineId>),
     NoCapacity,
     /// Refused for now, or no answer: the same request may be repeated.
@@ -57,7 +57,7 @@
     since: MonotonicTime,
 }
 
-pub struct Autoscaler {
+pub(crate) struct Autoscaler {
     config: Config,
     term: Revision,
     term_since: MonotonicTime,
@@ -81,7 +81,7 @@
     on_demand: u64,
     spare: u64,
     pub unix_time: UnixTime,
-    /// How many changes the state service takes in a second from all controllers.
+    /// How many changes the key-value store takes in a second from all controllers.
     pub change_rate: f64,
     next_list: MonotonicTime,
     listing: bool,
@@ -91,7 +91,7 @@
 }
 
 impl Autoscaler {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
             term: Revision(0),
@@ -121,7 +121,7 @@
         }
     }
 
-    pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
+    pub(crate) fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
         self.next_catalog = now
             + if catalog.is_some() {
                 CATALOG_INTERVAL
@@ -135,7 +135,7 @@
 
     /// The catalog to write, if the stored one is another; prices move all the time and are
     /// only stored along with a change of substance.
-    pub fn catalog_to_store(&self, cache: &WatchCache) -> Option<&Catalog> {
+    pub(crate) fn catalog_to_store(&self, cache: &WatchCache) -> Option<&Catalog> {
         let new = self.catalog.as_ref()?;
         let plain = |c: &Catalog| -> Vec<MachineType> {
             let strip = |t: &MachineType| MachineType {
@@ -152,7 +152,7 @@
         (!same).then_some(new)
     }
 
-    pub fn on_list(
+    pub(crate) fn on_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
@@ -183,7 +183,12 @@
         }
     }
 
-    pub fn on_rent(&mut self, now: MonotonicTime, request: &RentRequest, outcome: RentOutcome) {
+    pub(crate) fn on_rent(
+        &mut self,
+        now: MonotonicTime,
+        request: &RentRequest,
+        outcome: RentOutcome,
+    ) {
         let Some(at) = self
             .rentals
             .iter()
@@ -230,7 +235,7 @@
         }
     }
 
-    pub fn on_deleted(
+    pub(crate) fn on_deleted(
         &mut self,
         now: MonotonicTime,
         ids: &[MachineId],
@@ -263,7 +268,7 @@
         }
     }
 
-    pub fn step(
+    pub(crate) fn step(
         &mut self,
         now: MonotonicTime,
         term: Revision,
@@ -289,7 +294,7 @@
         self.decommission(now, silent);
         let needless = self.unused(now, cache, scheduler);
         self.decommission(now, needless);
-        // A record that came back with a late report, or whose removal failed, goes as well.
+        // A record that came back with a late heartbeat, or whose removal failed, goes as well.
         for id in self.deleted.keys() {
             if cache.machines.contains_key(id) {
                 out.push(Effect::DropRecord(id.clone()));
@@ -323,19 +328,19 @@
     }
 
     /// How long a machine may be silent before nothing is hoped for any more.
-    pub fn patience(&self, cache: &WatchCache) -> Millis {
+    pub(crate) fn patience(&self, cache: &WatchCache) -> Millis {
         Millis::from_secs(cache.settings().silent_s).max(
             self.config.heartbeat_interval + Millis(self.config.heartbeat_interval.0 / 4 + 2500),
         )
     }
 
     /// The cloud has answered its deletion.
-    pub fn is_deleted(&self, id: &MachineId) -> bool {
+    pub(crate) fn is_deleted(&self, id: &MachineId) -> bool {
         self.deleted.contains_key(id)
     }
 
     /// These machines are deleted, whatever else is thought of them.
-    pub fn decommission(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
+    pub(crate) fn decommission(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
         for id in machines {
             if !self.deleted.contains_key(&id) {
                 self.deleting.entry(id).or_insert(now);
@@ -343,7 +348,7 @@
         }
     }
 
-    pub fn booting(&self) -> usize {
+    pub(crate) fn booting(&self) -> usize {
         self.booting.len()
     }
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -39,7 +39,7 @@
             self.reclaim_leaving(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load, capacity = self.capacity, on_the_way = cpus(&incoming), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "fleet");
+        tracing::debug!(load = ?self.load, capacity = self.capacity, on_the_way = cpus(&incoming), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "autoscaler step");
         for unmet_demand in self.wanted(&incoming, cache, scheduler) {
             let left = lacking_tasks(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
             if !self.rent_machines_for(now, &unmet_demand, left, &mut incoming, &catalog, cache) {
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -26,7 +26,7 @@
     assert!(!quiet(20, 3, 1).is_owner_suspect((40, 0)), "a small fleet");
 }
 
-/// Found in an incident: while the state service was down, a machine that had gone silent
+/// Found in an incident: while the key-value store was down, a machine that had gone silent
 /// was deleted at every turn, since its record could not be removed.
 #[test]
 fn a_silent_machine_is_deleted_once_however_long_its_record_stays() {
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -36,7 +36,7 @@
     }
 
     /// Machines of which nothing has been heard for too long, but for those where it is rather
-    /// the holder that hears nothing.
+    /// the shard owner that hears nothing.
     fn silent(
         &self,
         now: MonotonicTime,
@@ -81,22 +81,22 @@
     }
 }
 
-/// What a holder says of its machines.
+/// What a shard owner says of its machines.
 #[derive(Debug, Default)]
 pub(super) struct OwnerSilence<'a> {
     pub count: usize,
-    /// A report of theirs should have come by now.
+    /// A heartbeat of theirs should have come by now.
     pub overdue: usize,
     /// Silent for so long that they would be given up.
     pub silent: Vec<&'a MachineId>,
 }
 
 impl OwnerSilence<'_> {
-    /// Whether it is rather the holder that hears nothing: most of its machines are silent, or far
-    /// more than of all others, `rest`, though blocks are dealt out over zones and types alike. The
+    /// Whether it is rather the shard owner that hears nothing: most of its machines are silent, or far
+    /// more than of all others, `rest`, though shards are dealt out over zones and types alike. The
     /// first of them are silent for long while the most have a moment left: what is overdue counts
     /// (Tramite fleet, apart: a hundred healthy machines were deleted before it was clear).
-    pub fn is_owner_suspect(&self, rest: (usize, usize)) -> bool {
+    pub(super) fn is_owner_suspect(&self, rest: (usize, usize)) -> bool {
         let most = self.silent.len() > 1.max(self.count / 2);
         let (others, overdue) = rest;
         // More than an eighth, and more than three times the others' part.
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -10,17 +10,17 @@
 
 /// CPUs, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub(super) struct Load {
     pub services: u64,
     pub arrays: u64,
 }
 
 impl Load {
-    pub fn total(self) -> u64 {
+    pub(super) fn total(self) -> u64 {
         self.services + self.arrays
     }
 
-    pub fn max(self, other: Self) -> Self {
+    pub(super) fn max(self, other: Self) -> Self {
         Self {
             services: self.services.max(other.services),
             arrays: self.arrays.max(other.arrays),
@@ -30,7 +30,7 @@
 
 /// An array's work that is left.
 #[derive(Clone, Copy, Debug)]
-pub struct Batch {
+pub(super) struct Batch {
     /// Seconds until it is due.
     pub due: f64,
     /// CPUs that it can use at once.
@@ -55,7 +55,7 @@
 
 /// The CPUs that are lacking beside `capacity`, when machines that are rented now help only
 /// after `boot` seconds.
-pub fn lacking(batches: &[Batch], capacity: f64, boot: f64) -> f64 {
+pub(super) fn lacking(batches: &[Batch], capacity: f64, boot: f64) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
@@ -69,7 +69,7 @@
 
 /// The CPUs that finish every batch in time when they are served in this order: the work up to
 /// each, spread over the time that is left for it. A guarantee may go before what is due sooner.
-pub fn required(batches: &[Batch]) -> f64 {
+pub(super) fn required(batches: &[Batch]) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
@@ -81,7 +81,7 @@
 
 /// How long a place is taken by one task of a job, on average, with the time until the next one.
 /// The image's fetch counts half: later tasks find it there.
-pub fn task_time(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
+pub(super) fn task_time(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
     let types = cache.catalog.iter().flat_map(|c| &c.value.types);
     let fetch = types
         .map(|t| t.fetch_gb_per_s)
@@ -103,7 +103,7 @@
 }
 
 /// The load, and the batches that it is made of.
-pub fn load(
+pub(super) fn load(
     unix_time: UnixTime,
     cache: &WatchCache,
     config: &Config,
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -6,4 +6,4 @@
 mod demand;
 mod slot_turnaround;
 
-pub use autoscaler::{Autoscaler, Effect, RentOutcome};
+pub(crate) use autoscaler::{Autoscaler, Effect, RentOutcome};
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -12,8 +12,8 @@
 /// The way there and back, where changes are plenty.
 const LEAST: f64 = 3.0;
 
-/// In seconds, on average. `changes`: what the state service takes in a second.
-pub fn turnaround_s(cache: &WatchCache, changes: f64) -> f64 {
+/// In seconds, on average. `changes`: what the key-value store takes in a second.
+pub(super) fn turnaround_s(cache: &WatchCache, changes: f64) -> f64 {
     let arrays = cache
         .jobs
         .values()
--- a/src/compatibility/old_records.rs
+++ b/src/compatibility/old_records.rs
@@ -5,19 +5,19 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Member {
+pub(super) struct Member {
     pub incarnation: u64,
     pub grant: u64,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Job {
+pub(super) struct Job {
     pub spec: JobSpec,
     pub accepted: u64,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct JobSpec {
+pub(super) struct JobSpec {
     pub id: String,
     pub docket: String,
     pub crew: String,
@@ -44,20 +44,20 @@
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Over {
+pub(super) struct Over {
     pub state: String,
     pub tasks: u32,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Need {
+pub(super) struct Need {
     pub cpus: u64,
     pub gpus: u64,
     pub memory: u64,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Placed {
+pub(super) struct Placed {
     pub job: String,
     pub team: String,
     pub need: Need,
@@ -66,13 +66,13 @@
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Done {
+pub(super) struct Done {
     pub job: String,
     pub ranges: Vec<(u32, u32)>,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Machine {
+pub(super) struct Machine {
     pub addr: String,
     pub type_name: String,
     pub zone: String,
@@ -83,10 +83,10 @@
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub struct Plan {
+pub(super) struct Plan {
     pub type_name: Option<String>,
     pub machines: Vec<String>,
     pub predicted_s: f64,
 }
 
-pub type Plans = BTreeMap<String, Plan>;
+pub(super) type Plans = BTreeMap<String, Plan>;
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-pub const JOB: &str = "job-000412";
+pub(super) const JOB: &str = "job-000412";
 
 fn run(index: u32) -> TaskAttempt {
     TaskAttempt {
@@ -32,7 +32,7 @@
 }
 
 /// A machine with running and finished tasks of one job.
-pub fn machine_record() -> MachineRecord {
+pub(super) fn machine_record() -> MachineRecord {
     let mut record = MachineRecord::new("10.1.0.232:9000", &"t8".into(), &"a".into(), true);
     let spec = crate::protocol::tests::spec(JOB);
     record.add(&run(2), &spec);
@@ -68,7 +68,7 @@
 }
 
 /// Every message, under the name of its variant.
-pub fn messages() -> Vec<(&'static str, Message)> {
+pub(super) fn messages() -> Vec<(&'static str, Message)> {
     let member = || Member::from("mooring-1");
     let job = || JobId::from(JOB);
     vec![
@@ -203,7 +203,7 @@
 }
 
 /// Every record but the controllers' own: that one names its version.
-pub fn records() -> Vec<(&'static str, Value)> {
+pub(super) fn records() -> Vec<(&'static str, Value)> {
     let leader = LeaderRecord {
         member: "mooring-1".into(),
         incarnation: Incarnation(12),
--- a/src/config.rs
+++ b/src/config.rs
@@ -3,8 +3,8 @@
 mod store_limits;
 mod team;
 
-pub use store_limits::{StateLimits, StateRates};
-pub use team::Team;
+pub(crate) use store_limits::{StateLimits, StateRates};
+pub(crate) use team::Team;
 
 use crate::ids::{Member, Millis, Pipeline, Resources, TeamId, Zone};
 use serde::Deserialize;
@@ -30,36 +30,36 @@
 
 #[derive(Debug, Clone)]
 pub struct Config {
-    pub member: Member,
-    pub zone: Zone,
-    pub listen: SocketAddr,
-    pub peer_listen: SocketAddr,
-    pub peers: BTreeMap<Member, SocketAddr>,
-    pub cloud_addr: SocketAddr,
-    pub state_addr: SocketAddr,
-    pub controllers: u32,
-    pub teams: BTreeMap<TeamId, Team>,
-    pub heartbeat_interval: Millis,
+    pub(crate) member: Member,
+    pub(crate) zone: Zone,
+    pub(crate) listen: SocketAddr,
+    pub(crate) peer_listen: SocketAddr,
+    pub(crate) peers: BTreeMap<Member, SocketAddr>,
+    pub(crate) cloud_addr: SocketAddr,
+    pub(crate) state_addr: SocketAddr,
+    pub(crate) controllers: u32,
+    pub(crate) teams: BTreeMap<TeamId, Team>,
+    pub(crate) heartbeat_interval: Millis,
     /// Without an answer for so long a worker drops its tasks.
-    pub worker_lease: Millis,
-    pub gang_wait: Millis,
+    pub(crate) worker_lease: Millis,
+    pub(crate) gang_wait: Millis,
     /// Within this time all tasks of a cancelled job must be gone.
-    pub cancel: Millis,
+    pub(crate) cancel: Millis,
     /// How long work within a guarantee waits before room is made for it: half of what the
     /// operators are held to.
-    pub guarantee_patience: Millis,
+    pub(crate) guarantee_patience: Millis,
     /// Within this time the operators want the jobs of a pipeline done: the shortest of their
     /// objectives for it.
-    pub finish_within: BTreeMap<Pipeline, Millis>,
-    pub state: StateLimits,
-    pub cloud_rps: f64,
-    pub list_lag: Millis,
-    pub sockets: usize,
-    /// The largest answer of the state service that is read at once.
-    pub answer_bytes: usize,
+    pub(crate) finish_within: BTreeMap<Pipeline, Millis>,
+    pub(crate) state: StateLimits,
+    pub(crate) cloud_rps: f64,
+    pub(crate) list_lag: Millis,
+    pub(crate) sockets: usize,
+    /// The largest answer of the key-value store that is read at once.
+    pub(crate) answer_bytes: usize,
 }
 
-/// A page of the state service's lists, in full and with room for what it is wrapped in.
+/// A page of the key-value store's lists, in full and with room for what it is wrapped in.
 const PAGE: f64 = 1024.0 * 1024.0;
 /// Parsed, an answer takes several times its size; that must stay a small part of the memory.
 const ANSWER_PART: f64 = 1.0 / 32.0;
@@ -289,18 +289,18 @@
         })
     }
 
-    /// Two blocks for each controller: when one ends, its machines spread over the others.
-    pub fn shards(&self) -> u32 {
+    /// Two shards for each controller: when one ends, its machines spread over the others.
+    pub(crate) fn shards(&self) -> u32 {
         self.controllers * 2
     }
 
     /// Tasks in one record of a completion counter: four fit into a byte of it, and the rest
     /// of the value is left free. The same for all versions of the program, whatever limits come
     /// later: the numbering of what is stored rests on it.
-    pub fn segment_tasks(&self) -> u32 {
+    pub(crate) fn segment_tasks(&self) -> u32 {
         (self.state.present_value_bytes as u32).clamp(1024, 65_536)
     }
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -1,9 +1,9 @@
-//! The limits of the state service: those in force, and those that will be at some later moment.
+//! The limits of the key-value store: those in force, and those that will be at some later moment.
 
 use super::{Error, invalid, positive};
 use serde::Deserialize;
 
-/// A transaction needs room for a block's or a job's records and what goes with them.
+/// A transaction needs room for a shard's or a job's records and what goes with them.
 const LEAST_OPERATIONS: usize = 4;
 /// Below this a record of a job or a machine may not fit.
 const LEAST_VALUE_KB: f64 = 1.0;
@@ -27,9 +27,9 @@
     txn_ops: Option<usize>,
 }
 
-/// What the state service takes in a second.
+/// What the key-value store takes in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StateRates {
+pub(crate) struct StateRates {
     pub requests: f64,
     pub changes: f64,
 }
@@ -43,11 +43,11 @@
     }
 }
 
-/// What may be asked of the state service, now and later. The moment of the change is not
+/// What may be asked of the key-value store, now and later. The moment of the change is not
 /// announced: sizes keep to the smaller limits from the start, while rates follow the larger ones
 /// until the service refuses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StateLimits {
+pub(crate) struct StateLimits {
     /// The largest value and transaction that both the present and the later limits take.
     pub value_bytes: usize,
     pub txn_ops: usize,
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -6,7 +6,7 @@
 /// kind. Without a guarantee of a kind, what a job takes of that kind does not count: a guarantee
 /// in cards is not broken by the CPUs that tasks with cards need as well.
 #[derive(Debug, Clone)]
-pub struct Team {
+pub(crate) struct Team {
     guarantee: [Option<u64>; 2],
     limit: [Option<u64>; 2],
 }
@@ -22,7 +22,7 @@
 
 impl Team {
     /// A value of 0 means none.
-    pub fn new(guarantee: Resources, limit: Resources) -> Self {
+    pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
             guarantee: above_zero(guarantee),
             limit: above_zero(limit),
@@ -30,7 +30,7 @@
     }
 
     /// What it may use; all there is of a kind without a limit.
-    pub fn limit(&self) -> Resources {
+    pub(crate) fn limit(&self) -> Resources {
         let [cpus, gpus] = self.limit.map(|l| l.unwrap_or(u64::MAX));
         Resources {
             cpus,
@@ -40,20 +40,20 @@
     }
 
     /// Whether the guarantee speaks of anything that a task takes.
-    pub fn guarantees(&self, need: Resources) -> bool {
+    pub(crate) fn guarantees(&self, need: Resources) -> bool {
         let named = self.guarantee.iter().zip(kinds(need));
         named.into_iter().any(|(g, need)| g.is_some() && need > 0)
     }
 
     /// Whether a use goes beyond the guarantee in any kind, those that it does not speak of
     /// included.
-    pub fn is_exceeded(&self, used: Resources) -> bool {
+    pub(crate) fn is_exceeded(&self, used: Resources) -> bool {
         let each = self.guarantee.iter().zip(kinds(used));
         each.into_iter().any(|(g, used)| used > g.unwrap_or(0))
     }
 
     /// Whether a sum of needs stays within the guarantee.
-    pub fn covers(&self, sum: Resources) -> bool {
+    pub(crate) fn covers(&self, sum: Resources) -> bool {
         let each = self.guarantee.iter().zip(kinds(sum));
         each.into_iter()
             .all(|(g, used)| g.is_none_or(|g| used <= g))
@@ -63,7 +63,7 @@
 #[cfg(test)]
 impl Team {
     /// With so many CPUs, in thousandths.
-    pub fn of_cpus(guarantee: u64, limit: u64) -> Self {
+    pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
             cpus,
             ..Resources::default()
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-pub fn sample() -> serde_json::Value {
+pub(crate) fn sample() -> serde_json::Value {
     serde_json::json!({
         "member": "c0", "area": "a", "bind": "127.0.0.1:1", "peer_bind": "127.0.0.1:2",
         "others": [{"member": "c1", "area": "a", "addr": "127.0.0.1:3"},
@@ -20,7 +20,7 @@
     })
 }
 
-pub fn sample_config() -> Config {
+pub(crate) fn sample_config() -> Config {
     Config::parse(&sample().to_string()).expect("the sample is valid")
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -29,7 +29,7 @@
 
 /// Whom a transaction's outcome concerns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TxnRequester {
+pub(crate) enum TxnRequester {
     ShardOwner(MachineId),
     Leadership,
     /// A batch of plans, by their jobs.
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     Txn {
         requester: TxnRequester,
         class: RequestClass,
@@ -75,7 +75,7 @@
 const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
 const CLEANUP_INTERVAL: Millis = Millis(2000);
 const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
-/// A holder's own deletion that was not carried out is asked for again after this.
+/// A shard owner's own deletion that was not carried out is asked for again after this.
 const DECOMMISSION_RETRY_INTERVAL: Millis = Millis(3000);
 /// Plans gather for so long, or until a record is half full, to be written in one change.
 const PLAN_BATCH_DELAY: Millis = Millis(1000);
@@ -83,7 +83,7 @@
 const MAX_COUNTERS_FOLDED: usize = 4;
 /// A release without an outcome is tried again after this.
 const COMPLETION_RETRY_INTERVAL: Millis = Millis(4000);
-/// Machine types that the state service refused for their size are offered again after this.
+/// Machine types that the key-value store refused for their size are offered again after this.
 const CATALOG_RETRY_INTERVAL: Millis = Millis(60_000);
 /// The removal of a machine's record is tried again after this.
 const RECORD_DELETION_RETRY_INTERVAL: Millis = Millis(1000);
@@ -93,7 +93,7 @@
 /// The turns of a large fleet lie further apart, by so many machines for a millisecond.
 const MACHINES_PER_SCHEDULE_MS: usize = 4;
 
-pub struct Controller {
+pub(crate) struct Controller {
     config: Config,
     pub cache: WatchCache,
     pub leadership: Leadership,
@@ -120,7 +120,7 @@
     dropping: BTreeMap<MachineId, MonotonicTime>,
     /// Since when machines are gone whose records still stand.
     gone_since: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when no holder has spoken of a machine without a record.
+    /// Since when no shard owner has spoken of a machine without a record.
     unreported_since: BTreeMap<MachineId, MonotonicTime>,
     needs_scheduling: bool,
     next_schedule: MonotonicTime,
@@ -133,7 +133,7 @@
 }
 
 impl Controller {
-    pub fn new(config: &Config, incarnation: Incarnation) -> Self {
+    pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         let zero = MonotonicTime::default();
         Self {
             config: config.clone(),
@@ -171,19 +171,19 @@
         }
     }
 
-    /// The grant holds at least until then. Whoever can't say so may lead no longer without
+    /// The lease holds at least until then. Whoever can't say so may lead no longer without
     /// knowing it: it then stops nothing and leaves the cloud alone, since others place by now.
-    pub fn set_lease_deadline(&mut self, until: MonotonicTime) {
+    pub(crate) fn set_lease_deadline(&mut self, until: MonotonicTime) {
         self.lease_valid_until = until;
     }
 
-    pub fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
+    pub(crate) fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
         self.leadership.set_lease(lease, &self.cache);
         self.run_due_work(now)
     }
 
-    /// A mirror read anew takes the old one's place.
-    pub fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
+    /// A watch cache read anew takes the old one's place.
+    pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
         cache.keep_cancelled(&self.cache);
         self.cache = cache;
         self.shard_owner.compare_all_trackers();
@@ -193,7 +193,7 @@
     }
 
     /// The next changes of the stream; also the jobs that ended by them.
-    pub fn on_events(
+    pub(crate) fn on_events(
         &mut self,
         now: MonotonicTime,
         revision: Revision,
@@ -211,7 +211,7 @@
         (self.finish(now, out), ended)
     }
 
-    pub fn on_heartbeat(
+    pub(crate) fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
@@ -232,8 +232,8 @@
         (answer, self.finish(now, out))
     }
 
-    /// A report that its worker could not bring here itself. `None`: it should try.
-    pub fn on_relayed_heartbeat(
+    /// A heartbeat that its worker could not bring here itself. `None`: it should try.
+    pub(crate) fn on_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
@@ -245,18 +245,18 @@
         (Some(answer), effects)
     }
 
-    /// Machines held here whose reports have not come straight for so long that they may be cut
+    /// Machines held here whose heartbeats have not come straight for so long that they may be cut
     /// off.
-    pub fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
+    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
         self.shard_owner.missing_machines(now)
     }
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
-    pub fn set_partitioned(&mut self, partitioned: bool) {
+    pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
         self.shard_owner.partitioned = partitioned;
     }
 
-    pub fn on_call(
+    pub(crate) fn on_call(
         &mut self,
         now: MonotonicTime,
         machine: &MachineId,
@@ -269,7 +269,7 @@
         self.finish(now, out)
     }
 
-    pub fn on_txn(
+    pub(crate) fn on_txn(
         &mut self,
         now: MonotonicTime,
         requester: &TxnRequester,
@@ -314,7 +314,7 @@
                 self.catalog_in_flight = false;
                 if matches!(outcome, TxnOutcome::Invalid) {
                     tracing::error!(
-                        "the machine types do not fit into a value of the state service"
+                        "the machine types do not fit into a value of the key-value store"
                     );
                     self.catalog_retry_at = now + CATALOG_RETRY_INTERVAL;
                 }
@@ -324,7 +324,12 @@
         self.finish(now, out)
     }
 
-    pub fn on_peer(&mut self, now: MonotonicTime, from: &Member, message: Message) -> Vec<Effect> {
+    pub(crate) fn on_peer(
+        &mut self,
+        now: MonotonicTime,
+        from: &Member,
+        message: Message,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         match message {
             Message::Cancelled {
@@ -353,12 +358,16 @@
         effects
     }
 
-    pub fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) -> Vec<Effect> {
+    pub(crate) fn on_catalog(
+        &mut self,
+        now: MonotonicTime,
+        catalog: Option<Catalog>,
+    ) -> Vec<Effect> {
         self.autoscaler.on_catalog(now, catalog);
         self.run_due_work(now)
     }
 
-    pub fn on_list(
+    pub(crate) fn on_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
@@ -367,7 +376,7 @@
         self.run_due_work(now)
     }
 
-    pub fn on_rent(
+    pub(crate) fn on_rent(
         &mut self,
         now: MonotonicTime,
         request: &RentRequest,
@@ -377,7 +386,12 @@
         self.run_due_work(now)
     }
 
-    pub fn on_deleted(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) -> Vec<Effect> {
+    pub(crate) fn on_deleted(
+        &mut self,
+        now: MonotonicTime,
+        ids: &[MachineId],
+        ok: bool,
+    ) -> Vec<Effect> {
         let mut cloud = Vec::new();
         self.autoscaler.on_deleted(now, ids, ok, &mut cloud);
         let mut effects = self.cloud_effects(now, cloud);
@@ -385,7 +399,7 @@
         effects
     }
 
-    pub fn on_job_outcome(
+    pub(crate) fn on_job_outcome(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
@@ -397,21 +411,25 @@
         self.run_due_work(now)
     }
 
-    pub fn tick(&mut self, now: MonotonicTime, unix_time: crate::ids::UnixTime) -> Vec<Effect> {
+    pub(crate) fn tick(
+        &mut self,
+        now: MonotonicTime,
+        unix_time: crate::ids::UnixTime,
+    ) -> Vec<Effect> {
         self.autoscaler.unix_time = unix_time;
         self.scheduler.unix_time = unix_time;
         self.run_due_work(now)
     }
 
-    /// How many changes the state service takes in a second from all controllers.
-    pub fn set_change_rate(&mut self, changes: f64) {
+    /// How many changes the key-value store takes in a second from all controllers.
+    pub(crate) fn set_change_rate(&mut self, changes: f64) {
         self.shard_owner.set_change_rate(changes);
         self.scheduler.set_change_rate(changes);
         self.autoscaler.change_rate = changes;
     }
 
     /// When the next tick is due; events may ask for an earlier one.
-    pub fn next_tick_at(&self, now: MonotonicTime) -> MonotonicTime {
+    pub(crate) fn next_tick_at(&self, now: MonotonicTime) -> MonotonicTime {
         let schedule = if self.needs_scheduling {
             self.next_schedule
         } else {
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -5,7 +5,7 @@
 impl Controller {
     /// Tells everybody of a cancellation that is committed; [`Self::is_settled`] says when its
     /// user may hear of it.
-    pub fn announce_cancellation(
+    pub(crate) fn announce_cancellation(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
@@ -21,7 +21,7 @@
     }
 
     /// Asks the others, once more if need be: what they answered first was perhaps not proved yet.
-    pub fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
+    pub(crate) fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
         let Some((job, revision)) = self.rounds.pending_cancellation(round) else {
             return Vec::new();
         };
@@ -41,7 +41,7 @@
             .collect()
     }
 
-    pub fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
+    pub(crate) fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
         let Some(job) = self
             .rounds
             .pending_cancellation(round)
@@ -64,8 +64,8 @@
         self.rounds.is_settled(round, &view)
     }
 
-    /// The blocks held here in which a cancelled job's tasks are proved gone. Where neither a stop
-    /// nor a deletion was answered for as long as users allow, it has to do that this holder
+    /// The shards held here in which a cancelled job's tasks are proved gone. Where neither a stop
+    /// nor a deletion was answered for as long as users allow, it has to do that this shard owner
     /// knows: a user is not left without an answer for longer.
     pub(super) fn settled(&self, now: MonotonicTime, job: &JobId) -> Vec<(ShardId, Revision)> {
         let age = self.cancellation_deadlines.age(now, job);
@@ -75,7 +75,7 @@
             .cleared_shards(job, long, gone, &self.cache)
     }
 
-    pub fn close_round(&mut self, round: RoundId) {
+    pub(crate) fn close_round(&mut self, round: RoundId) {
         self.rounds.close(round);
     }
 
@@ -108,14 +108,14 @@
                 .due(now, self.config.cancel, &self.cache, silent, freed);
         effects.extend(due.ask.into_iter().map(Effect::QueryOutcome));
         if !due.decommission.is_empty() {
-            tracing::info!(machines = ?due.decommission, "cancelled work can't be stopped there");
+            tracing::info!(machines = ?due.decommission, "machines are deleted: tasks of a cancelled job did not stop in time");
             self.autoscaler.decommission(now, due.decommission);
             self.next_autoscaler_step = now;
         }
     }
 
-    /// The same by a holder that does not lead, or does not know that it still does: a deletion
-    /// needs the cloud and no fence. In an outage of the state service nobody leads for certain.
+    /// The same by a shard owner that does not lead, or does not know that it still does: a deletion
+    /// needs the cloud and no fence. In an outage of the key-value store nobody leads for certain.
     pub(super) fn decommission_owned(
         &mut self,
         now: MonotonicTime,
@@ -138,7 +138,7 @@
         let new = |id: &MachineId| !asked.contains_key(id) && !autoscaler.is_deleted(id);
         let ids: Vec<MachineId> = due.decommission.into_iter().filter(new).collect();
         if !ids.is_empty() {
-            tracing::info!(machines = ?ids, "cancelled work can't be stopped on machines held here");
+            tracing::info!(machines = ?ids, "owned machines are deleted: tasks of a cancelled job did not stop in time");
             self.decommissioning
                 .extend(ids.iter().map(|id| (id.clone(), now)));
             effects.push(Effect::Delete(ids));
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -54,7 +54,7 @@
         self.propagate_cancellations(now, effects);
     }
 
-    /// Has the final records read of jobs that others need and that have left the mirror.
+    /// Has the final records read of jobs that others need and that have left the watch cache.
     fn query_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.asked.len());
         let unasked = self.cache.dependency_graph.with_unknown_outcome();
@@ -117,7 +117,7 @@
                 self.dependents.releasing.remove(id);
                 self.take_released(id, *revision);
             }
-            // The mirror is behind, or others release and cancel as well: what it shows then decides.
+            // The watch cache is behind, or others release and cancel as well: what it shows then decides.
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Failed(..) => {
                 let until = now + REFUSED_RETRY_INTERVAL;
                 self.dependents.releasing.insert(id.clone(), until);
@@ -187,7 +187,7 @@
     }
 
     /// These jobs were cancelled because others that they need were.
-    pub fn dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
+    pub(crate) fn dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
         for job in jobs {
             self.cache.cancel(job, revision);
         }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Forgets machines without a record of which no holder has spoken for a while: what is there
-    /// will be found again. Not at once: a holder speaks of a new one only after a moment, and
+    /// Forgets machines without a record of which no shard owner has spoken for a while: what is there
+    /// will be found again. Not at once: a shard owner speaks of a new one only after a moment, and
     /// forgotten before that it was never used (simulated seed 557 of the crowded days).
     pub(super) fn forget_lost(&mut self, now: MonotonicTime) {
         let unrecorded = self.cache.machines.iter();
@@ -247,7 +247,7 @@
         let Some(machine) = self.cache.machines.get(id) else {
             return;
         };
-        // The holder may have placed something meanwhile: then this fails, and is built anew on
+        // The shard owner may have placed something meanwhile: then this fails, and is built anew on
         // what stands.
         if machine.revision == Revision(0) {
             self.cache.forget(id);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::store::Item;
 use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
 
-/// A controller that leads and holds every block, in a mirror that never changes again.
+/// A controller that leads and holds every shard, in a watch cache that never changes again.
 fn alone() -> Controller {
     let config = sample_config();
     let (me, incarnation) = (config.member.clone(), Incarnation(1));
@@ -39,7 +39,7 @@
 }
 
 mod erased {
-    pub trait Json {
+    pub(super) trait Json {
         fn json(&self) -> serde_json::Value;
     }
     impl<T: serde::Serialize> Json for T {
@@ -82,7 +82,7 @@
     assert_eq!(controller.shard_owner.tracked_count(), 1);
 }
 
-/// A leader that the state service refuses alone went on renting, and emptied machines that
+/// A leader that the key-value store refuses alone went on renting, and emptied machines that
 /// its successor had placed replicas on (Tramite grown, apart).
 #[test]
 fn a_leader_that_is_not_sure_of_its_grant_leaves_the_cloud_alone() {
@@ -99,8 +99,8 @@
     ));
 }
 
-/// A machine with a task of a job that is cancelled, held by a controller that the state service
-/// refuses from then on. Returns how many deletions are asked for in the time for a cancellation. `seen` is the token that a later report carries.
+/// A machine with a task of a job that is cancelled, held by a controller that the key-value store
+/// refuses from then on. Returns how many deletions are asked for in the time for a cancellation. `seen` is the token that a later heartbeat carries.
 fn deleted_while_refused(seen: Option<u64>) -> usize {
     let mut controller = alone();
     let spec = crate::protocol::tests::spec("job-000001");
@@ -144,8 +144,8 @@
     deleted
 }
 
-/// A holder that the state service refuses deletes machines on which it can't stop what is
-/// cancelled. Those that another holder has taken over since only seem silent to it: deleted, they
+/// A shard owner that the key-value store refuses deletes machines on which it can't stop what is
+/// cancelled. Those that another shard owner has taken over since only seem silent to it: deleted, they
 /// took healthy replicas along (Savannah fleet, apart: 9 machines in 20 s).
 #[test]
 fn a_refused_holder_gives_up_what_it_cannot_stop_and_leaves_others_machines_alone() {
--- a/src/daemon/cancellation_waits.rs
+++ b/src/daemon/cancellation_waits.rs
@@ -13,7 +13,7 @@
 /// A stop is mostly answered within that.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-pub async fn tell(node: Rc<Node>, mut cancellations: Receiver<Cancellation>) {
+pub(super) async fn tell(node: Rc<Node>, mut cancellations: Receiver<Cancellation>) {
     while let Some(cancellation) = cancellations.recv().await {
         runtime::spawn(confirm(node.clone(), cancellation));
     }
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -15,7 +15,7 @@
 const BODY_LIMIT: usize = 2 * 1024 * 1024;
 const MOST_PAGES: usize = 40;
 
-pub struct CloudCalls {
+pub(super) struct CloudCalls {
     client: Client,
     addr: SocketAddr,
     bucket: RefCell<TokenBucket>,
@@ -23,7 +23,7 @@
 }
 
 impl CloudCalls {
-    pub fn new(addr: SocketAddr, rps: f64, started: Instant) -> Self {
+    pub(super) fn new(addr: SocketAddr, rps: f64, started: Instant) -> Self {
         Self {
             client: Client::new(BODY_LIMIT, 1),
             addr,
@@ -71,11 +71,11 @@
             .ok()
     }
 
-    pub async fn catalog(&self) -> Option<Catalog> {
+    pub(super) async fn catalog(&self) -> Option<Catalog> {
         self.get(path::CATALOG).await
     }
 
-    pub async fn list(&self) -> Option<Vec<ListedMachine>> {
+    pub(super) async fn list(&self) -> Option<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         for _ in 0..MOST_PAGES {
             let page: MachineList = self.get(&machines_path(all.last().map(|m| &m.id))).await?;
@@ -88,7 +88,7 @@
         Some(all)
     }
 
-    pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
+    pub(super) async fn rent(&self, request: &RentRequest) -> RentOutcome {
         let answer = self
             .call(RequestClass::Place, Method::Post, path::MACHINES, request)
             .await;
@@ -105,7 +105,7 @@
     }
 
     /// `true`: the machines and everything on them are gone.
-    pub async fn delete(&self, ids: &[MachineId]) -> bool {
+    pub(super) async fn delete(&self, ids: &[MachineId]) -> bool {
         let names = MachineNames {
             machines: ids.to_vec(),
         };
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -1,5 +1,5 @@
-//! What a peer has to decide, over the link: users' requests while the state service serves others
-//! but not this controller, and reports of workers that can't reach the holder of their machine.
+//! What a peer has to decide, over the link: users' requests while the key-value store serves others
+//! but not this controller, and reports of workers that can't reach the shard owner of their machine.
 
 use super::{Node, PEER_STATUS_INTERVAL, http_routes};
 use crate::http::{Method, Request, Response};
@@ -17,21 +17,21 @@
 const MAX_FORWARDED: usize = 500;
 
 #[derive(Default)]
-pub struct ForwardedRequests {
+pub(super) struct ForwardedRequests {
     next: Cell<u64>,
     waiting: RefCell<BTreeMap<u64, Sender<Response>>>,
 }
 
 impl ForwardedRequests {
-    pub fn complete(&self, id: u64, status: u16, body: Vec<u8>) {
+    pub(super) fn complete(&self, id: u64, status: u16, body: Vec<u8>) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
             waiting.send(Response::new(status, body));
         }
     }
 }
 
-/// Asks a peer that the state service serves. `None`: there is none, or it did not answer.
-pub async fn forward_request(node: &Rc<Node>, request: &Request) -> Option<Response> {
+/// Asks a peer that the key-value store serves. `None`: there is none, or it did not answer.
+pub(super) async fn forward_request(node: &Rc<Node>, request: &Request) -> Option<Response> {
     let peer = {
         let served = node.peers_served.borrow();
         let recent = served
@@ -43,8 +43,8 @@
     response.filter(|r| r.status < 500)
 }
 
-/// Hands a worker's report on to the holder of its machine, which it perhaps can't reach.
-pub async fn forward_heartbeat(
+/// Hands a worker's heartbeat on to the shard owner of its machine, which it perhaps can't reach.
+pub(super) async fn forward_heartbeat(
     node: &Rc<Node>,
     owner: &Member,
     machine: &MachineId,
@@ -84,7 +84,7 @@
 }
 
 /// Decides a peer's request here; it is never handed on again.
-pub async fn answer_forwarded(
+pub(super) async fn answer_forwarded(
     node: Rc<Node>,
     from: Member,
     id: u64,
--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -18,7 +18,7 @@
 
 /// Answers by duty and status, and how long each took.
 #[derive(Default)]
-pub struct ResponseStats {
+pub(super) struct ResponseStats {
     counts: RefCell<BTreeMap<(&'static str, u16), u64>>,
     times: RefCell<BTreeMap<&'static str, Histogram<u32>>>,
 }
@@ -61,7 +61,7 @@
 const ADMIN_SETTINGS: &str = "/admin/settings";
 const ADMIN_STATUS: &str = "/admin/status";
 
-pub async fn route(node: Rc<Node>, request: Request) -> Response {
+pub(super) async fn route(node: Rc<Node>, request: Request) -> Response {
     let since = Instant::now();
     let (duty, response) = dispatch(&node, &request).await;
     node.stats.note(duty, response.status, since);
@@ -106,8 +106,8 @@
     }
 }
 
-/// Submissions, polls and withdrawals; `None` for other paths.
-pub async fn user_request(node: &Node, request: &Request) -> Option<Response> {
+/// Submissions, polls and cancellations; `None` for other paths.
+pub(super) async fn user_request(node: &Node, request: &Request) -> Option<Response> {
     let path = request.path.split('?').next().unwrap_or("");
     let rest = path.strip_prefix(path::JOBS)?;
     if rest.is_empty() {
@@ -158,8 +158,8 @@
     }
 }
 
-/// A report that a peer hands on.
-pub fn relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
+/// A heartbeat that a peer hands on.
+pub(super) fn relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
     let Ok(heartbeat) = Heartbeat::parse(body) else {
         return Response::error(400, "unreadable report");
     };
@@ -180,7 +180,7 @@
     }
 }
 
-/// Changes settings: checked here, stored in the state service, taken up by every controller.
+/// Changes settings: checked here, stored in the key-value store, taken up by every controller.
 async fn change(node: &Node, body: &[u8]) -> Response {
     let change: Value = match serde_json::from_slice(body) {
         Ok(change) => change,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -30,10 +30,10 @@
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
 const PEER_STATUS_INTERVAL: Duration = Duration::from_millis(700);
-/// Largest report that is read: a worker's lines are bounded, its list of tasks is not.
+/// Largest heartbeat that is read: a worker's lines are bounded, its list of tasks is not.
 const HEARTBEAT_BODY_LIMIT: usize = 1024 * 1024;
 
-pub struct Node {
+pub(crate) struct Node {
     config: Config,
     incarnation: Incarnation,
     started: Instant,
@@ -45,7 +45,7 @@
     routes: RefCell<RelayRoutes>,
     api: JobApi,
     loaded: Cell<bool>,
-    /// When a peer last said that the state service serves it.
+    /// When a peer last said that the key-value store serves it.
     peers_served: RefCell<BTreeMap<crate::ids::Member, Instant>>,
     forwarded: forwarding::ForwardedRequests,
     stats: http_routes::ResponseStats,
@@ -122,7 +122,7 @@
 }
 
 async fn maintain_lease(node: Rc<Node>) {
-    // Whoever holds a grant is given blocks: not before the mirror shows what is in them.
+    // Whoever holds a lease is given shards: not before the watch cache shows what is in them.
     while !node.loaded.get() {
         runtime::sleep(Duration::from_millis(10)).await;
     }
@@ -138,7 +138,7 @@
         node.incarnation,
         life,
         move |lease| {
-            tracing::info!(held = lease.is_some(), "grant");
+            tracing::info!(held = lease.is_some(), "lease");
             let effects = told.controller.borrow_mut().set_lease(told.now(), lease);
             told.execute(effects);
         },
@@ -151,13 +151,13 @@
     .await;
 }
 
-/// Keeps the mirror: a snapshot, then the stream of changes; anew when the stream is lost.
+/// Keeps the watch cache: a snapshot, then the stream of changes; anew when the stream is lost.
 async fn watch_store(node: Rc<Node>) {
     loop {
         match snapshot(&node.store, &node.config).await {
             Ok(cache) => {
                 let mut revision = cache.revision;
-                tracing::info!(%revision, jobs = cache.jobs.len(), machines = cache.machines.len(), "mirror read");
+                tracing::info!(%revision, jobs = cache.jobs.len(), machines = cache.machines.len(), "watch cache loaded");
                 node.loaded.set(true);
                 let effects = node.controller.borrow_mut().on_snapshot(node.now(), cache);
                 node.execute(effects);
@@ -183,7 +183,7 @@
                 }
             }
             Err(error) => {
-                tracing::debug!(%error, "mirror not read");
+                tracing::debug!(%error, "watch cache not loaded");
                 runtime::sleep(Duration::from_millis(300)).await;
             }
         }
@@ -226,7 +226,7 @@
     }
 }
 
-/// Says a word to the peers. One that the state service refuses alone can then tell that from an
+/// Says a word to the peers. One that the key-value store refuses alone can then tell that from an
 /// outage and hand users' requests on, and ways around a cut are known.
 async fn publish_peer_status(node: Rc<Node>) {
     loop {
@@ -354,7 +354,7 @@
                 }),
                 Effect::Rent(request) => runtime::spawn(async move {
                     let outcome = node.cloud.rent(&request).await;
-                    tracing::info!(?request, ?outcome, "rental");
+                    tracing::info!(?request, ?outcome, "scale-out request answered");
                     let effects =
                         node.controller
                             .borrow_mut()
@@ -363,7 +363,7 @@
                 }),
                 Effect::Delete(ids) => runtime::spawn(async move {
                     let ok = node.cloud.delete(&ids).await;
-                    tracing::info!(?ids, ok, "deletion");
+                    tracing::info!(?ids, ok, "machine deletion answered");
                     let effects = node
                         .controller
                         .borrow_mut()
@@ -447,7 +447,7 @@
         self.execute(effects);
     }
 
-    /// Whether users are served here. A node that the state service refuses alone hands requests
+    /// Whether users are served here. A node that the key-value store refuses alone hands requests
     /// to a peer, and in an outage no node is better than another: in both cases leaving the load
     /// balancer's sight would only cost the time until it is seen again.
     fn is_ready(&self) -> bool {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -16,7 +16,7 @@
 
 /// Why a call has no answer. The difference decides what may be concluded from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Failure {
+pub(crate) enum Failure {
     #[error("not sent")]
     NotSent,
     #[error("sent, outcome unknown")]
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone)]
-pub struct Client {
+pub(crate) struct Client {
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<TcpStream>>>>,
     /// Addresses with kept connections: fewer than there are to call would be churn.
     most_idle: usize,
@@ -35,7 +35,7 @@
 }
 
 impl Client {
-    pub fn new(body_limit: usize, most_idle: usize) -> Self {
+    pub(crate) fn new(body_limit: usize, most_idle: usize) -> Self {
         Self {
             idle: Rc::default(),
             most_idle,
@@ -43,7 +43,7 @@
         }
     }
 
-    pub async fn call(
+    pub(crate) async fn call(
         &self,
         addr: SocketAddr,
         method: Method,
@@ -99,7 +99,7 @@
     }
 
     #[cfg(test)]
-    pub fn idle_count(&self, addr: SocketAddr) -> usize {
+    pub(crate) fn idle_count(&self, addr: SocketAddr) -> usize {
         self.idle.borrow().get(&addr).map_or(0, Vec::len)
     }
 
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -5,8 +5,8 @@
 mod client;
 mod server;
 
-pub use client::{Client, Failure};
-pub use server::serve;
+pub(crate) use client::{Client, Failure};
+pub(crate) use server::serve;
 
 use std::io;
 
@@ -15,7 +15,7 @@
 const MAX_HEADERS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Method {
+pub(crate) enum Method {
     Get,
     Post,
     Put,
@@ -24,7 +24,7 @@
 }
 
 impl Method {
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
             Self::Post => "POST",
@@ -45,14 +45,14 @@
 }
 
 #[derive(Debug)]
-pub struct Request {
+pub(crate) struct Request {
     pub method: Method,
     pub path: String,
     pub body: Vec<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Response {
+pub(crate) struct Response {
     pub status: u16,
     pub body: Vec<u8>,
     /// Seconds for `Retry-After`.
@@ -61,7 +61,7 @@
 }
 
 impl Response {
-    pub fn new(status: u16, body: Vec<u8>) -> Self {
+    pub(crate) fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
             body,
@@ -70,26 +70,26 @@
         }
     }
 
-    pub fn json(status: u16, value: &impl serde::Serialize) -> Self {
+    pub(crate) fn json(status: u16, value: &impl serde::Serialize) -> Self {
         serde_json::to_vec(value).map_or_else(
             |e| Self::error(500, &e.to_string()),
             |body| Self::new(status, body),
         )
     }
 
-    pub fn error(status: u16, message: &str) -> Self {
+    pub(crate) fn error(status: u16, message: &str) -> Self {
         Self::json(status, &serde_json::json!({ "error": message }))
     }
 
     /// The answer to what can't be taken now: at once, and saying when to come back.
-    pub fn retry_later(message: &str, seconds: u32) -> Self {
+    pub(crate) fn retry_later(message: &str, seconds: u32) -> Self {
         Self {
             retry_after: Some(seconds),
             ..Self::error(503, message)
         }
     }
 
-    pub fn wrong_method(allow: &'static str) -> Self {
+    pub(crate) fn wrong_method(allow: &'static str) -> Self {
         Self {
             allow: Some(allow),
             ..Self::error(405, "method not allowed")
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -16,7 +16,7 @@
 const SHARED_PART: usize = 4;
 
 /// Accepts connections for ever and answers each request with `handler`.
-pub async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
+pub(crate) async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response> + 'static,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -73,11 +73,11 @@
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(transparent)]
-        pub struct $name(Name);
+        pub(crate) struct $name(Name);
 
         #[allow(dead_code, reason = "not every kind of name is taken apart")]
         impl $name {
-            pub fn as_str(&self) -> &str {
+            pub(crate) fn as_str(&self) -> &str {
                 &self.0.text
             }
         }
@@ -117,7 +117,7 @@
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(transparent)]
-        pub struct $name(pub u64);
+        pub(crate) struct $name(pub u64);
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -128,47 +128,47 @@
 }
 
 number_type! {
-    /// A revision of the state service, or of a key's last change there; 0: there is no such key.
+    /// A revision of the key-value store, or of a key's last change there; 0: there is no such key.
     Revision,
-    /// Who may command a machine: the revision of its block's record, and how often that
-    /// revision's holder has raised it for this machine alone.
+    /// Who may command a machine: the revision of its shard's record, and how often that
+    /// revision's shard owner has raised it for this machine alone.
     FencingToken,
     /// Tells one start of a task from another. Never used twice.
     AttemptNumber,
     /// A worker's life between two expiries of its lease.
     WorkerEpoch,
-    /// Orders the messages of one session.
+    /// Orders the messages of one epoch.
     HeartbeatSequence,
     LeaseId,
     /// A process's life; a restarted controller has another.
     Incarnation,
 }
 
-/// Bits of a token that count a holder's own rises; the block's revision stands above them.
+/// Bits of a token that count a shard owner's own rises; the shard's revision stands above them.
 const RAISE_BITS: u32 = 20;
 
 impl FencingToken {
-    /// The token of a machine under a block's record. Any later record of the block outranks all
+    /// The token of a machine under a shard's record. Any later record of the shard outranks all
     /// rises under an earlier one, so they need no record of their own.
-    pub fn of(fence: Revision, raise: u32) -> Self {
+    pub(crate) fn of(fence: Revision, raise: u32) -> Self {
         Self((fence.0 << RAISE_BITS) | u64::from(raise))
     }
 
-    pub fn fence(self) -> Revision {
+    pub(crate) fn fence(self) -> Revision {
         Revision(self.0 >> RAISE_BITS)
     }
 
     /// One more rise under the same record, while it has room for one.
-    pub fn next_raise(self) -> Option<Self> {
+    pub(crate) fn next_raise(self) -> Option<Self> {
         let next = Self(self.0 + 1);
         (next.fence() == self.fence()).then_some(next)
     }
 }
 
-/// A block of machines that is leased as one. A machine's block follows from its name.
+/// A shard of machines that is leased as one. A machine's shard follows from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ShardId(pub u32);
+pub(crate) struct ShardId(pub u32);
 
 impl fmt::Display for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -177,9 +177,9 @@
 }
 
 impl MachineId {
-    /// Machines never move between blocks, so a block's token rises only when its holder
+    /// Machines never move between shards, so a shard's token rises only when its shard owner
     /// changes. The cloud numbers machines in their order: the remainder deals them out evenly.
-    pub fn shard(&self, shards: u32) -> ShardId {
+    pub(crate) fn shard(&self, shards: u32) -> ShardId {
         let numbered = self.as_str().bytes().any(|b| b.is_ascii_digit());
         let (base, digits) = if numbered { (10, true) } else { (31, false) };
         let bytes = self
@@ -196,7 +196,7 @@
 
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct TaskId {
+pub(crate) struct TaskId {
     pub job: JobId,
     pub index: u32,
 }
@@ -208,7 +208,7 @@
 }
 
 impl TaskId {
-    pub fn parse(text: &str) -> Option<Self> {
+    pub(crate) fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self {
             job: job.into(),
@@ -219,7 +219,7 @@
 
 /// One start of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct TaskAttempt {
+pub(crate) struct TaskAttempt {
     pub task: TaskId,
     pub number: AttemptNumber,
 }
@@ -232,28 +232,28 @@
 
 /// A moment of this process's steady clock, in milliseconds since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MonotonicTime(pub u64);
+pub(crate) struct MonotonicTime(pub u64);
 
 /// A length of time in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Millis(pub u64);
+pub(crate) struct Millis(pub u64);
 
 impl Millis {
-    pub fn from_secs(seconds: f64) -> Self {
+    pub(crate) fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
-    pub fn secs(self) -> f64 {
+    pub(crate) fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
-    pub fn duration(self) -> Duration {
+    pub(crate) fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 }
 
 impl MonotonicTime {
     /// The time since an earlier moment; none if that is later.
-    pub fn since(self, earlier: Self) -> Millis {
+    pub(crate) fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 }
@@ -282,10 +282,10 @@
 /// The time of day in milliseconds; only as good as the settings' bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct UnixTime(pub u64);
+pub(crate) struct UnixTime(pub u64);
 
 impl UnixTime {
-    pub fn now() -> Self {
+    pub(crate) fn now() -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Self(since.map_or(0, |d| d.as_millis() as u64))
     }
@@ -293,7 +293,7 @@
 
 /// What a task takes and a machine has, in thousandths: sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Resources {
+pub(crate) struct Resources {
     pub cpus: u64,
     pub gpus: u64,
     pub memory: u64,
@@ -301,7 +301,7 @@
 
 impl Resources {
     /// Needs are rounded up, so that a sum never understates them.
-    pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
+    pub(crate) fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |v: f64| (v.max(0.0) * 1000.0 - 1e-6).ceil().max(0.0) as u64;
         Self {
             cpus: up(cpus),
@@ -311,7 +311,7 @@
     }
 
     /// Room is rounded down.
-    pub fn room(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
+    pub(crate) fn room(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |v: f64| (v.max(0.0) * 1000.0 + 1e-6).floor() as u64;
         Self {
             cpus: down(cpus),
@@ -320,11 +320,11 @@
         }
     }
 
-    pub fn fits(self, room: Self) -> bool {
+    pub(crate) fn fits(self, room: Self) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
-    pub fn times(self, n: u64) -> Self {
+    pub(crate) fn times(self, n: u64) -> Self {
         Self {
             cpus: self.cpus.saturating_mul(n),
             gpus: self.gpus.saturating_mul(n),
@@ -333,7 +333,7 @@
     }
 
     /// How many of these fit into a room.
-    pub fn count_in(self, room: Self) -> u64 {
+    pub(crate) fn count_in(self, room: Self) -> u64 {
         let each = |need: u64, room: u64| room.checked_div(need).unwrap_or(u64::MAX);
         each(self.cpus, room.cpus)
             .min(each(self.gpus, room.gpus))
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -1,4 +1,4 @@
-//! The routine that keeps this process's grant and its member record.
+//! The routine that keeps this process's lease and its member record.
 
 use crate::ids::{Incarnation, LeaseId, Member, Revision};
 use crate::protocol::store::Txn;
@@ -11,9 +11,9 @@
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Ends what an earlier life of this controller left, then holds a grant for ever. `tell` hears
-/// of each new grant, and of its loss; `assure` until when it holds for certain.
-pub async fn keep_lease(
+/// Ends what an earlier life of this controller left, then holds a lease for ever. `tell` hears
+/// of each new lease, and of its loss; `assure` until when it holds for certain.
+pub(crate) async fn keep_lease(
     store: Rc<Store>,
     member: Member,
     incarnation: Incarnation,
@@ -23,7 +23,7 @@
 ) {
     let key = keys::member(&member);
     loop {
-        // Sent before the request leaves: the grant can't end sooner than this says.
+        // Sent before the request leaves: the lease can't end sooner than this says.
         let sent = Instant::now();
         let life_now = life();
         match enter(&store, &key, incarnation, life_now).await {
@@ -50,7 +50,7 @@
         let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
         let left = record.map(|r| r.lease).or(item.lease);
         match left {
-            // Ending the old grant removes its keys: the member's, the leader's and the blocks'.
+            // Ending the old lease removes its keys: the member's, the leader's and the shards'.
             Some(lease) => store.revoke_lease(lease).await.ok()?,
             None => revision = item.revision,
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns once the grant is gone.
+/// Returns once the lease is gone.
 async fn extend(
     store: &Store,
     lease: LeaseId,
@@ -86,9 +86,9 @@
                 assure(sent + life);
             }
             Err(StoreError::Gone) => return,
-            // In an outage grants keep their time; only the service can say that it is gone.
+            // In an outage leases keep their time; only the service can say that it is gone.
             Err(StoreError::Unavailable) => {
-                tracing::debug!(late = ?sent.elapsed(), "grant not extended");
+                tracing::debug!(late = ?sent.elapsed(), "lease not renewed");
                 runtime::sleep(RETRY_DELAY).await;
             }
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,11 +1,11 @@
-//! Who leads, and who holds which block: decided by compare-and-set on the state service, with
-//! records that go when their writer's grant goes.
+//! Who leads, and who holds which shard: decided by compare-and-set on the key-value store, with
+//! records that go when their writer's lease goes.
 
 mod lease;
 mod reachability;
 
-pub use lease::keep_lease;
-pub use reachability::ReachabilityMonitor;
+pub(crate) use lease::keep_lease;
+pub(crate) use reachability::ReachabilityMonitor;
 
 use crate::config::Config;
 use crate::ids::{Incarnation, LeaseId, Member, Millis, MonotonicTime, Revision, ShardId};
@@ -17,7 +17,7 @@
 
 const RETRY_DELAY: Millis = Millis(300);
 
-pub struct Leadership {
+pub(crate) struct Leadership {
     member: Member,
     incarnation: Incarnation,
     shards: u32,
@@ -26,14 +26,14 @@
     in_flight: bool,
     retry_at: MonotonicTime,
     retry_revision: Revision,
-    /// The leader's record that was ours under a grant which has ended since.
+    /// The leader's record that was ours under a lease which has ended since.
     ended_term: Revision,
-    /// Who is given no blocks, while there is somebody else.
+    /// Who is given no shards, while there is somebody else.
     pub quarantined: BTreeSet<Member>,
 }
 
 impl Leadership {
-    pub fn new(config: &Config, incarnation: Incarnation) -> Self {
+    pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             member: config.member.clone(),
             incarnation,
@@ -49,14 +49,14 @@
     }
 
     #[cfg(test)]
-    pub fn incarnation(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// A term ends with the grant it was claimed under. After a long stand the mirror still shows
-    /// it when the next grant is there already: a leader that went on then deleted a third of the
+    /// A term ends with the lease it was claimed under. After a long stand the watch cache still shows
+    /// it when the next lease is there already: a leader that went on then deleted a third of the
     /// fleet, silent only to itself (Tramite fleet, apart).
-    pub fn set_lease(&mut self, lease: Option<LeaseId>, cache: &WatchCache) {
+    pub(crate) fn set_lease(&mut self, lease: Option<LeaseId>, cache: &WatchCache) {
         if self.lease != lease
             && let Some(term) = self.term(cache)
         {
@@ -65,19 +65,19 @@
         self.lease = lease;
     }
 
-    /// The term, if this process leads as far as the mirror knows. A leader that has been
-    /// replaced without knowing does no harm: its block writes need the leader's record, and
-    /// its allotments fail at the blocks' fences.
-    pub fn term(&self, cache: &WatchCache) -> Option<Revision> {
+    /// The term, if this process leads as far as the watch cache knows. A leader that has been
+    /// replaced without knowing does no harm: its shard writes need the leader's record, and
+    /// its allotments fail at the shards' fences.
+    pub(crate) fn term(&self, cache: &WatchCache) -> Option<Revision> {
         let leader = cache.leader.as_ref()?;
         let mine =
             leader.value.member == self.member && leader.value.incarnation == self.incarnation;
         (mine && leader.revision > self.ended_term).then_some(leader.revision)
     }
 
-    /// The term, once every block was rewritten in it: then the mirror holds every placement
+    /// The term, once every shard was rewritten in it: then the watch cache holds every placement
     /// that any earlier term can have committed.
-    pub fn settled_term(&self, cache: &WatchCache) -> Option<Revision> {
+    pub(crate) fn settled_term(&self, cache: &WatchCache) -> Option<Revision> {
         let term = self.term(cache)?;
         let all = (0..self.shards).all(|b| {
             cache
@@ -89,7 +89,7 @@
     }
 
     /// The next transaction that leadership needs, if any.
-    pub fn step(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
+    pub(crate) fn step(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
         let lease = self.lease?;
         if self.in_flight || now < self.retry_at {
             return None;
@@ -106,7 +106,7 @@
         Some(txn)
     }
 
-    pub fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
+    pub(crate) fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
             TxnOutcome::Committed(revision) => {
@@ -134,8 +134,8 @@
         txn
     }
 
-    /// Rewrites blocks that are of an earlier term, have lost their holder, or would be better
-    /// held elsewhere. Holders that live keep what they hold.
+    /// Rewrites shards that are of an earlier term, have lost their shard owner, or would be better
+    /// held elsewhere. Owners that live keep what they hold.
     fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
         let rests = |m: &Member| self.quarantined.contains(m) && cache.members.len() > 1;
         let able = cache.members.keys().filter(|m| !rests(m));
@@ -153,7 +153,7 @@
             *loads.entry(member).or_default() += 1;
         }
         let mut wanted: BTreeMap<ShardId, &Member> = BTreeMap::new();
-        // Those without a holder first: dealing them out mostly balances the loads, and no block
+        // Those without a shard owner first: dealing them out mostly balances the loads, and no shard
         // changes hands for that.
         let (held, orphaned): (Vec<_>, Vec<_>) = all.iter().partition(|b| owner(b).is_some());
         for shard in orphaned.into_iter().chain(held) {
@@ -199,8 +199,8 @@
         Some(txn)
     }
 
-    /// Rewrites a block as it stands, to raise its token. Its holder may, and its leader.
-    pub fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
+    /// Rewrites a shard as it stands, to raise its token. Its shard owner may, and its leader.
+    pub(crate) fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
         let live = cache.members.get(&record.value.owner)?;
         if live.incarnation != record.value.incarnation {
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -1,7 +1,7 @@
-//! Holders that hear nothing of machines which others hear. A controller that is cut off from its
-//! workers alone keeps its grant and its blocks; its machines ask the others, are sent back, and
+//! Owners that hear nothing of machines which others hear. A controller that is cut off from its
+//! workers alone keeps its lease and its shards; its machines ask the others, are sent back, and
 //! lose all their work when their leases run out (Tramite fleet, apart: 0.94 of the replicas in the
-//! worst 30 s). Blocks of such a holder are leased to others, which only costs a token.
+//! worst 30 s). Shards of such a shard owner are leased to others, which only costs a token.
 //!
 //! Silence alone says nothing of the sort: a zone may be cut off, and then nobody hears it.
 
@@ -11,14 +11,14 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Of a holder's machines, so many must be silent to it: one in this many.
+/// Of a shard owner's machines, so many must be silent to it: one in this many.
 const MIN_SILENT_DIVISOR: usize = 2;
 /// And so many of those must be heard elsewhere.
 const MIN_HEARD_DIVISOR: usize = 4;
 
-pub struct ReachabilityMonitor {
+pub(crate) struct ReachabilityMonitor {
     heartbeat_interval: Millis,
-    /// How long a holder gets no blocks back: what cut it off may last.
+    /// How long a shard owner gets no shards back: what cut it off may last.
     quarantine_period: Millis,
     /// When a machine last reported to a controller that does not hold it.
     misdirected: BTreeMap<MachineId, MonotonicTime>,
@@ -26,7 +26,7 @@
 }
 
 impl ReachabilityMonitor {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self {
             heartbeat_interval: config.heartbeat_interval,
             quarantine_period: Millis(2 * config.worker_lease.0),
@@ -35,18 +35,22 @@
         }
     }
 
-    pub fn on_misdirected_heartbeats(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
+    pub(crate) fn on_misdirected_heartbeats(
+        &mut self,
+        now: MonotonicTime,
+        machines: Vec<MachineId>,
+    ) {
         self.misdirected
             .extend(machines.into_iter().map(|id| (id, now)));
     }
 
-    /// Holders that get no blocks at present.
-    pub fn quarantined(&self) -> BTreeSet<Member> {
+    /// Owners that get no shards at present.
+    pub(crate) fn quarantined(&self) -> BTreeSet<Member> {
         self.quarantined.keys().cloned().collect()
     }
 
-    /// Judges all holders by what they said last of their machines.
-    pub fn evaluate<'a>(
+    /// Judges all owners by what they said last of their machines.
+    pub(crate) fn evaluate<'a>(
         &mut self,
         now: MonotonicTime,
         shards: u32,
@@ -68,7 +72,7 @@
             }
             let counts = owners.entry(&shard_record.value.owner).or_default();
             counts.0 += 1;
-            // Through others a holder may hear them all: its commands get nowhere for all that
+            // Through others a shard owner may hear them all: its commands get nowhere for all that
             // (Savannah fleet, apart: 0.83 to 0.73 while only silence counted).
             if last.silent.max(last.since_direct_heartbeat) >= patience {
                 counts.1 += 1;
@@ -82,7 +86,7 @@
                 && heard > 1;
             if deaf && self.quarantined.len() + 1 < others && !self.quarantined.contains_key(member)
             {
-                tracing::info!(%member, all, silent, heard, "a holder hears nothing of machines that others hear");
+                tracing::info!(%member, all, silent, heard, "shard owner quarantined: it misses machines whose heartbeats reach others");
                 self.quarantined
                     .insert(member.clone(), now + self.quarantine_period);
             }
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reports that others hand on keep a holder informed, and leave it unable to command.
+/// Heartbeats that others hand on keep a shard owner informed, and leave it unable to command.
 #[test]
 fn a_holder_that_hears_its_machines_through_others_alone_is_relieved() {
     let (config, cache) = scene();
@@ -65,7 +65,7 @@
     assert_eq!(deaf, ["c1".into()]);
 }
 
-/// Machine n belongs to block n mod 6, which c(n mod 3) holds.
+/// Machine n belongs to shard n mod 6, which c(n mod 3) holds.
 #[test]
 fn only_a_holder_whose_silent_machines_others_hear_is_relieved() {
     let (config, cache) = scene();
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -19,7 +19,7 @@
     put(cache, at, keys::member(&member.into()), value);
 }
 
-/// Applies a transaction as committed; returns the holders it names.
+/// Applies a transaction as committed; returns the owners it names.
 fn commit(cache: &mut WatchCache, at: u64, txn: &Txn) -> Vec<String> {
     let mut owners = Vec::new();
     for change in &txn.changes {
@@ -64,7 +64,7 @@
     owners.sort();
     assert_eq!(owners, ["c0", "c0", "c1", "c1", "c2", "c2"]);
     assert_eq!(leadership.settled_term(&cache), Some(Revision(10)));
-    // The grant is lost and another one taken, and the mirror is still behind.
+    // The lease is lost and another one taken, and the watch cache is still behind.
     leadership.set_lease(None, &cache);
     leadership.set_lease(Some(LeaseId(150)), &cache);
     assert_eq!(leadership.settled_term(&cache), None);
--- /dev/null
+++ b/src/lib.rs
@@ -0,0 +1,30 @@
+//! laurellanding: a cluster scheduler. Three or more controllers share the machines of a cluster;
+//! a consensus-backed key-value store is the only place where they keep anything.
+//!
+//! [`Config`] is read from the settings file that the platform hands over, and [`run`] serves as one
+//! controller until the process is ended. `docs/ARCHITECTURE.md` says which module owns which state.
+
+mod admin;
+mod api;
+mod cancellation;
+mod cloud;
+#[cfg(test)]
+mod compatibility;
+mod config;
+mod controller;
+mod daemon;
+mod http;
+mod ids;
+mod leadership;
+mod peers;
+mod placement;
+mod planning;
+mod protocol;
+mod runtime;
+#[cfg(test)]
+mod simulation;
+mod store;
+mod worker_control;
+
+pub use config::{Config, Error as ConfigError};
+pub use daemon::run;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,29 +1,7 @@
-//! laurellanding: a cluster scheduler.
-
-mod admin;
-mod api;
-mod cancellation;
-mod cloud;
-#[cfg(test)]
-mod compatibility;
-mod config;
-mod controller;
-mod daemon;
-mod http;
-mod ids;
-mod leadership;
-mod peers;
-mod placement;
-mod planning;
-mod protocol;
-mod runtime;
-#[cfg(test)]
-mod simulation;
-mod store;
-mod worker_control;
+//! The program: its command line, its logging and its exit codes.
 
 use clap::{Parser, Subcommand};
-use config::Config;
+use laurellanding::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -83,7 +61,7 @@
         .with_ansi(false)
         .with_writer(std::io::stderr)
         .init();
-    match daemon::run(config) {
+    match laurellanding::run(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => fail(&error.to_string()),
     }
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -5,11 +5,11 @@
 
 /// Messages change with the program; controllers of other versions are not spoken to.
 const VERSION: u8 = 4;
-pub const FRAME_LIMIT: usize = 1024 * 1024;
+pub(super) const FRAME_LIMIT: usize = 1024 * 1024;
 const HEAD: usize = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum FrameError {
+pub(crate) enum FrameError {
     #[error("frame of {0} bytes is too long")]
     TooLong(usize),
     #[error("frame version {0} is not spoken here")]
@@ -23,7 +23,7 @@
     bincode::config::standard().with_limit::<FRAME_LIMIT>()
 }
 
-pub fn encode(message: &Message) -> Result<Vec<u8>, FrameError> {
+pub(crate) fn encode(message: &Message) -> Result<Vec<u8>, FrameError> {
     let body =
         bincode::serde::encode_to_vec(message, format()).map_err(|_| FrameError::Unreadable)?;
     if body.len() > FRAME_LIMIT {
@@ -37,7 +37,7 @@
 }
 
 /// Takes one message off the front of the buffer, with the bytes it used.
-pub fn decode(buffer: &[u8]) -> Result<Option<(Message, usize)>, FrameError> {
+pub(super) fn decode(buffer: &[u8]) -> Result<Option<(Message, usize)>, FrameError> {
     let Some((head, rest)) = buffer.split_at_checked(HEAD) else {
         return Ok(None);
     };
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -17,13 +17,13 @@
 /// A peer that takes nothing has this many messages queued at most.
 const BACKLOG: usize = 5000;
 
-pub struct Links {
+pub(crate) struct Links {
     queues: BTreeMap<Member, Sender<Message>>,
 }
 
 impl Links {
     /// Starts a routine for each peer.
-    pub fn start(
+    pub(crate) fn start(
         me: &Member,
         incarnation: Incarnation,
         peers: &BTreeMap<Member, SocketAddr>,
@@ -42,7 +42,7 @@
         Self { queues }
     }
 
-    pub fn send(&self, to: &Member, message: Message) {
+    pub(crate) fn send(&self, to: &Member, message: Message) {
         if let Some(queue) = self.queues.get(to)
             && queue.backlog() < BACKLOG
         {
@@ -77,7 +77,7 @@
 }
 
 /// Accepts the peers' links and hands on what they say.
-pub async fn listen(listener: TcpListener, handler: Rc<dyn Fn(Member, Message)>) {
+pub(crate) async fn listen(listener: TcpListener, handler: Rc<dyn Fn(Member, Message)>) {
     let mut open: Vec<runtime::Scope> = Vec::new();
     loop {
         match listener.accept().await {
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -10,47 +10,47 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
+pub(crate) enum Message {
     /// First on every link.
     Hello {
         member: Member,
         incarnation: Incarnation,
     },
-    /// Leader to holder: place these tasks of a job inside the block.
+    /// Leader to shard owner: place these tasks of a job inside the shard.
     Allot(Allotment),
-    /// Holder to leader: these will not be placed; certain, not a guess.
+    /// Shard owner to leader: these will not be placed; certain, not a guess.
     Refused {
         fence: Revision,
         attempts: Vec<TaskAttempt>,
     },
-    /// Holder to leader: a placement was dropped, on proof.
+    /// Shard owner to leader: a placement was dropped, on proof.
     EndedAttempt(EndedAttempt),
-    /// Holder to leader: these placements are proved gone, though their records still stand, and
+    /// Shard owner to leader: these placements are proved gone, though their records still stand, and
     /// whether their tasks are done. The room may be given out again; the end is written along
     /// with what takes it.
     Freed(Vec<(MachineId, TaskAttempt, bool)>),
-    /// Leader to holder: stop a task, for a preemption or to drain its machine.
+    /// Leader to shard owner: stop a task, for a preemption or to drain its machine.
     Stop {
         machine: MachineId,
         attempt: TaskAttempt,
         grace: Millis,
     },
     /// Any controller to any: this job was cancelled by that change, so long ago. It may be
-    /// believed without asking the state service, since it is final.
+    /// believed without asking the key-value store, since it is final.
     Cancelled {
         round: RoundId,
         job: JobId,
         revision: Revision,
         age: Millis,
     },
-    /// The sender knows of a cancellation. In these blocks that it holds all of the job's tasks are
+    /// The sender knows of a cancellation. In these shards that it holds all of the job's tasks are
     /// proved gone.
     CancellationAcknowledged {
         round: RoundId,
         job: JobId,
         settled: Vec<(ShardId, Revision)>,
     },
-    /// A user's request that the sender can't decide: the state service does not serve it.
+    /// A user's request that the sender can't decide: the key-value store does not serve it.
     ForwardedRequest {
         id: u64,
         post: bool,
@@ -62,7 +62,7 @@
         status: u16,
         body: Vec<u8>,
     },
-    /// What every controller tells all others all the time: whether the state service serves it,
+    /// What every controller tells all others all the time: whether the key-value store serves it,
     /// whom it hears, and which machines that it holds don't reach it.
     PeerStatus {
         store_reachable: bool,
@@ -77,30 +77,30 @@
     },
     /// Any controller to the leader: machines that reported to it and that others hold.
     MisdirectedHeartbeats(Vec<MachineId>),
-    /// Holder to leader: what it knows of its machines.
+    /// Shard owner to leader: what it knows of its machines.
     Health(Vec<MachineHealth>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Allotment {
+pub(crate) struct Allotment {
     pub shard: ShardId,
     pub fence: Revision,
     pub job_revision: Revision,
     pub attempts: Vec<TaskAttempt>,
-    /// Best first; the holder takes another of its machines when none of these fits.
+    /// Best first; the shard owner takes another of its machines when none of these fits.
     pub preferred: Vec<MachineId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AttemptOutcome {
+pub(crate) enum AttemptOutcome {
     Done,
     Exited(ExitReason),
-    /// Never started here, or lost with its machine's session.
+    /// Never started here, or lost with its machine's epoch.
     Absent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     pub attempt: TaskAttempt,
     pub machine: MachineId,
     /// Of the machine's record, without it.
@@ -114,23 +114,23 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineHealth {
+pub(crate) struct MachineHealth {
     pub machine: MachineId,
     pub fence: Revision,
-    /// Time without a word, reports and answered probes alike.
+    /// Time without a word, heartbeats and answered probes alike.
     pub silent: Millis,
-    /// Time without a report that came straight from it, and not through another controller.
+    /// Time without a heartbeat that came straight from it, and not through another controller.
     pub since_direct_heartbeat: Millis,
-    /// It has said so under the holder's own token.
+    /// It has said so under the shard owner's own token.
     pub confirmed: bool,
     pub notice: Option<Millis>,
-    /// Its description, while no record of it stands in the state service.
+    /// Its description, while no record of it stands in the key-value store.
     pub unrecorded: Option<MachineRecord>,
     /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
     pub gangs: Vec<(JobId, AttemptNumber)>,
 }
 
 /// Attempts are never used twice: a term's number leads them.
-pub fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
+pub(crate) fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
     AttemptNumber((term.0 << 20) + counter)
 }
--- a/src/peers/relay_routes.rs
+++ b/src/peers/relay_routes.rs
@@ -17,13 +17,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct RelayRoutes {
+pub(crate) struct RelayRoutes {
     words: BTreeMap<Member, PeerStatus>,
 }
 
 impl RelayRoutes {
     /// A controller said whom it hears itself, and which of its machines it misses.
-    pub fn on_peer_status(
+    pub(crate) fn on_peer_status(
         &mut self,
         now: MonotonicTime,
         from: &Member,
@@ -44,12 +44,12 @@
     }
 
     /// Whom this controller hears itself.
-    pub fn reachable_peers(&self, now: MonotonicTime) -> Vec<Member> {
+    pub(crate) fn reachable_peers(&self, now: MonotonicTime) -> Vec<Member> {
         self.fresh(now).map(|(m, _)| m.clone()).collect()
     }
 
     /// Who passes messages on to a controller that is not heard itself, if anybody does.
-    pub fn relay_for(&self, now: MonotonicTime, to: &Member) -> Option<&Member> {
+    pub(crate) fn relay_for(&self, now: MonotonicTime, to: &Member) -> Option<&Member> {
         if self.fresh(now).any(|(m, _)| m == to) {
             return None;
         }
@@ -61,17 +61,22 @@
 
     /// Whether some controller is only heard through another: machines may be cut off from
     /// this one in the same way.
-    pub fn has_partition(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn has_partition(&self, now: MonotonicTime) -> bool {
         self.words
             .keys()
             .any(|member| self.relay_for(now, member).is_some())
     }
 
-    /// Whether a machine that turns up here is cut off from its holder as other controllers are:
-    /// then its report is handed on instead of being sent there, where it would not arrive. A
-    /// holder that hears all others and misses its machines has lost them alone, and is relieved
+    /// Whether a machine that turns up here is cut off from its shard owner as other controllers are:
+    /// then its heartbeat is handed on instead of being sent there, where it would not arrive. A
+    /// shard owner that hears all others and misses its machines has lost them alone, and is relieved
     /// sooner if it goes on missing them (Savannah fleet, apart: 0.83 to 0.76, bc14cf10).
-    pub fn may_be_missing(&self, now: MonotonicTime, owner: &Member, machine: &MachineId) -> bool {
+    pub(crate) fn may_be_missing(
+        &self,
+        now: MonotonicTime,
+        owner: &Member,
+        machine: &MachineId,
+    ) -> bool {
         let parted = |word: &PeerStatus| {
             let mut others = self.fresh(now).filter(|(m, _)| *m != owner);
             others.any(|(m, _)| !word.reachable_peers.contains(m))
--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -1,4 +1,4 @@
-//! The leader's books for what the mirror doesn't show yet: allotments that are on their way, and
+//! The leader's books for what the watch cache doesn't show yet: allotments that are on their way, and
 //! placements that are proved gone while their machines' records still stand.
 
 use super::candidates::Pending;
@@ -13,7 +13,7 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An allotment without an answer for so long is voided by rewriting its block. Holders give back
+/// An allotment without an answer for so long is voided by rewriting its shard. Owners give back
 /// what they can't write well before that.
 const ANSWER: Millis = Millis(8000);
 
@@ -35,22 +35,22 @@
     allotted: BTreeMap<TaskAttempt, Allotted>,
     /// Proved gone, though their machines' records still stand.
     freed: BTreeMap<TaskAttempt, MachineId>,
-    /// Blocks that were rewritten for want of an answer, and when.
+    /// Shards that were rewritten for want of an answer, and when.
     renewed: BTreeMap<ShardId, MonotonicTime>,
 }
 
 impl AllotmentLedger {
-    pub fn allot(&mut self, attempt: TaskAttempt, allotted: Allotted) {
+    pub(super) fn allot(&mut self, attempt: TaskAttempt, allotted: Allotted) {
         self.allotted.insert(attempt, allotted);
     }
 
-    pub fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+    pub(super) fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
         let attempts = attempts.into_iter();
         self.freed
             .extend(attempts.map(|(machine, attempt, _)| (attempt, machine)));
     }
 
-    pub fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
+    pub(super) fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
         for attempt in attempts {
             if self.allotted.get(attempt).is_some_and(|a| a.fence == fence) {
                 self.allotted.remove(attempt);
@@ -58,8 +58,8 @@
         }
     }
 
-    pub fn on_ended(&mut self, ended: &EndedAttempt, cache: &WatchCache) {
-        // A gang's lost member is replaced under the same attempt. Once the mirror shows the end,
+    pub(super) fn on_ended(&mut self, ended: &EndedAttempt, cache: &WatchCache) {
+        // A gang's lost member is replaced under the same attempt. Once the watch cache shows the end,
         // what is allotted under it is the replacement: taking that off the books started the
         // task twice (simulated seed 261 of the crowded days).
         let job = cache.jobs.get(&ended.attempt.task.job);
@@ -71,20 +71,20 @@
         }
     }
 
-    /// Another term: what was allotted in an earlier one failed at the blocks' fences, or is in
-    /// the mirror.
-    pub fn begin_term(&mut self) {
+    /// Another term: what was allotted in an earlier one failed at the shards' fences, or is in
+    /// the watch cache.
+    pub(super) fn begin_term(&mut self) {
         self.allotted.clear();
         self.freed.clear();
     }
 
-    /// Takes off the books what the mirror shows as placed, or what can no longer be placed.
-    /// Returns the blocks that are to be rewritten, since allotments there have no answer.
-    pub fn reconcile(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<ShardId> {
+    /// Takes off the books what the watch cache shows as placed, or what can no longer be placed.
+    /// Returns the shards that are to be rewritten, since allotments there have no answer.
+    pub(super) fn reconcile(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<ShardId> {
         let mut overdue = BTreeSet::new();
         self.allotted.retain(|attempt, a| {
-            // Placements under the old fence were committed before the block's new record, so
-            // the mirror has them.
+            // Placements under the old fence were committed before the shard's new record, so
+            // the watch cache has them.
             let fenced = cache
                 .shards
                 .get(&a.shard)
@@ -106,7 +106,7 @@
     }
 
     /// The tasks that are allotted.
-    pub fn tasks(&self) -> AllottedTasks<'_> {
+    pub(super) fn tasks(&self) -> AllottedTasks<'_> {
         let mut tasks = AllottedTasks::new();
         for (attempt, a) in &self.allotted {
             let of_job = tasks.entry(&attempt.task.job).or_default();
@@ -115,8 +115,8 @@
         tasks
     }
 
-    /// Books what the mirror doesn't show on the teams' accounts, and sums it up by machine.
-    pub fn book(&self, quota_usage: &mut QuotaUsage<'_>, cache: &WatchCache) -> Pending<'_> {
+    /// Books what the watch cache doesn't show on the teams' accounts, and sums it up by machine.
+    pub(super) fn book(&self, quota_usage: &mut QuotaUsage<'_>, cache: &WatchCache) -> Pending<'_> {
         let mut pending = Pending::default();
         let mut last: BTreeMap<&MachineId, &JobId> = BTreeMap::new();
         for (attempt, a) in &self.allotted {
@@ -141,23 +141,23 @@
         pending
     }
 
-    pub fn is_freed(&self, attempt: &TaskAttempt) -> bool {
+    pub(super) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         self.freed.contains_key(attempt)
     }
 
-    /// Whether something that was allotted to a block before a time is still on its way.
-    pub fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
+    /// Whether something that was allotted to a shard before a time is still on its way.
+    pub(super) fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotted
             .values()
             .any(|a| a.shard == shard && a.at <= at)
     }
 
-    pub fn allotted_count(&self) -> usize {
+    pub(super) fn allotted_count(&self) -> usize {
         self.allotted.len()
     }
 }
 
-/// Whether the mirror shows a task as placed under this attempt.
+/// Whether the watch cache shows a task as placed under this attempt.
 fn is_placed(attempt: &TaskAttempt, cache: &WatchCache) -> bool {
     let job = cache.jobs.get(&attempt.task.job);
     let placed = job.and_then(|j| j.placed.get(&attempt.task.index));
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -29,7 +29,7 @@
     pub replicas_use: Resources,
 }
 
-/// Room that the mirror doesn't show yet, by machine.
+/// Room that the watch cache doesn't show yet, by machine.
 #[derive(Default)]
 pub(super) struct Pending<'a> {
     /// Allotted, and not placed on record.
@@ -82,12 +82,12 @@
         })
     }
 
-    pub fn has_image(&self, spec: &JobSpec) -> bool {
+    pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images.contains(&spec.image.as_str())
     }
 
     /// Seconds until the job's image is there.
-    pub fn fetch_seconds(&self, spec: &JobSpec) -> f64 {
+    pub(super) fn fetch_seconds(&self, spec: &JobSpec) -> f64 {
         if self.has_image(spec) {
             0.0
         } else {
@@ -96,13 +96,13 @@
     }
 
     /// How many tasks of a job there is room for beside what is kept from it.
-    pub fn tasks_that_fit(&self, spec: &JobSpec, kept: Resources) -> u64 {
+    pub(super) fn tasks_that_fit(&self, spec: &JobSpec, kept: Resources) -> u64 {
         let room = spec.need().count_in(self.free - kept);
         room.min(self.record.tasks(spec))
     }
 
     /// Whether the job may run on this type, in this zone, on this kind of machine.
-    pub fn is_allowed(&self, spec: &JobSpec) -> bool {
+    pub(super) fn is_allowed(&self, spec: &JobSpec) -> bool {
         spec.allows(self.type_name, self.zone, self.spot)
     }
 }
--- a/src/placement/fault_tracking.rs
+++ b/src/placement/fault_tracking.rs
@@ -24,13 +24,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Faults {
+pub(crate) struct Faults {
     machines: BTreeMap<MachineId, MachineFaults>,
     jobs: BTreeMap<JobId, JobFaults>,
 }
 
 impl Faults {
-    pub fn failed(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId) {
+    pub(crate) fn failed(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId) {
         let elsewhere = self
             .jobs
             .get(job)
@@ -53,42 +53,46 @@
         }
     }
 
-    pub fn succeeded(&mut self, job: &JobId, machine: &MachineId) {
+    pub(crate) fn succeeded(&mut self, job: &JobId, machine: &MachineId) {
         self.machines.remove(machine);
         self.jobs.remove(job);
     }
 
-    pub fn is_quarantined(&self, now: MonotonicTime, machine: &MachineId) -> bool {
+    pub(crate) fn is_quarantined(&self, now: MonotonicTime, machine: &MachineId) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|m| now < m.shunned_until)
     }
 
     /// A job is not tried again where it failed while other machines are left.
-    pub fn failed_on(&self, job: &JobId, machine: &MachineId) -> bool {
+    pub(crate) fn failed_on(&self, job: &JobId, machine: &MachineId) -> bool {
         self.jobs
             .get(job)
             .is_some_and(|j| j.machines.len() < 4 && j.machines.contains(machine))
     }
 
-    pub fn paused(&self, now: MonotonicTime, job: &JobId) -> bool {
+    pub(crate) fn paused(&self, now: MonotonicTime, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|j| now < j.paused_until)
     }
 
     /// How many tasks a job that has failed on several machines may try at a time.
-    pub fn trial(&self, job: &JobId) -> Option<usize> {
+    pub(crate) fn trial(&self, job: &JobId) -> Option<usize> {
         self.jobs
             .get(job)
             .filter(|j| j.machines.len() >= 2)
             .map(|_| 1)
     }
 
-    pub fn retain(&mut self, job: impl Fn(&JobId) -> bool, machine: impl Fn(&MachineId) -> bool) {
+    pub(crate) fn retain(
+        &mut self,
+        job: impl Fn(&JobId) -> bool,
+        machine: impl Fn(&MachineId) -> bool,
+    ) {
         self.jobs.retain(|id, _| job(id));
         self.machines.retain(|id, _| machine(id));
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 }
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -18,12 +18,12 @@
 /// What the leader has launched in its term. After a change of leaders nothing is known of a
 /// gang that stands only in part: its members are left to find out by themselves.
 #[derive(Debug, Default)]
-pub struct Gangs {
+pub(super) struct Gangs {
     launches: BTreeMap<JobId, Launch>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
+pub(super) enum Next {
     /// Launch all tasks under a new attempt.
     Whole,
     /// Replace what is missing of a gang that has not started yet.
@@ -33,7 +33,7 @@
 }
 
 impl Gangs {
-    pub fn next(
+    pub(super) fn next(
         &self,
         now: MonotonicTime,
         id: &JobId,
@@ -59,7 +59,12 @@
         }
     }
 
-    pub fn launched(&mut self, now: MonotonicTime, id: &JobId, attempt_number: AttemptNumber) {
+    pub(super) fn launched(
+        &mut self,
+        now: MonotonicTime,
+        id: &JobId,
+        attempt_number: AttemptNumber,
+    ) {
         let launch = Launch {
             attempt_number,
             at: now,
@@ -68,7 +73,7 @@
         self.launches.insert(id.clone(), launch);
     }
 
-    pub fn on_health(&mut self, health: &MachineHealth) {
+    pub(super) fn on_health(&mut self, health: &MachineHealth) {
         for (job, attempt_number) in &health.gangs {
             if let Some(launch) = self.launches.get_mut(job)
                 && launch.attempt_number == *attempt_number
@@ -79,23 +84,23 @@
     }
 
     /// A member ended by itself: nothing is added to this attempt any more.
-    pub fn on_ended(&mut self, job: &JobId) {
+    pub(super) fn on_ended(&mut self, job: &JobId) {
         if let Some(launch) = self.launches.get_mut(job) {
             launch.running = true;
         }
     }
 
-    pub fn retain(&mut self, jobs: &BTreeMap<JobId, LiveJob>) {
+    pub(super) fn retain(&mut self, jobs: &BTreeMap<JobId, LiveJob>) {
         self.launches.retain(|id, _| jobs.contains_key(id));
     }
 
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.launches.clear();
     }
 }
 
 /// The tasks of a gang that are neither placed nor allotted.
-pub fn missing<M>(job: &LiveJob, allotted: Option<&BTreeMap<u32, M>>) -> Vec<u32> {
+pub(super) fn missing<M>(job: &LiveJob, allotted: Option<&BTreeMap<u32, M>>) -> Vec<u32> {
     (0..job.spec.tasks)
         .filter(|i| !job.placed.contains_key(i) && allotted.is_none_or(|a| !a.contains_key(i)))
         .collect()
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -17,10 +17,10 @@
 mod unmet_demand;
 mod zone_constraint;
 
-pub use queue_order::service_order;
-pub use replicas::{replicas, spare_replicas};
-pub use scheduler::{Effect, RECORD_WRITE_SHARE, Scheduler};
-pub use unmet_demand::UnmetDemand;
+pub(crate) use queue_order::service_order;
+pub(crate) use replicas::{replicas, spare_replicas};
+pub(crate) use scheduler::{Effect, RECORD_WRITE_SHARE, Scheduler};
+pub(crate) use unmet_demand::UnmetDemand;
 
 #[cfg(test)]
 mod tests;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -47,7 +47,7 @@
 impl Preemption<'_> {
     /// Replicas to stop on machines that are on their way out, where another machine has room
     /// and the image, so that they start there at once. One at a time for each service.
-    pub fn moves(&self) -> Vec<Stop> {
+    pub(super) fn moves(&self) -> Vec<Stop> {
         let mut stops: Vec<Stop> = Vec::new();
         let mut free: Vec<Resources> = self.candidates.iter().map(|c| c.free).collect();
         let mut records: Vec<RecordCapacity> =
@@ -84,7 +84,7 @@
 
     /// Tasks that can save, on machines that are about to be taken: stopped in time, they go on
     /// elsewhere from where they were.
-    pub fn savings(&self) -> Vec<Stop> {
+    pub(super) fn savings(&self) -> Vec<Stop> {
         let mut stops = Vec::new();
         let mut gone: BTreeSet<TaskAttempt> = self.preempted.keys().cloned().collect();
         for (id, health) in self.health {
@@ -106,7 +106,7 @@
     }
 
     /// Tasks to stop so that those of a higher priority, or within a guarantee, get room.
-    pub fn for_unmet_demands(&self, unmet_demands: &[UnmetDemand]) -> Vec<Stop> {
+    pub(super) fn for_unmet_demands(&self, unmet_demands: &[UnmetDemand]) -> Vec<Stop> {
         let mut stops = Vec::new();
         let mut coming = self.room_that_comes();
         let mut gone: BTreeSet<TaskAttempt> = self.preempted.keys().cloned().collect();
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs.
-pub fn guaranteed<'a>(
+pub(super) fn guaranteed<'a>(
     teams: &BTreeMap<TeamId, Team>,
     jobs: impl Iterator<Item = (&'a JobId, &'a LiveJob)>,
 ) -> BTreeSet<JobId> {
@@ -34,7 +34,10 @@
 }
 
 /// All jobs in the order in which they are served.
-pub fn service_order<'a>(config: &Config, cache: &'a WatchCache) -> Vec<(&'a JobId, &'a LiveJob)> {
+pub(crate) fn service_order<'a>(
+    config: &Config,
+    cache: &'a WatchCache,
+) -> Vec<(&'a JobId, &'a LiveJob)> {
     let within = guaranteed(&config.teams, cache.jobs.iter());
     let mut list: Vec<_> = cache.jobs.iter().collect();
     list.sort_by_cached_key(|(id, job)| rank(id, job, within.contains(*id)));
@@ -49,7 +52,7 @@
 const STARVING: u64 = 120_000;
 
 /// Puts the oldest of the jobs that have waited too long for their first task to the front.
-pub fn oldest_first(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
+pub(super) fn oldest_first(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
     let unbegun = |job: &LiveJob| job.placed.is_empty() && job.done_count() == 0;
     let starving = waiting
         .iter()
@@ -63,7 +66,7 @@
 
 /// Priority first; then what a guarantee covers; then what is due first; then age. Priority and
 /// time are those of the most urgent job that depends on it.
-pub fn rank(id: &JobId, job: &LiveJob, within: bool) -> impl Ord + use<> {
+pub(super) fn rank(id: &JobId, job: &LiveJob, within: bool) -> impl Ord + use<> {
     let latest = UnixTime(job.eligible.0.saturating_add(DUE_AT_LATEST));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
     (
--- a/src/placement/queue_turns.rs
+++ b/src/placement/queue_turns.rs
@@ -24,11 +24,11 @@
 }
 
 impl QueueTurn<'_> {
-    pub fn kind(&self) -> JobKind {
+    pub(super) fn kind(&self) -> JobKind {
         self.job.spec.kind
     }
 
-    pub fn need(&self) -> Resources {
+    pub(super) fn need(&self) -> Resources {
         self.job.spec.need()
     }
 }
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -5,17 +5,20 @@
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
-pub struct QuotaUsage<'a> {
+pub(super) struct QuotaUsage<'a> {
     teams: &'a BTreeMap<TeamId, Team>,
     used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> QuotaUsage<'a> {
-    pub fn new(teams: &'a BTreeMap<TeamId, Team>, used: BTreeMap<TeamId, Resources>) -> Self {
+    pub(super) fn new(
+        teams: &'a BTreeMap<TeamId, Team>,
+        used: BTreeMap<TeamId, Resources>,
+    ) -> Self {
         Self { teams, used }
     }
 
-    pub fn charge(&mut self, team: &TeamId, amounts: Resources) {
+    pub(super) fn charge(&mut self, team: &TeamId, amounts: Resources) {
         match self.used.get_mut(team) {
             Some(sum) => *sum = *sum + amounts,
             None => {
@@ -25,18 +28,18 @@
     }
 
     /// What is proved gone counts no more.
-    pub fn credit(&mut self, team: &TeamId, amounts: Resources) {
+    pub(super) fn credit(&mut self, team: &TeamId, amounts: Resources) {
         if let Some(sum) = self.used.get_mut(team) {
             *sum = *sum - amounts;
         }
     }
 
-    pub fn used(&self, team: &TeamId) -> Resources {
+    pub(super) fn used(&self, team: &TeamId) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
     /// How many tasks of a need the team's limit still allows. Memory has no limit.
-    pub fn allows(&self, team: &TeamId, need: Resources) -> u64 {
+    pub(super) fn allows(&self, team: &TeamId, need: Resources) -> u64 {
         let Some(limits) = self.teams.get(team) else {
             return 0;
         };
@@ -45,14 +48,14 @@
     }
 
     /// Whether the team uses anything beyond its guarantee.
-    pub fn borrows(&self, team: &TeamId) -> bool {
+    pub(super) fn borrows(&self, team: &TeamId) -> bool {
         let used = self.used(team);
         self.teams.get(team).is_none_or(|t| t.is_exceeded(used))
     }
 
     /// Whether the team uses more than its guarantee, so that its work of such a need may make
     /// room for others'. What its guarantee does not speak of, it always has beyond it.
-    pub fn beyond_guarantee(&self, team: &TeamId, need: Resources) -> bool {
+    pub(super) fn beyond_guarantee(&self, team: &TeamId, need: Resources) -> bool {
         let used = self.used(team);
         self.teams
             .get(team)
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -11,7 +11,7 @@
 
 /// Steps in which the number of tasks that a machine takes at once counts.
 const TOGETHER: u64 = 4;
-/// Machines of a block that its holder may choose from.
+/// Machines of a shard that its shard owner may choose from.
 const CHOICES: usize = 6;
 
 /// Where, and how, a job looks for room.
@@ -41,7 +41,7 @@
     /// The machines that a job may use, best first: its placement group, then those that have
     /// its image, then the fullest, so that others empty and can be returned. While changes are
     /// scarce, those that take most of its tasks at once.
-    pub fn order(
+    pub(super) fn order(
         &self,
         id: &JobId,
         job: &LiveJob,
@@ -105,8 +105,8 @@
     }
 }
 
-/// The machines among which the holder of a candidate's block chooses: the candidate first, then
-/// the block's others in the job's order. Where the job's zones depend on one another, only the
+/// The machines among which the shard owner of a candidate's shard chooses: the candidate first, then
+/// the shard's others in the job's order. Where the job's zones depend on one another, only the
 /// leader sees them all, and the candidate stands alone.
 pub(super) fn choices(
     candidate: &Candidate<'_>,
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -1,4 +1,4 @@
-//! Room in machines' records: a record must fit into a value of the state service, so there is
+//! Room in machines' records: a record must fit into a value of the key-value store, so there is
 //! room for so many placements, whatever room the machine itself has.
 
 use crate::ids::JobId;
@@ -18,7 +18,12 @@
 
 impl RecordCapacity {
     /// `promised`: what allotments under way will add. `freed`: what goes with the next change.
-    pub fn new(record: &MachineRecord, value_bytes: usize, promised: usize, freed: usize) -> Self {
+    pub(super) fn new(
+        record: &MachineRecord,
+        value_bytes: usize,
+        promised: usize,
+        freed: usize,
+    ) -> Self {
         let placed = record.size() - record.done_size() + promised;
         let most = MachineRecord::placement_capacity(value_bytes);
         Self {
@@ -35,18 +40,18 @@
     }
 
     /// How many tasks of a job the record takes.
-    pub fn tasks(&self, spec: &JobSpec) -> u64 {
+    pub(super) fn tasks(&self, spec: &JobSpec) -> u64 {
         let left = self.left.saturating_sub(self.cost(spec));
         (left / size::LARGEST_TASK) as u64
     }
 
     /// How many jobs of one task each, alike, the record takes.
-    pub fn single_tasks(&self, largest_job: usize) -> u64 {
+    pub(super) fn single_tasks(&self, largest_job: usize) -> u64 {
         (self.left / (largest_job + size::LARGEST_TASK)) as u64
     }
 
     /// Takes room for one more task, if there is any.
-    pub fn take(&mut self, spec: &JobSpec) -> bool {
+    pub(super) fn take(&mut self, spec: &JobSpec) -> bool {
         let fits = self.tasks(spec) > 0;
         if fits {
             self.left -= self.cost(spec) + size::LARGEST_TASK;
@@ -56,7 +61,7 @@
     }
 
     /// Gives room back that was taken for so many tasks.
-    pub fn give_back(&mut self, tasks: u64) {
+    pub(super) fn give_back(&mut self, tasks: u64) {
         self.left += tasks as usize * size::LARGEST_TASK;
     }
 }
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -12,7 +12,7 @@
 const SPARE_REPLICAS: u64 = 2;
 
 /// How many replicas of services a machine has, and what they use.
-pub fn replicas(machine: &LiveMachine, cache: &WatchCache) -> (usize, Resources) {
+pub(crate) fn replicas(machine: &LiveMachine, cache: &WatchCache) -> (usize, Resources) {
     let service = |p: &&PlacedJob| {
         cache
             .jobs
@@ -26,7 +26,7 @@
 }
 
 /// The replicas for which room is kept: the largest need among the services, and how many.
-pub fn spare_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
+pub(crate) fn spare_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
     let (mut total, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
         if job.spec.kind == JobKind::Service {
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -1,5 +1,5 @@
-//! Allots tasks to blocks. The leader counts every placement that is not proved gone and every
-//! allotment of its term, and prefers each job's placement group; the holders place.
+//! Allots tasks to shards. The leader counts every placement that is not proved gone and every
+//! allotment of its term, and prefers each job's placement group; the owners place.
 
 use super::allotment_ledger::{AllotmentLedger, Allotted};
 use super::candidates;
@@ -26,31 +26,31 @@
 
 /// What the leader does as a result of a pass.
 #[derive(Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     ToShardOwner(Member, Box<Message>),
-    /// An allotment has gone without an answer: rewriting the block voids it.
+    /// An allotment has gone without an answer: rewriting the shard voids it.
     RenewShard(ShardId),
 }
 
-/// A machine whose holder says nothing of it is not used.
+/// A machine whose shard owner says nothing of it is not used.
 const HEALTH_AGE: Millis = Millis(5000);
 /// A preemption that has freed nothing by then is forgotten.
 const PREEMPT: Millis = Millis(10_000);
-/// The part of the state service's changes that arrays are placed with: each machine that is
+/// The part of the key-value store's changes that arrays are placed with: each machine that is
 /// given tasks has its record written for them, and others need changes as well.
-pub const RECORD_WRITE_SHARE: f64 = 0.65;
+pub(crate) const RECORD_WRITE_SHARE: f64 = 0.65;
 /// Below this part of a second's worth changes are scarce.
 const SCARCE: f64 = 0.5;
 
-/// What the holder of a machine last said of it.
+/// What the shard owner of a machine last said of it.
 #[derive(Clone, Debug)]
-pub struct Health {
+pub(crate) struct Health {
     pub at: MonotonicTime,
     pub last: MachineHealth,
 }
 
 /// The leader's decisions on placement, and what it remembers between passes.
-pub struct Scheduler {
+pub(crate) struct Scheduler {
     config: Rc<Config>,
     attempt_numbers: AttemptNumbers,
     allotment_ledger: AllotmentLedger,
@@ -70,7 +70,7 @@
 }
 
 impl Scheduler {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self {
             config: Rc::new(config.clone()),
             attempt_numbers: AttemptNumbers::default(),
@@ -88,20 +88,20 @@
         }
     }
 
-    /// How many changes the state service takes in a second from all controllers.
-    pub fn set_change_rate(&mut self, changes: f64) {
+    /// How many changes the key-value store takes in a second from all controllers.
+    pub(crate) fn set_change_rate(&mut self, changes: f64) {
         self.change_rate = changes;
     }
 
     /// Whether the changes that arrays may be placed with are used up at present.
-    pub fn changes_are_scarce(&mut self, now: MonotonicTime) -> bool {
+    pub(crate) fn changes_are_scarce(&mut self, now: MonotonicTime) -> bool {
         self.records.available_fraction(now) < SCARCE
     }
 
-    /// Takes a holder's word on its machines. One that the state service refuses alone goes on
+    /// Takes a shard owner's word on its machines. One that the key-value store refuses alone goes on
     /// speaking of machines that others hold since, and of their silence: that is no news (on
     /// Tramite grown a third of the fleet counted as lost for 30 s).
-    pub fn on_health(
+    pub(crate) fn on_health(
         &mut self,
         now: MonotonicTime,
         health: Vec<MachineHealth>,
@@ -119,15 +119,20 @@
         }
     }
 
-    pub fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+    pub(crate) fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
         self.allotment_ledger.on_freed(attempts);
     }
 
-    pub fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
+    pub(crate) fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
         self.allotment_ledger.on_refused(fence, attempts);
     }
 
-    pub fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt, cache: &WatchCache) {
+    pub(crate) fn on_ended(
+        &mut self,
+        now: MonotonicTime,
+        ended: &EndedAttempt,
+        cache: &WatchCache,
+    ) {
         self.allotment_ledger.on_ended(ended, cache);
         self.preempted.remove(&ended.attempt);
         let job = &ended.attempt.task.job;
@@ -155,7 +160,7 @@
     }
 
     /// One pass over all waiting jobs.
-    pub fn step(
+    pub(crate) fn step(
         &mut self,
         now: MonotonicTime,
         term: Revision,
@@ -295,14 +300,14 @@
         );
     }
 
-    /// Whether a holder has spoken of a machine lately.
-    pub fn has_recent_health(&self, now: MonotonicTime, id: &MachineId) -> bool {
+    /// Whether a shard owner has spoken of a machine lately.
+    pub(crate) fn has_recent_health(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let health = self.health.get(id);
         health.is_some_and(|h| now.since(h.at) < HEALTH_AGE)
     }
 
-    /// Whether its present holder says that nothing has come from a machine for so long.
-    pub fn is_silent(
+    /// Whether its present shard owner says that nothing has come from a machine for so long.
+    pub(crate) fn is_silent(
         &self,
         now: MonotonicTime,
         id: &MachineId,
@@ -317,14 +322,14 @@
         })
     }
 
-    /// Whether a holder has told that a placement is proved gone.
-    pub fn is_freed(&self, attempt: &TaskAttempt) -> bool {
+    /// Whether a shard owner has told that a placement is proved gone.
+    pub(crate) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         self.allotment_ledger.is_freed(attempt)
     }
 
-    /// Whether a machine can take work: its holder has it, under the present token, and no
+    /// Whether a machine can take work: its shard owner has it, under the present token, and no
     /// notice or fault stands against it.
-    pub fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
+    pub(crate) fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
         let shard = id.shard(self.config.shards());
         let fence = cache.shards.get(&shard).map(|b| b.revision);
         let healthy = self.health.get(id).is_some_and(|h| {
@@ -337,22 +342,22 @@
         healthy && !self.faults.is_quarantined(now, id) && !self.leaving.contains(id)
     }
 
-    /// Whether a machine counts as capacity. One whose holder has just changed is of no use for
+    /// Whether a machine counts as capacity. One whose shard owner has just changed is of no use for
     /// a moment, but it is there: renting for it would be renting twice.
-    pub fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub(crate) fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let lost = self.health.get(id).is_some_and(|h| {
             h.last.notice.is_some()
                 || h.last.silent >= self.config.heartbeat_interval + Millis(2000)
         });
         !lost && !self.faults.is_quarantined(now, id) && !self.leaving.contains(id)
     }
-    /// Whether something that was allotted to a block before a time is still on its way: only
+    /// Whether something that was allotted to a shard before a time is still on its way: only
     /// that can come to a machine which has been left out of the lists since.
-    pub fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
+    pub(crate) fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotment_ledger.allotted_before(shard, at)
     }
 
-    pub fn allotted_count(&self) -> usize {
+    pub(crate) fn allotted_count(&self) -> usize {
         self.allotment_ledger.allotted_count()
     }
 }
--- a/src/placement/scheduling_pass.rs
+++ b/src/placement/scheduling_pass.rs
@@ -41,7 +41,7 @@
 }
 
 impl AttemptNumbers {
-    pub fn of_term(term: Revision) -> Self {
+    pub(super) fn of_term(term: Revision) -> Self {
         Self { term, counter: 0 }
     }
 
@@ -134,7 +134,7 @@
 }
 
 impl<'a> SchedulingPass<'a> {
-    pub fn new(
+    pub(super) fn new(
         input: PassInputs<'a>,
         state: PassState<'a>,
         quota_usage: QuotaUsage<'a>,
@@ -159,7 +159,7 @@
     }
 
     /// Gives every waiting job its turn.
-    pub fn run(&mut self) {
+    pub(super) fn run(&mut self) {
         for turn in queue_turns(&self.input, &self.candidates) {
             self.serve(turn);
         }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -155,7 +155,7 @@
     assert!(scene.step().0.is_empty(), "nothing is allotted twice");
 }
 
-/// Found on a day with crashes: machines of a lost holder were rented a second time.
+/// Found on a day with crashes: machines of a lost shard owner were rented a second time.
 #[test]
 fn a_machine_whose_holder_changes_is_unusable_for_a_moment_but_stays_capacity() {
     let mut scene = Scene::new();
@@ -201,7 +201,7 @@
     }
 }
 
-/// A controller that lost the state service alone still takes the blocks for its own.
+/// A controller that lost the key-value store alone still takes the shards for its own.
 #[test]
 fn the_word_of_an_earlier_holder_does_not_hide_a_machine() {
     let mut scene = Scene::new();
--- a/src/placement/unmet_demand.rs
+++ b/src/placement/unmet_demand.rs
@@ -7,7 +7,7 @@
 
 /// Tasks for which no machine has room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UnmetDemand {
+pub(crate) struct UnmetDemand {
     pub job: JobId,
     /// What each of the tasks takes.
     pub need: Resources,
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -15,7 +15,7 @@
 }
 
 impl ZoneConstraint {
-    pub fn new(
+    pub(super) fn new(
         job: &LiveJob,
         allotted: Option<&BTreeMap<u32, &MachineId>>,
         cache: &WatchCache,
@@ -41,7 +41,7 @@
     /// Where a job that must stay in one zone goes: to its other tasks, else to the zone with
     /// room for the most on machines that it may use. A zone full of others' machines once drew
     /// it away from the only one that it could run on (simulated seed 61 of late copies).
-    pub fn choose(
+    pub(super) fn choose(
         &self,
         spec: &JobSpec,
         candidates: &[Candidate<'_>],
@@ -65,18 +65,18 @@
     }
 
     /// Whether the zones of the job's tasks depend on one another.
-    pub fn binds(&self) -> bool {
+    pub(super) fn binds(&self) -> bool {
         self.one_zone || self.most.is_some()
     }
 
     /// Whether one more task may stand in a zone.
-    pub fn admits(&self, zone: &Zone) -> bool {
+    pub(super) fn admits(&self, zone: &Zone) -> bool {
         let here = self.counts.get(zone).copied().unwrap_or(0);
         let elsewhere = self.counts.keys().any(|z| z != zone);
         !(self.one_zone && elsewhere) && self.most.is_none_or(|most| here < most)
     }
 
-    pub fn add(&mut self, zone: &Zone) {
+    pub(super) fn add(&mut self, zone: &Zone) {
         if self.one_zone || self.most.is_some() {
             *self.counts.entry(zone.clone()).or_default() += 1;
         }
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -15,7 +15,7 @@
 
 /// The transaction that cancels the waiting jobs which need a cancelled one, as many as fit, and
 /// which these are. `None`: there are none.
-pub fn cancel_dependents(
+pub(crate) fn cancel_dependents(
     cancelled: &JobId,
     cache: &WatchCache,
     max_ops: usize,
--- a/src/planning/counter.rs
+++ b/src/planning/counter.rs
@@ -1,4 +1,4 @@
-//! The completion counter of a job, in the state service: segments of finished tasks, and what
+//! The completion counter of a job, in the key-value store: segments of finished tasks, and what
 //! machines' records count beside them. Whoever leads moves the latter into the former, and the
 //! update that finds all tasks done releases the job.
 
@@ -14,7 +14,7 @@
 
 /// How counters are stored.
 #[derive(Clone, Copy, Debug)]
-pub struct Layout {
+pub(crate) struct Layout {
     /// Tasks in one segment: the same for all versions of the program.
     pub segment_tasks: u32,
     /// What fits into a value, and into a transaction.
@@ -23,7 +23,7 @@
 }
 
 impl Layout {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self {
             segment_tasks: config.segment_tasks(),
             value_bytes: config.state.value_bytes,
@@ -34,7 +34,7 @@
 
 /// Adds the changes that move a job's counted tasks into its segments, as far as `room` changes
 /// go. `true` if none is left behind.
-pub fn fold(txn: &mut Txn, id: &JobId, job: &LiveJob, layout: &Layout, room: usize) -> bool {
+pub(crate) fn fold(txn: &mut Txn, id: &JobId, job: &LiveJob, layout: &Layout, room: usize) -> bool {
     let mut changed: BTreeMap<u32, Bitmap> = BTreeMap::new();
     for index in &job.counted {
         let segment = index / layout.segment_tasks;
@@ -68,10 +68,10 @@
 }
 
 /// The transaction that ends a job all of whose tasks are done; `None` while some are not. It is
-/// the counter's last update: ends that holders have seen and not written yet are in it. Done
+/// the counter's last update: ends that owners have seen and not written yet are in it. Done
 /// and cancelled exclude each other by the condition on the job's record. Segments that find no
 /// room are cleaned up later.
-pub fn release(id: &JobId, job: &LiveJob, layout: &Layout) -> Option<Txn> {
+pub(crate) fn release(id: &JobId, job: &LiveJob, layout: &Layout) -> Option<Txn> {
     if !job.is_complete(layout.segment_tasks) {
         return None;
     }
--- a/src/planning/counter/tests.rs
+++ b/src/planning/counter/tests.rs
@@ -62,7 +62,7 @@
     id
 }
 
-/// A holder's change of a machine's record: some tasks of the job have ended there.
+/// A shard owner's change of a machine's record: some tasks of the job have ended there.
 fn end(
     keys_held: &mut Keys,
     cache: &mut WatchCache,
--- a/src/planning/graph.rs
+++ b/src/planning/graph.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 #[derive(Clone, Debug)]
-pub struct Node {
+pub(crate) struct Node {
     /// Jobs that must be done first; all of them stand earlier in the graph.
     pub parents: Vec<usize>,
     /// The size of its output, read as its task count.
@@ -16,19 +16,19 @@
 
 /// Jobs in an order in which parents come first.
 #[derive(Clone, Debug, Default)]
-pub struct Graph {
+pub(crate) struct Graph {
     pub nodes: Vec<Node>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Each job's group.
     pub groups: Vec<usize>,
     /// Each job's type, as an index into its times.
     pub types: Vec<usize>,
 }
 
-pub fn plan(graph: &Graph, cap: usize) -> Plan {
+pub(crate) fn plan(graph: &Graph, cap: usize) -> Plan {
     let groups = assign(graph, cap.max(1));
     let types = step_down(graph, &groups);
     Plan { groups, types }
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -10,7 +10,7 @@
 
 /// A predicted run time, and whether it rests on enough samples of its machine type.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Predicted {
+pub(crate) struct Predicted {
     pub seconds: f64,
     pub sampled: bool,
 }
@@ -18,7 +18,7 @@
 /// The chosen percentile of the type's samples, else of all types', else the owner's estimate.
 /// Samples are kept as parts of the estimate that came with their job: jobs of one pipeline
 /// differ in size, and the estimate says how much, even where it is wrong all day.
-pub fn predict(
+pub(crate) fn predict(
     history: Option<&HistoryRecord>,
     type_name: &TypeName,
     settings: &Settings,
@@ -58,12 +58,18 @@
 /// Samples that the leader has not written yet: they are written in batches, since a lost one
 /// costs nothing.
 #[derive(Debug, Default)]
-pub struct History {
+pub(crate) struct History {
     fresh: BTreeMap<Pipeline, Vec<(TypeName, f32)>>,
 }
 
 impl History {
-    pub fn add(&mut self, pipeline: &Pipeline, type_name: &TypeName, estimate_s: f64, ran: Millis) {
+    pub(crate) fn add(
+        &mut self,
+        pipeline: &Pipeline,
+        type_name: &TypeName,
+        estimate_s: f64,
+        ran: Millis,
+    ) {
         let scale = if estimate_s > 0.0 { estimate_s } else { 1.0 };
         let sample = (ran.secs() / scale) as f32;
         if self.fresh.len() < 1000 || self.fresh.contains_key(pipeline) {
@@ -75,7 +81,7 @@
     }
 
     /// The next record to write, with the fresh samples merged in, as many as fit into a value.
-    pub fn next(
+    pub(crate) fn next(
         &mut self,
         cache: &WatchCache,
         value_bytes: usize,
@@ -96,7 +102,7 @@
         Some((pipeline, record))
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.fresh.clear();
     }
 }
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -17,7 +17,7 @@
 const MEMBERS: usize = 64;
 
 /// The plan of a job that was just accepted, and the changed ones of jobs that wait with it.
-pub fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
+pub(crate) fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
     let members = members(id, cache);
     let settings = cache.settings();
     let graph = graph(&members, cache);
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -3,35 +3,35 @@
 mod cloud;
 mod dependencies;
 mod job;
-pub mod store;
+pub(crate) mod store;
 mod worker;
 
-pub use cloud::{
+pub(crate) use cloud::{
     Catalog, ListedMachine, MachineList, MachineNames, MachineState, MachineType, RentRequest,
     machines_path,
 };
 #[cfg(test)]
-pub use job::MAX_TASKS;
-pub use job::{JobKind, JobSpec, JobState, JobStatus, Priority, submitted_id, valid_job_id};
+pub(crate) use job::MAX_TASKS;
+pub(crate) use job::{JobKind, JobSpec, JobState, JobStatus, Priority, submitted_id, valid_job_id};
 #[cfg(test)]
-pub use worker::TaskStatus;
-pub use worker::{Command, ExitReason, Heartbeat, TaskState, commands, redirect};
+pub(crate) use worker::TaskStatus;
+pub(crate) use worker::{Command, ExitReason, Heartbeat, TaskState, commands, redirect};
 
 /// Paths of the public side and of what is called.
-pub mod path {
-    pub const JOBS: &str = "/work";
-    pub const CANCEL: &str = "withdraw";
-    pub const READY: &str = "/ready";
-    pub const HEARTBEAT: &str = "/checkin";
-    pub const COMMANDS: &str = "/do";
-    pub const CATALOG: &str = "/catalog";
-    pub const MACHINES: &str = "/machines";
-    pub const DELETE_MACHINES: &str = "/machines/delete";
-    pub const LEASES: &str = "/grants";
-    pub const TXN: &str = "/txn";
-    pub const KV: &str = "/kv";
-    pub const WATCH: &str = "/follow";
+pub(crate) mod path {
+    pub(crate) const JOBS: &str = "/work";
+    pub(crate) const CANCEL: &str = "withdraw";
+    pub(crate) const READY: &str = "/ready";
+    pub(crate) const HEARTBEAT: &str = "/checkin";
+    pub(crate) const COMMANDS: &str = "/do";
+    pub(crate) const CATALOG: &str = "/catalog";
+    pub(crate) const MACHINES: &str = "/machines";
+    pub(crate) const DELETE_MACHINES: &str = "/machines/delete";
+    pub(crate) const LEASES: &str = "/grants";
+    pub(crate) const TXN: &str = "/txn";
+    pub(crate) const KV: &str = "/kv";
+    pub(crate) const WATCH: &str = "/follow";
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -4,9 +4,9 @@
 use crate::ids::{MachineId, Resources, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A machine type of the cloud's catalog; also kept in the state service.
+/// A machine type of the cloud's catalog; also kept in the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineType {
+pub(crate) struct MachineType {
     pub name: TypeName,
     #[serde(rename = "cores")]
     pub cpus: f64,
@@ -25,19 +25,19 @@
 }
 
 impl MachineType {
-    pub fn room(&self) -> Resources {
+    pub(crate) fn room(&self) -> Resources {
         Resources::room(self.cpus, self.gpus, self.memory_gb)
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Catalog {
+pub(crate) struct Catalog {
     #[serde(rename = "hulls")]
     pub types: Vec<MachineType>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct RentRequest {
+pub(crate) struct RentRequest {
     #[serde(rename = "charter")]
     pub request: String,
     #[serde(rename = "hull")]
@@ -51,13 +51,13 @@
 }
 
 #[derive(Debug, Deserialize, Serialize)]
-pub struct MachineNames {
+pub(crate) struct MachineNames {
     #[serde(rename = "moorings")]
     pub machines: Vec<MachineId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum MachineState {
+pub(crate) enum MachineState {
     #[serde(rename = "starting")]
     Booting,
     #[serde(rename = "running")]
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ListedMachine {
+pub(crate) struct ListedMachine {
     pub id: MachineId,
     #[serde(rename = "hull")]
     pub type_name: TypeName,
@@ -82,14 +82,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct MachineList {
+pub(crate) struct MachineList {
     #[serde(rename = "moorings")]
     pub machines: Vec<ListedMachine>,
     #[serde(rename = "has_next")]
     pub more: bool,
 }
 
-pub fn machines_path(after: Option<&MachineId>) -> String {
+pub(crate) fn machines_path(after: Option<&MachineId>) -> String {
     let after = after.map_or_else(String::new, |a| format!("after={a}&"));
     format!("{}?{after}most=500", path::MACHINES)
 }
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -7,10 +7,12 @@
 use std::collections::BTreeSet;
 
 /// The field's name on the wire.
-pub const FIELD: &str = "awaits";
+pub(super) const FIELD: &str = "awaits";
 
 /// Reads the list; a job that is named twice counts once. Null is the same as an empty list.
-pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
+pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Vec<JobId>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     read(&value)
         .ok_or_else(|| D::Error::custom(format!("field `{FIELD}` must be a list of job ids")))
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -4,10 +4,10 @@
 use crate::ids::{Image, JobId, Pipeline, Resources, TeamId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
-pub const MAX_TASKS: u32 = 100_000;
+pub(crate) const MAX_TASKS: u32 = 100_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobKind {
+pub(crate) enum JobKind {
     #[serde(rename = "array")]
     Array,
     #[serde(rename = "group")]
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Priority {
+pub(crate) enum Priority {
     #[serde(rename = "idle")]
     Low,
     #[serde(rename = "normal")]
@@ -28,9 +28,9 @@
     Production,
 }
 
-/// A job as submitted; also its form in the state service, so that one description serves both.
+/// A job as submitted; also its form in the key-value store, so that one description serves both.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobSpec {
+pub(crate) struct JobSpec {
     pub id: JobId,
     #[serde(rename = "docket")]
     pub pipeline: Pipeline,
@@ -79,14 +79,14 @@
     pub dependencies: Vec<JobId>,
 }
 
-pub fn valid_job_id(text: &str) -> bool {
+pub(crate) fn valid_job_id(text: &str) -> bool {
     text.strip_prefix("job-").is_some_and(|digits| {
         (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
 /// The id of a submission that may be malformed otherwise.
-pub fn submitted_id(body: &[u8]) -> Option<JobId> {
+pub(crate) fn submitted_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct Submitted {
         id: String,
@@ -97,7 +97,7 @@
 
 impl JobSpec {
     /// Reads a submission; the message says which field is wrong.
-    pub fn parse(body: &[u8]) -> Result<Self, String> {
+    pub(crate) fn parse(body: &[u8]) -> Result<Self, String> {
         let spec: Self = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         spec.check()?;
         Ok(spec)
@@ -143,11 +143,11 @@
         Ok(())
     }
 
-    pub fn need(&self) -> Resources {
+    pub(crate) fn need(&self) -> Resources {
         Resources::need(self.cpus, self.gpus, self.memory_gb)
     }
 
-    pub fn allows(&self, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
+    pub(crate) fn allows(&self, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
             && self.types.as_ref().is_none_or(|t| t.contains(type_name))
@@ -156,7 +156,7 @@
 
 /// A job's state in the words of its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobState {
+pub(crate) enum JobState {
     #[serde(rename = "pending")]
     Queued,
     #[serde(rename = "running")]
@@ -168,7 +168,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct JobStatus<'a> {
+pub(crate) struct JobStatus<'a> {
     pub id: &'a str,
     #[serde(rename = "standing")]
     pub state: JobState,
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,11 +1,11 @@
-//! The state service's messages.
+//! The key-value store's messages.
 
 use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub(crate) struct Condition {
     pub key: String,
     #[serde(rename = "amendment")]
     pub revision: Revision,
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub(crate) enum Change {
     Put {
         #[serde(rename = "write")]
         key: String,
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub(crate) struct Txn {
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
     #[serde(rename = "then")]
@@ -37,26 +37,31 @@
 }
 
 impl Txn {
-    pub fn require(&mut self, key: impl Into<String>, revision: Revision) {
+    pub(crate) fn require(&mut self, key: impl Into<String>, revision: Revision) {
         let key = key.into();
         if !self.conditions.iter().any(|c| c.key == key) {
             self.conditions.push(Condition { key, revision });
         }
     }
-    pub fn put(&mut self, key: impl Into<String>, value: &impl Serialize, lease: Option<LeaseId>) {
+    pub(crate) fn put(
+        &mut self,
+        key: impl Into<String>,
+        value: &impl Serialize,
+        lease: Option<LeaseId>,
+    ) {
         self.changes.push(Change::Put {
             key: key.into(),
             value: serde_json::to_value(value).unwrap_or(Value::Null),
             lease,
         });
     }
-    pub fn delete(&mut self, key: impl Into<String>) {
+    pub(crate) fn delete(&mut self, key: impl Into<String>) {
         self.changes.push(Change::Delete { key: key.into() });
     }
 }
 
 #[derive(Debug, Default, Deserialize)]
-pub struct TxnAnswer {
+pub(crate) struct TxnAnswer {
     #[serde(default)]
     pub failed: Vec<String>,
     #[serde(rename = "edition", default)]
@@ -64,7 +69,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Item {
+pub(crate) struct Item {
     pub key: String,
     #[serde(rename = "data")]
     pub value: Value,
@@ -75,7 +80,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Page {
+pub(crate) struct Page {
     pub items: Vec<Item>,
     #[serde(rename = "has_next")]
     pub more: bool,
@@ -84,7 +89,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Event {
+pub(crate) struct Event {
     #[serde(rename = "write", default)]
     pub put: Option<String>,
     #[serde(rename = "delete", default)]
@@ -96,37 +101,37 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Events {
+pub(crate) struct Events {
     #[serde(rename = "edition")]
     pub revision: Revision,
     pub events: Vec<Event>,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Lease {
+pub(crate) struct Lease {
     #[serde(rename = "permit")]
     pub id: LeaseId,
 }
 
-pub fn lease_request(life_ms: u64) -> Vec<u8> {
+pub(crate) fn lease_request(life_ms: u64) -> Vec<u8> {
     serde_json::json!({ "life_ms": life_ms })
         .to_string()
         .into_bytes()
 }
-pub fn lease_path(lease: LeaseId) -> String {
+pub(crate) fn lease_path(lease: LeaseId) -> String {
     format!("{}/{lease}", super::path::LEASES)
 }
-pub fn renewal_path(lease: LeaseId) -> String {
+pub(crate) fn renewal_path(lease: LeaseId) -> String {
     format!("{}/{lease}/extend", super::path::LEASES)
 }
-pub fn key_path(key: &str) -> String {
+pub(crate) fn key_path(key: &str) -> String {
     format!("{}/{key}", super::path::KV)
 }
-pub fn page_path(prefix: &str, after: Option<&str>) -> String {
+pub(crate) fn page_path(prefix: &str, after: Option<&str>) -> String {
     let tail = after.map_or_else(String::new, |a| format!("&after={a}"));
     format!("{}?prefix={prefix}{tail}&most=1000", super::path::KV)
 }
-pub fn watch_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
+pub(crate) fn watch_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
     format!(
         "{}?prefix={prefix}&after={after}&block_ms={wait_ms}",
         super::path::WATCH
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -3,14 +3,14 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-pub fn submission(id: &str) -> serde_json::Value {
+pub(crate) fn submission(id: &str) -> serde_json::Value {
     json!({"id": id, "docket": "batch", "crew": "red", "shape": "array", "precedence": "normal",
            "sheets": 4, "cores": 2.0, "cards": 0.0, "memory_gb": 4.0, "plate": "img-1",
            "image_gb": 1.0, "hulls": null, "same_place": false, "scatter": false, "ebb": true,
            "reckon_s": 30.0, "fix_s": 0.0, "stow_s": 0.0, "due_s": 90.0, "novelty": [1]})
 }
 
-pub fn spec(id: &str) -> JobSpec {
+pub(crate) fn spec(id: &str) -> JobSpec {
     JobSpec::parse(submission(id).to_string().as_bytes()).expect("a valid submission")
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum TaskState {
+pub(crate) enum TaskState {
     #[serde(rename = "pulling")]
     Fetching,
     #[serde(rename = "waiting")]
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum ExitReason {
+pub(crate) enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskStatus {
+pub(crate) struct TaskStatus {
     #[serde(rename = "sheet")]
     pub task: String,
     #[serde(rename = "sortie")]
@@ -56,7 +56,7 @@
 
 /// What a worker says of its machine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Heartbeat {
+pub(crate) struct Heartbeat {
     #[serde(rename = "mooring")]
     pub machine: MachineId,
     pub addr: String,
@@ -79,20 +79,20 @@
 }
 
 impl Heartbeat {
-    pub fn parse(body: &[u8]) -> Result<Self, String> {
+    pub(crate) fn parse(body: &[u8]) -> Result<Self, String> {
         serde_json::from_slice(body).map_err(|e| e.to_string())
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Command {
+pub(crate) enum Command {
     Launch(TaskAttempt),
     Stop(TaskAttempt, Millis),
     Forget(TaskAttempt),
 }
 
 impl Command {
-    pub fn run(&self) -> &TaskAttempt {
+    pub(crate) fn run(&self) -> &TaskAttempt {
         match self {
             Self::Launch(attempt) | Self::Stop(attempt, _) | Self::Forget(attempt) => attempt,
         }
@@ -138,8 +138,12 @@
     commands: Vec<CommandMessage>,
 }
 
-/// The body of a report's answer, or, with a session, of a direct command.
-pub fn commands(token: FencingToken, epoch: Option<WorkerEpoch>, commands: &[Command]) -> Vec<u8> {
+/// The body of a heartbeat's answer, or, with an epoch, of a direct command.
+pub(crate) fn commands(
+    token: FencingToken,
+    epoch: Option<WorkerEpoch>,
+    commands: &[Command],
+) -> Vec<u8> {
     let message = CommandsMessage {
         token,
         epoch,
@@ -149,7 +153,7 @@
 }
 
 /// Where a worker is sent when another controller holds its machine.
-pub fn redirect(owner: Option<&Member>) -> Vec<u8> {
+pub(crate) fn redirect(owner: Option<&Member>) -> Vec<u8> {
     let body = match owner {
         Some(member) => serde_json::json!({ "harbormaster": member }),
         None => serde_json::json!({}),
--- a/src/runtime/channel.rs
+++ b/src/runtime/channel.rs
@@ -13,12 +13,12 @@
 }
 
 /// The writing end; the channel closes when the last one is dropped.
-pub struct Sender<T>(Rc<RefCell<Shared<T>>>);
+pub(crate) struct Sender<T>(Rc<RefCell<Shared<T>>>);
 
 /// The reading end.
-pub struct Receiver<T>(Rc<RefCell<Shared<T>>>);
+pub(crate) struct Receiver<T>(Rc<RefCell<Shared<T>>>);
 
-pub fn channel<T>() -> (Sender<T>, Receiver<T>) {
+pub(crate) fn channel<T>() -> (Sender<T>, Receiver<T>) {
     let shared = Rc::new(RefCell::new(Shared {
         queue: VecDeque::new(),
         reader: None,
@@ -28,7 +28,7 @@
 }
 
 impl<T> Sender<T> {
-    pub fn send(&self, value: T) {
+    pub(crate) fn send(&self, value: T) {
         let mut shared = self.0.borrow_mut();
         shared.queue.push_back(value);
         if let Some(waker) = shared.reader.take() {
@@ -37,7 +37,7 @@
     }
 
     /// How much waits unread, so that writers can keep a bound.
-    pub fn backlog(&self) -> usize {
+    pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
 }
@@ -63,7 +63,7 @@
 
 impl<T> Receiver<T> {
     /// The next value, or `None` once every sender is gone.
-    pub async fn recv(&mut self) -> Option<T> {
+    pub(crate) async fn recv(&mut self) -> Option<T> {
         poll_fn(|cx| {
             let mut shared = self.0.borrow_mut();
             if let Some(value) = shared.queue.pop_front() {
@@ -78,26 +78,26 @@
         .await
     }
 
-    pub fn backlog(&self) -> usize {
+    pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
 
-    pub fn try_recv(&mut self) -> Option<T> {
+    pub(crate) fn try_recv(&mut self) -> Option<T> {
         self.0.borrow_mut().queue.pop_front()
     }
 }
 
 /// The reading end of a channel for a single answer.
-pub struct Oneshot<T>(Receiver<T>);
+pub(crate) struct Oneshot<T>(Receiver<T>);
 
-pub fn oneshot<T>() -> (Sender<T>, Oneshot<T>) {
+pub(crate) fn oneshot<T>() -> (Sender<T>, Oneshot<T>) {
     let (tx, rx) = channel();
     (tx, Oneshot(rx))
 }
 
 impl<T> Oneshot<T> {
     /// The answer, or `None` if it will never come.
-    pub async fn get(mut self) -> Option<T> {
+    pub(crate) async fn get(mut self) -> Option<T> {
         self.0.recv().await
     }
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -7,8 +7,8 @@
 mod channel;
 mod net;
 
-pub use channel::{Receiver, Sender, channel, oneshot};
-pub use net::{TcpListener, TcpStream};
+pub(crate) use channel::{Receiver, Sender, channel, oneshot};
+pub(crate) use net::{TcpListener, TcpStream};
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -91,7 +91,7 @@
 }
 
 /// Starts the loop on this thread and runs until `main` is complete.
-pub fn run(main: impl Future<Output = ()> + 'static) -> io::Result<()> {
+pub(crate) fn run(main: impl Future<Output = ()> + 'static) -> io::Result<()> {
     let mut poll = mio::Poll::new()?;
     let ready = Arc::new(ReadyQueue::default());
     let executor = Executor {
@@ -228,18 +228,18 @@
 }
 
 /// Starts a routine that lives until it returns.
-pub fn spawn(future: impl Future<Output = ()> + 'static) {
+pub(crate) fn spawn(future: impl Future<Output = ()> + 'static) {
     start(Box::pin(future));
 }
 
 /// Owns routines: dropping it cancels them all.
 #[derive(Default)]
-pub struct Scope {
+pub(crate) struct Scope {
     routines: Vec<RoutineId>,
 }
 
 impl Scope {
-    pub fn spawn(&mut self, future: impl Future<Output = ()> + 'static) {
+    pub(crate) fn spawn(&mut self, future: impl Future<Output = ()> + 'static) {
         self.routines.extend(start(Box::pin(future)));
     }
 }
@@ -260,12 +260,12 @@
 }
 
 /// Completes after a time; its timer is removed when it is dropped early.
-pub struct Sleep {
+pub(crate) struct Sleep {
     at: Instant,
     key: Option<(Instant, u64)>,
 }
 
-pub fn sleep(duration: Duration) -> Sleep {
+pub(crate) fn sleep(duration: Duration) -> Sleep {
     Sleep {
         at: Instant::now() + duration,
         key: None,
@@ -302,7 +302,7 @@
 }
 
 /// Runs a future for at most `limit`; `None` means that it was dropped unfinished.
-pub async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub(crate) async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let mut future = std::pin::pin!(future);
     let mut timer = std::pin::pin!(sleep(limit));
     std::future::poll_fn(|cx| {
--- a/src/runtime/net.rs
+++ b/src/runtime/net.rs
@@ -1,4 +1,4 @@
-//! TCP sockets for routines: edge-triggered, tried first and awaited only when they would block.
+//! TCP sockets for routines: edge-triggered, tried first and awaited only when they would-shard.
 
 use super::{Interest, with};
 use std::future::poll_fn;
@@ -73,7 +73,7 @@
     }
 }
 
-pub struct TcpStream {
+pub(crate) struct TcpStream {
     // Declared first: it is freed while the socket is still open.
     registration: Registration,
     socket: mio::net::TcpStream,
@@ -90,7 +90,7 @@
         })
     }
 
-    pub async fn connect(addr: SocketAddr) -> io::Result<Self> {
+    pub(crate) async fn connect(addr: SocketAddr) -> io::Result<Self> {
         let stream = Self::adopt(mio::net::TcpStream::connect(addr)?)?;
         poll_fn(|cx| {
             stream.registration.attempt(cx, true, || {
@@ -110,7 +110,7 @@
         Ok(stream)
     }
 
-    pub async fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+    pub(crate) async fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let Self {
             registration,
             socket,
@@ -118,7 +118,7 @@
         poll_fn(|cx| registration.attempt(cx, false, || socket.read(buffer))).await
     }
 
-    pub async fn write_all(&mut self, mut bytes: &[u8]) -> io::Result<()> {
+    pub(crate) async fn write_all(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         let Self {
             registration,
             socket,
@@ -134,19 +134,19 @@
     }
 
     /// Whether the other side has closed an idle connection, or sent what nobody asked for.
-    pub fn is_stale(&mut self) -> bool {
+    pub(crate) fn is_stale(&mut self) -> bool {
         let mut byte = [0; 1];
         !matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-pub struct TcpListener {
+pub(crate) struct TcpListener {
     registration: Registration,
     socket: mio::net::TcpListener,
 }
 
 impl TcpListener {
-    pub fn bind(addr: SocketAddr) -> io::Result<Self> {
+    pub(crate) fn bind(addr: SocketAddr) -> io::Result<Self> {
         let mut socket = mio::net::TcpListener::bind(addr)?;
         let registration = Registration::new(&mut socket)?;
         Ok(Self {
@@ -156,11 +156,11 @@
     }
 
     #[cfg(test)]
-    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+    pub(crate) fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    pub async fn accept(&self) -> io::Result<TcpStream> {
+    pub(crate) async fn accept(&self) -> io::Result<TcpStream> {
         let (socket, _) = poll_fn(|cx| {
             self.registration
                 .attempt(cx, false, || self.socket.accept())
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -1,4 +1,4 @@
-//! Users who cancel, through one controller and then another, and the state service that refuses
+//! Users who cancel, through one controller and then another, and the key-value store that refuses
 //! the leader alone just then.
 
 use super::cluster::{CANCEL, DisabledGuard, MEMBERS, SimulatedCluster, SimulationEvent};
@@ -19,14 +19,14 @@
 const AGAIN: u64 = 1000;
 
 impl SimulatedCluster {
-    pub fn cancel(&mut self, id: &JobId) {
+    pub(super) fn cancel(&mut self, id: &JobId) {
         if self.cancelling.insert(id.clone()) {
             self.ask_cancellation(id.clone());
         }
     }
 
     /// What the intake does with one request.
-    pub fn ask_cancellation(&mut self, job: JobId) {
+    pub(super) fn ask_cancellation(&mut self, job: JobId) {
         let now = self.now;
         let able = |n: &usize| {
             let node = &self.nodes[*n];
@@ -73,7 +73,7 @@
         };
         txn.put(keys::final_state(job), &record, None);
         txn.delete(keys::job(job));
-        // The meeting takes place where the controller that the state service refuses holds a
+        // The meeting takes place where the controller that the key-value store refuses holds a
         // machine with the job on it.
         if self
             .refused_alone()
@@ -89,7 +89,7 @@
         }
     }
 
-    pub fn tell_cancelled(
+    pub(super) fn tell_cancelled(
         &mut self,
         node: usize,
         life: u64,
@@ -129,7 +129,7 @@
         self.cascade(node, life, job, cascade, until);
     }
 
-    pub fn confirm(&mut self, job: &JobId) {
+    pub(super) fn confirm(&mut self, job: &JobId) {
         self.cancelling.remove(job);
         self.cancelled.entry(job.clone()).or_insert(self.now);
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether a task of the job is on a machine that reports to this controller.
+    /// Whether a task of the job is on a machine that sends heartbeats to this controller.
     fn holds(&self, node: usize, job: &JobId) -> bool {
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
@@ -152,10 +152,10 @@
         })
     }
 
-    /// The state service refuses the leader; users cancel what runs; a moment later it is out for
-    /// everybody, before the leader's grant has run out. Now and then a controller ends as well,
+    /// The key-value store refuses the leader; users cancel what runs; a moment later it is out for
+    /// everybody, before the leader's lease has run out. Now and then a controller ends as well,
     /// the links are cut, or machines hang.
-    pub fn begin_gap(&mut self) {
+    pub(super) fn begin_gap(&mut self) {
         let Some(leader) = self.leader() else { return };
         let gap = self.pick(300, 4000);
         let outage = self.pick(CANCEL, 2 * CANCEL);
@@ -180,15 +180,15 @@
         }
     }
 
-    /// Who leads by the state service's record.
-    pub fn leader(&self) -> Option<usize> {
+    /// Who leads by the key-value store's record.
+    pub(super) fn leader(&self) -> Option<usize> {
         let (value, ..) = self.store.keys.get(keys::LEADER)?;
         let record: LeaderRecord = serde_json::from_value(value.clone()).ok()?;
         let mut members = MEMBERS.iter();
         members.position(|m| *m == record.member.as_str())
     }
 
-    pub fn begin_outage(&mut self, ms: u64) {
+    pub(super) fn begin_outage(&mut self, ms: u64) {
         let until = MonotonicTime(self.now.0 + ms);
         self.outage_until = until;
         for node in &mut self.nodes {
@@ -197,8 +197,8 @@
         self.after(ms, SimulationEvent::OutageEnds);
     }
 
-    /// All grants have their full time again.
-    pub fn end_outage(&mut self) {
+    /// All leases have their full time again.
+    pub(super) fn end_outage(&mut self) {
         self.outage_until = self.now;
         let until = MonotonicTime(self.now.0 + 5000);
         for end in self.store.leases.values_mut() {
@@ -207,7 +207,7 @@
     }
 
     /// Whatever runs and would go on for long.
-    pub fn cancel_running(&mut self) {
+    pub(super) fn cancel_running(&mut self) {
         let attempts = self.workers.values().flat_map(|w| w.tasks.iter());
         let running = attempts.filter(|(_, t)| t.state == TaskState::Running);
         let mut jobs: Vec<JobId> = running
