--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -30,16 +30,16 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Faults {
+pub(super) struct Faults {
     pub crashes: bool,
     pub lost_answers: bool,
     pub machines: bool,
     pub store_cuts: bool,
-    /// Reports of some machines arrive, but no answer and no command gets there.
+    /// Heartbeats of some machines arrive, but no answer and no command gets there.
     pub deaf: bool,
-    /// Copies of reports come once more, up to several leases late, to any controller.
+    /// Copies of heartbeats come once more, up to several leases late, to any controller.
     pub copies: bool,
-    /// A controller loses the state service and its peers, but not its workers.
+    /// A controller loses the key-value store and its peers, but not its workers.
     pub apart: bool,
     /// Processes are back within a fraction of a second, all at once too, and end again before
     /// the election that they met is over.
@@ -52,13 +52,13 @@
     pub zone: bool,
     /// Requests that were carried out come once more, up to several leases later.
     pub repeats: bool,
-    /// The state service refuses the leader alone, users cancel through the others, and then it
+    /// The key-value store refuses the leader alone, users cancel through the others, and then it
     /// is out for everybody for longer than a cancellation has.
     pub gap: bool,
     /// Machines can't reach any controller, while direct commands reach them.
     pub mute: bool,
-    /// The state service takes its time: transactions are given up and carried out later, and
-    /// the mirrors lag by seconds.
+    /// The key-value store takes its time: transactions are given up and carried out later, and
+    /// the watch caches lag by seconds.
     pub slow: bool,
     /// The leader ends every eleven seconds, in outages too, and is back at any time.
     pub leaders: bool,
@@ -72,29 +72,29 @@
     pub pipelines: bool,
     /// Controllers begin as the earlier version, and come back as this one, one after the other.
     pub upgrade: bool,
-    /// The state service lowers its limits after a while.
+    /// The key-value store lowers its limits after a while.
     pub limits: bool,
 }
 
 /// How many controllers there are, and zones.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub(super) struct Shape {
     pub members: usize,
     pub zones: usize,
 }
 
-pub const THREE_CONTROLLERS: Shape = Shape {
+pub(super) const THREE_CONTROLLERS: Shape = Shape {
     members: 3,
     zones: 2,
 };
-pub const FIVE_CONTROLLERS: Shape = Shape {
+pub(super) const FIVE_CONTROLLERS: Shape = Shape {
     members: 5,
     zones: 3,
 };
-pub const ZONES: [&str; 3] = ["a", "b", "c"];
+pub(super) const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Where a controller stands: of five, two in the first zone and two in the second.
-pub fn zone_of(node: usize, members: usize) -> &'static str {
+pub(super) fn zone_of(node: usize, members: usize) -> &'static str {
     match (members, node) {
         (5, node) => ZONES[node / 2],
         (_, INSIDE) => "b",
@@ -103,7 +103,7 @@
 }
 
 impl Faults {
-    pub const NONE: Self = Self {
+    pub(super) const NONE: Self = Self {
         crashes: false,
         lost_answers: false,
         machines: false,
@@ -128,7 +128,7 @@
         limits: false,
     };
 
-    pub const ALL: Self = Self {
+    pub(super) const ALL: Self = Self {
         crashes: true,
         lost_answers: true,
         machines: true,
@@ -156,13 +156,13 @@
 
 /// A guard that is deliberately missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DisabledGuard {
+pub(super) enum DisabledGuard {
     None,
     /// A command without an answer counts as never sent.
     LostCallsUnsent,
     /// The cloud's answer to a deletion is not waited for.
     DeletionsTakenOnTrust,
-    /// The store does not check the fences of blocks and machines.
+    /// The store does not check the fences of shards and machines.
     FencesIgnored,
     /// Whoever is asked answers, machines that are long deleted too.
     GhostsAnswer,
@@ -178,7 +178,7 @@
     ForgottenAtOnce,
     /// Jobs are accepted as if nothing that they name had to be done first.
     DependenciesIgnored,
-    /// A job that has left the mirror counts as done.
+    /// A job that has left the watch cache counts as done.
     MissingCountsAsDone,
     /// Jobs that need a cancelled one are left as they are.
     DependentsKept,
@@ -186,7 +186,7 @@
     OldVersionsTrusted,
 }
 
-pub enum SimulationEvent {
+pub(super) enum SimulationEvent {
     Tick(usize),
     Watch(usize),
     Extend(usize),
@@ -224,7 +224,7 @@
     Told(usize, u64, JobId, RoundId, MonotonicTime),
     /// Users call off what runs, all at once.
     CancelRunning,
-    /// The state service is out for everybody for so long.
+    /// The key-value store is out for everybody for so long.
     Outage(u64),
     OutageEnds,
     EndLeader,
@@ -235,7 +235,7 @@
     CancellationCascade(usize, u64, JobId, CancellationCascade, MonotonicTime),
     /// A controller ends and comes back as the present version.
     Upgrade(usize),
-    /// The state service takes less from now on.
+    /// The key-value store takes less from now on.
     LowerLimits,
 }
 
@@ -258,7 +258,7 @@
     }
 }
 
-pub struct Entry(MonotonicTime, u64, SimulationEvent);
+pub(super) struct Entry(MonotonicTime, u64, SimulationEvent);
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
@@ -277,7 +277,7 @@
     }
 }
 
-pub struct Node {
+pub(super) struct Node {
     pub config: Config,
     pub controller: Option<Controller>,
     /// Rises with each end, so that what belongs to an earlier life is dropped.
@@ -295,7 +295,7 @@
 }
 
 /// A large fleet: what the settings allow is then refused beyond its rates, and counted.
-pub struct Scale {
+pub(super) struct Scale {
     /// Up from the start, and at most.
     pub machines: (usize, usize),
     pub slots: u64,
@@ -303,15 +303,15 @@
     pub array_ms: u64,
     pub service_ms: u64,
     pub tasks: (u64, u64),
-    /// What the state service takes a second.
+    /// What the key-value store takes a second.
     pub changes: f64,
     pub rates: Vec<TokenBucket>,
     pub counts: Counts,
 }
 
-/// What was asked of the state service, and what was done with it.
+/// What was asked of the key-value store, and what was done with it.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub(super) struct Counts {
     pub transactions: u64,
     pub refused: u64,
     pub changes: u64,
@@ -319,7 +319,7 @@
     pub ended: u64,
 }
 
-pub struct SimulatedCluster {
+pub(super) struct SimulatedCluster {
     pub now: MonotonicTime,
     /// Services submitted to a large fleet.
     pub services: u64,
@@ -348,7 +348,7 @@
     pub partition: [&'static str; 2],
     pub partition_until: MonotonicTime,
     pub partition_holds: bool,
-    /// Messages and reports that went around the cut.
+    /// Messages and heartbeats that went around the cut.
     pub relayed: u64,
     /// Tasks that ended with their machine or its lease.
     pub killed: u64,
@@ -375,20 +375,20 @@
 }
 
 /// As many of them as there are controllers.
-pub const MEMBERS: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
+pub(super) const MEMBERS: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 /// The controller in zone `b`.
-pub const INSIDE: usize = 2;
-pub const LEASE: u64 = 16_000;
-pub const CANCEL: u64 = 30_000;
+pub(super) const INSIDE: usize = 2;
+pub(super) const LEASE: u64 = 16_000;
+pub(super) const CANCEL: u64 = 30_000;
 /// A machine that nothing reaches for so long must have been given up.
-pub const DEAF: u64 = 36_000;
+pub(super) const DEAF: u64 = 36_000;
 
 impl SimulatedCluster {
-    pub fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
+    pub(super) fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
         Self::of_shape(seed, faults, disabled_guard, THREE_CONTROLLERS)
     }
 
-    pub fn of_shape(
+    pub(super) fn of_shape(
         seed: u64,
         faults: Faults,
         disabled_guard: DisabledGuard,
@@ -478,7 +478,7 @@
         cluster
     }
 
-    pub fn after(&mut self, ms: u64, event: SimulationEvent) {
+    pub(super) fn after(&mut self, ms: u64, event: SimulationEvent) {
         self.order += 1;
         self.queue.push(Reverse(Entry(
             MonotonicTime(self.now.0 + ms),
@@ -487,26 +487,26 @@
         )));
     }
 
-    pub fn pick(&mut self, from: u64, to: u64) -> u64 {
+    pub(super) fn pick(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..=to)
     }
 
-    pub fn pick_node(&mut self) -> usize {
+    pub(super) fn pick_node(&mut self) -> usize {
         self.pick(0, self.nodes.len() as u64 - 1) as usize
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
+    pub(super) fn chance(&mut self, percent: u64) -> bool {
         self.pick(1, 100) <= percent
     }
 
-    pub fn run(&mut self, until: u64) {
+    pub(super) fn run(&mut self, until: u64) {
         while let Some(Reverse(entry)) = self.queue.pop() {
             if entry.0.0 > until {
                 self.queue.push(Reverse(entry));
                 return;
             }
             self.now = entry.0;
-            // In an outage grants keep their time.
+            // In an outage leases keep their time.
             if self.outage_until <= self.now {
                 self.store.expire(self.now);
             }
@@ -515,7 +515,7 @@
     }
 
     /// How long a message between a controller and a machine is held.
-    pub fn held(&self, node: usize, zone: &str) -> MonotonicTime {
+    pub(super) fn held(&self, node: usize, zone: &str) -> MonotonicTime {
         let parted = self.parted(zone_of(node, self.nodes.len()), zone);
         let cut = if (node == INSIDE) == (zone == "b") {
             MonotonicTime(0)
@@ -526,7 +526,7 @@
     }
 
     /// Ends all troubles, so that what remains must finish.
-    pub fn heal(&mut self) {
+    pub(super) fn heal(&mut self) {
         self.healed = true;
         self.healed_at = self.now;
         self.slow_until = self.now;
@@ -549,13 +549,13 @@
         }
     }
 
-    pub fn unfinished(&self) -> Vec<&JobId> {
+    pub(super) fn unfinished(&self) -> Vec<&JobId> {
         let ended = |id: &JobId| self.store.keys.contains_key(&keys::final_state(id));
         let arrays = self.jobs.iter().filter(|(_, s)| s.kind != JobKind::Service);
         arrays.map(|(id, _)| id).filter(|id| !ended(id)).collect()
     }
 
-    pub fn new_machine(&mut self, spot: bool) -> MachineId {
+    pub(super) fn new_machine(&mut self, spot: bool) -> MachineId {
         self.next_machine += 1;
         let id = MachineId::from(format!("vm-{:04}", self.next_machine).as_str());
         let worker = self.new_worker(spot);
@@ -564,7 +564,7 @@
     }
 
     /// The machines of a large fleet, up from the start.
-    pub fn settle_fleet(&mut self) {
+    pub(super) fn settle_fleet(&mut self) {
         let Some(scale) = &self.scale else { return };
         let changes = scale.changes;
         let more = scale.machines.0.saturating_sub(self.workers.len());
@@ -582,7 +582,7 @@
         }
     }
 
-    pub fn new_worker(&self, spot: bool) -> Worker {
+    pub(super) fn new_worker(&self, spot: bool) -> Worker {
         Worker {
             spot,
             zone: ZONES[(self.next_machine % self.zones as u64) as usize],
@@ -602,7 +602,7 @@
         }
     }
 
-    pub fn handle_event(&mut self, event: SimulationEvent) {
+    pub(super) fn handle_event(&mut self, event: SimulationEvent) {
         // What comes to a controller that stands still is held for it.
         let frozen = event.node().map(|n| self.nodes[n].frozen_until);
         if let Some(until) = frozen.filter(|until| *until > self.now) {
@@ -703,7 +703,7 @@
             SimulationEvent::Flap => self.flap(),
             SimulationEvent::Deaf(id) => {
                 let stands = self.workers.get(&id).is_some_and(|w| !w.dead);
-                // Without a leader, or a state service, no record of a machine goes.
+                // Without a leader, or a key-value store, no record of a machine goes.
                 let t = &self.faults;
                 let led = !(t.crashes || t.gap || t.leaders || t.away || t.slow);
                 let only = led && !self.healed;
@@ -742,7 +742,12 @@
         }
     }
 
-    pub fn with(&mut self, node: usize, life: u64, f: impl FnOnce(&mut Controller) -> Vec<Effect>) {
+    pub(super) fn with(
+        &mut self,
+        node: usize,
+        life: u64,
+        f: impl FnOnce(&mut Controller) -> Vec<Effect>,
+    ) {
         if self.nodes[node].life == life
             && let Some(controller) = self.nodes[node].controller.as_mut()
         {
@@ -751,8 +756,8 @@
         }
     }
 
-    pub fn start(&mut self, node: usize) {
-        // Without the state service there is no mirror and no grant: it answers nobody.
+    pub(super) fn start(&mut self, node: usize) {
+        // Without the key-value store there is no watch cache and no lease: it answers nobody.
         let cut = self.nodes[node].store_cut_until;
         if cut > self.now {
             self.after(cut.since(self.now).0, SimulationEvent::Start(node));
@@ -775,8 +780,8 @@
         self.after(1500, SimulationEvent::Extend(node));
     }
 
-    /// Ends the earlier life's grant and takes a new one.
-    pub fn enter(&mut self, node: usize, incarnation: Incarnation) {
+    /// Ends the earlier life's lease and takes a new one.
+    pub(super) fn enter(&mut self, node: usize, incarnation: Incarnation) {
         if let Some(old) = self.nodes[node].old_lease.take() {
             self.store.revoke_lease(old);
         }
@@ -800,7 +805,7 @@
         });
     }
 
-    pub fn extend(&mut self, node: usize) {
+    pub(super) fn extend(&mut self, node: usize) {
         if self.nodes[node].controller.is_none() {
             return;
         }
@@ -822,7 +827,7 @@
         self.after(1500, SimulationEvent::Extend(node));
     }
 
-    pub fn watch(&mut self, node: usize) {
+    pub(super) fn watch(&mut self, node: usize) {
         if self.nodes[node].controller.is_none() {
             return;
         }
@@ -844,7 +849,7 @@
         self.after(ms, SimulationEvent::Watch(node));
     }
 
-    pub fn execute(&mut self, node: usize, effects: Vec<Effect>) {
+    pub(super) fn execute(&mut self, node: usize, effects: Vec<Effect>) {
         let life = self.nodes[node].life;
         self.count_dependents(&effects);
         for effect in effects {
@@ -918,7 +923,7 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    pub fn call(
+    pub(super) fn call(
         &mut self,
         node: usize,
         life: u64,
@@ -1025,13 +1030,13 @@
     }
 
     /// When what was just carried out comes once more, if it does.
-    pub fn repeat(&mut self) -> Option<u64> {
+    pub(super) fn repeat(&mut self) -> Option<u64> {
         let comes = self.faults.repeats && self.chance(10);
         comes.then(|| self.pick(200, 4 * LEASE))
     }
 
-    /// One worker's turn: finish tasks, let the lease run out, report.
-    pub fn work(&mut self, id: &MachineId) {
+    /// One worker's turn: finish tasks, let the lease run out, send a heartbeat.
+    pub(super) fn work(&mut self, id: &MachineId) {
         let (now, members) = (self.now, self.nodes.len());
         self.order += 1;
         let ticket = self.order;
@@ -1108,7 +1113,7 @@
     }
 
     /// Gangs start together once all are there, end together, and notice a member's loss.
-    pub fn gangs(&mut self) {
+    pub(super) fn gangs(&mut self) {
         let now = self.now;
         self.check_cancelled();
         self.check_orphaned();
@@ -1163,7 +1168,13 @@
         self.after(500, SimulationEvent::Gangs);
     }
 
-    pub fn heartbeat(&mut self, node: usize, id: MachineId, ticket: u64, heartbeat: Heartbeat) {
+    pub(super) fn heartbeat(
+        &mut self,
+        node: usize,
+        id: MachineId,
+        ticket: u64,
+        heartbeat: Heartbeat,
+    ) {
         let now = self.now;
         let held = self.held(node, heartbeat.zone.as_str());
         if held > now {
@@ -1201,8 +1212,8 @@
         }
     }
 
-    /// A report comes once more; nobody waits for the answer.
-    pub fn copy(&mut self, node: usize, heartbeat: &Heartbeat) {
+    /// A heartbeat comes once more; nobody waits for the answer.
+    pub(super) fn copy(&mut self, node: usize, heartbeat: &Heartbeat) {
         let now = self.now;
         if let Some(c) = self.nodes[node].controller.as_mut() {
             let (_, effects) = c.on_heartbeat(now, heartbeat);
@@ -1210,7 +1221,7 @@
         }
     }
 
-    pub fn answer(
+    pub(super) fn answer(
         &mut self,
         id: &MachineId,
         ticket: u64,
@@ -1224,7 +1235,7 @@
         let Some((awaited, sent)) = w.awaiting else {
             return;
         };
-        // Responses of an earlier session, too late, with a lower token, or that can't get
+        // Responses of an earlier epoch, too late, with a lower token, or that can't get
         // through are dropped.
         let unreached = w.cut_until.max(w.hang_until).max(w.deaf_until) > now;
         let late = now.since(sent).0 >= 4000 || unreached;
@@ -1248,7 +1259,7 @@
         self.check_starts(id, &launched, true);
     }
 
-    pub fn cloud(&mut self, node: usize, life: u64, effect: Effect) {
+    pub(super) fn cloud(&mut self, node: usize, life: u64, effect: Effect) {
         let now = self.now;
         if let Some(ms) = self.repeat() {
             let again = match &effect {
--- a/src/simulation/digest.rs
+++ b/src/simulation/digest.rs
@@ -16,7 +16,7 @@
 
 /// Hashes outputs of controllers one after the other.
 #[derive(Default)]
-pub struct Digest {
+pub(super) struct Digest {
     hasher: DefaultHasher,
     outputs: u64,
 }
@@ -36,7 +36,7 @@
     }
 
     /// One output of a controller's decisions.
-    pub fn add_effect(&mut self, node: usize, effect: &Effect) {
+    pub(super) fn add_effect(&mut self, node: usize, effect: &Effect) {
         match effect {
             Effect::Txn { txn, .. } => self.add_json(node, 0, txn),
             Effect::Call {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The answer to a worker's report.
-    pub fn add_answer(&mut self, node: usize, answer: &HeartbeatAnswer) {
+    /// The answer to a worker's heartbeat.
+    pub(super) fn add_answer(&mut self, node: usize, answer: &HeartbeatAnswer) {
         match answer {
             HeartbeatAnswer::Commands(token, commands) => {
                 self.add(node, 8, &protocol::commands(*token, None, commands));
@@ -74,7 +74,7 @@
     }
 
     /// The digest so far.
-    pub fn value(&self) -> u64 {
+    pub(super) fn value(&self) -> u64 {
         self.hasher.finish()
     }
 }
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -5,7 +5,7 @@
 
 impl SimulatedCluster {
     /// One controller or all end, and are back at once.
-    pub fn flap(&mut self) {
+    pub(super) fn flap(&mut self) {
         let all = self.chance(40);
         let victim = self.pick_node();
         for node in 0..self.nodes.len() {
@@ -22,7 +22,7 @@
         }
     }
 
-    pub fn inject_faults(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         if self.faults.crashes && self.chance(50) {
             let all = self.chance(25);
             let victim = self.pick_node();
@@ -141,7 +141,7 @@
         }
     }
 
-    pub fn end_leader(&mut self) {
+    pub(super) fn end_leader(&mut self) {
         if self.healed {
             return;
         }
--- a/src/simulation/growth.rs
+++ b/src/simulation/growth.rs
@@ -16,7 +16,7 @@
 
 impl SimulatedCluster {
     /// Hundreds of machines, and an array every so many ms.
-    pub fn grown(seed: u64, machines: (usize, usize), changes: f64, array_ms: u64) -> Self {
+    pub(super) fn grown(seed: u64, machines: (usize, usize), changes: f64, array_ms: u64) -> Self {
         let mut cluster = Self::new(seed, Faults::default(), DisabledGuard::None);
         cluster.scale = Some(Scale {
             machines,
@@ -33,7 +33,7 @@
     }
 
     /// Whether the rates let a transaction through, each controller within its share.
-    pub fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
+    pub(super) fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
         let now = self.now;
         let Some(scale) = &mut self.scale else {
             return true;
@@ -62,7 +62,7 @@
     }
 
     /// The next array or service; services end after a while.
-    pub fn many_users(&mut self) {
+    pub(super) fn many_users(&mut self) {
         if self.healed {
             return;
         }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -13,19 +13,19 @@
 /// No job is left waiting for so long beside room that fits.
 const WAITS: u64 = 90_000;
 /// Once all is well a deleted machine's record goes within this time: a machine that is silent to a
-/// holder that is doubted is given up only after four times the usual patience.
+/// shard owner that is doubted is given up only after four times the usual patience.
 const GHOST_STAYS: u64 = 45_000;
 /// The longest way of a command that is neither held nor lost.
 const JUST_SENT: u64 = 10;
 
 impl SimulatedCluster {
-    pub fn record_violation(&mut self, rule: &str, what: impl std::fmt::Display) {
+    pub(super) fn record_violation(&mut self, rule: &str, what: impl std::fmt::Display) {
         self.violations
             .push(format!("{rule} at {}: {what}", self.now.0));
     }
 
     /// No record may come back for a machine that was deleted.
-    pub fn check_ghosts(&mut self, at: Revision) {
+    pub(super) fn check_ghosts(&mut self, at: Revision) {
         let new = |id: &&MachineId| {
             let held = self.store.keys.get(&keys::machine(id));
             let fresh = self
@@ -46,7 +46,7 @@
 
     /// A record that came back for a deleted machine with what was carried out once more has to go
     /// again.
-    pub fn check_ghosts_go(&mut self) {
+    pub(super) fn check_ghosts_go(&mut self) {
         if !self.healed || self.scale.is_some() {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     /// `not_done` and `went_back`.
-    pub fn check_over(&mut self) {
+    pub(super) fn check_over(&mut self) {
         if self.scale.is_some() {
             return;
         }
@@ -99,7 +99,7 @@
     }
 
     /// `ran_cancelled` for what is on a machine, reachable or not.
-    pub fn check_cancelled(&mut self) {
+    pub(super) fn check_cancelled(&mut self) {
         let late = |job: &JobId| {
             let at = self.cancelled.get(job);
             at.is_some_and(|at| self.now.since(*at).0 > CANCEL)
@@ -122,7 +122,7 @@
 
     /// Once all is well, no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
-    pub fn check_waiting(&mut self) {
+    pub(super) fn check_waiting(&mut self) {
         if !self.healed || self.scale.is_some() {
             return;
         }
@@ -192,7 +192,12 @@
 
     /// The rules about what is on machines, at each start. What was sent a moment ago must not
     /// start a task of a job whose user was told that it is cancelled.
-    pub fn check_starts(&mut self, at: &MachineId, launched: &[TaskAttempt], just_sent: bool) {
+    pub(super) fn check_starts(
+        &mut self,
+        at: &MachineId,
+        launched: &[TaskAttempt],
+        just_sent: bool,
+    ) {
         if self.scale.is_some() {
             self.starts += launched.len() as u64;
             return;
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the state service, the cloud and the workers, in simulated time, and the rules
+//! Stand-ins for the key-value store, the cloud and the workers, in simulated time, and the rules
 //! checked against what really runs. Three controllers' decisions run against them under
 //! crashes, cuts, lost answers and late copies; seeds are fixed, so every run is the same.
 
@@ -142,9 +142,9 @@
 }
 
 /// Whatever was decided before, and whatever comes out of full buffers after: the term that was
-/// lost meanwhile (`leadership`) and machines silent only to one holder (`cloud::fleet`) have tests
+/// lost meanwhile (`leadership`) and machines silent only to one shard owner (`cloud::fleet`) have tests
 /// of their own.
-/// The leader alone is refused by the state service while others cancel what its machines run,
+/// The leader alone is refused by the key-value store while others cancel what its machines run,
 /// and then nobody is served for longer than a cancellation has (gap day).
 #[test]
 fn rules_hold_while_cancellations_fall_between_a_refusal_and_an_outage() {
@@ -238,7 +238,7 @@
     days_that_meet("cancelled at the end", 200..204, ends, 40);
 }
 
-/// Five controllers in three zones, of which two can't reach each other: reports and messages go
+/// Five controllers in three zones, of which two can't reach each other: heartbeats and messages go
 /// around through the third, and work goes on everywhere.
 #[test]
 fn rules_hold_while_two_of_three_zones_cannot_reach_each_other() {
--- a/src/simulation/partitions.rs
+++ b/src/simulation/partitions.rs
@@ -7,7 +7,7 @@
 use crate::worker_control::HeartbeatAnswer;
 
 impl SimulatedCluster {
-    pub fn part_zones(&mut self) {
+    pub(super) fn part_zones(&mut self) {
         let spared = self.pick(0, self.zones as u64 - 1) as usize;
         let mut apart = ZONES[..self.zones].iter().enumerate();
         let mut apart = apart.by_ref().filter(|(n, _)| *n != spared);
@@ -20,7 +20,7 @@
     }
 
     /// Until when two zones can't reach each other.
-    pub fn parted(&self, one: &str, other: &str) -> MonotonicTime {
+    pub(super) fn parted(&self, one: &str, other: &str) -> MonotonicTime {
         let [a, b] = self.partition;
         match (a, b) == (one, other) || (b, a) == (one, other) {
             true => self.partition_until,
@@ -54,7 +54,7 @@
     }
 
     /// Through whom a message goes to a controller across the cut.
-    pub fn between(&self, node: usize, to: usize) -> Option<usize> {
+    pub(super) fn between(&self, node: usize, to: usize) -> Option<usize> {
         if self.disabled_guard == DisabledGuard::NoWayAround {
             return None;
         }
@@ -64,8 +64,8 @@
         names.iter().position(|m| *m == relay_for.as_str())
     }
 
-    /// Hands a report on to the holder of its machine, and brings the answer back.
-    pub fn forward_heartbeat(
+    /// Hands a heartbeat on to the shard owner of its machine, and brings the answer back.
+    pub(super) fn forward_heartbeat(
         &mut self,
         node: usize,
         owner: Member,
@@ -95,7 +95,7 @@
     }
 
     /// What the daemon tells each controller after every word.
-    pub fn tell_cut(&mut self, node: usize) {
+    pub(super) fn tell_cut(&mut self, node: usize) {
         if self.faults.partition {
             let cut = self.partition_until > self.now
                 && self.partition.contains(&zone_of(node, self.nodes.len()));
--- a/src/simulation/pipelines.rs
+++ b/src/simulation/pipelines.rs
@@ -24,7 +24,7 @@
 
 /// Dependent jobs as they came to be; a day without any shows nothing.
 #[derive(Debug, Default)]
-pub struct PipelineCounts {
+pub(super) struct PipelineCounts {
     pub submitted: u64,
     /// Accepted with dependencies that were not over.
     pub waited: u64,
@@ -39,7 +39,7 @@
 }
 
 impl PipelineCounts {
-    pub fn add(&mut self, other: &Self) {
+    pub(super) fn add(&mut self, other: &Self) {
         self.submitted += other.submitted;
         self.waited += other.waited;
         self.released += other.released;
@@ -53,7 +53,7 @@
 impl SimulatedCluster {
     /// Names some recent jobs, whatever has become of them. Users know only those that were
     /// accepted.
-    pub fn name_dependencies(&mut self, spec: &mut JobSpec) {
+    pub(super) fn name_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
         let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
         let recent: Vec<JobId> = recent
@@ -78,7 +78,7 @@
     }
 
     /// Submits a job that names others through some controller, as the intake does it.
-    pub fn submit_dependent(&mut self, spec: JobSpec) {
+    pub(super) fn submit_dependent(&mut self, spec: JobSpec) {
         if self.is_accepted(&spec.id) {
             return;
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A controller that can decide: it runs, and the state service serves it.
+    /// A controller that can decide: it runs, and the key-value store serves it.
     fn serving_node(&mut self) -> Option<usize> {
         let able = |n: &usize| {
             let node = &self.nodes[*n];
@@ -141,7 +141,7 @@
     fn named(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
         let shown = controller.and_then(|c| named_in_cache(id, &c.cache));
-        // What the mirror shows may be old: the conditions of the write tell, and then the records
+        // What the watch cache shows may be old: the conditions of the write tell, and then the records
         // are read.
         let stands = |named: &DependencyState| {
             let found = self.store.keys.get(&keys::job(id)).map(|k| k.1);
@@ -169,7 +169,7 @@
     }
 
     /// Cancels what needs a cancelled job before its user is told, as the intake does it.
-    pub fn cascade(
+    pub(super) fn cascade(
         &mut self,
         node: usize,
         life: u64,
@@ -247,7 +247,7 @@
     }
 
     /// `too_early`.
-    pub fn check_too_early(&mut self, spec: &JobSpec) {
+    pub(super) fn check_too_early(&mut self, spec: &JobSpec) {
         let open = spec.dependencies.iter().find(|id| !self.is_done(id));
         if let Some(open) = open.cloned() {
             self.record_violation("too_early", format!("{} before {open}", spec.id));
@@ -255,7 +255,7 @@
     }
 
     /// `orphaned`: it would still be called queued or running.
-    pub fn check_orphaned(&mut self) {
+    pub(super) fn check_orphaned(&mut self) {
         let late = |id: &JobId| {
             let told = self.cancelled.get(id);
             told.is_some_and(|at| self.now.since(*at).0 > CANCEL)
@@ -270,7 +270,7 @@
     }
 
     /// A job is only cancelled if its user has asked for it, or with one that it needs.
-    pub fn check_reason(&mut self, id: &JobId) {
+    pub(super) fn check_reason(&mut self, id: &JobId) {
         let asked = |id: &JobId| self.cancelling.contains(id) || self.cancelled.contains_key(id);
         let mut reasons = self.ancestors(id);
         reasons.insert(id.clone());
@@ -280,13 +280,13 @@
     }
 
     /// Whether something that a job needs is not done: it may wait however much room there is.
-    pub fn waits_for_others(&self, spec: &JobSpec) -> bool {
+    pub(super) fn waits_for_others(&self, spec: &JobSpec) -> bool {
         let mut needed = spec.dependencies.iter();
         needed.any(|id| self.final_state(id) != Some(JobState::Done))
     }
 
     /// Counts what the leader does for dependent jobs.
-    pub fn count_dependents(&mut self, effects: &[Effect]) {
+    pub(super) fn count_dependents(&mut self, effects: &[Effect]) {
         use crate::controller::TxnRequester;
         let is_release = |e: &&Effect| {
             let requester = match e {
--- a/src/simulation/stand_ins.rs
+++ b/src/simulation/stand_ins.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct StoreModel {
+pub(super) struct StoreModel {
     pub revision: Revision,
     pub keys: BTreeMap<String, (Value, Revision, Option<LeaseId>)>,
     pub leases: BTreeMap<LeaseId, MonotonicTime>,
@@ -41,14 +41,14 @@
 }
 
 impl StoreModel {
-    pub fn create_lease(&mut self, until: MonotonicTime) -> LeaseId {
+    pub(super) fn create_lease(&mut self, until: MonotonicTime) -> LeaseId {
         self.revision.0 += 1;
         let lease = LeaseId(self.revision.0);
         self.leases.insert(lease, until);
         lease
     }
 
-    pub fn revoke_lease(&mut self, lease: LeaseId) {
+    pub(super) fn revoke_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let gone: Vec<String> = self
             .keys
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn expire(&mut self, now: MonotonicTime) {
+    pub(super) fn expire(&mut self, now: MonotonicTime) {
         let over: Vec<LeaseId> = self
             .leases
             .iter()
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn txn(&mut self, txn: &Txn) -> TxnOutcome {
+    pub(super) fn txn(&mut self, txn: &Txn) -> TxnOutcome {
         let mut failed = Vec::new();
         for condition in &txn.conditions {
             let found = self.keys.get(&condition.key).map_or(Revision(0), |v| v.1);
@@ -132,7 +132,7 @@
             || txn.changes.iter().any(large)
     }
 
-    pub fn events(&self, after: Revision, earlier: bool) -> Vec<Event> {
+    pub(super) fn events(&self, after: Revision, earlier: bool) -> Vec<Event> {
         let from = self.log.partition_point(|(r, _, _)| *r <= after);
         let list = self.log[from..]
             .iter()
@@ -149,7 +149,7 @@
         .collect()
     }
 
-    pub fn snapshot(&self, config: &Config, earlier: bool) -> WatchCache {
+    pub(super) fn snapshot(&self, config: &Config, earlier: bool) -> WatchCache {
         let mut cache = WatchCache::new(config);
         for (key, (value, revision, lease)) in &self.keys {
             let value = match earlier {
@@ -170,13 +170,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct WorkerTask {
+pub(super) struct WorkerTask {
     pub state: TaskState,
     pub exit_reason: Option<ExitReason>,
     pub until: MonotonicTime,
 }
 
-pub struct Worker {
+pub(super) struct Worker {
     pub spot: bool,
     pub zone: &'static str,
     pub epoch: WorkerEpoch,
@@ -184,21 +184,21 @@
     pub token: FencingToken,
     pub tasks: BTreeMap<TaskAttempt, WorkerTask>,
     pub node: usize,
-    /// When the last answered report was sent.
+    /// When the last answered heartbeat was sent.
     pub answered: MonotonicTime,
     pub next_heartbeat: MonotonicTime,
     pub awaiting: Option<(u64, MonotonicTime)>,
     pub cut_until: MonotonicTime,
     pub hang_until: MonotonicTime,
-    /// Its reports get out, nothing gets in.
+    /// Its heartbeats get out, nothing gets in.
     pub deaf_until: MonotonicTime,
-    /// Direct commands get in and are answered, reports reach nobody.
+    /// Direct commands get in and are answered, heartbeats reach nobody.
     pub mute_until: MonotonicTime,
     pub dead: bool,
 }
 
 impl Worker {
-    pub fn heartbeat(&mut self, id: &str) -> Heartbeat {
+    pub(super) fn heartbeat(&mut self, id: &str) -> Heartbeat {
         self.sequence.0 += 1;
         let tasks = self.tasks.iter().map(|(attempt, t)| TaskStatus {
             task: attempt.task.to_string(),
@@ -222,12 +222,12 @@
     }
 
     /// Exited tasks leave its list, though nobody has said so.
-    pub fn forget_exited(&mut self) {
+    pub(super) fn forget_exited(&mut self) {
         self.tasks.retain(|_, t| t.state != TaskState::Exited);
     }
 
     /// Carries commands out; the runs that were launched are returned for the checks.
-    pub fn obey(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
+    pub(super) fn obey(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
         let mut launched = Vec::new();
         for command in commands {
             let attempt = command.run().clone();
--- a/src/simulation/upgrade.rs
+++ b/src/simulation/upgrade.rs
@@ -1,6 +1,6 @@
-//! Controllers of two versions side by side, and the state service that lowers its limits.
+//! Controllers of two versions side by side, and the key-value store that lowers its limits.
 //!
-//! An earlier version is this one with a mirror that lacks the fields it does not know, with the
+//! An earlier version is this one with a watch cache that lacks the fields it does not know, with the
 //! limits of before, and without the word in its record that it understands dependent jobs.
 
 use super::cluster::{SimulatedCluster, SimulationEvent};
@@ -10,14 +10,14 @@
 const APART: (u64, u64) = (3000, 12_000);
 /// Processes are back after this.
 const AWAY: (u64, u64) = (60, 5000);
-/// When the state service lowers its limits.
+/// When the key-value store lowers its limits.
 const LIMITS: (u64, u64) = (50_000, 70_000);
 /// The later limits, in bytes and changes.
 const VALUE_BYTES: usize = 1024;
 const TXN_OPS: usize = 4;
 
 impl SimulatedCluster {
-    pub fn begin_upgrade(&mut self) {
+    pub(super) fn begin_upgrade(&mut self) {
         let (upgrade, limits) = (self.faults.upgrade, self.faults.limits);
         let mut at = FIRST;
         for node in 0..self.nodes.len() {
@@ -43,7 +43,7 @@
         }
     }
 
-    pub fn upgrade(&mut self, node: usize) {
+    pub(super) fn upgrade(&mut self, node: usize) {
         self.nodes[node].earlier = false;
         self.know_limits(node);
         self.fault_encounters += 1;
@@ -54,7 +54,7 @@
         }
     }
 
-    pub fn lower_limits(&mut self) {
+    pub(super) fn lower_limits(&mut self) {
         self.store.limits = Some((VALUE_BYTES, TXN_OPS));
     }
 }
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -11,7 +11,7 @@
 
 impl SimulatedCluster {
     /// Submits, and cancels now and then.
-    pub fn user(&mut self) {
+    pub(super) fn user(&mut self) {
         if self.scale.is_some() {
             return self.many_users();
         }
@@ -84,7 +84,7 @@
     }
 
     /// What a user asks, as the intake writes it; it may come once more.
-    pub fn ask(&mut self, txn: Txn) -> TxnOutcome {
+    pub(super) fn ask(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
         if let Some(ms) = self.repeat() {
             self.after(
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -14,13 +14,13 @@
 
 /// How a job that others need has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobOutcome {
+pub(crate) enum JobOutcome {
     Done,
     Cancelled,
 }
 
 #[derive(Debug)]
-pub struct BlockedJob {
+pub(crate) struct BlockedJob {
     pub spec: Rc<JobSpec>,
     pub accepted: UnixTime,
     pub revision: Revision,
@@ -30,7 +30,7 @@
 }
 
 impl BlockedJob {
-    pub fn new(
+    pub(crate) fn new(
         spec: JobSpec,
         accepted: UnixTime,
         revision: Revision,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct DependencyGraph {
+pub(crate) struct DependencyGraph {
     jobs: BTreeMap<JobId, BlockedJob>,
     /// The waiting jobs that need a job, by that job; never empty.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
@@ -73,30 +73,30 @@
 }
 
 impl DependencyGraph {
-    pub fn get(&self, id: &JobId) -> Option<&BlockedJob> {
+    pub(crate) fn get(&self, id: &JobId) -> Option<&BlockedJob> {
         self.jobs.get(id)
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    pub fn contains(&self, id: &JobId) -> bool {
+    pub(crate) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
     /// Whether any waiting job needs this one.
-    pub fn has_dependents(&self, id: &JobId) -> bool {
+    pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependents.contains_key(id)
     }
 
     /// The waiting jobs that name a job as one that they need.
-    pub fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(id).into_iter().flatten()
     }
 
     /// All waiting jobs that need a job, directly or through others, nearest first.
-    pub fn descendants(&self, id: &JobId) -> Vec<JobId> {
+    pub(crate) fn descendants(&self, id: &JobId) -> Vec<JobId> {
         let mut seen = BTreeSet::new();
         let mut found = Vec::new();
         let mut queue = VecDeque::from([id.clone()]);
@@ -112,27 +112,27 @@
     }
 
     /// Jobs with dependents that have ended, and of which it has to be read how.
-    pub fn with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
         self.with_unknown_outcome.iter()
     }
 
     /// Cancelled jobs on which waiting jobs still depend.
-    pub fn cancelled(&self) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cancelled.iter()
     }
 
     /// Waiting jobs without a plan.
-    pub fn unplanned(&self) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn unplanned(&self) -> impl Iterator<Item = &JobId> {
         self.unplanned.iter()
     }
 
     /// Waiting jobs all of whose dependencies are done.
-    pub fn ready(&self) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &JobId> {
         self.ready.iter()
     }
 
     /// Where the job ran whose placement group a waiting job shares.
-    pub fn group_machines(&self, id: &JobId) -> &[MachineId] {
+    pub(crate) fn group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
         let parent = plan.and_then(|p| p.joins.as_ref());
         let ran_on = parent.and_then(|p| self.ran_on.get(p));
@@ -140,12 +140,12 @@
     }
 
     /// What the dependents of a job pass back to it.
-    pub fn inherited(&self, id: &JobId) -> Option<Urgency> {
+    pub(crate) fn inherited(&self, id: &JobId) -> Option<Urgency> {
         self.inherited.get(id).copied()
     }
 
     /// How urgent a waiting job is, by itself and by its own dependents.
-    pub fn urgency(&self, id: &JobId) -> Option<Urgency> {
+    pub(crate) fn urgency(&self, id: &JobId) -> Option<Urgency> {
         let job = self.jobs.get(id)?;
         let own = Urgency::of(&job.spec, job.accepted);
         Some(self.inherited(id).map_or(own, |other| own.merge(other)))
@@ -158,7 +158,7 @@
 
     /// Takes in a waiting job. `is_live` tells of any other job whether it stands and does not
     /// wait. Returns the jobs that have become more urgent.
-    pub fn insert(
+    pub(crate) fn insert(
         &mut self,
         id: JobId,
         mut job: BlockedJob,
@@ -187,7 +187,7 @@
     }
 
     /// Takes out a job that waits no more. Returns the jobs whose urgency may have changed.
-    pub fn remove(&mut self, id: &JobId) -> Vec<JobId> {
+    pub(crate) fn remove(&mut self, id: &JobId) -> Vec<JobId> {
         let Some(job) = self.jobs.remove(id) else {
             return Vec::new();
         };
@@ -220,27 +220,27 @@
         self.outcomes.contains_key(id) || self.with_unknown_outcome.contains(id)
     }
 
-    /// A job stands in the mirror, waiting or not.
-    pub fn mark_live(&mut self, id: &JobId) {
+    /// A job stands in the watch cache, waiting or not.
+    pub(crate) fn mark_live(&mut self, id: &JobId) {
         self.with_unknown_outcome.remove(id);
     }
 
-    /// A job has left the mirror.
-    pub fn mark_ended(&mut self, id: &JobId) {
+    /// A job has left the watch cache.
+    pub(crate) fn mark_ended(&mut self, id: &JobId) {
         if self.has_dependents(id) && !self.outcomes.contains_key(id) {
             self.with_unknown_outcome.insert(id.clone());
         }
     }
 
     /// A job has ended, or is about to, and its tasks ran on these machines.
-    pub fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
+    pub(crate) fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
             self.ran_on.insert(id.clone(), machines.to_vec());
         }
     }
 
     /// Notes what a job's final record says.
-    pub fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
+    pub(crate) fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         let Some(dependents) = self.dependents.get(id) else {
             return;
         };
@@ -262,7 +262,7 @@
     }
 
     /// A plan predicts how long a waiting job takes. Returns the jobs whose urgency has changed.
-    pub fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> Vec<JobId> {
+    pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> Vec<JobId> {
         let before = self.urgency_for_dependencies(id);
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -32,7 +32,7 @@
         deadline: Option<u32>,
         estimate: u32,
     },
-    /// The job's final record is seen, or only that it has left the mirror.
+    /// The job's final record is seen, or only that it has left the watch cache.
     AttemptOutcome {
         job: usize,
         cancelled: bool,
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,11 +1,11 @@
-//! The keys under which records stand. Everything under `live/` is mirrored by every controller.
+//! The keys under which records stand. Everything under `live/` is cached by every controller.
 
 use crate::ids::{JobId, MachineId, Member, Pipeline, ShardId};
 
-pub const LIVE: &str = "live/";
-pub const LEADER: &str = "live/cluster/leader";
-pub const CATALOG: &str = "live/catalog";
-pub const SETTINGS: &str = "live/settings";
+pub(crate) const LIVE: &str = "live/";
+pub(crate) const LEADER: &str = "live/cluster/leader";
+pub(crate) const CATALOG: &str = "live/catalog";
+pub(crate) const SETTINGS: &str = "live/settings";
 
 const MEMBER: &str = "live/cluster/member/";
 const SHARD: &str = "live/cluster/block/";
@@ -14,38 +14,38 @@
 const MACHINE: &str = "live/machine/";
 const HISTORY: &str = "live/history/";
 
-pub fn member(member: &Member) -> String {
+pub(crate) fn member(member: &Member) -> String {
     format!("{MEMBER}{member}")
 }
-pub fn shard(shard: ShardId) -> String {
+pub(crate) fn shard(shard: ShardId) -> String {
     format!("{SHARD}{shard}")
 }
-pub fn job(job: &JobId) -> String {
+pub(crate) fn job(job: &JobId) -> String {
     format!("{JOB}{job}")
 }
-pub fn segment(job: &JobId, segment: u32) -> String {
+pub(crate) fn segment(job: &JobId, segment: u32) -> String {
     format!("{JOB}{job}/{segment}")
 }
-pub fn plans(batch: &str) -> String {
+pub(crate) fn plans(batch: &str) -> String {
     format!("{PLANS}{batch}")
 }
-pub fn machine(machine: &MachineId) -> String {
+pub(crate) fn machine(machine: &MachineId) -> String {
     format!("{MACHINE}{machine}")
 }
 /// The machine whose record a key names.
-pub fn machine_of(key: &str) -> Option<MachineId> {
+pub(crate) fn machine_of(key: &str) -> Option<MachineId> {
     key.strip_prefix(MACHINE).map(MachineId::from)
 }
-pub fn history(pipeline: &Pipeline) -> String {
+pub(crate) fn history(pipeline: &Pipeline) -> String {
     format!("{HISTORY}{pipeline}")
 }
 /// Where a finished or cancelled job's final state is kept for good.
-pub fn final_state(job: &JobId) -> String {
+pub(crate) fn final_state(job: &JobId) -> String {
     format!("over/{job}")
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum LiveKey {
+pub(crate) enum LiveKey {
     Leader,
     Member(Member),
     Shard(ShardId),
@@ -59,7 +59,7 @@
 }
 
 impl LiveKey {
-    pub fn parse(key: &str) -> Option<Self> {
+    pub(crate) fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER => return Some(Self::Leader),
             CATALOG => return Some(Self::Catalog),
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -1,4 +1,4 @@
-//! A job whose tasks may run, as the mirror shows it.
+//! A job whose tasks may run, as the watch cache shows it.
 
 use super::records::{Bitmap, DoneTasks, PlanRecord};
 use super::urgency::Urgency;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 #[derive(Debug)]
-pub struct LiveJob {
+pub(crate) struct LiveJob {
     pub spec: Rc<JobSpec>,
     pub accepted: UnixTime,
     /// Since when its tasks may run: its acceptance, or the end of the last job that it needed.
@@ -22,7 +22,7 @@
     /// Finished tasks that stand in machines' records and not in a segment yet. A task that was
     /// once done stays done: none is ever taken out but by its segment.
     pub counted: BTreeSet<u32>,
-    /// Finished tasks that a holder has told of and no record shows yet.
+    /// Finished tasks that a shard owner has told of and no record shows yet.
     pub(super) reported_done: BTreeSet<u32>,
     /// Where each task's latest attempt is placed.
     pub placed: BTreeMap<u32, (MachineId, AttemptNumber)>,
@@ -37,11 +37,11 @@
 
 impl LiveJob {
     /// The priority that it may be treated as having.
-    pub fn priority(&self) -> Priority {
+    pub(crate) fn priority(&self) -> Priority {
         self.urgency.priority
     }
 
-    pub fn done_count(&self) -> u32 {
+    pub(crate) fn done_count(&self) -> u32 {
         let folded: u32 = self.segments.values().map(|s| s.value.count()).sum();
         folded + self.counted.len() as u32
     }
@@ -83,16 +83,16 @@
         }
     }
 
-    /// A holder has seen a task done. The tasks of a gang complete together.
-    pub fn report_done(&mut self, index: u32) {
+    /// A shard owner has seen a task done. The tasks of a gang complete together.
+    pub(crate) fn report_done(&mut self, index: u32) {
         match self.spec.kind {
             JobKind::Gang => self.reported_done.extend(0..self.spec.tasks),
             _ => drop(self.reported_done.insert(index)),
         }
     }
 
-    /// Whether all tasks are done, by the counter and by what holders have seen.
-    pub fn is_complete(&self, segment_tasks: u32) -> bool {
+    /// Whether all tasks are done, by the counter and by what owners have seen.
+    pub(crate) fn is_complete(&self, segment_tasks: u32) -> bool {
         let reported_done = self.reported_done.iter();
         let more =
             reported_done.filter(|i| **i < self.spec.tasks && !self.is_done(**i, segment_tasks));
@@ -105,12 +105,12 @@
             .is_some_and(|s| s.value.get(index % segment_tasks))
     }
 
-    pub fn is_done(&self, index: u32, segment_tasks: u32) -> bool {
+    pub(crate) fn is_done(&self, index: u32, segment_tasks: u32) -> bool {
         self.counted.contains(&index) || self.is_folded(index, segment_tasks)
     }
 
     /// Whether a machine's record has to go on saying that these tasks are done.
-    pub fn needs(&self, done: &DoneTasks, segment_tasks: u32) -> bool {
+    pub(crate) fn needs(&self, done: &DoneTasks, segment_tasks: u32) -> bool {
         done.tasks().any(|i| !self.is_folded(i, segment_tasks))
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Tasks that are neither done nor placed, in their order.
-    pub fn open_tasks(&self, segment_tasks: u32) -> impl Iterator<Item = u32> {
+    pub(crate) fn open_tasks(&self, segment_tasks: u32) -> impl Iterator<Item = u32> {
         (0..self.spec.tasks)
             .filter(move |i| !self.placed.contains_key(i) && !self.is_done(*i, segment_tasks))
     }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -1,6 +1,6 @@
 //! The record of a machine: what is placed there, and what has completed there.
 
-pub mod size;
+pub(crate) mod size;
 
 use crate::ids::{
     AttemptNumber, Image, JobId, Resources, TaskAttempt, TaskId, TeamId, TypeName, Zone,
@@ -11,7 +11,7 @@
 /// A job's tasks on one machine. The needs stand here as well, so that a cancelled job's
 /// tasks still count while they are not proved gone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PlacedJob {
+pub(crate) struct PlacedJob {
     pub job: JobId,
     pub team: TeamId,
     pub need: Resources,
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineRecord {
+pub(crate) struct MachineRecord {
     pub addr: String,
     pub type_name: TypeName,
     pub zone: Zone,
@@ -35,13 +35,13 @@
 
 /// Finished tasks of one job, as ranges from first to last.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DoneTasks {
+pub(crate) struct DoneTasks {
     pub job: JobId,
     pub ranges: Vec<(u32, u32)>,
 }
 
 impl DoneTasks {
-    pub fn tasks(&self) -> impl Iterator<Item = u32> {
+    pub(crate) fn tasks(&self) -> impl Iterator<Item = u32> {
         self.ranges.iter().flat_map(|(first, last)| *first..=*last)
     }
 
@@ -60,7 +60,7 @@
 
 impl MachineRecord {
     /// A machine on which nothing was placed yet.
-    pub fn new(addr: &str, type_name: &TypeName, zone: &Zone, spot: bool) -> Self {
+    pub(crate) fn new(addr: &str, type_name: &TypeName, zone: &Zone, spot: bool) -> Self {
         Self {
             addr: addr.to_owned(),
             type_name: type_name.clone(),
@@ -72,7 +72,7 @@
     }
 
     /// Counts finished tasks; those that are counted already change nothing.
-    pub fn count(&mut self, job: &JobId, first: u32, last: u32) {
+    pub(crate) fn count(&mut self, job: &JobId, first: u32, last: u32) {
         match self.done.iter_mut().find(|d| d.job == *job) {
             Some(done) => done.add(first, last),
             None => self.done.push(DoneTasks {
@@ -83,17 +83,17 @@
     }
 
     /// The stored size of what was counted here.
-    pub fn done_size(&self) -> usize {
+    pub(crate) fn done_size(&self) -> usize {
         self.done.iter().map(size::done).sum()
     }
 
-    pub fn used(&self) -> Resources {
+    pub(crate) fn used(&self) -> Resources {
         self.jobs.iter().fold(Resources::default(), |sum, j| {
             sum + j.need.times(j.tasks.len() as u64)
         })
     }
 
-    pub fn runs(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
+    pub(crate) fn runs(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
         self.jobs.iter().flat_map(|placed| {
             placed.tasks.iter().map(move |(index, attempt_number)| {
                 let attempt = TaskAttempt {
@@ -108,13 +108,13 @@
         })
     }
 
-    pub fn holds(&self, attempt: &TaskAttempt) -> bool {
+    pub(crate) fn holds(&self, attempt: &TaskAttempt) -> bool {
         self.jobs.iter().any(|p| {
             p.job == attempt.task.job && p.tasks.contains(&(attempt.task.index, attempt.number))
         })
     }
 
-    pub fn add(&mut self, attempt: &TaskAttempt, spec: &JobSpec) {
+    pub(crate) fn add(&mut self, attempt: &TaskAttempt, spec: &JobSpec) {
         let entry = (attempt.task.index, attempt.number);
         match self.jobs.iter_mut().find(|p| p.job == attempt.task.job) {
             Some(placed) => placed.tasks.push(entry),
@@ -128,7 +128,7 @@
         }
     }
 
-    pub fn remove(&mut self, attempt: &TaskAttempt) {
+    pub(crate) fn remove(&mut self, attempt: &TaskAttempt) {
         for placed in &mut self.jobs {
             if placed.job == attempt.task.job {
                 placed
@@ -140,13 +140,13 @@
     }
 
     /// The stored size, a few bytes too large at most, so that a record never outgrows its value.
-    pub fn size(&self) -> usize {
+    pub(crate) fn size(&self) -> usize {
         let placed: usize = self.jobs.iter().map(size::placed).sum();
         size::head(self) + placed + self.done_size()
     }
 
     /// What a placement adds to the stored size.
-    pub fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
+    pub(crate) fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
         let task = size::task(attempt.task.index, attempt.number);
         let stands = self.jobs.iter().any(|p| p.job == attempt.task.job);
         task + if stands { 0 } else { size::job(spec) }
@@ -154,7 +154,7 @@
 
     /// The stored size up to which placements may be added to a record that may have so many bytes:
     /// their ends need room as well.
-    pub fn placement_capacity(value_bytes: usize) -> usize {
+    pub(crate) fn placement_capacity(value_bytes: usize) -> usize {
         value_bytes - value_bytes / Self::PART_FOR_ENDS
     }
 
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -15,8 +15,8 @@
 const QUOTES: usize = 2;
 
 /// A placed task whose attempt is a number of up to sixteen digits. Attempts lead with a revision
-/// of the state service, so they get there after billions of changes; the holder counts exactly.
-pub const LARGEST_TASK: usize = PAIR + "99999".len() + "9999999999999999".len();
+/// of the key-value store, so they get there after billions of changes; the shard owner counts exactly.
+pub(crate) const LARGEST_TASK: usize = PAIR + "99999".len() + "9999999999999999".len();
 
 fn number(value: u64) -> usize {
     value.checked_ilog10().unwrap_or(0) as usize + 1
@@ -36,7 +36,7 @@
 }
 
 /// A record on which nothing stands.
-pub fn head(record: &MachineRecord) -> usize {
+pub(crate) fn head(record: &MachineRecord) -> usize {
     let texts = [
         record.addr.as_str(),
         record.type_name.as_str(),
@@ -46,16 +46,16 @@
 }
 
 /// A job on a record, without its tasks.
-pub fn job(spec: &JobSpec) -> usize {
+pub(crate) fn job(spec: &JobSpec) -> usize {
     let texts = [spec.id.as_str(), spec.team.as_str(), spec.image.as_str()];
     PLACED + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
 }
 
-pub fn task(index: u32, attempt_number: AttemptNumber) -> usize {
+pub(crate) fn task(index: u32, attempt_number: AttemptNumber) -> usize {
     PAIR + number(index.into()) + number(attempt_number.0)
 }
 
-pub fn placed(placed: &PlacedJob) -> usize {
+pub(crate) fn placed(placed: &PlacedJob) -> usize {
     let names = [
         placed.job.as_str(),
         placed.team.as_str(),
@@ -69,7 +69,7 @@
     PLACED + need(placed.need) + names + tasks
 }
 
-pub fn done(done: &DoneTasks) -> usize {
+pub(crate) fn done(done: &DoneTasks) -> usize {
     let range =
         |(first, last): &(u32, u32)| PAIR + number((*first).into()) + number((*last).into());
     let ranges: usize = done.ranges.iter().map(range).sum();
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,15 +1,15 @@
-//! The state service: its client, the tokens that guard its rates, and the live mirror of
+//! The key-value store: its client, the tokens that guard its rates, and the live watch cache of
 //! what it holds.
 
-pub mod dependency_graph;
-pub mod keys;
+pub(crate) mod dependency_graph;
+pub(crate) mod keys;
 mod live_job;
-pub mod machine_record;
+pub(crate) mod machine_record;
 mod rate_choice;
-pub mod rate_limiter;
-pub mod records;
-pub mod urgency;
-pub mod watch_cache;
+pub(crate) mod rate_limiter;
+pub(crate) mod records;
+pub(crate) mod urgency;
+pub(crate) mod watch_cache;
 
 use crate::config::{StateLimits, StateRates};
 use crate::http::{Client, Failure, Method};
@@ -30,28 +30,28 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum TxnOutcome {
+pub(crate) enum TxnOutcome {
     Committed(Revision),
     /// These conditions did not hold at this revision; nothing was changed.
     Failed(Vec<String>, Revision),
     /// Certainly not executed.
     Refused,
     /// Certainly not executed, and never will be as it is: too large for the service, or under a
-    /// grant that has ended.
+    /// lease that has ended.
     Invalid,
     /// May have been executed, or may still be.
     Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum StoreError {
-    #[error("the state service can't be reached or refuses")]
+pub(crate) enum StoreError {
+    #[error("the key-value store can't be reached or refuses")]
     Unavailable,
-    #[error("no such grant, or revisions too old")]
+    #[error("no such lease, or revisions too old")]
     Gone,
 }
 
-pub struct Store {
+pub(crate) struct Store {
     client: Client,
     addr: SocketAddr,
     requests: RefCell<TokenBucket>,
@@ -66,7 +66,7 @@
 }
 
 #[derive(Default)]
-pub struct Counters {
+pub(crate) struct Counters {
     pub calls: Cell<u64>,
     pub refused: Cell<u64>,
     pub unknown: Cell<u64>,
@@ -76,7 +76,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
-pub struct ClassUse {
+pub(crate) struct ClassUse {
     pub requests: u64,
     pub changes: u64,
     pub held_back: u64,
@@ -89,7 +89,7 @@
 impl Store {
     /// `share`: this controller's part of the service's rates. `answer_bytes`: the largest answer
     /// that is read. Pages of a list are bounded by the service, an answer of changes is not.
-    pub fn new(
+    pub(crate) fn new(
         addr: SocketAddr,
         limits: &StateLimits,
         share: f64,
@@ -114,11 +114,11 @@
     }
 
     /// Whether the last calls were answered.
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.failures.get() < 2
     }
 
-    pub fn levels(&self) -> (f64, f64) {
+    pub(crate) fn levels(&self) -> (f64, f64) {
         let now = self.now();
         (
             self.requests.borrow_mut().level(now),
@@ -127,14 +127,14 @@
     }
 
     /// A pause that grows up to `longest` as the requests are used up. Never far below: the
-    /// mirrors' watches alone took nearly half of all requests (Savannah fleet, calm).
-    pub fn watch_delay(&self, longest: Duration) -> Duration {
+    /// watch caches' watches alone took nearly half of all requests (Savannah fleet, calm).
+    pub(crate) fn watch_delay(&self, longest: Duration) -> Duration {
         let available_fraction = self.requests.borrow_mut().available_fraction(self.now());
         longest.mul_f64((1.0 - available_fraction).clamp(0.25, 1.0))
     }
 
     /// What the service takes in a second from all controllers, as far as it is known.
-    pub fn rates(&self) -> StateRates {
+    pub(crate) fn rates(&self) -> StateRates {
         self.rate_choice.borrow().current(self.now())
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Runs a transaction if its class has a token for it.
-    pub async fn txn(&self, class: RequestClass, txn: &Txn) -> TxnOutcome {
+    pub(crate) async fn txn(&self, class: RequestClass, txn: &Txn) -> TxnOutcome {
         if !self.admit(class, txn.changes.len()) {
             return TxnOutcome::Refused;
         }
@@ -234,7 +234,11 @@
         }
     }
 
-    pub async fn get(&self, class: RequestClass, key: &str) -> Result<Option<Item>, StoreError> {
+    pub(crate) async fn get(
+        &self,
+        class: RequestClass,
+        key: &str,
+    ) -> Result<Option<Item>, StoreError> {
         if !self.admit(class, 0) {
             return Err(StoreError::Unavailable);
         }
@@ -250,7 +254,7 @@
         }
     }
 
-    pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
+    pub(crate) async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
         self.admit(RequestClass::Lease, 0);
         let path = page_path(prefix, after);
         match self.call(Method::Get, &path, b"", 2 * CALL_TIMEOUT).await {
@@ -259,7 +263,7 @@
         }
     }
 
-    pub async fn watch(
+    pub(crate) async fn watch(
         &self,
         prefix: &str,
         after: Revision,
@@ -273,14 +277,14 @@
         {
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| StoreError::Unavailable),
             // So many changes at once, after half a minute without any, took most of the memory a
-            // controller has; one above the bound was asked for again for ever, and the mirror
+            // controller has; one above the bound was asked for again for ever, and the watch cache
             // stood still (Savannah fleet, zone). Pages of all there is are bounded.
             Ok((410, _)) | Err(Failure::TooLarge) => Err(StoreError::Gone),
             _ => Err(StoreError::Unavailable),
         }
     }
 
-    pub async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
+    pub(crate) async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
         self.admit(RequestClass::Lease, 0);
         let body = lease_request(life_ms);
         match self
@@ -294,7 +298,7 @@
         }
     }
 
-    pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+    pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.admit(RequestClass::Lease, 0);
         match self
             .call(Method::Post, &renewal_path(lease), b"", CALL_TIMEOUT)
@@ -306,7 +310,7 @@
         }
     }
 
-    pub async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+    pub(crate) async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.admit(RequestClass::Lease, 0);
         match self
             .call(Method::Delete, &lease_path(lease), b"", CALL_TIMEOUT)
--- a/src/store/rate_choice.rs
+++ b/src/store/rate_choice.rs
@@ -1,4 +1,4 @@
-//! Which of the state service's rates is followed: the larger of the present and the later ones
+//! Which of the key-value store's rates is followed: the larger of the present and the later ones
 //! until the service refuses, then the smaller.
 //!
 //! A refusal can have other causes, since controllers share the rates without asking one another.
@@ -19,14 +19,14 @@
 }
 
 #[derive(Debug)]
-pub struct RateSelector {
+pub(super) struct RateSelector {
     larger: StateRates,
     least: StateRates,
     lowered: Option<Lowered>,
 }
 
 impl RateSelector {
-    pub fn new(larger: StateRates, least: StateRates) -> Self {
+    pub(super) fn new(larger: StateRates, least: StateRates) -> Self {
         Self {
             larger,
             least,
@@ -38,7 +38,7 @@
         self.lowered.is_some_and(|l| now < l.until)
     }
 
-    pub fn current(&self, now: MonotonicTime) -> StateRates {
+    pub(super) fn current(&self, now: MonotonicTime) -> StateRates {
         match self.is_lowered(now) {
             true => self.least,
             false => self.larger,
@@ -46,7 +46,7 @@
     }
 
     /// The service has refused for the rate, or for a size that only the later limits refuse.
-    pub fn refused(&mut self, now: MonotonicTime) {
+    pub(super) fn refused(&mut self, now: MonotonicTime) {
         if self.larger == self.least || self.is_lowered(now) {
             return;
         }
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets with classes of use: when more is asked than the rates allow, grants and
+//! Token buckets with classes of use: when more is asked than the rates allow, leases and
 //! placements go on and the rest is refused at once.
 
 use crate::ids::MonotonicTime;
@@ -6,11 +6,11 @@
 /// What a call is for; earlier classes may use what later ones must leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum RequestClass {
-    /// Grants, fences and the mirror: never held back.
+pub(crate) enum RequestClass {
+    /// Leases, fences and the watch cache: never held back.
     #[serde(rename = "grant")]
     Lease,
-    /// Acceptance, withdrawal, and the ends and releases of jobs: few, and waited for.
+    /// Acceptance, cancellation, and the ends and releases of jobs: few, and waited for.
     Accept,
     /// Placements.
     Place,
@@ -24,7 +24,7 @@
     fn reserve(self) -> f64 {
         match self {
             Self::Lease => f64::NEG_INFINITY,
-            // Holders and leader keep to a part of the changes by themselves, so users come first.
+            // Owners and leader keep to a part of the changes by themselves, so users come first.
             Self::Accept => 0.0,
             Self::Place => 0.05,
             Self::Poll => 0.3,
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
@@ -43,7 +43,7 @@
 
 impl TokenBucket {
     /// Holds one second's worth, as the services themselves allow.
-    pub fn new(rate: f64) -> Self {
+    pub(crate) fn new(rate: f64) -> Self {
         let burst = rate.max(1.0);
         Self {
             rate,
@@ -54,7 +54,7 @@
     }
 
     /// Another share of a rate; what was saved up stays within the new bound.
-    pub fn set_rate(&mut self, now: MonotonicTime, rate: f64) {
+    pub(crate) fn set_rate(&mut self, now: MonotonicTime, rate: f64) {
         self.level(now);
         self.rate = rate;
         self.burst = rate.max(1.0);
@@ -62,18 +62,18 @@
     }
 
     /// The part of a second's worth that is unused.
-    pub fn available_fraction(&mut self, now: MonotonicTime) -> f64 {
+    pub(crate) fn available_fraction(&mut self, now: MonotonicTime) -> f64 {
         self.level(now) / self.burst
     }
 
-    pub fn level(&mut self, now: MonotonicTime) -> f64 {
+    pub(crate) fn level(&mut self, now: MonotonicTime) -> f64 {
         self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.burst);
         self.at = now.max(self.at);
         self.level
     }
 
     /// A full bucket lets any class through, however much it asks for.
-    pub fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
+    pub(crate) fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         if amount == 0.0 {
             return true;
         }
@@ -82,11 +82,16 @@
         self.level(now) >= needed
     }
 
-    pub fn spend(&mut self, amount: f64) {
+    pub(crate) fn spend(&mut self, amount: f64) {
         self.level = (self.level - amount).max(-self.burst);
     }
 
-    pub fn try_acquire(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
+    pub(crate) fn try_acquire(
+        &mut self,
+        now: MonotonicTime,
+        amount: f64,
+        class: RequestClass,
+    ) -> bool {
         let ok = self.allows(now, amount, class);
         if ok {
             self.spend(amount);
@@ -95,7 +100,7 @@
     }
 
     /// The service itself said that it is too much: others use the rate as well.
-    pub fn drain(&mut self, now: MonotonicTime) {
+    pub(crate) fn drain(&mut self, now: MonotonicTime) {
         self.level = self.level(now).min(0.0);
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,6 +1,6 @@
 //! The records' contents.
 
-pub use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
+pub(crate) use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
 
 use crate::ids::{Incarnation, JobId, LeaseId, MachineId, Member, Revision, TypeName, UnixTime};
 use crate::protocol::{JobSpec, JobState};
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRecord {
+pub(crate) struct LeaderRecord {
     pub member: Member,
     pub incarnation: Incarnation,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberRecord {
+pub(crate) struct MemberRecord {
     pub incarnation: Incarnation,
     #[serde(rename = "grant")]
     pub lease: LeaseId,
@@ -28,7 +28,7 @@
 
 impl MemberRecord {
     /// The record of a controller that runs this program.
-    pub fn new(incarnation: Incarnation, lease: LeaseId) -> Self {
+    pub(crate) fn new(incarnation: Incarnation, lease: LeaseId) -> Self {
         Self {
             incarnation,
             lease,
@@ -41,18 +41,18 @@
 /// controller that restarts as an earlier program writes its record without it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ProgramVersion(pub u32);
+pub(crate) struct ProgramVersion(pub u32);
 
 impl ProgramVersion {
     /// The first that knows dependent jobs.
-    pub const DEPENDENCIES: Self = Self(1);
+    pub(crate) const DEPENDENCIES: Self = Self(1);
     /// This program's.
-    pub const CURRENT: Self = Self::DEPENDENCIES;
+    pub(crate) const CURRENT: Self = Self::DEPENDENCIES;
 }
 
-/// A lease of a block; attached to its holder's grant.
+/// A lease of a shard; attached to its shard owner's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardRecord {
+pub(crate) struct ShardRecord {
     #[serde(rename = "holder")]
     pub owner: Member,
     pub incarnation: Incarnation,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobRecord {
+pub(crate) struct JobRecord {
     pub spec: JobSpec,
     pub accepted: UnixTime,
     /// When the last job that this one depends on was done. `None` while it waits, and for jobs
@@ -72,7 +72,7 @@
 
 impl JobRecord {
     /// A job as it is accepted.
-    pub fn new(spec: JobSpec, accepted: UnixTime) -> Self {
+    pub(crate) fn new(spec: JobSpec, accepted: UnixTime) -> Self {
         Self {
             spec,
             accepted,
@@ -81,24 +81,24 @@
     }
 
     /// Whether jobs that it depends on may not be done yet: none of its tasks may start.
-    pub fn is_blocked(&self) -> bool {
+    pub(crate) fn is_blocked(&self) -> bool {
         !self.spec.dependencies.is_empty() && self.released.is_none()
     }
 }
 
 /// How a job ended; written once and never changed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FinalRecord {
+pub(crate) struct FinalRecord {
     pub state: JobState,
     pub tasks: u32,
 }
 
 /// Plans that were made at about the same time: one change for all of them.
-pub type PlanBatch = BTreeMap<JobId, PlanRecord>;
+pub(crate) type PlanBatch = BTreeMap<JobId, PlanRecord>;
 
 /// A job's plan, written once at acceptance. Its machines are preferred, not binding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PlanRecord {
+pub(crate) struct PlanRecord {
     pub type_name: Option<TypeName>,
     pub machines: Vec<MachineId>,
     pub predicted_s: f64,
@@ -109,23 +109,23 @@
 
 impl PlanRecord {
     /// Machines named in a plan; more would only make its record larger.
-    pub const MACHINES: usize = 12;
+    pub(crate) const MACHINES: usize = 12;
 }
 
 /// Run times of a pipeline's tasks as parts of the estimates, by machine type, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HistoryRecord {
+pub(crate) struct HistoryRecord {
     pub types: BTreeMap<TypeName, Vec<f32>>,
 }
 
 /// A part of a completion counter: which tasks are done. A task that reports twice counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Bitmap {
+pub(crate) struct Bitmap {
     words: Vec<u64>,
 }
 
 impl Bitmap {
-    pub fn set(&mut self, bit: u32) {
+    pub(crate) fn set(&mut self, bit: u32) {
         let word = (bit / 64) as usize;
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
@@ -133,19 +133,19 @@
         self.words[word] |= 1 << (bit % 64);
     }
 
-    pub fn get(&self, bit: u32) -> bool {
+    pub(crate) fn get(&self, bit: u32) -> bool {
         self.words
             .get((bit / 64) as usize)
             .is_some_and(|w| w & (1 << (bit % 64)) != 0)
     }
 
-    pub fn count(&self) -> u32 {
+    pub(crate) fn count(&self) -> u32 {
         self.words.iter().map(|w| w.count_ones()).sum()
     }
 
     /// As it is stored in a value of so many bytes: in hexadecimal digits, as all versions read it,
     /// or where these don't fit in base64. `None`: neither fits.
-    pub fn stored(&self, value_bytes: usize) -> Option<Value> {
+    pub(crate) fn stored(&self, value_bytes: usize) -> Option<Value> {
         let fits = |text: &String| text.len() + QUOTES <= value_bytes;
         let text = Some(self.digits()).filter(fits);
         let text = text.or_else(|| Some(self.base64()).filter(fits));
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -2,8 +2,8 @@
 use crate::http::{Response, serve};
 use crate::runtime::{self, TcpListener};
 
-/// More changes at once than memory allows: the mirror is read anew, page by page. Asked for
-/// again it would come again, and the mirror would stand still.
+/// More changes at once than memory allows: the watch cache is read anew, page by page. Asked for
+/// again it would come again, and the watch cache would stand still.
 #[test]
 fn a_watch_answer_over_its_bound_counts_as_too_old() {
     runtime::run(async {
--- a/src/store/urgency.rs
+++ b/src/store/urgency.rs
@@ -6,14 +6,14 @@
 /// A priority, and the latest moment at which the job may be done so that everything which
 /// depends on it can still be in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Urgency {
+pub(crate) struct Urgency {
     pub priority: Priority,
     pub finish_by: Option<UnixTime>,
 }
 
 impl Urgency {
     /// What the job's owner says of it.
-    pub fn of(spec: &JobSpec, accepted: UnixTime) -> Self {
+    pub(crate) fn of(spec: &JobSpec, accepted: UnixTime) -> Self {
         let deadline = spec.deadline_s.map(Millis::from_secs);
         Self {
             priority: spec.priority,
@@ -22,7 +22,7 @@
     }
 
     /// Whichever is more urgent, in priority and in time.
-    pub fn merge(self, other: Self) -> Self {
+    pub(crate) fn merge(self, other: Self) -> Self {
         let times = [self.finish_by, other.finish_by];
         Self {
             priority: self.priority.max(other.priority),
@@ -31,7 +31,7 @@
     }
 
     /// What a job passes back to those that it depends on: they have to be done before it starts.
-    pub fn before(self, predicted: Millis) -> Self {
+    pub(crate) fn before(self, predicted: Millis) -> Self {
         let earlier = |at: UnixTime| UnixTime(at.0.saturating_sub(predicted.0));
         Self {
             finish_by: self.finish_by.map(earlier),
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,9 +1,9 @@
-//! Every controller's live mirror of the records under `live/`, in the order of their changes.
+//! Every controller's live watch cache of the records under `live/`, in the order of their changes.
 //!
-//! Because the mirror follows one stream, whoever sees a block's new record has also seen every
-//! placement that was committed before it: a new leader or holder needs no reads of its own.
+//! Because the watch cache follows one stream, whoever sees a shard's new record has also seen every
+//! placement that was committed before it: a new leader or shard owner needs no reads of its own.
 
-pub use super::live_job::LiveJob;
+pub(crate) use super::live_job::LiveJob;
 
 use super::dependency_graph::{BlockedJob, DependencyGraph, JobOutcome};
 use super::keys::LiveKey;
@@ -26,13 +26,13 @@
 const MAX_REMEMBERED_IMAGES: usize = 16;
 
 #[derive(Clone, Debug)]
-pub struct Versioned<T> {
+pub(crate) struct Versioned<T> {
     pub value: T,
     pub revision: Revision,
 }
 
 #[derive(Debug)]
-pub struct LiveMachine {
+pub(crate) struct LiveMachine {
     pub record: MachineRecord,
     pub revision: Revision,
     /// Images that its tasks have needed, the latest last.
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug)]
-pub struct WatchCache {
+pub(crate) struct WatchCache {
     pub revision: Revision,
     /// Tasks in one segment of a completion counter.
     segment_tasks: u32,
@@ -71,7 +71,7 @@
 }
 
 impl WatchCache {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self {
             revision: Revision(0),
             segment_tasks: config.segment_tasks(),
@@ -92,8 +92,8 @@
     }
 
     /// A cancellation that is final, though the stream has not brought it yet: the job leaves the
-    /// mirror at once, and nothing that the stream still brings of it counts.
-    pub fn cancel(&mut self, job: &JobId, revision: Revision) {
+    /// watch cache at once, and nothing that the stream still brings of it counts.
+    pub(crate) fn cancel(&mut self, job: &JobId, revision: Revision) {
         if revision > self.revision {
             self.cancelled.insert(job.clone(), revision);
         }
@@ -103,13 +103,13 @@
     }
 
     /// The revision of a job's record, whether it waits or not.
-    pub fn job_revision(&self, id: &JobId) -> Option<Revision> {
+    pub(crate) fn job_revision(&self, id: &JobId) -> Option<Revision> {
         let live = self.jobs.get(id).map(|job| job.revision);
         live.or_else(|| self.dependency_graph.get(id).map(|job| job.revision))
     }
 
     /// A job's plan, whether it waits or not.
-    pub fn plan(&self, id: &JobId) -> Option<&PlanRecord> {
+    pub(crate) fn plan(&self, id: &JobId) -> Option<&PlanRecord> {
         match self.jobs.get(id) {
             Some(job) => job.plan.as_ref(),
             None => self.dependency_graph.get(id)?.plan.as_ref(),
@@ -117,14 +117,14 @@
     }
 
     /// A job's description, whether it waits or not.
-    pub fn job_spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
+    pub(crate) fn job_spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
         let live = self.jobs.get(id).map(|job| &job.spec);
         live.or_else(|| self.dependency_graph.get(id).map(|job| &job.spec))
     }
 
     /// Whether every controller that takes part understands jobs that depend on others. One that
     /// does not would start them at once.
-    pub fn all_know_dependencies(&self) -> bool {
+    pub(crate) fn all_know_dependencies(&self) -> bool {
         let mut members = self.members.values();
         members.all(|m| m.version >= ProgramVersion::DEPENDENCIES)
     }
@@ -139,7 +139,7 @@
     }
 
     /// A job's final record was read or written; the stream may not have brought it yet.
-    pub fn record_job_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
+    pub(crate) fn record_job_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         if let Some(job) = self.jobs.get(id) {
             self.dependency_graph.record_machines(id, &job.ran_on);
         }
@@ -157,7 +157,7 @@
     }
 
     /// Takes a plan for a job, whether it waits or not. `false`: there is no such job.
-    pub fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> bool {
+    pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> bool {
         if let Some(job) = self.jobs.get_mut(id) {
             job.plan = Some(plan);
             return true;
@@ -171,25 +171,25 @@
     }
 
     /// The machines on whose records a job stands.
-    pub fn machines_with_job(&self, job: &JobId) -> impl Iterator<Item = &MachineId> {
+    pub(crate) fn machines_with_job(&self, job: &JobId) -> impl Iterator<Item = &MachineId> {
         let stands = move |m: &LiveMachine| m.record.jobs.iter().any(|g| g.job == *job);
         let machines_with_job = self.machines.iter().filter(move |(_, m)| stands(m));
         machines_with_job.map(|(id, _)| id)
     }
 
-    /// A mirror that is read anew takes over which jobs are known to be cancelled.
-    pub fn keep_cancelled(&mut self, old: &Self) {
+    /// A watch cache that is read anew takes over which jobs are known to be cancelled.
+    pub(crate) fn keep_cancelled(&mut self, old: &Self) {
         for (job, revision) in &old.cancelled {
             self.cancel(job, *revision);
         }
     }
 
-    pub fn load(&mut self, item: Item) {
+    pub(crate) fn load(&mut self, item: Item) {
         self.put(&item.key, item.value, item.revision);
     }
 
     /// Applies the next changes of the stream. Returns the ids of jobs that ended.
-    pub fn apply(&mut self, revision: Revision, events: Vec<Event>) -> Vec<JobId> {
+    pub(crate) fn apply(&mut self, revision: Revision, events: Vec<Event>) -> Vec<JobId> {
         let mut ended = Vec::new();
         for event in events {
             if let Some(key) = event.put {
@@ -288,7 +288,7 @@
     }
 
     /// Takes a job's record from the stream, or from a transaction that was just committed.
-    pub fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
+    pub(crate) fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
         if record.is_blocked() {
             let plan = self.early_plans.remove(&id);
             let job = BlockedJob::new(record.spec, record.accepted, revision, plan);
@@ -360,7 +360,7 @@
 
     /// Takes a machine's record from the stream, or from a transaction that was just committed:
     /// the stream brings that one again, later, and is then ignored.
-    pub fn put_machine(&mut self, id: MachineId, record: MachineRecord, revision: Revision) {
+    pub(crate) fn put_machine(&mut self, id: MachineId, record: MachineRecord, revision: Revision) {
         let old = self.machines.remove(&id);
         if let Some(old) = old {
             if old.revision >= revision {
@@ -375,14 +375,14 @@
     }
 
     /// A machine that answers and has no record yet.
-    pub fn discover(&mut self, id: MachineId, record: MachineRecord) {
+    pub(crate) fn discover(&mut self, id: MachineId, record: MachineRecord) {
         if !self.machines.contains_key(&id) {
             self.place(id, record, Revision(0), Vec::new());
         }
     }
 
     /// Forgets a machine that has no record.
-    pub fn forget(&mut self, id: &MachineId) {
+    pub(crate) fn forget(&mut self, id: &MachineId) {
         if self
             .machines
             .get(id)
@@ -478,12 +478,12 @@
         None
     }
 
-    pub fn machine_type(&self, name: &crate::ids::TypeName) -> Option<&MachineType> {
+    pub(crate) fn machine_type(&self, name: &crate::ids::TypeName) -> Option<&MachineType> {
         let catalog = self.catalog.as_ref()?;
         catalog.value.types.iter().find(|t| t.name == *name)
     }
 
-    pub fn settings(&self) -> Settings {
+    pub(crate) fn settings(&self) -> Settings {
         self.settings
             .as_ref()
             .map(|s| s.value.clone())
@@ -491,7 +491,7 @@
     }
 
     /// Records left behind by jobs that ended: they are cleaned up at leisure.
-    pub fn orphaned_keys(&self, most: usize) -> Vec<String> {
+    pub(crate) fn orphaned_keys(&self, most: usize) -> Vec<String> {
         let segments = self.early_segments.keys();
         let live = |id: &JobId| self.job_revision(id).is_some();
         let plans = self.plan_batches.iter();
@@ -507,7 +507,7 @@
     }
 
     /// What each team's placed tasks use, cancelled ones that are not proved gone included.
-    pub fn team_usage(&self) -> BTreeMap<TeamId, crate::ids::Resources> {
+    pub(crate) fn team_usage(&self) -> BTreeMap<TeamId, crate::ids::Resources> {
         let mut usage: BTreeMap<TeamId, crate::ids::Resources> = BTreeMap::new();
         for group in self.machines.values().flat_map(|m| &m.record.jobs) {
             let used = group.need.times(group.tasks.len() as u64);
--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -12,7 +12,7 @@
 
 /// How a start was sent by direct command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DirectLaunch {
+pub(super) enum DirectLaunch {
     No,
     Pending,
     /// Answered: it was carried out then. A repeat has no effect while the worker lists the task.
@@ -21,19 +21,19 @@
     Unknown,
 }
 
-/// A start that was sent under the desk's own token.
+/// A start that was sent under the tracker's own token.
 #[derive(Clone, Copy, Debug)]
-pub struct LaunchRecord {
+pub(super) struct LaunchRecord {
     pub epoch: WorkerEpoch,
     pub direct: DirectLaunch,
-    /// The report in whose response it was sent last. Workers drop late responses, and send
-    /// their next report only after that, so a later report tells what became of it.
+    /// The heartbeat in whose response it was sent last. Workers drop late responses, and send
+    /// their next heartbeat only after that, so a later heartbeat tells what became of it.
     pub in_response: Option<HeartbeatSequence>,
 }
 
-/// What the latest report says of a placement.
+/// What the latest heartbeat says of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskPresence {
+pub(super) enum TaskPresence {
     /// Nothing certain.
     Unclear,
     /// Not there, and nothing that was sent can still start it.
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug)]
-pub struct Incoming {
+pub(super) struct Incoming {
     pub since: MonotonicTime,
     pub attempt: TaskAttempt,
     pub spec: Rc<JobSpec>,
@@ -54,7 +54,7 @@
 
 /// What a machine's record lacks.
 #[derive(Debug)]
-pub struct UnwrittenChanges {
+pub(super) struct UnwrittenChanges {
     pub since: MonotonicTime,
     pub incoming: usize,
     /// Placements that are proved gone, whether they are done, and the room they leave.
@@ -70,7 +70,7 @@
     /// Grows with what one change would write, and with age, so that nothing waits for ever.
     /// Ends alone are worth nothing at first: the leader has been told of them, and a placement
     /// may follow that takes them along.
-    pub fn write_priority(&self, now: MonotonicTime) -> u64 {
+    pub(super) fn write_priority(&self, now: MonotonicTime) -> u64 {
         let age = now.since(self.since).0;
         let ended = 300 * self.ended.len() as u64;
         if self.incoming > 0 {
@@ -92,15 +92,15 @@
 
 /// A transaction on its way.
 #[derive(Debug)]
-pub struct PendingTxn {
+pub(super) struct PendingTxn {
     pub record: MachineRecord,
     pub ended: Vec<(TaskAttempt, AttemptOutcome)>,
     pub fence: Revision,
 }
 
 #[derive(Debug)]
-pub struct MachineTracker {
-    /// The block's revision.
+pub(super) struct MachineTracker {
+    /// The shard's revision.
     pub fence: Revision,
     /// The machine's token under it.
     token: FencingToken,
@@ -110,11 +110,11 @@
     pub epoch: WorkerEpoch,
     pub sequence: HeartbeatSequence,
     pub heartbeat_sequence: HeartbeatSequence,
-    /// The highest that the worker had seen by its latest report.
+    /// The highest that the worker had seen by its latest heartbeat.
     seen_token: FencingToken,
-    /// The latest report carried our token.
+    /// The latest heartbeat carried our token.
     pub confirmed: bool,
-    /// A higher token exists: nothing more is sent until the mirror brings it.
+    /// A higher token exists: nothing more is sent until the watch cache brings it.
     pub superseded: bool,
     pub last_heartbeat: MonotonicTime,
     /// When it was last certain that something of ours arrives there.
@@ -138,13 +138,13 @@
     pub rejected: Vec<TaskAttempt>,
     pub txn: Option<PendingTxn>,
     pub retry_at: MonotonicTime,
-    /// The state service refused the record for its size: nothing that large is written again.
+    /// The key-value store refused the record for its size: nothing that large is written again.
     pub too_large: bool,
-    /// A condition failed at this revision: the mirror must get there first.
+    /// A condition failed at this revision: the watch cache must get there first.
     pub retry_revision: Revision,
-    /// When a report last came straight from the machine.
+    /// When a heartbeat last came straight from the machine.
     direct_heartbeat_timeout: MonotonicTime,
-    /// Since when its reports come through other controllers.
+    /// Since when its heartbeats come through other controllers.
     relayed: Option<MonotonicTime>,
     /// A transaction under this revision of the record has no known outcome.
     pub uncertain: Option<Revision>,
@@ -153,7 +153,7 @@
 }
 
 impl MachineTracker {
-    pub fn new(fence: Revision, addr: &str, now: MonotonicTime) -> Self {
+    pub(super) fn new(fence: Revision, addr: &str, now: MonotonicTime) -> Self {
         Self {
             fence,
             token: FencingToken::of(fence, 0),
@@ -191,9 +191,9 @@
         }
     }
 
-    /// The block was rewritten: what was sent under the old token proves nothing any more, and
+    /// The shard was rewritten: what was sent under the old token proves nothing any more, and
     /// transactions under the old fence can't be applied.
-    pub fn reset(&mut self, fence: Revision, now: MonotonicTime) {
+    pub(super) fn reset(&mut self, fence: Revision, now: MonotonicTime) {
         self.fence = fence;
         self.token = FencingToken::of(fence, 0);
         self.opened = now;
@@ -211,31 +211,31 @@
         self.mark_reached(now);
     }
 
-    /// How long no report has come straight from the machine.
-    pub fn since_direct_heartbeat(&self, now: MonotonicTime) -> Millis {
+    /// How long no heartbeat has come straight from the machine.
+    pub(super) fn since_direct_heartbeat(&self, now: MonotonicTime) -> Millis {
         now.since(self.direct_heartbeat_timeout)
     }
 
-    pub fn is_missing(&self, now: MonotonicTime, direct_heartbeat_timeout: Millis) -> bool {
+    pub(super) fn is_missing(&self, now: MonotonicTime, direct_heartbeat_timeout: Millis) -> bool {
         self.since_direct_heartbeat(now) > direct_heartbeat_timeout
     }
 
-    pub fn is_relayed(&self) -> bool {
+    pub(super) fn is_relayed(&self) -> bool {
         self.relayed.is_some()
     }
 
-    /// A report came straight from the machine.
-    pub fn on_direct_heartbeat(&mut self, now: MonotonicTime) {
+    /// A heartbeat came straight from the machine.
+    pub(super) fn on_direct_heartbeat(&mut self, now: MonotonicTime) {
         self.direct_heartbeat_timeout = now;
         self.relayed = None;
     }
 
-    /// Whether a report that comes through another controller is taken. After half a lease the
+    /// Whether a heartbeat that comes through another controller is taken. After half a lease the
     /// machine is sent to try the straight way once: it is well within its lease then.
     ///
     /// Nothing else shows that answers arrive there: direct commands don't. So the token rises,
-    /// and comes back with the next report.
-    pub fn accepts_relayed(
+    /// and comes back with the next heartbeat.
+    pub(super) fn accepts_relayed(
         &mut self,
         now: MonotonicTime,
         direct_heartbeat_timeout: Millis,
@@ -263,7 +263,7 @@
         true
     }
 
-    /// Once a report carries a higher token, no start that was sent under a lower one can take
+    /// Once a heartbeat carries a higher token, no start that was sent under a lower one can take
     /// effect any more, however often it is repeated.
     fn void_launches(&mut self) {
         self.confirmed = false;
@@ -272,9 +272,9 @@
 
     /// Raises this machine's token alone, where a direct start stands in the way: one without an
     /// answer, or so many carried out that keeping them at the worker has become a burden. The
-    /// block's record, and all that is under way in the block, stay as they are. `false`: there
+    /// shard's record, and all that is under way in the shard, stay as they are. `false`: there
     /// is no higher token under this record.
-    pub fn raise_token(&mut self, now: MonotonicTime) -> bool {
+    pub(super) fn raise_token(&mut self, now: MonotonicTime) -> bool {
         self.token_raised_at = now;
         let Some(next) = self.token.next_raise() else {
             return false;
@@ -286,12 +286,12 @@
     }
 
     /// Whether its token was raised a moment ago: once more would only cost calls.
-    pub fn token_raised_recently(&self, now: MonotonicTime) -> bool {
+    pub(super) fn token_raised_recently(&self, now: MonotonicTime) -> bool {
         now.since(self.token_raised_at) < TOKEN_RAISE_INTERVAL
     }
 
     /// Exited tasks that only a higher token lets the worker forget.
-    pub fn unforgettable_count(&self) -> usize {
+    pub(super) fn unforgettable_count(&self) -> usize {
         let held = |attempt: &&TaskAttempt| !self.may_forget(attempt);
         let exited = self
             .listed
@@ -301,14 +301,14 @@
     }
 
     /// Something of ours has arrived at the worker.
-    pub fn mark_reached(&mut self, now: MonotonicTime) {
+    pub(super) fn mark_reached(&mut self, now: MonotonicTime) {
         self.last_reached = now;
         self.failed_calls = 0;
     }
 
     /// How long nothing shows that the machine can be used: nothing came from it, or nothing of
-    /// ours gets there, though its reports still come.
-    pub fn silent(&self, now: MonotonicTime) -> Millis {
+    /// ours gets there, though its heartbeats still come.
+    pub(super) fn silent(&self, now: MonotonicTime) -> Millis {
         let unheard = now.since(self.last_heartbeat);
         if self.failed_calls >= 2 {
             unheard.max(now.since(self.last_reached))
@@ -317,13 +317,13 @@
         }
     }
 
-    pub fn token(&self) -> FencingToken {
+    pub(super) fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Takes a report if it is the newest. Late ones, and those that a higher token already
+    /// Takes a heartbeat if it is the newest. Late ones, and those that a higher token already
     /// governs, say nothing.
-    pub fn apply_heartbeat(
+    pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         by_heartbeat: bool,
@@ -341,7 +341,7 @@
         }
         if heartbeat.epoch > self.epoch {
             // The worker's lease ran out: it forgot all its tasks, and starts that were sent to
-            // its earlier session are void.
+            // its earlier epoch are void.
             self.heartbeat_sequence = HeartbeatSequence(0);
             self.running_since.clear();
         }
@@ -353,7 +353,7 @@
         }
         self.addr.clone_from(&heartbeat.addr);
         if heartbeat.token.fence() == self.fence && heartbeat.token > self.token {
-            // An earlier desk of ours raised it, and what that one sent is not known here.
+            // An earlier tracker of ours raised it, and what that one sent is not known here.
             self.token = heartbeat.token.next_raise().unwrap_or(heartbeat.token);
             self.void_launches();
         }
@@ -397,9 +397,9 @@
         });
     }
 
-    /// What is certain about a placement. Only a report under our own token counts: no launch
-    /// of an earlier holder can take effect after it.
-    pub fn presence(&self, attempt: &TaskAttempt) -> TaskPresence {
+    /// What is certain about a placement. Only a heartbeat under our own token counts: no launch
+    /// of an earlier shard owner can take effect after it.
+    pub(super) fn presence(&self, attempt: &TaskAttempt) -> TaskPresence {
         if !self.confirmed {
             return TaskPresence::Unclear;
         }
@@ -430,7 +430,7 @@
     /// A direct start could start the task once more after it was forgotten: one without an
     /// answer comes late, one that was carried out may be repeated. Starts in responses can't:
     /// workers drop late ones.
-    pub fn may_forget(&self, attempt: &TaskAttempt) -> bool {
+    pub(super) fn may_forget(&self, attempt: &TaskAttempt) -> bool {
         self.confirmed
             && self
                 .launches
@@ -439,13 +439,13 @@
     }
 
     /// Whether a placement is proved gone, and nothing that was sent can start it.
-    pub fn is_gone(&self, attempt: &TaskAttempt) -> bool {
+    pub(super) fn is_gone(&self, attempt: &TaskAttempt) -> bool {
         let presence = self.presence(attempt);
         matches!(presence, TaskPresence::Absent | TaskPresence::Exited(_))
     }
 
     /// Notes the outcome of direct starts. Another fence has forgotten them already.
-    pub fn record_launch_outcomes(&mut self, commands: &[Command], direct: DirectLaunch) {
+    pub(super) fn record_launch_outcomes(&mut self, commands: &[Command], direct: DirectLaunch) {
         for command in commands {
             if let Command::Launch(attempt) = command
                 && let Some(launch) = self.launches.get_mut(attempt)
@@ -459,7 +459,7 @@
         }
     }
 
-    pub fn record_launch(&mut self, attempt: &TaskAttempt, direct: bool) {
+    pub(super) fn record_launch(&mut self, attempt: &TaskAttempt, direct: bool) {
         let epoch = self.epoch;
         let launch = self
             .launches
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -1,4 +1,4 @@
-//! Decisions for all machines of the blocks that this controller holds. No I/O: effects are
+//! Decisions for all machines of the shards that this controller holds. No I/O: effects are
 //! returned, and their outcomes come back as calls.
 
 mod allotments;
@@ -24,7 +24,7 @@
 use std::ops::Bound;
 
 #[derive(Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     /// Run a transaction; its outcome goes to [`ShardOwner::on_txn`].
     Txn {
         machine: MachineId,
@@ -40,16 +40,16 @@
     },
     ToLeader(Message),
     /// A machine that has no record and answers. Its first placement writes one: until then it
-    /// stands in the mirrors alone, and costs no change.
+    /// stands in the watch caches alone, and costs no change.
     Found(MachineId, MachineRecord),
     /// Such a machine has said nothing for long.
     Lost(MachineId),
-    /// Rewrite the record of a block that we hold, so that its token rises.
+    /// Rewrite the record of a shard that we hold, so that its token rises.
     RenewShard(ShardId),
 }
 
 #[derive(Debug)]
-pub enum HeartbeatAnswer {
+pub(crate) enum HeartbeatAnswer {
     Commands(FencingToken, Vec<Command>),
     /// Another controller holds the machine, or may.
     Redirect(Option<Member>),
@@ -57,7 +57,7 @@
 
 /// What became of a direct command.
 #[derive(Debug)]
-pub enum DirectCallOutcome {
+pub(crate) enum DirectCallOutcome {
     Done(Heartbeat),
     Rejected(Option<Heartbeat>),
     NotSent,
@@ -67,17 +67,17 @@
 const CALL_RETRY_DELAY: Millis = Millis(700);
 const TXN_RETRY_DELAY: Millis = Millis(250);
 const STOP_RETRY_INTERVAL: Millis = Millis(2000);
-/// How long an allotment waits for the mirror to bring its job.
+/// How long an allotment waits for the watch cache to bring its job.
 const ALLOTMENT_WAIT_LIMIT: Millis = Millis(1500);
 /// An allotment that finds no change for its record by then is given back: left without an answer
-/// the leader would void it by rewriting the whole block, and all that is under way there.
+/// the leader would void it by rewriting the whole shard, and all that is under way there.
 const PLACEMENT_EXPIRY: Millis = Millis(5000);
 const HEALTH_INTERVAL: Millis = Millis(1000);
 /// Exited tasks that a worker goes on listing because their direct starts could be repeated.
-/// More of them, and the machine's token rises: fewer would be calls, more is longer reports.
+/// More of them, and the machine's token rises: fewer would be calls, more is longer heartbeats.
 const MAX_UNFORGETTABLE_TASKS: usize = 24;
 const COMMAND_BATCH: usize = 200;
-/// The part of the state service's changes that machines' records may use, over all holders: the
+/// The part of the key-value store's changes that machines' records may use, over all owners: the
 /// rest is for what users ask and for what the leader records.
 const RECORD_WRITE_SHARE: f64 = 0.7;
 /// A machine without a record that is silent for so long is forgotten: nothing was placed there.
@@ -91,12 +91,12 @@
 /// Which records are worth writing is looked at again after a millisecond for so many of them.
 const UNWRITTEN_MACHINES_PER_MS: usize = 8;
 /// While controllers can't reach each other a machine gets the time to find another one that hands
-/// its reports on: two tries that hang, and a second after each.
+/// its heartbeats on: two tries that hang, and a second after each.
 const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
-/// A machine that has not answered by then is asked again at its next report.
+/// A machine that has not answered by then is asked again at its next heartbeat.
 const PROBE_RETRY_INTERVAL: Millis = Millis(3000);
 
-pub struct ShardOwner {
+pub(crate) struct ShardOwner {
     member: Member,
     incarnation: Incarnation,
     shards: u32,
@@ -114,13 +114,13 @@
     probed: BTreeMap<MachineId, MonotonicTime>,
     /// The leader that was told of ends.
     leader: Option<Revision>,
-    /// The blocks that the desks were last compared with.
+    /// The shards that the trackers were last compared with.
     held: BTreeMap<ShardId, Revision>,
     waiting: Vec<(MonotonicTime, Allotment)>,
     next_health: MonotonicTime,
-    /// All desks are to be compared with the mirror, not only those of machines that changed.
+    /// All trackers are to be compared with the watch cache, not only those of machines that changed.
     compare_all: bool,
-    /// Up to here desks had their turn.
+    /// Up to here trackers had their turn.
     batch_end: Option<MachineId>,
     next_flush: MonotonicTime,
     /// Something that nothing may hold back has ripened.
@@ -132,7 +132,7 @@
 }
 
 impl ShardOwner {
-    pub fn new(config: &Config, incarnation: Incarnation) -> Self {
+    pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             member: config.member.clone(),
             incarnation,
@@ -160,17 +160,17 @@
         }
     }
 
-    /// How many changes the state service takes in a second from all controllers.
-    pub fn set_change_rate(&mut self, changes: f64) {
+    /// How many changes the key-value store takes in a second from all controllers.
+    pub(crate) fn set_change_rate(&mut self, changes: f64) {
         self.write_rps = changes;
     }
 
-    /// The longest that a report which comes straight can be away.
+    /// The longest that a heartbeat which comes straight can be away.
     fn direct_heartbeat_timeout(&self) -> Millis {
         self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000)
     }
 
-    pub fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
+    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
         let direct_heartbeat_timeout = self.direct_heartbeat_timeout();
         let since_direct_heartbeat = self
             .trackers
@@ -179,9 +179,9 @@
         since_direct_heartbeat.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether a report that another controller hands on is taken: from machines that can't bring
+    /// Whether a heartbeat that another controller hands on is taken: from machines that can't bring
     /// it here. Now and then they are sent to try all the same.
-    pub fn accepts_relayed(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub(crate) fn accepts_relayed(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
         let (direct_heartbeat_timeout, worker_lease) =
             (self.direct_heartbeat_timeout(), self.worker_lease);
         let tracker = self.trackers.get_mut(id);
@@ -196,14 +196,14 @@
     }
 
     /// Tasks seen running on a machine, for display.
-    pub fn tracked_count(&self) -> usize {
+    pub(crate) fn tracked_count(&self) -> usize {
         self.trackers.len()
     }
 
-    /// The blocks held here in which all tasks of a cancelled job are proved gone, but for those
-    /// on machines that are deleted. With `known` it suffices that the machines obey this holder
+    /// The shards held here in which all tasks of a cancelled job are proved gone, but for those
+    /// on machines that are deleted. With `known` it suffices that the machines obey this shard owner
     /// alone, which knows of the cancellation.
-    pub fn cleared_shards(
+    pub(crate) fn cleared_shards(
         &self,
         job: &JobId,
         known: bool,
@@ -232,19 +232,24 @@
     }
 
     /// Whether nothing has shown for so long that a machine held here can be used. One that obeys
-    /// a higher token is another holder's by now, and only seems silent from here.
-    pub fn is_silent(&self, now: MonotonicTime, id: &MachineId, for_long: Millis) -> bool {
+    /// a higher token is another shard owner's by now, and only seems silent from here.
+    pub(crate) fn is_silent(&self, now: MonotonicTime, id: &MachineId, for_long: Millis) -> bool {
         let tracker = self.trackers.get(id);
         tracker.is_some_and(|d| !d.superseded && d.silent(now) >= for_long)
     }
 
     /// Whether a placement here is proved gone, though it may still stand on record.
-    pub fn is_gone(&self, attempt: &TaskAttempt) -> bool {
+    pub(crate) fn is_gone(&self, attempt: &TaskAttempt) -> bool {
         self.trackers.values().any(|d| d.reported.contains(attempt))
     }
 
-    /// Brings the desks in line with the blocks that the mirror says we hold.
-    pub fn reconcile(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
+    /// Brings the trackers in line with the shards that the watch cache says we hold.
+    pub(crate) fn reconcile(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
         self.track_machines(now, &BTreeSet::new(), cache);
         self.place_waiting(now, cache, out);
         self.probed
@@ -292,13 +297,13 @@
         }
     }
 
-    /// The mirror was read anew, or a machine was found without a change of it: on a quiet day no
-    /// change would bring its desk (seen with real processes, entry 54be1785).
-    pub fn compare_all_trackers(&mut self) {
+    /// The watch cache was read anew, or a machine was found without a change of it: on a quiet day no
+    /// change would bring its tracker (seen with real processes, entry 54be1785).
+    pub(crate) fn compare_all_trackers(&mut self) {
         self.compare_all = true;
     }
 
-    /// The desks whose turn it is. What comes from a machine or changes its record drives its desk
+    /// The trackers whose turn it is. What comes from a machine or changes its record drives its tracker
     /// at once; the turns are for what only time makes due, and one costs the same on any fleet.
     fn next_batch(&mut self) -> Vec<MachineId> {
         let after = match &self.batch_end {
@@ -317,8 +322,8 @@
         ids
     }
 
-    /// Opens desks for machines that came, closes those of machines or blocks that went, and
-    /// starts afresh those whose block was rewritten.
+    /// Opens trackers for machines that came, closes those of machines or shards that went, and
+    /// starts afresh those whose shard was rewritten.
     fn track_machines(
         &mut self,
         now: MonotonicTime,
@@ -362,8 +367,8 @@
         }
     }
 
-    /// After changes of the mirror: only what they touched is looked at, the rest in its turn.
-    pub fn on_changed(
+    /// After changes of the watch cache: only what they touched is looked at, the rest in its turn.
+    pub(crate) fn on_changed(
         &mut self,
         now: MonotonicTime,
         machines: &BTreeSet<MachineId>,
@@ -405,8 +410,8 @@
         }
     }
 
-    /// Answers a worker's report, which came straight or through another controller.
-    pub fn on_heartbeat(
+    /// Answers a worker's heartbeat, which came straight or through another controller.
+    pub(crate) fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
@@ -432,7 +437,7 @@
         }
         let id = &heartbeat.machine;
         let Some(tracker) = self.trackers.get_mut(id) else {
-            // The mirror has just brought the block or the machine: the desk opens at once.
+            // The watch cache has just brought the shard or the machine: the tracker opens at once.
             return HeartbeatAnswer::Commands(at_least(fence, heartbeat), Vec::new());
         };
         let first_word =
@@ -459,7 +464,7 @@
     }
 
     /// A machine without a record: new, one that nobody expected, or one that is long deleted
-    /// and of which a copy of a report has come late. Only a live one answers when it is asked.
+    /// and of which a copy of a heartbeat has come late. Only a live one answers when it is asked.
     fn probe_unknown(
         &mut self,
         now: MonotonicTime,
@@ -480,7 +485,7 @@
         });
     }
 
-    pub fn on_call(
+    pub(crate) fn on_call(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -544,7 +549,7 @@
         self.flush(now, cache, out);
     }
 
-    pub fn on_stop(
+    pub(crate) fn on_stop(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -559,7 +564,7 @@
         }
     }
 
-    pub fn on_txn(
+    pub(crate) fn on_txn(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -600,13 +605,13 @@
                 }
             }
             TxnOutcome::Failed(_, revision) => {
-                // The mirror is behind: once it has caught up, the change is built anew from it.
+                // The watch cache is behind: once it has caught up, the change is built anew from it.
                 tracker.retry_revision = *revision;
                 tracker.retry_at = now + TXN_RETRY_DELAY;
             }
             TxnOutcome::Refused => tracker.retry_at = now + TXN_RETRY_DELAY,
             TxnOutcome::Invalid => {
-                tracing::info!(machine = %id, bytes = pending.record.size(), "record is too large for the state service");
+                tracing::info!(machine = %id, bytes = pending.record.size(), "machine record is too large for the key-value store");
                 tracker.too_large = true;
                 tracker.retry_at = now + TXN_RETRY_DELAY;
             }
@@ -635,7 +640,7 @@
     }
 }
 
-/// The token for a machine without a desk: one that had a desk of ours before may have seen it
+/// The token for a machine without a tracker: one that had a tracker of ours before may have seen it
 /// raised, and drops what carries a lower one.
 fn at_least(fence: Revision, heartbeat: &Heartbeat) -> FencingToken {
     let base = FencingToken::of(fence, 0);
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl ShardOwner {
-    pub fn on_allot(
+    pub(crate) fn on_allot(
         &mut self,
         now: MonotonicTime,
         allotment: Allotment,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The first of the leader's choices inside the block that fits as the block stands now. The
-    /// leader lists every machine of the block that it would accept.
+    /// The first of the leader's choices inside the shard that fits as the shard stands now. The
+    /// leader lists every machine of the shard that it would accept.
     pub(super) fn choose(
         &self,
         job: &LiveJob,
@@ -126,7 +126,7 @@
         record.size() - done + done.max(ends) + added
     }
 
-    /// What a desk has taken on that its record does not show yet.
+    /// What a tracker has taken on that its record does not show yet.
     pub(super) fn promised(&self, tracker: &MachineTracker) -> Resources {
         tracker
             .incoming
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -1,4 +1,4 @@
-//! What a holder orders its workers to do, in answers and by direct command.
+//! What a shard owner orders its workers to do, in answers and by direct command.
 
 use super::*;
 
@@ -100,7 +100,7 @@
         else {
             return;
         };
-        // What can't bring its reports here can't be reached from here either.
+        // What can't bring its heartbeats here can't be reached from here either.
         if tracker.call.is_some()
             || tracker.superseded
             || now < tracker.next_call
@@ -108,7 +108,7 @@
         {
             return;
         }
-        // Reports show that the machine lives, not that anything reaches it.
+        // Heartbeats show that the machine lives, not that anything reaches it.
         let quiet = now.since(tracker.last_heartbeat) > heartbeat + Millis(heartbeat.0 / 4 + 300)
             || now.since(tracker.last_reached) > Millis(4 * heartbeat.0 + 2000);
         let may_raise = tracker.confirmed && !quiet && !tracker.token_raised_recently(now);
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -1,4 +1,4 @@
-//! What the records of a holder's machines lack, and when that is written.
+//! What the records of a shard owner's machines lack, and when that is written.
 
 use super::*;
 
