--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -1,6 +1,7 @@
 //! The decision: rounds of telling the others, and what their answers amount to.
 
 use crate::ids::{JobId, Member, Revision, ShardId};
+use crate::peers::ShardFence;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -63,11 +64,11 @@
         id: RoundId,
         job: &JobId,
         from: &Member,
-        settled: Vec<(ShardId, Revision)>,
+        settled: Vec<ShardFence>,
     ) {
         if let Some(round) = self.open.get_mut(&id).filter(|r| r.job == *job) {
             let known = round.answers.entry(from.clone()).or_default();
-            for (shard, fence) in settled {
+            for ShardFence { shard, fence } in settled {
                 let highest = known.entry(shard).or_default();
                 *highest = fence.max(*highest);
             }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -3,9 +3,10 @@
 
 use super::{CacheView, CancellationRounds};
 use crate::ids::{JobId, Member, Revision, ShardId};
+use crate::peers::ShardFence;
 use std::collections::{BTreeMap, BTreeSet};
 
-const BLOCK: ShardId = ShardId(1);
+const SHARD: ShardId = ShardId(1);
 /// The shard is leased to `c1`, and by a later record to `c2`.
 const FIRST: Revision = Revision(5);
 const LATER: Revision = Revision(20);
@@ -35,11 +36,18 @@
     Step::Proved,
 ];
 
+fn cleared_under(fence: Revision) -> Vec<ShardFence> {
+    vec![ShardFence {
+        shard: SHARD,
+        fence,
+    }]
+}
+
 fn member(name: &str) -> Member {
     Member::from(name)
 }
 
-fn commands(rest: &[Step]) -> Vec<Vec<Step>> {
+fn interleavings(rest: &[Step]) -> Vec<Vec<Step>> {
     if rest.is_empty() {
         return vec![Vec::new()];
     }
@@ -47,7 +55,7 @@
     for (at, first) in rest.iter().enumerate() {
         let mut left = rest.to_vec();
         left.remove(at);
-        for mut order in commands(&left) {
+        for mut order in interleavings(&left) {
             order.insert(0, *first);
             all.push(order);
         }
@@ -78,7 +86,7 @@
     let round = rounds.open(&job, cancelled);
     let mut view = CacheView {
         revision: Revision(9),
-        machines_with_job: BTreeMap::from([(BLOCK, Some(FIRST))]),
+        machines_with_job: BTreeMap::from([(SHARD, Some(FIRST))]),
     };
     let mut done = BTreeSet::new();
     let mut told = 0;
@@ -89,11 +97,11 @@
             Step::Moved => view.revision = view.revision.max(LATER),
             Step::Cleared => {}
             Step::First => {
-                rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+                rounds.on_acknowledged(round, &job, &member("c1"), cleared_under(FIRST));
             }
             Step::Later => rounds.on_acknowledged(round, &job, &member("c2"), vec![]),
             Step::Proved => {
-                rounds.on_acknowledged(round, &job, &member("c2"), vec![(BLOCK, LATER)]);
+                rounds.on_acknowledged(round, &job, &member("c2"), cleared_under(LATER));
             }
         }
         // The stream is ordered: whoever has come so far has seen all that was before.
@@ -120,11 +128,11 @@
 #[test]
 fn nobody_is_told_before_all_tasks_are_gone_and_everybody_is_in_the_end() {
     let mut told = 0;
-    for order in commands(&STEPS) {
+    for order in interleavings(&STEPS) {
         told += play(&order, false) + play(&order, true);
     }
     assert!(
-        told > 2 * commands(&STEPS).len(),
+        told > 2 * interleavings(&STEPS).len(),
         "only at the very end: {told}"
     );
 }
@@ -137,12 +145,12 @@
     let round = rounds.open(&job, Revision(10));
     let view = CacheView {
         revision: Revision(10),
-        machines_with_job: BTreeMap::from([(BLOCK, Some(FIRST))]),
+        machines_with_job: BTreeMap::from([(SHARD, Some(FIRST))]),
     };
     let stale = JobId::from("job-1");
-    rounds.on_acknowledged(round, &stale, &member("c1"), vec![(BLOCK, FIRST)]);
+    rounds.on_acknowledged(round, &stale, &member("c1"), cleared_under(FIRST));
     assert!(!rounds.is_settled(round, &view));
-    rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+    rounds.on_acknowledged(round, &job, &member("c1"), cleared_under(FIRST));
     assert!(rounds.is_settled(round, &view));
     rounds.close(round);
     assert!(!rounds.is_settled(round, &view));
@@ -154,10 +162,10 @@
     let mut rounds = CancellationRounds::default();
     let job = JobId::from("job-1");
     let round = rounds.open(&job, Revision(10));
-    rounds.on_acknowledged(round, &job, &member("c1"), vec![(BLOCK, FIRST)]);
+    rounds.on_acknowledged(round, &job, &member("c1"), cleared_under(FIRST));
     let view = CacheView {
         revision: Revision(12),
-        machines_with_job: BTreeMap::from([(BLOCK, None)]),
+        machines_with_job: BTreeMap::from([(SHARD, None)]),
     };
     assert!(!rounds.is_settled(round, &view));
 }
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -6,7 +6,9 @@
     AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, ShardId,
     TaskAttempt, TaskId, UnixTime,
 };
-use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message};
+use crate::peers::{
+    Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message, ShardFence,
+};
 use crate::protocol::{Catalog, ExitReason, JobState};
 use crate::store::records::{
     Bitmap, FinalRecord, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, PlanBatch,
@@ -54,6 +56,14 @@
     })
 }
 
+fn freed() -> FreedAttempt {
+    FreedAttempt {
+        machine: machine(),
+        attempt: run(2),
+        done: true,
+    }
+}
+
 fn health() -> Message {
     Message::Health(vec![MachineHealth {
         machine: machine(),
@@ -102,7 +112,7 @@
             ended(AttemptOutcome::Exited(ExitReason::NoRoom)),
         ),
         ("EndedAbsent", ended(AttemptOutcome::Absent)),
-        ("Freed", Message::Freed(vec![(machine(), run(2), true)])),
+        ("Freed", Message::Freed(vec![freed()])),
         (
             "Stop",
             Message::Stop {
@@ -125,7 +135,10 @@
             Message::CancellationAcknowledged {
                 round: RoundId(3),
                 job: job(),
-                settled: vec![(ShardId(4), Revision(41))],
+                settled: vec![ShardFence {
+                    shard: ShardId(4),
+                    fence: Revision(41),
+                }],
             },
         ),
         (
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -10,10 +10,10 @@
 use crate::config::Config;
 use crate::ids::{
     FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, Millis, MonotonicTime, Revision,
-    ShardId, TaskAttempt,
+    TaskAttempt,
 };
 use crate::leadership::{Leadership, ReachabilityMonitor};
-use crate::peers::{AttemptOutcome, Message};
+use crate::peers::{AttemptOutcome, Message, ShardFence};
 use crate::placement::{self, Scheduler};
 use crate::planning::{History, counter, plan_job};
 use crate::protocol::store::{Event, Txn};
@@ -519,10 +519,10 @@
                 .shard_owner
                 .on_stop(now, &machine, attempt, grace, &self.cache, &mut out),
             Message::Freed(attempts) => {
-                for (_, attempt, done) in &attempts {
-                    if let Some(job) = self.cache.jobs.get_mut(&attempt.task.job).filter(|_| *done)
-                    {
-                        job.report_done(attempt.task.index);
+                for freed in attempts.iter().filter(|freed| freed.done) {
+                    let task = &freed.attempt.task;
+                    if let Some(job) = self.cache.jobs.get_mut(&task.job) {
+                        job.report_done(task.index);
                     }
                 }
                 self.scheduler.on_freed(attempts);
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -67,7 +67,7 @@
     /// The shards held here in which a cancelled job's tasks are proved gone. Where neither a stop
     /// nor a deletion was answered for as long as users allow, it has to do that this shard owner
     /// knows: a user is not left without an answer for longer.
-    pub(super) fn settled(&self, now: MonotonicTime, job: &JobId) -> Vec<(ShardId, Revision)> {
+    pub(super) fn settled(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation_deadlines.age(now, job);
         let long = age.is_some_and(|a| a >= self.config.cancel);
         let gone = |id: &MachineId| self.autoscaler.is_deleted(id);
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -28,7 +28,7 @@
     /// Shard owner to leader: these placements are proved gone, though their records still stand, and
     /// whether their tasks are done. The room may be given out again; the end is written along
     /// with what takes it.
-    Freed(Vec<(MachineId, TaskAttempt, bool)>),
+    Freed(Vec<FreedAttempt>),
     /// Leader to shard owner: stop a task, for a preemption or to drain its machine.
     Stop {
         machine: MachineId,
@@ -48,7 +48,7 @@
     CancellationAcknowledged {
         round: RoundId,
         job: JobId,
-        settled: Vec<(ShardId, Revision)>,
+        settled: Vec<ShardFence>,
     },
     /// A user's request that the sender can't decide: the key-value store does not serve it.
     ForwardedRequest {
@@ -81,6 +81,26 @@
     Health(Vec<MachineHealth>),
 }
 
+/// A placement that is proved gone while its machine's record still shows it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct FreedAttempt {
+    /// The machine that it was placed on.
+    pub machine: MachineId,
+    /// The attempt that is gone.
+    pub attempt: TaskAttempt,
+    /// Whether its task is done.
+    pub done: bool,
+}
+
+/// A shard under one record of its ownership.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct ShardFence {
+    /// The shard.
+    pub shard: ShardId,
+    /// The revision of the shard's record.
+    pub fence: Revision,
+}
+
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Allotment {
     pub shard: ShardId,
--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -7,7 +7,7 @@
 use crate::ids::{
     JobId, MachineId, Millis, MonotonicTime, Resources, Revision, ShardId, TaskAttempt, TeamId,
 };
-use crate::peers::EndedAttempt;
+use crate::peers::{EndedAttempt, FreedAttempt};
 use crate::protocol::JobKind;
 use crate::store::machine_record::size;
 use crate::store::watch_cache::WatchCache;
@@ -44,10 +44,10 @@
         self.allotted.insert(attempt, allotted);
     }
 
-    pub(super) fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+    pub(super) fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
         let attempts = attempts.into_iter();
         self.freed
-            .extend(attempts.map(|(machine, attempt, _)| (attempt, machine)));
+            .extend(attempts.map(|freed| (freed.attempt, freed.machine)));
     }
 
     pub(super) fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -17,7 +17,7 @@
 use crate::ids::{
     JobId, MachineId, Member, Millis, MonotonicTime, Revision, ShardId, TaskAttempt, UnixTime,
 };
-use crate::peers::{AttemptOutcome, EndedAttempt, MachineHealth, Message};
+use crate::peers::{AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::protocol::ExitReason;
 use crate::store::rate_limiter::TokenBucket;
 use crate::store::watch_cache::WatchCache;
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(crate) fn on_freed(&mut self, attempts: Vec<(MachineId, TaskAttempt, bool)>) {
+    pub(crate) fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
         self.allotment_ledger.on_freed(attempts);
     }
 
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -13,7 +13,9 @@
     FencingToken, HeartbeatSequence, Incarnation, JobId, MachineId, Member, Millis, MonotonicTime,
     Resources, Revision, ShardId, TaskAttempt, WorkerEpoch,
 };
-use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, MachineHealth, Message};
+use crate::peers::{
+    Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message, ShardFence,
+};
 use crate::protocol::store::Txn;
 use crate::protocol::{Command, ExitReason, Heartbeat, JobKind, JobSpec, TaskState};
 use crate::store::machine_record::{MachineRecord, size};
@@ -209,7 +211,7 @@
         known: bool,
         deleted: impl Fn(&MachineId) -> bool,
         cache: &WatchCache,
-    ) -> Vec<(ShardId, Revision)> {
+    ) -> Vec<ShardFence> {
         let open = |id: &MachineId| {
             let (Some(tracker), Some(machine)) = (self.trackers.get(id), cache.machines.get(id))
             else {
@@ -226,7 +228,7 @@
             .collect();
         let held = cache.shards.keys().filter_map(|b| {
             let fence = self.fence(cache, *b)?;
-            (!unsettled.contains(b)).then_some((*b, fence))
+            (!unsettled.contains(b)).then_some(ShardFence { shard: *b, fence })
         });
         held.collect()
     }
@@ -401,7 +403,11 @@
                 // Once told it is never started again, whatever becomes of the reason.
                 tracker.launchable.remove(attempt);
                 if tracker.reported.insert(attempt.clone()) {
-                    freed.push((id.clone(), attempt.clone(), *done));
+                    freed.push(FreedAttempt {
+                        machine: id.clone(),
+                        attempt: attempt.clone(),
+                        done: *done,
+                    });
                 }
             }
         }
