--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,140 +1,108 @@
-//! All decisions of one controller: the slices put together, still without I/O, clock or
-//! randomness of its own. The daemon carries out the effects; tests do so in simulated time.
-
-mod cancel;
+//! All decisions of one controller: its duties put together, without I/O, clock or randomness.
+//!
+//! Inputs come as calls, what has to be done goes out as [`Effect`]s, and their outcomes come back
+//! as calls again. The daemon executes the effects; tests do so in simulated time. Each duty has its
+//! own state; the controller passes messages between them and says when they are due.
+
+mod cancellation;
+mod catalog;
+mod cleanup;
+mod completion;
 mod dependents;
+mod effects;
 mod leader;
+mod messages;
+mod plans;
+mod timers;
+
+pub(crate) use effects::{Effect, TxnRequester};
 
-use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds, RoundId};
-use crate::cloud::{self, Autoscaler, RentOutcome};
+use crate::cloud::{Autoscaler, RentOutcome};
 use crate::config::Config;
 use crate::ids::{
-    FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, Millis, MonotonicTime, Revision,
-    TaskAttempt,
+    FencingToken, Incarnation, JobId, LeaseId, MachineId, Millis, MonotonicTime, Revision, UnixTime,
 };
 use crate::leadership::{Leadership, ReachabilityMonitor};
-use crate::peers::{AttemptOutcome, Message, ShardFence};
-use crate::placement::{self, Scheduler};
-use crate::planning::{History, counter, plan_job};
-use crate::protocol::store::{Event, Txn};
-use crate::protocol::{Catalog, Command, Heartbeat, JobState, ListedMachine, RentRequest};
-use crate::store::TxnOutcome;
-use crate::store::keys;
+use crate::placement::Scheduler;
+use crate::planning::History;
+use crate::protocol::store::Event;
+use crate::protocol::{Catalog, Heartbeat, JobState, ListedMachine, RentRequest};
 use crate::store::rate_limiter::RequestClass;
-use crate::store::records::{PlanBatch, PlanRecord};
 use crate::store::watch_cache::WatchCache;
+use crate::store::{TxnOutcome, keys};
 use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, ShardOwner};
-use dependents::Dependents;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// Whom a transaction's outcome concerns.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum TxnRequester {
-    ShardOwner(MachineId),
-    Leadership,
-    /// A batch of plans, by their jobs.
-    Plans(Vec<JobId>),
-    /// The end of a job.
-    Release(JobId),
-    /// The release of a job that waited for others.
-    Dependent(JobId),
-    /// The cancellation of jobs that need a cancelled one.
-    CancelledDependents(Vec<JobId>),
-    Catalog,
-    /// Repeated on its own when it is still needed.
-    Nobody,
-}
+use cancellation::CancellationDuty;
+use catalog::CatalogWriter;
+use cleanup::RecordCleanup;
+use completion::JobCompletions;
+use dependents::DependentReleases;
+use plans::PlanWriter;
+use std::collections::BTreeSet;
+use timers::{PeriodicTimer, ScheduleTimer};
+
+/// How often all trackers are reconciled with the watch cache.
+const RECONCILE_INTERVAL: Millis = Millis(200);
+/// How often the autoscaler decides.
+const AUTOSCALER_INTERVAL: Millis = Millis(400);
+/// How often jobs that are over are looked for among those that still have tasks on record.
+const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
+/// How often records that are no longer needed are looked for.
+const CLEANUP_INTERVAL: Millis = Millis(2000);
+/// How often one pipeline's history is written.
+const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
 
-#[derive(Debug)]
-pub(crate) enum Effect {
-    Txn {
-        requester: TxnRequester,
-        class: RequestClass,
-        txn: Txn,
-    },
-    Call {
-        machine: MachineId,
-        addr: String,
-        token: FencingToken,
-        epoch: crate::ids::WorkerEpoch,
-        commands: Vec<Command>,
-    },
-    Peer(Member, Message),
-    Rent(RentRequest),
-    Delete(Vec<MachineId>),
-    List,
-    Catalog,
-    /// Read how a job that is over has ended.
-    QueryOutcome(JobId),
+/// When each periodic duty is due next.
+struct Timers {
+    reconcile: PeriodicTimer,
+    schedule: ScheduleTimer,
+    autoscaler: PeriodicTimer,
+    cancellation_scan: PeriodicTimer,
+    cleanup: PeriodicTimer,
+    history: PeriodicTimer,
 }
 
-const MIN_SCHEDULE_INTERVAL: Millis = Millis(15);
-const MAX_SCHEDULE_INTERVAL: Millis = Millis(500);
-const AUTOSCALER_INTERVAL: Millis = Millis(400);
-const RECONCILE_INTERVAL: Millis = Millis(200);
-const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
-const CLEANUP_INTERVAL: Millis = Millis(2000);
-const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
-/// A shard owner's own deletion that was not carried out is asked for again after this.
-const DECOMMISSION_RETRY_INTERVAL: Millis = Millis(3000);
-/// Plans gather for so long, or until a record is half full, to be written in one change.
-const PLAN_BATCH_DELAY: Millis = Millis(1000);
-/// Counters that are brought up to date at once.
-const MAX_COUNTERS_FOLDED: usize = 4;
-/// A release without an outcome is tried again after this.
-const COMPLETION_RETRY_INTERVAL: Millis = Millis(4000);
-/// Machine types that the key-value store refused for their size are offered again after this.
-const CATALOG_RETRY_INTERVAL: Millis = Millis(60_000);
-/// The removal of a machine's record is tried again after this.
-const RECORD_DELETION_RETRY_INTERVAL: Millis = Millis(1000);
-/// For so long at the most it waits for jobs that are counted there.
-const MAX_COUNTED_WAIT: Millis = Millis(60_000);
-const UNREPORTED_MACHINE_TIMEOUT: Millis = Millis(10_000);
-/// The turns of a large fleet lie further apart, by so many machines for a millisecond.
-const MACHINES_PER_SCHEDULE_MS: usize = 4;
+impl Timers {
+    fn new() -> Self {
+        Self {
+            reconcile: PeriodicTimer::new(RECONCILE_INTERVAL),
+            schedule: ScheduleTimer::default(),
+            autoscaler: PeriodicTimer::new(AUTOSCALER_INTERVAL),
+            cancellation_scan: PeriodicTimer::new(CANCELLATION_SCAN_INTERVAL),
+            cleanup: PeriodicTimer::new(CLEANUP_INTERVAL),
+            history: PeriodicTimer::new(HISTORY_WRITE_INTERVAL),
+        }
+    }
+}
 
+/// One controller. Every controller owns shards and watches the store; one of them also leads.
 pub(crate) struct Controller {
     config: Config,
+    /// The records of the key-value store, as this controller has seen them so far.
     pub cache: WatchCache,
+    /// Leader election and the assignment of shards.
     pub leadership: Leadership,
+    /// The machines of the shards that this controller owns.
     pub shard_owner: ShardOwner,
+    /// The leader's decisions on placement.
     pub scheduler: Scheduler,
+    /// The leader's decisions on the fleet's size.
     pub autoscaler: Autoscaler,
     reachability: ReachabilityMonitor,
-    cancellation_deadlines: CancellationDeadlines,
-    next_cancellation_scan: MonotonicTime,
-    /// Machines whose deletion was asked for without leading, and when.
-    decommissioning: BTreeMap<MachineId, MonotonicTime>,
-    rounds: CancellationRounds,
+    cancellation: CancellationDuty,
+    dependents: DependentReleases,
+    completions: JobCompletions,
+    plans: PlanWriter,
     history: History,
-    /// Plans that are made and not yet written.
-    plans: BTreeMap<JobId, PlanRecord>,
-    plans_in_flight: bool,
-    plans_since: MonotonicTime,
-    plans_retry_at: MonotonicTime,
-    plan_batch: u64,
-    completing: BTreeMap<JobId, MonotonicTime>,
-    dependents: Dependents,
-    catalog_in_flight: bool,
-    catalog_retry_at: MonotonicTime,
-    dropping: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when machines are gone whose records still stand.
-    gone_since: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when no shard owner has spoken of a machine without a record.
-    unreported_since: BTreeMap<MachineId, MonotonicTime>,
-    needs_scheduling: bool,
-    next_schedule: MonotonicTime,
-    last_schedule: MonotonicTime,
-    next_autoscaler_step: MonotonicTime,
+    catalog: CatalogWriter,
+    cleanup: RecordCleanup,
+    timers: Timers,
+    /// This controller's lease holds at least until then.
     lease_valid_until: MonotonicTime,
-    next_reconcile: MonotonicTime,
-    next_history: MonotonicTime,
-    next_clean: MonotonicTime,
 }
 
 impl Controller {
+    /// A controller at its start, with an empty watch cache and without a lease.
     pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
-        let zero = MonotonicTime::default();
         Self {
             config: config.clone(),
             cache: WatchCache::new(config),
@@ -143,56 +111,41 @@
             scheduler: Scheduler::new(config),
             autoscaler: Autoscaler::new(config),
             reachability: ReachabilityMonitor::new(config),
-            cancellation_deadlines: CancellationDeadlines::default(),
-            next_cancellation_scan: zero,
-            decommissioning: BTreeMap::new(),
-            rounds: CancellationRounds::default(),
+            cancellation: CancellationDuty::default(),
+            dependents: DependentReleases::default(),
+            completions: JobCompletions::default(),
+            plans: PlanWriter::default(),
             history: History::default(),
-            plans: BTreeMap::new(),
-            plans_in_flight: false,
-            plans_since: zero,
-            plans_retry_at: zero,
-            plan_batch: 0,
-            completing: BTreeMap::new(),
-            dependents: Dependents::default(),
-            catalog_in_flight: false,
-            catalog_retry_at: zero,
-            dropping: BTreeMap::new(),
-            gone_since: BTreeMap::new(),
-            unreported_since: BTreeMap::new(),
-            needs_scheduling: false,
-            next_schedule: zero,
-            last_schedule: zero,
-            next_autoscaler_step: zero,
-            lease_valid_until: zero,
-            next_reconcile: zero,
-            next_history: zero,
-            next_clean: zero,
+            catalog: CatalogWriter::default(),
+            cleanup: RecordCleanup::default(),
+            timers: Timers::new(),
+            lease_valid_until: MonotonicTime::default(),
         }
     }
 
-    /// The lease holds at least until then. Whoever can't say so may lead no longer without
-    /// knowing it: it then stops nothing and leaves the cloud alone, since others place by now.
+    /// The lease holds at least until then. A controller that can't say so may have been replaced
+    /// as leader without knowing: it stops nothing and leaves the cloud alone.
     pub(crate) fn set_lease_deadline(&mut self, until: MonotonicTime) {
         self.lease_valid_until = until;
     }
 
+    /// This controller got a lease, or lost it.
     pub(crate) fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
         self.leadership.set_lease(lease, &self.cache);
         self.run_due_work(now)
     }
 
-    /// A watch cache read anew takes the old one's place.
+    /// A watch cache that was read anew takes the old one's place.
     pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
         cache.keep_cancelled(&self.cache);
         self.cache = cache;
         self.shard_owner.compare_all_trackers();
-        self.needs_scheduling = true;
-        self.next_reconcile = now;
+        self.timers.schedule.request();
+        self.timers.reconcile.expedite(now);
         self.run_due_work(now)
     }
 
-    /// The next changes of the stream; also the jobs that ended by them.
+    /// The next changes of the store. Returns also the jobs that ended by them.
     pub(crate) fn on_events(
         &mut self,
         now: MonotonicTime,
@@ -204,13 +157,14 @@
             .filter_map(|e| keys::machine_of(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
         let ended = self.cache.apply(revision, events);
-        self.needs_scheduling = true;
+        self.timers.schedule.request();
         let mut out = Vec::new();
         self.shard_owner
             .on_changed(now, &touched, &self.cache, &mut out);
         (self.finish(now, out), ended)
     }
 
+    /// A worker's heartbeat, as its worker sent it here.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -232,7 +186,7 @@
         (answer, self.finish(now, out))
     }
 
-    /// A heartbeat that its worker could not bring here itself. `None`: it should try.
+    /// A heartbeat that another controller relays. `None`: its worker should try to bring it here.
     pub(crate) fn on_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -245,8 +199,7 @@
         (Some(answer), effects)
     }
 
-    /// Machines held here whose heartbeats have not come straight for so long that they may be cut
-    /// off.
+    /// Machines of owned shards without a direct heartbeat for so long that they may be cut off.
     pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
         self.shard_owner.missing_machines(now)
     }
@@ -256,6 +209,7 @@
         self.shard_owner.partitioned = partitioned;
     }
 
+    /// The outcome of direct commands that were sent under a token.
     pub(crate) fn on_call(
         &mut self,
         now: MonotonicTime,
@@ -269,6 +223,7 @@
         self.finish(now, out)
     }
 
+    /// The outcome of a transaction.
     pub(crate) fn on_txn(
         &mut self,
         now: MonotonicTime,
@@ -280,84 +235,31 @@
             TxnRequester::ShardOwner(machine) => {
                 self.shard_owner
                     .on_txn(now, machine, outcome, &mut self.cache, &mut out);
-                self.needs_scheduling = true;
+                self.timers.schedule.request();
             }
             TxnRequester::Leadership => self.leadership.on_txn(now, outcome),
-            TxnRequester::Plans(jobs) => {
-                self.plans_in_flight = false;
-                // Under any other outcome they are written, or somebody else leads. A refusal
-                // for want of tokens comes back at once: without a pause it would go round and
-                // round (entry 37769b7d).
-                self.plans_retry_at = now + PLAN_BATCH_DELAY;
-                let again = matches!(outcome, TxnOutcome::Refused);
-                for job in jobs.iter().filter(|_| again) {
-                    let plan = self.cache.plan(job).cloned();
-                    self.plans.extend(plan.map(|p| (job.clone(), p)));
-                }
-            }
-            TxnRequester::Release(job) => {
-                let known = !matches!(outcome, TxnOutcome::Unknown);
-                if known && !matches!(outcome, TxnOutcome::Committed(_)) {
-                    self.completing.remove(job);
-                }
-                if matches!(outcome, TxnOutcome::Committed(_)) {
-                    self.learn_outcome(job, JobState::Done);
-                }
-            }
-            TxnRequester::Dependent(job) => self.on_release(now, job, outcome),
+            TxnRequester::Plans(jobs) => self.plans.on_outcome(now, jobs, outcome, &self.cache),
+            TxnRequester::JobCompletion(job) => self.on_completion(job, outcome),
+            TxnRequester::DependentRelease(job) => self.on_release(now, job, outcome),
             TxnRequester::CancelledDependents(jobs) => {
                 if let TxnOutcome::Committed(revision) = outcome {
                     self.dependents_cancelled(jobs, *revision);
                 }
             }
-            TxnRequester::Catalog => {
-                self.catalog_in_flight = false;
-                if matches!(outcome, TxnOutcome::Invalid) {
-                    tracing::error!(
-                        "the machine types do not fit into a value of the key-value store"
-                    );
-                    self.catalog_retry_at = now + CATALOG_RETRY_INTERVAL;
-                }
-            }
+            TxnRequester::Catalog => self.catalog.on_outcome(now, outcome),
             TxnRequester::Nobody => {}
         }
         self.finish(now, out)
     }
 
-    pub(crate) fn on_peer(
-        &mut self,
-        now: MonotonicTime,
-        from: &Member,
-        message: Message,
-    ) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        match message {
-            Message::Cancelled {
-                round,
-                job,
-                revision,
-                age,
-            } => {
-                self.learn_cancelled(now, &job, revision, age, &mut effects);
-                let settled = self.settled(now, &job);
-                let known = Message::CancellationAcknowledged {
-                    round,
-                    job,
-                    settled,
-                };
-                effects.push(Effect::Peer(from.clone(), known));
-            }
-            Message::CancellationAcknowledged {
-                round,
-                job,
-                settled,
-            } => self.rounds.on_acknowledged(round, &job, from, settled),
-            message => self.dispatch(now, message, &mut effects),
+    fn on_completion(&mut self, job: &JobId, outcome: &TxnOutcome) {
+        self.completions.on_outcome(job, outcome);
+        if matches!(outcome, TxnOutcome::Committed(_)) {
+            self.learn_outcome(job, JobState::Done);
         }
-        effects.extend(self.run_due_work(now));
-        effects
     }
 
+    /// The cloud's machine types. `None`: it did not answer.
     pub(crate) fn on_catalog(
         &mut self,
         now: MonotonicTime,
@@ -367,6 +269,7 @@
         self.run_due_work(now)
     }
 
+    /// The cloud's list of machines. `None`: it did not answer.
     pub(crate) fn on_list(
         &mut self,
         now: MonotonicTime,
@@ -376,6 +279,7 @@
         self.run_due_work(now)
     }
 
+    /// The outcome of a request for machines.
     pub(crate) fn on_rent(
         &mut self,
         now: MonotonicTime,
@@ -386,6 +290,7 @@
         self.run_due_work(now)
     }
 
+    /// Whether the cloud has deleted these machines.
     pub(crate) fn on_deleted(
         &mut self,
         now: MonotonicTime,
@@ -394,28 +299,26 @@
     ) -> Vec<Effect> {
         let mut cloud = Vec::new();
         self.autoscaler.on_deleted(now, ids, ok, &mut cloud);
-        let mut effects = self.cloud_effects(now, cloud);
+        let mut effects = self.apply_cloud_effects(now, cloud);
         effects.extend(self.run_due_work(now));
         effects
     }
 
+    /// How a job has ended, as its final record says.
     pub(crate) fn on_job_outcome(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
         state: JobState,
     ) -> Vec<Effect> {
-        self.cancellation_deadlines.record_outcome(job, state);
+        self.cancellation.deadlines.record_outcome(job, state);
         self.learn_outcome(job, state);
-        self.next_cancellation_scan = now;
+        self.timers.cancellation_scan.expedite(now);
         self.run_due_work(now)
     }
 
-    pub(crate) fn tick(
-        &mut self,
-        now: MonotonicTime,
-        unix_time: crate::ids::UnixTime,
-    ) -> Vec<Effect> {
+    /// Time has passed. `unix_time` is only as good as the settings' bound.
+    pub(crate) fn tick(&mut self, now: MonotonicTime, unix_time: UnixTime) -> Vec<Effect> {
         self.autoscaler.unix_time = unix_time;
         self.scheduler.unix_time = unix_time;
         self.run_due_work(now)
@@ -428,14 +331,10 @@
         self.autoscaler.change_rate = changes;
     }
 
-    /// When the next tick is due; events may ask for an earlier one.
+    /// When the next tick is due; inputs may make an earlier one due.
     pub(crate) fn next_tick_at(&self, now: MonotonicTime) -> MonotonicTime {
-        let schedule = if self.needs_scheduling {
-            self.next_schedule
-        } else {
-            now + MAX_SCHEDULE_INTERVAL
-        };
-        schedule.min(self.next_reconcile)
+        let schedule = self.timers.schedule.next(now);
+        schedule.min(self.timers.reconcile.next())
     }
 
     fn finish(&mut self, now: MonotonicTime, out: Vec<worker_control::Effect>) -> Vec<Effect> {
@@ -445,137 +344,39 @@
         effects
     }
 
-    /// Carries messages between this controller's own duties, and turns the rest into effects.
-    fn apply_owner_effects(
-        &mut self,
-        now: MonotonicTime,
-        out: Vec<worker_control::Effect>,
-        effects: &mut Vec<Effect>,
-    ) {
-        let mut queue = VecDeque::from(out);
-        while let Some(effect) = queue.pop_front() {
-            match effect {
-                worker_control::Effect::Txn { machine, txn } => effects.push(Effect::Txn {
-                    requester: TxnRequester::ShardOwner(machine),
-                    class: RequestClass::Place,
-                    txn,
-                }),
-                worker_control::Effect::Call {
-                    machine,
-                    addr,
-                    token,
-                    epoch,
-                    commands,
-                } => effects.push(Effect::Call {
-                    machine,
-                    addr,
-                    token,
-                    epoch,
-                    commands,
-                }),
-                worker_control::Effect::ToLeader(message) => {
-                    let Some(leader) = &self.cache.leader else {
-                        continue;
-                    };
-                    if leader.value.member == self.config.member {
-                        self.dispatch(now, message, effects);
-                    } else {
-                        effects.push(Effect::Peer(leader.value.member.clone(), message));
-                    }
-                }
-                worker_control::Effect::Found(id, record) => {
-                    self.cache.discover(id, record);
-                    self.shard_owner.compare_all_trackers();
-                    self.next_reconcile = now;
-                }
-                worker_control::Effect::Lost(id) => self.cache.forget(&id),
-                worker_control::Effect::RenewShard(shard) => self.renew(shard, effects),
-            }
-        }
-    }
-
-    fn renew(&self, shard: crate::ids::ShardId, effects: &mut Vec<Effect>) {
-        if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
-            effects.push(Effect::Txn {
-                requester: TxnRequester::Nobody,
-                class: RequestClass::Place,
-                txn,
-            });
-        }
-    }
-
-    fn dispatch(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
-        let mut out = Vec::new();
-        match message {
-            Message::Allot(allotment) => {
-                self.shard_owner
-                    .on_allot(now, allotment, &self.cache, &mut out);
-            }
-            Message::Stop {
-                machine,
-                attempt,
-                grace,
-            } => self
-                .shard_owner
-                .on_stop(now, &machine, attempt, grace, &self.cache, &mut out),
-            Message::Freed(attempts) => {
-                for freed in attempts.iter().filter(|freed| freed.done) {
-                    let task = &freed.attempt.task;
-                    if let Some(job) = self.cache.jobs.get_mut(&task.job) {
-                        job.report_done(task.index);
-                    }
-                }
-                self.scheduler.on_freed(attempts);
-                self.needs_scheduling = true;
-            }
-            Message::Refused { fence, attempts } => {
-                self.scheduler.on_refused(fence, &attempts);
-                self.needs_scheduling = true;
-            }
-            Message::EndedAttempt(ended) => {
-                if ended.end == AttemptOutcome::Done
-                    && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.ran)
-                {
-                    self.history
-                        .add(pipeline, &ended.type_name, ended.estimate_s, ran);
+    /// Does whatever is due. Called after every input.
+    fn run_due_work(&mut self, now: MonotonicTime) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.reconcile_shards(now, &mut effects);
+        self.step_leadership(now, &mut effects);
+        let scan_due = self.scan_cancellations(now);
+        match self.leadership.settled_term(&self.cache) {
+            Some(term) if now < self.lease_valid_until => {
+                if scan_due {
+                    self.decommission_overdue(now, &mut effects);
+                    self.evaluate_reachability(now);
                 }
-                self.scheduler.on_ended(now, &ended, &self.cache);
-                self.needs_scheduling = true;
-            }
-            Message::MisdirectedHeartbeats(machines) => {
-                self.reachability.on_misdirected_heartbeats(now, machines)
+                self.step_leader(now, term, &mut effects);
             }
-            Message::Health(health) => {
-                let urgent = health.len() == 1;
-                for h in &health {
-                    if let Some(record) = &h.unrecorded {
-                        self.cache.discover(h.machine.clone(), record.clone());
-                    }
-                }
-                self.scheduler.on_health(now, health, &self.cache);
-                self.needs_scheduling |= urgent;
+            // Perhaps another controller leads by now.
+            Some(_) => self.decommission_owned(now, scan_due, &mut effects),
+            None => {
+                self.decommission_owned(now, scan_due, &mut effects);
+                self.clear_leader_state();
             }
-            // Dealt with before they get here.
-            Message::Hello { .. }
-            | Message::PeerStatus { .. }
-            | Message::Relay { .. }
-            | Message::ForwardedRequest { .. }
-            | Message::ForwardedResponse { .. }
-            | Message::Cancelled { .. }
-            | Message::CancellationAcknowledged { .. } => {}
         }
-        self.apply_owner_effects(now, out, effects);
+        effects
     }
 
-    /// Does whatever is due. Called after every input.
-    fn run_due_work(&mut self, now: MonotonicTime) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        if now >= self.next_reconcile {
-            self.next_reconcile = now + RECONCILE_INTERVAL;
+    fn reconcile_shards(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+        if self.timers.reconcile.take_due(now) {
             let mut out = Vec::new();
             self.shard_owner.reconcile(now, &self.cache, &mut out);
-            self.apply_owner_effects(now, out, &mut effects);
+            self.apply_owner_effects(now, out, effects);
         }
+    }
+
+    fn step_leadership(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         if let Some(txn) = self.leadership.step(now, &self.cache) {
             effects.push(Effect::Txn {
                 requester: TxnRequester::Leadership,
@@ -583,33 +384,6 @@
                 txn,
             });
         }
-        let cancellation_deadlines = now >= self.next_cancellation_scan;
-        if cancellation_deadlines {
-            self.next_cancellation_scan = now + CANCELLATION_SCAN_INTERVAL;
-            self.cancellation_deadlines.scan(now, &self.cache);
-        }
-        match self.leadership.settled_term(&self.cache) {
-            Some(term) if now < self.lease_valid_until => {
-                if cancellation_deadlines {
-                    self.decommission_overdue(now, &mut effects);
-                    let health = self.scheduler.health.values().map(|h| &h.last);
-                    let shards = self.config.shards();
-                    self.reachability.evaluate(now, shards, health, &self.cache);
-                    self.leadership.quarantined = self.reachability.quarantined();
-                }
-                self.step_leader(now, term, &mut effects);
-            }
-            // Perhaps somebody else leads by now.
-            Some(_) => self.decommission_owned(now, cancellation_deadlines, &mut effects),
-            None => {
-                self.decommission_owned(now, cancellation_deadlines, &mut effects);
-                self.plans.clear();
-                self.dependents.clear();
-                self.completing.clear();
-                self.history.clear();
-            }
-        }
-        effects
     }
 }
 
--- /dev/null
+++ b/src/controller/catalog.rs
@@ -0,0 +1,51 @@
+//! Storing the cloud's machine types, for controllers that the cloud does not answer.
+
+use super::effects::{Effect, TxnRequester};
+use crate::cloud::Autoscaler;
+use crate::ids::{Millis, MonotonicTime};
+use crate::protocol::store::Txn;
+use crate::store::rate_limiter::RequestClass;
+use crate::store::watch_cache::WatchCache;
+use crate::store::{TxnOutcome, keys};
+
+/// Machine types that the key-value store refused for their size are written again after this.
+const TOO_LARGE_RETRY_INTERVAL: Millis = Millis(60_000);
+
+/// Writes the catalog where the stored one is another.
+#[derive(Debug, Default)]
+pub(super) struct CatalogWriter {
+    in_flight: bool,
+    retry_at: MonotonicTime,
+}
+
+impl CatalogWriter {
+    /// The write that is due, if any.
+    pub(super) fn step(
+        &mut self,
+        now: MonotonicTime,
+        autoscaler: &Autoscaler,
+        cache: &WatchCache,
+    ) -> Option<Effect> {
+        if self.in_flight || now < self.retry_at {
+            return None;
+        }
+        let catalog = autoscaler.catalog_to_store(cache)?;
+        let mut txn = Txn::default();
+        txn.put(keys::CATALOG, catalog, None);
+        self.in_flight = true;
+        Some(Effect::Txn {
+            requester: TxnRequester::Catalog,
+            class: RequestClass::Place,
+            txn,
+        })
+    }
+
+    /// The outcome of the write.
+    pub(super) fn on_outcome(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
+        self.in_flight = false;
+        if matches!(outcome, TxnOutcome::Invalid) {
+            tracing::error!("the machine types do not fit into a value of the key-value store");
+            self.retry_at = now + TOO_LARGE_RETRY_INTERVAL;
+        }
+    }
+}
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -1,42 +1,51 @@
-//! The leader's part in dependent jobs: learning how the jobs that others need have ended,
-//! releasing those that need nothing more, and passing cancellations on.
+//! The leader's part in dependent jobs: it learns how their dependencies have ended, releases jobs
+//! whose dependencies are all done, and cancels those that depend on a cancelled job.
 //!
 //! A job is released by one conditional write of its own record, on the ground of final records
 //! that were read or written before: those never change, so no later leader can find otherwise,
-//! and whoever releases does it once. Until then the job is in nobody's queue or account.
+//! and whoever releases does it once. Until then the job is neither queued nor counted.
 
-use super::*;
+use super::Controller;
+use super::effects::{Effect, TxnRequester};
+use crate::ids::{JobId, MachineId, Millis, MonotonicTime, Revision, UnixTime};
 use crate::planning::cancel_dependents;
+use crate::protocol::JobState;
+use crate::protocol::store::Txn;
 use crate::store::dependency_graph::JobOutcome;
-use crate::store::records::JobRecord;
+use crate::store::rate_limiter::RequestClass;
+use crate::store::records::{JobRecord, PlanRecord};
+use crate::store::{TxnOutcome, keys};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
 
-/// A question, or a write, without an outcome is repeated after this.
+/// A query or a write without an outcome is repeated after this.
 const RETRY_INTERVAL: Millis = Millis(1000);
-/// A write that certainly was not executed.
+/// A write that certainly was not executed is repeated after this.
 const REFUSED_RETRY_INTERVAL: Millis = Millis(200);
-/// Questions and releases under way at the most, so that a new leader that finds thousands of
-/// waiting jobs leaves requests for everything else.
+/// Queries and releases in flight at the most, so that a new leader that finds thousands of
+/// blocked jobs leaves requests for everything else.
 const MAX_IN_FLIGHT: usize = 16;
 /// Whoever cancels a job cancels its dependents too, before its user is told. The leader leaves
-/// them alone for so long, and then does what that controller did not get to.
+/// them alone for so long, and then cancels those that are left.
 const CANCELLER_HEAD_START: Millis = Millis(1500);
 
-/// What the leader has asked and written, until when it waits for the outcome.
+/// Queries and releases in flight, and until when the leader waits for their outcome.
 #[derive(Debug, Default)]
-pub(super) struct Dependents {
-    asked: BTreeMap<JobId, MonotonicTime>,
+pub(super) struct DependentReleases {
+    queried: BTreeMap<JobId, MonotonicTime>,
     releasing: BTreeMap<JobId, MonotonicTime>,
-    /// When dependents of cancelled jobs are looked at next.
+    /// When dependents of cancelled jobs are cancelled next.
     cancel_at: Option<MonotonicTime>,
 }
 
-impl Dependents {
+impl DependentReleases {
+    /// Forgets what is in flight: another controller leads now, or no job is blocked.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
 
     fn expire(&mut self, now: MonotonicTime) {
-        self.asked.retain(|_, until| *until > now);
+        self.queried.retain(|_, until| *until > now);
         self.releasing.retain(|_, until| *until > now);
     }
 }
@@ -54,21 +63,21 @@
         self.propagate_cancellations(now, effects);
     }
 
-    /// Has the final records read of jobs that others need and that have left the watch cache.
+    /// Has the final records read of dependencies that have left the watch cache.
     fn query_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.asked.len());
-        let unasked = self.cache.dependency_graph.with_unknown_outcome();
-        let unasked = unasked.filter(|id| !self.dependents.asked.contains_key(*id));
-        let ids: Vec<JobId> = unasked.take(room).cloned().collect();
+        let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.queried.len());
+        let unqueried = self.cache.dependency_graph.with_unknown_outcome();
+        let unqueried = unqueried.filter(|id| !self.dependents.queried.contains_key(*id));
+        let ids: Vec<JobId> = unqueried.take(room).cloned().collect();
         for id in ids {
             self.dependents
-                .asked
+                .queried
                 .insert(id.clone(), now + RETRY_INTERVAL);
             effects.push(Effect::QueryOutcome(id));
         }
     }
 
-    /// Releases jobs that need nothing more, the most urgent first.
+    /// Releases jobs whose dependencies are all done, the most urgent first.
     fn release_ready(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.releasing.len());
         if room == 0 {
@@ -81,8 +90,8 @@
         ids.sort_by_cached_key(|id| {
             let urgency = dependency_graph.urgency(id);
             let finish_by = urgency.and_then(|u| u.finish_by);
-            let latest = finish_by.unwrap_or(crate::ids::UnixTime(u64::MAX));
-            (std::cmp::Reverse(urgency.map(|u| u.priority)), latest)
+            let latest = finish_by.unwrap_or(UnixTime(u64::MAX));
+            (Reverse(urgency.map(|u| u.priority)), latest)
         });
         for id in ids.into_iter().take(room) {
             let Some((revision, record)) = self.released(&id) else {
@@ -95,14 +104,14 @@
                 .releasing
                 .insert(id.clone(), now + RETRY_INTERVAL);
             effects.push(Effect::Txn {
-                requester: TxnRequester::Dependent(id),
+                requester: TxnRequester::DependentRelease(id),
                 class: RequestClass::Accept,
                 txn,
             });
         }
     }
 
-    /// A waiting job's revision, and its record as released now.
+    /// A blocked job's revision, and its record as released now.
     fn released(&self, id: &JobId) -> Option<(Revision, JobRecord)> {
         let job = self.cache.dependency_graph.get(id)?;
         let now = self.scheduler.unix_time.max(job.accepted);
@@ -111,13 +120,14 @@
         Some((job.revision, record))
     }
 
+    /// The outcome of a job's release.
     pub(super) fn on_release(&mut self, now: MonotonicTime, id: &JobId, outcome: &TxnOutcome) {
         match outcome {
             TxnOutcome::Committed(revision) => {
                 self.dependents.releasing.remove(id);
                 self.take_released(id, *revision);
             }
-            // The watch cache is behind, or others release and cancel as well: what it shows then decides.
+            // The watch cache is behind, or other controllers write as well: what it shows then decides.
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Failed(..) => {
                 let until = now + REFUSED_RETRY_INTERVAL;
                 self.dependents.releasing.insert(id.clone(), until);
@@ -134,8 +144,7 @@
         let group = self.cache.dependency_graph.group_machines(id).to_vec();
         self.cache.put_job(id.clone(), record, revision);
         self.prefer(id, group);
-        self.needs_scheduling = true;
-        self.next_schedule = MonotonicTime::default();
+        self.timers.schedule.request_now();
     }
 
     /// Puts the machines of the placement group that a job joins before those that have its image.
@@ -157,7 +166,7 @@
             JobState::Cancelled => JobOutcome::Cancelled,
             JobState::Queued | JobState::Running => return,
         };
-        self.dependents.asked.remove(job);
+        self.dependents.queried.remove(job);
         self.cache.record_job_outcome(job, outcome);
     }
 
@@ -191,6 +200,6 @@
         for job in jobs {
             self.cache.cancel(job, revision);
         }
-        self.needs_scheduling = true;
+        self.timers.schedule.request();
     }
 }
--- /dev/null
+++ b/src/controller/messages.rs
@@ -0,0 +1,242 @@
+//! Messages from other controllers, and those between this controller's own duties.
+
+use super::Controller;
+use super::effects::{Effect, TxnRequester};
+use crate::cloud;
+use crate::ids::{MachineId, Member, MonotonicTime, ShardId};
+use crate::peers::{AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
+use crate::placement;
+use crate::store::rate_limiter::RequestClass;
+use crate::worker_control;
+use std::collections::VecDeque;
+
+impl Controller {
+    /// A message from another controller.
+    pub(crate) fn on_peer(
+        &mut self,
+        now: MonotonicTime,
+        from: &Member,
+        message: Message,
+    ) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        match message {
+            Message::Cancelled {
+                round,
+                job,
+                revision,
+                age,
+            } => {
+                self.learn_cancelled(now, &job, revision, age, &mut effects);
+                let settled = self.cleared_shards(now, &job);
+                let acknowledgement = Message::CancellationAcknowledged {
+                    round,
+                    job,
+                    settled,
+                };
+                effects.push(Effect::Peer(from.clone(), acknowledgement));
+            }
+            Message::CancellationAcknowledged {
+                round,
+                job,
+                settled,
+            } => {
+                let rounds = &mut self.cancellation.rounds;
+                rounds.on_acknowledged(round, &job, from, settled);
+            }
+            message => self.dispatch(now, message, &mut effects),
+        }
+        effects.extend(self.run_due_work(now));
+        effects
+    }
+
+    /// Hands a message to the duty that it is for, from whichever controller it comes.
+    fn dispatch(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
+        match message {
+            Message::Allot(allotment) => {
+                let mut out = Vec::new();
+                self.shard_owner
+                    .on_allot(now, allotment, &self.cache, &mut out);
+                self.apply_owner_effects(now, out, effects);
+            }
+            Message::Stop {
+                machine,
+                attempt,
+                grace,
+            } => {
+                let mut out = Vec::new();
+                self.shard_owner
+                    .on_stop(now, &machine, attempt, grace, &self.cache, &mut out);
+                self.apply_owner_effects(now, out, effects);
+            }
+            Message::Freed(attempts) => self.on_freed(attempts),
+            Message::Refused { fence, attempts } => {
+                self.scheduler.on_refused(fence, &attempts);
+                self.timers.schedule.request();
+            }
+            Message::EndedAttempt(ended) => self.on_ended(now, &ended),
+            Message::MisdirectedHeartbeats(machines) => {
+                self.reachability.on_misdirected_heartbeats(now, machines);
+            }
+            Message::Health(health) => self.on_health(now, health),
+            // Handled by the daemon, or by `on_peer`.
+            Message::Hello { .. }
+            | Message::PeerStatus { .. }
+            | Message::Relay { .. }
+            | Message::ForwardedRequest { .. }
+            | Message::ForwardedResponse { .. }
+            | Message::Cancelled { .. }
+            | Message::CancellationAcknowledged { .. } => {}
+        }
+    }
+
+    fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
+        for freed in attempts.iter().filter(|freed| freed.done) {
+            let task = &freed.attempt.task;
+            if let Some(job) = self.cache.jobs.get_mut(&task.job) {
+                job.report_done(task.index);
+            }
+        }
+        self.scheduler.on_freed(attempts);
+        self.timers.schedule.request();
+    }
+
+    fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt) {
+        if ended.end == AttemptOutcome::Done
+            && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.ran)
+        {
+            self.history
+                .add(pipeline, &ended.type_name, ended.estimate_s, ran);
+        }
+        self.scheduler.on_ended(now, ended, &self.cache);
+        self.timers.schedule.request();
+    }
+
+    fn on_health(&mut self, now: MonotonicTime, health: Vec<MachineHealth>) {
+        // An owner reports a single machine when something has changed there.
+        let urgent = health.len() == 1;
+        for machine in &health {
+            if let Some(record) = &machine.unrecorded {
+                self.cache.discover(machine.machine.clone(), record.clone());
+            }
+        }
+        self.scheduler.on_health(now, health, &self.cache);
+        if urgent {
+            self.timers.schedule.request();
+        }
+    }
+
+    /// Carries the shard owner's messages to the leader, and turns the rest into effects.
+    pub(super) fn apply_owner_effects(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<worker_control::Effect>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut queue = VecDeque::from(out);
+        while let Some(effect) = queue.pop_front() {
+            match effect {
+                worker_control::Effect::Txn { machine, txn } => effects.push(Effect::Txn {
+                    requester: TxnRequester::ShardOwner(machine),
+                    class: RequestClass::Place,
+                    txn,
+                }),
+                worker_control::Effect::Call {
+                    machine,
+                    addr,
+                    token,
+                    epoch,
+                    commands,
+                } => effects.push(Effect::Call {
+                    machine,
+                    addr,
+                    token,
+                    epoch,
+                    commands,
+                }),
+                worker_control::Effect::ToLeader(message) => {
+                    self.send_to_leader(now, message, effects);
+                }
+                worker_control::Effect::Found(id, record) => {
+                    self.cache.discover(id, record);
+                    self.shard_owner.compare_all_trackers();
+                    self.timers.reconcile.expedite(now);
+                }
+                worker_control::Effect::Lost(id) => self.cache.forget(&id),
+                worker_control::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+            }
+        }
+    }
+
+    fn send_to_leader(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
+        if let Some(leader) = &self.cache.leader {
+            let member = leader.value.member.clone();
+            self.send(now, member, message, effects);
+        }
+    }
+
+    fn send(
+        &mut self,
+        now: MonotonicTime,
+        to: Member,
+        message: Message,
+        effects: &mut Vec<Effect>,
+    ) {
+        if to == self.config.member {
+            self.dispatch(now, message, effects);
+        } else {
+            effects.push(Effect::Peer(to, message));
+        }
+    }
+
+    fn renew_shard(&self, shard: ShardId, effects: &mut Vec<Effect>) {
+        if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
+            effects.push(Effect::unattended_txn(RequestClass::Place, txn));
+        }
+    }
+
+    /// Carries the scheduler's messages to the owners of shards.
+    pub(super) fn apply_scheduler_effects(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<placement::Effect>,
+        effects: &mut Vec<Effect>,
+    ) {
+        for effect in out {
+            match effect {
+                placement::Effect::ToShardOwner(member, message) => {
+                    self.send(now, member, *message, effects);
+                }
+                placement::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+            }
+        }
+    }
+
+    /// Turns what the autoscaler asks for into effects.
+    pub(super) fn apply_cloud_effects(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<cloud::Effect>,
+    ) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        for effect in out {
+            match effect {
+                cloud::Effect::Rent(request) => effects.push(Effect::Rent(request)),
+                cloud::Effect::Delete(ids) => effects.push(Effect::Delete(ids)),
+                cloud::Effect::List => effects.push(Effect::List),
+                cloud::Effect::Catalog => effects.push(Effect::Catalog),
+                cloud::Effect::DropRecord(id) => effects.extend(self.delete_record(now, &id)),
+            }
+        }
+        effects
+    }
+
+    fn delete_record(&mut self, now: MonotonicTime, id: &MachineId) -> Option<Effect> {
+        self.cleanup.delete_machine_record(
+            now,
+            id,
+            &self.config,
+            &mut self.scheduler,
+            &mut self.cache,
+        )
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,10 +1,12 @@
 use super::*;
+use crate::cancellation::RoundId;
 use crate::config::tests::sample_config;
-use crate::ids::{AttemptNumber, HeartbeatSequence, ShardId, TaskId, WorkerEpoch};
+use crate::ids::{AttemptNumber, HeartbeatSequence, ShardId, TaskAttempt, TaskId, WorkerEpoch};
+use crate::peers::Message;
 use crate::protocol::store::Item;
 use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
 
-/// A controller that leads and holds every shard, in a watch cache that never changes again.
+/// A controller that leads and owns every shard, with a watch cache that never changes again.
 fn alone() -> Controller {
     let config = sample_config();
     let (me, incarnation) = (config.member.clone(), Incarnation(1));
@@ -66,7 +68,7 @@
 
 /// Seen with real processes: nothing else changed, and the machine was never used.
 #[test]
-fn a_machine_that_answers_gets_its_desk_though_the_mirror_stands_still() {
+fn answering_machine_is_tracked_without_any_store_event() {
     let mut controller = alone();
     let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
     let asked = effects.iter().any(|e| matches!(e, Effect::Call { .. }));
@@ -85,7 +87,7 @@
 /// A leader that the key-value store refuses alone went on renting, and emptied machines that
 /// its successor had placed replicas on (Tramite grown, apart).
 #[test]
-fn a_leader_that_is_not_sure_of_its_grant_leaves_the_cloud_alone() {
+fn leader_without_a_valid_lease_makes_no_cloud_calls() {
     let mut controller = alone();
     let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::List));
     controller.set_lease_deadline(MonotonicTime(2000));
@@ -100,7 +102,8 @@
 }
 
 /// A machine with a task of a job that is cancelled, held by a controller that the key-value store
-/// refuses from then on. Returns how many deletions are asked for in the time for a cancellation. `seen` is the token that a later heartbeat carries.
+/// refuses from then on. Returns how many deletions are asked for in the time for a cancellation.
+/// `seen` is the token that a later heartbeat carries.
 fn deleted_while_refused(seen: Option<u64>) -> usize {
     let mut controller = alone();
     let spec = crate::protocol::tests::spec("job-000001");
@@ -148,7 +151,7 @@
 /// cancelled. Those that another shard owner has taken over since only seem silent to it: deleted, they
 /// took healthy replicas along (Savannah fleet, apart: 9 machines in 20 s).
 #[test]
-fn a_refused_holder_gives_up_what_it_cannot_stop_and_leaves_others_machines_alone() {
+fn owner_refused_by_the_store_deletes_only_machines_that_no_other_owner_has_taken_over() {
     assert!(deleted_while_refused(None) > 0);
     assert_eq!(deleted_while_refused(Some(9)), 0);
 }
--- a/src/simulation/growth.rs
+++ b/src/simulation/growth.rs
@@ -42,7 +42,7 @@
             TxnRequester::ShardOwner(_) => ("machines", RequestClass::Place),
             TxnRequester::Leadership => ("leadership", RequestClass::Lease),
             TxnRequester::Plans(_) => ("plans", RequestClass::Record),
-            TxnRequester::Release(_) | TxnRequester::Dependent(_) => {
+            TxnRequester::JobCompletion(_) | TxnRequester::DependentRelease(_) => {
                 ("releases", RequestClass::Place)
             }
             TxnRequester::CancelledDependents(_) => ("cancelled", RequestClass::Accept),
--- a/src/simulation/pipelines.rs
+++ b/src/simulation/pipelines.rs
@@ -293,7 +293,7 @@
                 Effect::Txn { requester, .. } => requester,
                 _ => return false,
             };
-            matches!(requester, TxnRequester::Dependent(_))
+            matches!(requester, TxnRequester::DependentRelease(_))
         };
         self.pipelines.released += effects.iter().filter(is_release).count() as u64;
     }
