--- /dev/null
+++ b/src/placement/attempt_numbers.rs
@@ -0,0 +1,29 @@
+//! Attempt numbers of one leader's term.
+
+use crate::ids::{AttemptNumber, Revision};
+use crate::peers::attempt_number;
+
+/// Hands out attempt numbers. None is used twice: the number of the term is its leading part.
+#[derive(Default)]
+pub(super) struct AttemptNumbers {
+    term: Revision,
+    counter: u64,
+}
+
+impl AttemptNumbers {
+    /// Numbers for a new term.
+    pub(super) fn of_term(term: Revision) -> Self {
+        Self { term, counter: 0 }
+    }
+
+    /// The term that the numbers belong to.
+    pub(super) fn term(&self) -> Revision {
+        self.term
+    }
+
+    /// The next unused number.
+    pub(super) fn next(&mut self) -> AttemptNumber {
+        self.counter += 1;
+        attempt_number(self.term, self.counter)
+    }
+}
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,5 +1,6 @@
-//! The machines that can take work in one scheduling pass.
+//! The machines that tasks can be placed on in one scheduling pass.
 
+use super::pending_usage::PendingUsage;
 use super::record_capacity::RecordCapacity;
 use super::replicas::replicas;
 use crate::config::Config;
@@ -8,37 +9,39 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::collections::BTreeMap;
 
+/// The smallest rate that images are taken to be fetched at.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+
 /// One machine in a scheduling pass.
 pub(super) struct Candidate<'a> {
+    /// The machine.
     pub id: &'a MachineId,
+    /// The shard that it belongs to.
     pub shard: ShardId,
+    /// The fencing token of the shard's owner.
     pub fence: Revision,
+    /// The shard's owner.
     pub owner: &'a Member,
+    /// Its machine type.
     pub type_name: &'a TypeName,
+    /// Its zone.
     pub zone: &'a Zone,
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// What the empty machine offers.
-    pub room: Resources,
-    /// What is left of it, less what this pass has given out.
+    /// The resources of the empty machine.
+    pub capacity: Resources,
+    /// The resources that are free, less what this pass has allotted.
     pub free: Resources,
-    /// What is left of its record.
-    pub record: RecordCapacity,
+    /// What is left of the machine's record, less what this pass has allotted.
+    pub record_capacity: RecordCapacity,
+    /// The images in its cache.
     pub images: Vec<&'a str>,
+    /// The rate at which it fetches images: more than 0.
     pub fetch_gb_per_s: f64,
+    /// How many replicas of services it has.
     pub replicas: usize,
-    pub replicas_use: Resources,
-}
-
-/// Room that the watch cache doesn't show yet, by machine.
-#[derive(Default)]
-pub(super) struct Pending<'a> {
-    /// Allotted, and not placed on record.
-    pub promised: BTreeMap<&'a MachineId, Resources>,
-    /// Proved gone, and still on record.
-    pub freed: BTreeMap<&'a MachineId, Resources>,
-    /// The bytes that these will add to the record, and those that will go from it.
-    pub promised_bytes: BTreeMap<&'a MachineId, usize>,
-    pub freed_bytes: BTreeMap<&'a MachineId, usize>,
+    /// The resources that these use.
+    pub replica_usage: Resources,
 }
 
 impl<'a> Candidate<'a> {
@@ -47,18 +50,16 @@
         machine: &'a LiveMachine,
         cache: &'a WatchCache,
         config: &Config,
-        pending: &Pending<'a>,
+        pending: &PendingUsage<'a>,
     ) -> Option<Self> {
         let record = &machine.record;
         let machine_type = cache.machine_type(&record.type_name)?;
         let shard = id.shard(config.shards());
         let shard_record = cache.shards.get(&shard)?;
-        let room = machine_type.room();
-        let promised = pending.promised.get(id).copied().unwrap_or_default();
-        let freed = pending.freed.get(id).copied().unwrap_or_default();
-        let used = record.used() + promised - freed;
-        let bytes = |of: &BTreeMap<&MachineId, usize>| of.get(id).copied().unwrap_or(0);
-        let (replicas, replicas_use) = replicas(machine, cache);
+        let capacity = machine_type.room();
+        let pending = pending.of_machine(id);
+        let used = record.used() + pending.allotted.unwrap_or_default() - pending.freed;
+        let (replicas, replica_usage) = replicas(machine, cache);
         Some(Self {
             id,
             shard,
@@ -67,26 +68,27 @@
             type_name: &record.type_name,
             zone: &record.zone,
             spot: record.spot,
-            room,
-            fetch_gb_per_s: machine_type.fetch_gb_per_s.max(0.01),
-            free: room - used,
-            record: RecordCapacity::new(
+            capacity,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
+            free: capacity - used,
+            record_capacity: RecordCapacity::new(
                 record,
                 config.state.value_bytes,
-                bytes(&pending.promised_bytes),
-                bytes(&pending.freed_bytes),
+                pending.allotted_bytes,
+                pending.freed_bytes,
             ),
             images: machine.images.iter().map(|(i, _)| i.as_str()).collect(),
             replicas,
-            replicas_use,
+            replica_usage,
         })
     }
 
+    /// Whether the job's image is in the machine's cache.
     pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images.contains(&spec.image.as_str())
     }
 
-    /// Seconds until the job's image is there.
+    /// Seconds that fetching the job's image takes: 0 if it is in the cache.
     pub(super) fn fetch_seconds(&self, spec: &JobSpec) -> f64 {
         if self.has_image(spec) {
             0.0
@@ -95,10 +97,10 @@
         }
     }
 
-    /// How many tasks of a job there is room for beside what is kept from it.
-    pub(super) fn tasks_that_fit(&self, spec: &JobSpec, kept: Resources) -> u64 {
-        let room = spec.need().count_in(self.free - kept);
-        room.min(self.record.tasks(spec))
+    /// How many tasks of a job fit beside the resources that are reserved for others.
+    pub(super) fn tasks_that_fit(&self, spec: &JobSpec, reserved: Resources) -> u64 {
+        let by_resources = spec.need().count_in(self.free - reserved);
+        by_resources.min(self.record_capacity.tasks_that_fit(spec))
     }
 
     /// Whether the job may run on this type, in this zone, on this kind of machine.
@@ -107,26 +109,26 @@
     }
 }
 
-/// All machines that are usable, with the room that is left on them.
+/// All machines that are usable, with their free capacity, in the order of their ids.
 pub(super) fn collect<'a>(
     cache: &'a WatchCache,
     config: &Config,
-    pending: &Pending<'a>,
-    usable: impl Fn(&MachineId) -> bool,
+    pending: &PendingUsage<'a>,
+    is_usable: impl Fn(&MachineId) -> bool,
 ) -> Vec<Candidate<'a>> {
-    let machines = cache.machines.iter().filter(|(id, _)| usable(id));
+    let machines = cache.machines.iter().filter(|(id, _)| is_usable(id));
     machines
         .filter_map(|(id, machine)| Candidate::new(id, machine, cache, config, pending))
         .collect()
 }
 
-/// The CPUs of the machines that have each image, used or not.
-pub(super) fn image_rooms<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, u64> {
-    let mut rooms = BTreeMap::new();
+/// The CPUs of the machines that have each image, whether free or in use.
+pub(super) fn cpus_by_image<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, u64> {
+    let mut cpus = BTreeMap::new();
     for candidate in candidates {
         for image in &candidate.images {
-            *rooms.entry(*image).or_default() += candidate.room.cpus;
+            *cpus.entry(*image).or_default() += candidate.capacity.cpus;
         }
     }
-    rooms
+    cpus
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,20 +1,27 @@
-//! The leader's duty: team accounts, the order of jobs, where each task is allotted, and what
-//! is stopped to make room.
+//! The leader's scheduling: quotas of teams, the order of the queue, where each task is allotted,
+//! and what is preempted.
 
 mod allotment_ledger;
+mod attempt_numbers;
 mod candidates;
 mod fault_tracking;
 mod gangs;
+mod pass_inputs;
+mod pending_allotment;
+mod pending_usage;
 mod preemption;
 mod queue_order;
 mod queue_turns;
 mod quota_usage;
 mod ranking;
 mod record_capacity;
+mod replica_reserve;
 mod replicas;
+mod reported_health;
 mod scheduler;
 mod scheduling_pass;
 mod unmet_demand;
+mod victims;
 mod zone_constraint;
 
 pub(crate) use queue_order::service_order;
--- /dev/null
+++ b/src/placement/preemption/evacuation.rs
@@ -0,0 +1,104 @@
+//! Stops on machines that are about to go: replicas move, and tasks with checkpoints save them.
+
+use super::{Preemption, StopSet, TaskStop};
+use crate::ids::{JobId, MachineId, Resources};
+use crate::placement::record_capacity::RecordCapacity;
+use crate::protocol::{JobKind, JobSpec};
+
+/// A task with a checkpoint is only stopped if this much time is left beyond what saving takes.
+const SAVE_MARGIN_S: f64 = 1.0;
+
+/// What moved replicas leave of the machines that they move to, by candidate.
+struct MoveTargets {
+    free: Vec<Resources>,
+    records: Vec<RecordCapacity>,
+}
+
+impl Preemption<'_> {
+    /// Replicas to stop on machines that are on their way out, where another machine has free
+    /// capacity and the image, so that they start there at once. One at a time for each service.
+    pub(in crate::placement) fn replica_moves(&self) -> Vec<TaskStop> {
+        let mut stops: Vec<TaskStop> = Vec::new();
+        let candidates = self.candidates.iter();
+        let mut targets = MoveTargets {
+            free: candidates.clone().map(|c| c.free).collect(),
+            records: candidates.map(|c| c.record_capacity.clone()).collect(),
+        };
+        let noticed = self.health.iter().filter(|(_, h)| h.last.notice.is_some());
+        for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
+            self.move_replicas_off(id, &mut targets, &mut stops);
+        }
+        stops
+    }
+
+    fn move_replicas_off(
+        &self,
+        id: &MachineId,
+        targets: &mut MoveTargets,
+        stops: &mut Vec<TaskStop>,
+    ) {
+        let Some(machine) = self.cache.machines.get(id) else {
+            return;
+        };
+        for (attempt, placed) in machine.record.runs() {
+            let Some(job) = self.cache.jobs.get(&attempt.task.job) else {
+                continue;
+            };
+            let spec = &job.spec;
+            let is_movable = spec.kind == JobKind::Service && !spec.spread && !spec.one_zone;
+            if !is_movable || self.is_being_stopped(&spec.id, stops) {
+                continue;
+            }
+            if self.take_target(spec, placed.need, targets) {
+                stops.push(TaskStop {
+                    machine: id.clone(),
+                    attempt,
+                });
+            }
+        }
+    }
+
+    /// Whether a task of a job is stopped already.
+    fn is_being_stopped(&self, job: &JobId, stops: &[TaskStop]) -> bool {
+        self.preempted
+            .keys()
+            .any(|attempt| attempt.task.job == *job)
+            || stops.iter().any(|stop| stop.attempt.task.job == *job)
+    }
+
+    /// Takes the place of a replica on the first machine that has one. `false` if none has.
+    fn take_target(&self, spec: &JobSpec, need: Resources, targets: &mut MoveTargets) -> bool {
+        let target = self.candidates.iter().enumerate().position(|(at, c)| {
+            c.is_allowed(spec)
+                && c.has_image(spec)
+                && need.fits(targets.free[at])
+                && targets.records[at].try_reserve(spec)
+        });
+        if let Some(at) = target {
+            targets.free[at] = targets.free[at] - need;
+        }
+        target.is_some()
+    }
+
+    /// Tasks with checkpoints on machines that are about to be taken: stopped in time, they go on
+    /// elsewhere from where they were.
+    pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
+        let mut stops = StopSet::new(self);
+        for (id, health) in self.health {
+            let (Some(left), Some(machine)) = (health.last.notice, self.cache.machines.get(id))
+            else {
+                continue;
+            };
+            for (attempt, _) in machine.record.runs() {
+                let job = self.cache.jobs.get(&attempt.task.job);
+                let can_save = job.is_some_and(|j| {
+                    j.spec.checkpoint_s > 0.0 && j.spec.save_s + SAVE_MARGIN_S < left.secs()
+                });
+                if can_save {
+                    stops.add(&attempt, id);
+                }
+            }
+        }
+        stops.into_stops()
+    }
+}
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -6,31 +6,40 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs.
-pub(super) fn guaranteed<'a>(
+/// A job that is due later than this after it became eligible, or never, counts as due then: under
+/// lasting overload it would otherwise stay behind all jobs that come after it.
+const MAX_DUE_AFTER_ELIGIBLE_MS: u64 = 150_000;
+/// A job that has waited so long for its first task goes before everything else, one at a time:
+/// otherwise jobs of higher priority, other teams' guarantees or small jobs could keep it waiting
+/// for ever.
+const STARVATION_AGE_MS: u64 = 120_000;
+
+/// The jobs that fit into their team's guaranteed quota along with the team's earlier unfinished
+/// jobs.
+pub(super) fn guaranteed_jobs<'a>(
     teams: &BTreeMap<TeamId, Team>,
     jobs: impl Iterator<Item = (&'a JobId, &'a LiveJob)>,
 ) -> BTreeSet<JobId> {
     let mut by_age: Vec<_> = jobs.collect();
-    by_age.sort_by_key(|(id, j)| (j.eligible, (*id).clone()));
+    by_age.sort_by_key(|(id, job)| (job.eligible, (*id).clone()));
     let mut used: BTreeMap<&TeamId, Resources> = BTreeMap::new();
-    let mut within = BTreeSet::new();
+    let mut guaranteed = BTreeSet::new();
     for (id, job) in by_age {
         let Some(team) = teams.get(&job.spec.team) else {
             continue;
         };
         let sum = used.entry(&job.spec.team).or_default();
-        let left = job.spec.tasks.saturating_sub(job.done_count());
+        let remaining = job.spec.tasks.saturating_sub(job.done_count());
         let need = Resources {
             memory: 0,
-            ..job.spec.need().times(left.into())
+            ..job.spec.need().times(remaining.into())
         };
         *sum = *sum + need;
         if team.guarantees(need) && team.covers(*sum) {
-            within.insert(id.clone());
+            guaranteed.insert(id.clone());
         }
     }
-    within
+    guaranteed
 }
 
 /// All jobs in the order in which they are served.
@@ -38,40 +47,36 @@
     config: &Config,
     cache: &'a WatchCache,
 ) -> Vec<(&'a JobId, &'a LiveJob)> {
-    let within = guaranteed(&config.teams, cache.jobs.iter());
-    let mut list: Vec<_> = cache.jobs.iter().collect();
-    list.sort_by_cached_key(|(id, job)| rank(id, job, within.contains(*id)));
-    list
+    let guaranteed = guaranteed_jobs(&config.teams, cache.jobs.iter());
+    let mut jobs: Vec<_> = cache.jobs.iter().collect();
+    jobs.sort_by_cached_key(|(id, job)| queue_rank(id, job, guaranteed.contains(*id)));
+    jobs
 }
 
-/// What is due later than this after it could begin, or never, counts as due then: under lasting
-/// overload it would otherwise stand behind all that comes after it.
-const DUE_AT_LATEST: u64 = 150_000;
-/// A job that has waited so long for its first task goes before everything else, one at a time:
-/// neither higher work, nor other teams' guarantees, nor small jobs keep it out for ever.
-const STARVING: u64 = 120_000;
-
-/// Puts the oldest of the jobs that have waited too long for their first task to the front.
-pub(super) fn oldest_first(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
-    let unbegun = |job: &LiveJob| job.placed.is_empty() && job.done_count() == 0;
+/// Moves the oldest of the jobs that have waited too long for their first task to the front.
+pub(super) fn promote_starving(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
+    let is_unstarted = |job: &LiveJob| job.placed.is_empty() && job.done_count() == 0;
     let starving = waiting
         .iter()
         .enumerate()
-        .filter(|(_, (_, j))| unbegun(j) && now.0.saturating_sub(j.eligible.0) > STARVING)
-        .min_by_key(|(_, (id, j))| (j.eligible, *id));
+        .filter(|(_, (_, job))| {
+            is_unstarted(job) && now.0.saturating_sub(job.eligible.0) > STARVATION_AGE_MS
+        })
+        .min_by_key(|(_, (id, job))| (job.eligible, *id));
     if let Some((at, _)) = starving {
         waiting[..=at].rotate_right(1);
     }
 }
 
-/// Priority first; then what a guarantee covers; then what is due first; then age. Priority and
-/// time are those of the most urgent job that depends on it.
-pub(super) fn rank(id: &JobId, job: &LiveJob, within: bool) -> impl Ord + use<> {
-    let latest = UnixTime(job.eligible.0.saturating_add(DUE_AT_LATEST));
+/// The key that the queue is sorted by: priority first; then whether the job is within its team's
+/// guarantee; then the time when it is due; then its age. Priority and due time are those of the
+/// most urgent job that depends on it.
+pub(super) fn queue_rank(id: &JobId, job: &LiveJob, is_guaranteed: bool) -> impl Ord + use<> {
+    let latest = UnixTime(job.eligible.0.saturating_add(MAX_DUE_AFTER_ELIGIBLE_MS));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
     (
         Reverse(job.priority()),
-        !within,
+        !is_guaranteed,
         due,
         job.eligible,
         id.clone(),
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -1,16 +1,18 @@
-//! Team accounts: what every placement that is not proved gone uses, and every allotment of
-//! this term that is not answered.
+//! Quota usage of teams: the resources of every placement that is not known to be gone, and of
+//! every allotment of this term that is not on record.
 
 use crate::config::Team;
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
+/// What each team uses, against its guaranteed quota and its limit.
 pub(super) struct QuotaUsage<'a> {
     teams: &'a BTreeMap<TeamId, Team>,
     used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> QuotaUsage<'a> {
+    /// Usage against the quotas of `teams`, with what is on record as used.
     pub(super) fn new(
         teams: &'a BTreeMap<TeamId, Team>,
         used: BTreeMap<TeamId, Resources>,
@@ -18,28 +20,30 @@
         Self { teams, used }
     }
 
-    pub(super) fn charge(&mut self, team: &TeamId, amounts: Resources) {
+    /// Adds to a team's usage.
+    pub(super) fn charge(&mut self, team: &TeamId, resources: Resources) {
         match self.used.get_mut(team) {
-            Some(sum) => *sum = *sum + amounts,
+            Some(sum) => *sum = *sum + resources,
             None => {
-                self.used.insert(team.clone(), amounts);
+                self.used.insert(team.clone(), resources);
             }
         }
     }
 
-    /// What is proved gone counts no more.
-    pub(super) fn credit(&mut self, team: &TeamId, amounts: Resources) {
+    /// Subtracts from a team's usage.
+    pub(super) fn credit(&mut self, team: &TeamId, resources: Resources) {
         if let Some(sum) = self.used.get_mut(team) {
-            *sum = *sum - amounts;
+            *sum = *sum - resources;
         }
     }
 
+    /// What a team uses.
     pub(super) fn used(&self, team: &TeamId) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// How many tasks of a need the team's limit still allows. Memory has no limit.
-    pub(super) fn allows(&self, team: &TeamId, need: Resources) -> u64 {
+    /// How many tasks of a need the team's quota limit still allows. Memory has no limit.
+    pub(super) fn tasks_within_limit(&self, team: &TeamId, need: Resources) -> u64 {
         let Some(limits) = self.teams.get(team) else {
             return 0;
         };
@@ -47,15 +51,15 @@
         Resources { memory: 0, ..need }.count_in(free)
     }
 
-    /// Whether the team uses anything beyond its guarantee.
-    pub(super) fn borrows(&self, team: &TeamId) -> bool {
+    /// Whether the team uses more of any resource than its guaranteed quota.
+    pub(super) fn exceeds_guarantee(&self, team: &TeamId) -> bool {
         let used = self.used(team);
         self.teams.get(team).is_none_or(|t| t.is_exceeded(used))
     }
 
-    /// Whether the team uses more than its guarantee, so that its work of such a need may make
-    /// room for others'. What its guarantee does not speak of, it always has beyond it.
-    pub(super) fn beyond_guarantee(&self, team: &TeamId, need: Resources) -> bool {
+    /// Whether the team's tasks of such a need may be preempted for other teams' guarantees: it
+    /// uses more than its guaranteed quota, or this doesn't cover the needed kind of resource.
+    pub(super) fn may_be_preempted(&self, team: &TeamId, need: Resources) -> bool {
         let used = self.used(team);
         self.teams
             .get(team)
--- a/src/placement/quota_usage/tests.rs
+++ b/src/placement/quota_usage/tests.rs
@@ -5,7 +5,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(21), failure_persistence: None, ..ProptestConfig::default() })]
     /// The model admits one task at a time and adds everything up anew for each.
     #[test]
-    fn admitted_counts_agree_with_one_by_one_admission(
+    fn tasks_within_limit_agree_with_one_by_one_admission(
         steps in proptest::collection::vec((0usize..2, 1u64..9, 0u64..3), 1..30))
     {
         let config = crate::config::tests::sample_config();
@@ -22,7 +22,7 @@
             while used(&log) + (model + 1) * need.cpus <= config.teams[team].limit().cpus {
                 model += 1;
             }
-            prop_assert_eq!(quota_usage.allows(team, need), model);
+            prop_assert_eq!(quota_usage.tasks_within_limit(team, need), model);
             if model > 0 {
                 quota_usage.charge(team, need);
                 log.push((team.clone(), need));
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -1,68 +1,70 @@
-//! Room in machines' records: a record must fit into a value of the key-value store, so there is
-//! room for so many placements, whatever room the machine itself has.
+//! Capacity of machines' records: a record must fit into one value of the key-value store, which
+//! bounds the number of placements whatever the resources of the machine itself.
 
 use crate::ids::JobId;
 use crate::protocol::JobSpec;
 use crate::store::machine_record::{MachineRecord, size};
 
-/// A job on a record, without its tasks, where its names are not at hand.
-pub(super) const ANY_JOB: usize = 200;
+/// Bytes of a job on a record, without its tasks, where the lengths of its names are not known.
+pub(super) const ESTIMATED_JOB_BYTES: usize = 200;
 
 /// The bytes of one machine's record that are left for placements.
 #[derive(Clone, Debug)]
 pub(super) struct RecordCapacity {
-    left: usize,
-    /// The last job that was given room here: its next task needs less.
-    last: Option<JobId>,
+    free_bytes: usize,
+    /// The last job that was placed here: its next task takes less.
+    last_job: Option<JobId>,
 }
 
 impl RecordCapacity {
-    /// `promised`: what allotments under way will add. `freed`: what goes with the next change.
+    /// `allotted_bytes`: what allotments under way will add. `freed_bytes`: what goes from the
+    /// record with its next change.
     pub(super) fn new(
         record: &MachineRecord,
         value_bytes: usize,
-        promised: usize,
-        freed: usize,
+        allotted_bytes: usize,
+        freed_bytes: usize,
     ) -> Self {
-        let placed = record.size() - record.done_size() + promised;
-        let most = MachineRecord::placement_capacity(value_bytes);
+        let used = record.size() - record.done_size() + allotted_bytes;
+        let capacity = MachineRecord::placement_capacity(value_bytes);
         Self {
-            left: (most + freed).saturating_sub(placed),
-            last: None,
+            free_bytes: (capacity + freed_bytes).saturating_sub(used),
+            last_job: None,
         }
     }
 
-    fn cost(&self, spec: &JobSpec) -> usize {
-        match self.last.as_ref() == Some(&spec.id) {
+    /// Bytes that a job takes beside its tasks.
+    fn job_bytes(&self, spec: &JobSpec) -> usize {
+        match self.last_job.as_ref() == Some(&spec.id) {
             true => 0,
             false => size::job(spec),
         }
     }
 
-    /// How many tasks of a job the record takes.
-    pub(super) fn tasks(&self, spec: &JobSpec) -> u64 {
-        let left = self.left.saturating_sub(self.cost(spec));
+    /// How many tasks of a job fit.
+    pub(super) fn tasks_that_fit(&self, spec: &JobSpec) -> u64 {
+        let left = self.free_bytes.saturating_sub(self.job_bytes(spec));
         (left / size::LARGEST_TASK) as u64
     }
 
-    /// How many jobs of one task each, alike, the record takes.
-    pub(super) fn single_tasks(&self, largest_job: usize) -> u64 {
-        (self.left / (largest_job + size::LARGEST_TASK)) as u64
+    /// How many jobs of `job_bytes` with one task each fit.
+    pub(super) fn single_task_jobs(&self, job_bytes: usize) -> u64 {
+        (self.free_bytes / (job_bytes + size::LARGEST_TASK)) as u64
     }
 
-    /// Takes room for one more task, if there is any.
-    pub(super) fn take(&mut self, spec: &JobSpec) -> bool {
-        let fits = self.tasks(spec) > 0;
+    /// Reserves the bytes of one more task. `false` if it does not fit.
+    pub(super) fn try_reserve(&mut self, spec: &JobSpec) -> bool {
+        let fits = self.tasks_that_fit(spec) > 0;
         if fits {
-            self.left -= self.cost(spec) + size::LARGEST_TASK;
-            self.last = Some(spec.id.clone());
+            self.free_bytes -= self.job_bytes(spec) + size::LARGEST_TASK;
+            self.last_job = Some(spec.id.clone());
         }
         fits
     }
 
-    /// Gives room back that was taken for so many tasks.
-    pub(super) fn give_back(&mut self, tasks: u64) {
-        self.left += tasks as usize * size::LARGEST_TASK;
+    /// Releases what was reserved for so many tasks.
+    pub(super) fn release(&mut self, tasks: u64) {
+        self.free_bytes += tasks as usize * size::LARGEST_TASK;
     }
 }
 
--- a/src/placement/record_capacity/tests.rs
+++ b/src/placement/record_capacity/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 use crate::ids::{AttemptNumber, TaskAttempt, TaskId};
 
-/// As many tasks as are given room fit into the value with their ends, however it is filled.
+/// As many tasks as bytes were reserved for fit into the value together with their ends, however
+/// it is filled.
 #[test]
-fn what_is_given_room_fits_into_the_value() {
+fn reserved_tasks_fit_into_the_value() {
     for (value_bytes, jobs) in [(2048, 1), (2048, 40), (8192, 3), (1024, 40)] {
         let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
-        let mut room = RecordCapacity::new(&record, value_bytes, 0, 0);
+        let mut capacity = RecordCapacity::new(&record, value_bytes, 0, 0);
         let mut placed = 0;
         for n in 0..400u32 {
             let mut spec = crate::protocol::tests::spec("job-000001");
             spec.id = format!("job-{:06}", n / (400 / jobs)).as_str().into();
-            if !room.take(&spec) {
+            if !capacity.try_reserve(&spec) {
                 break;
             }
             let task = TaskId {
--- /dev/null
+++ b/src/placement/scheduling_pass/request.rs
@@ -0,0 +1,94 @@
+//! The tasks of a job that are to be placed in its turn.
+
+use super::SchedulingPass;
+use crate::ids::AttemptNumber;
+use crate::placement::gangs::{GangAction, missing_tasks};
+use crate::placement::queue_turns::QueueTurn;
+use crate::protocol::JobKind;
+use std::collections::BTreeMap;
+
+/// The largest number of tasks of one job that are placed in one turn.
+const MAX_TASKS_PER_TURN: usize = 400;
+
+/// The tasks of a job that are to be placed now.
+pub(super) struct TaskRequest {
+    /// The indices of the tasks.
+    pub indices: Vec<u32>,
+    /// The one attempt of all of a gang's tasks; `None` for other jobs.
+    pub attempt_number: Option<AttemptNumber>,
+}
+
+impl<'a> SchedulingPass<'a, '_> {
+    /// The tasks of a job that may be placed now; `None` if nothing is to be done for it.
+    pub(super) fn request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
+        match turn.kind() {
+            JobKind::Gang => self.gang_request(turn),
+            JobKind::Array | JobKind::Service => self.tasks_request(turn),
+        }
+    }
+
+    /// The tasks of a job that were allotted, in this pass or before, and are not on record.
+    fn allotted_count(&self, turn: QueueTurn<'a>) -> usize {
+        let before = self.input.allotted.get(turn.id).map_or(0, BTreeMap::len);
+        before + self.allotted_cached_count(turn)
+    }
+
+    /// The tasks that the job was allotted in this pass, on machines that have its image.
+    fn allotted_cached_count(&self, turn: QueueTurn<'a>) -> usize {
+        self.allotted_cached.get(turn.id).copied().unwrap_or(0)
+    }
+
+    /// All of a gang's tasks, or those that one which has not started yet has lost.
+    fn gang_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
+        let allowed = self
+            .quota_usage
+            .tasks_within_limit(&turn.job.spec.team, turn.need());
+        let indices = missing_tasks(turn.job, self.input.allotted.get(turn.id));
+        let (now, wait) = (self.input.now, self.input.config.gang_wait);
+        let allotted = self.allotted_count(turn);
+        let action = self
+            .state
+            .gangs
+            .next_action(now, turn.id, turn.job, allotted, wait);
+        if action == GangAction::Wait || indices.len() as u64 > allowed {
+            return None;
+        }
+        let attempt_number = match action {
+            GangAction::ReplaceMissing(attempt_number) => attempt_number,
+            GangAction::LaunchAll | GangAction::Wait => self.state.attempt_numbers.next(),
+        };
+        Some(TaskRequest {
+            indices,
+            attempt_number: Some(attempt_number),
+        })
+    }
+
+    /// As many tasks of an array or a service as the team's quota limit allows.
+    fn tasks_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
+        let QueueTurn { id, job, .. } = turn;
+        let within_limit = self
+            .quota_usage
+            .tasks_within_limit(&job.spec.team, turn.need());
+        let mut allowed = within_limit.min(MAX_TASKS_PER_TURN as u64) as usize;
+        let allotted = self.allotted_count(turn);
+        if let Some(limit) = self.input.faults.task_limit(id) {
+            allowed = allowed.min(limit.saturating_sub(job.placed.len() + allotted));
+        }
+        if turn.kind() == JobKind::Array && self.array_capacity.is_exhausted() {
+            let begun = job.done_count() as usize + job.placed.len() + allotted;
+            let open = (job.spec.tasks as usize).saturating_sub(begun);
+            self.report_unmet_demand(turn, open.min(allowed) as u64);
+            return None;
+        }
+        let allotted_before = self.input.allotted.get(id);
+        let indices = job
+            .open_tasks(self.input.config.segment_tasks())
+            .filter(|index| allotted_before.is_none_or(|a| !a.contains_key(index)))
+            .skip(self.allotted_cached_count(turn))
+            .take(allowed);
+        Some(TaskRequest {
+            indices: indices.collect(),
+            attempt_number: None,
+        })
+    }
+}
