--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -1,12 +1,100 @@
-//! How much room lower work makes for arrays, and how soon.
+//! What is stopped for others, and before interruptions.
 
-use super::*;
+use super::scene::{NOW, Scene, StepOutcome, TERM};
+use crate::config::Team;
+use crate::ids::{JobId, Millis, Resources, UnixTime};
+use crate::peers::Message;
+use crate::placement::{Effect, Scheduler};
+use crate::protocol::{JobKind, JobSpec, Priority};
+use std::collections::BTreeMap;
+
+#[test]
+fn only_tasks_with_checkpoints_are_stopped_before_an_interruption() {
+    let mut scene = Scene::new();
+    let saving = scene.job(1, |s| {
+        s.tasks = 1;
+        s.checkpoint_s = 10.0;
+        s.save_s = 3.0;
+    });
+    let plain = scene.job(2, |s| s.tasks = 1);
+    let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
+    let mut noticed = scene.health(&id);
+    noticed.notice = Some(Millis(3500));
+    scene
+        .scheduler
+        .on_health(NOW, vec![noticed.clone()], &scene.cache);
+    assert!(scene.step().stops.is_empty(), "too late to save");
+    noticed.notice = Some(Millis(8000));
+    scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
+    let stops = scene.step().stops;
+    assert_eq!(stops.len(), 1);
+    assert_eq!(stops[0].task.job, saving.id);
+}
+
+/// Team blue uses borrowed quota: 8 CPUs are guaranteed to red, 16 to blue, and blue has 24 placed.
+fn borrowing() -> Scene {
+    let mut scene = Scene::new();
+    let blue = scene.job(1, |s| {
+        s.team = "blue".into();
+        s.tasks = 12;
+    });
+    for m in 0..3 {
+        let attempts: Vec<_> = (0..4)
+            .map(|i| (&blue, m * 4 + i, u64::from(m * 4 + i)))
+            .collect();
+        scene.machine(m, "a", false, &attempts);
+    }
+    scene
+}
+
+#[test]
+fn only_lower_priority_and_borrowed_quota_are_preempted() {
+    let mut scene = borrowing();
+    assert!(scene.step().stops.is_empty());
+    let red = scene.job(2, |s| s.tasks = 1);
+    assert!(scene.step().stops.is_empty(), "too late to be prompt");
+    scene.scheduler.unix_time = UnixTime(907_000);
+    let stops = scene.step().stops;
+    assert_eq!(stops.len(), 1, "red is within its guarantee, blue beyond");
+    assert!(
+        scene.step().stops.is_empty(),
+        "nothing is preempted twice for the same demand"
+    );
+
+    // Without its image on a machine a start could not be prompt anyway.
+    let mut scene = borrowing();
+    scene.job(2, |s| {
+        s.tasks = 1;
+        s.image = "another".into();
+    });
+    scene.scheduler.unix_time = UnixTime(907_000);
+    assert!(scene.step().stops.is_empty());
+
+    // The same team's work of the same priority is not preempted.
+    let mut scene = Scene::new();
+    let first = scene.job(1, |s| s.tasks = 4);
+    let attempts: Vec<_> = (0..4).map(|i| (&first, i, u64::from(i))).collect();
+    scene.machine(1, "a", false, &attempts);
+    scene.job(2, |s| s.tasks = 1);
+    assert!(scene.step().stops.is_empty());
+    scene.job(3, |s| {
+        s.tasks = 1;
+        s.priority = Priority::High;
+    });
+    let stops = scene.step().stops;
+    assert_eq!(stops.len(), 1);
+    assert_eq!(
+        stops[0].task.index, 3,
+        "the latest start has run for the shortest time"
+    );
+    assert_eq!(red.tasks, 1);
+}
 
 /// Teams without limits, and machines that idle work fills.
 fn full_of_idle_work(machines: u32) -> Scene {
     let mut scene = Scene::new();
     for team in scene.config.teams.values_mut() {
-        *team = crate::config::Team::new(Resources::default(), Resources::default());
+        *team = Team::new(Resources::default(), Resources::default());
     }
     scene.scheduler = Scheduler::new(&scene.config);
     scene.scheduler.unix_time = UnixTime(901_000);
@@ -27,34 +115,37 @@
     scene.job(n, |s| s.tasks = tasks)
 }
 
-/// On a fleet full of idle work short arrays waited 20 to 30 s for room: stops under way used up
-/// the looks of every later pass (Altamaha dredging, steady, first minute).
+/// On a fleet full of idle work short arrays must not wait for many passes: stops under way once
+/// used up the machine scans of every later pass (Altamaha dredging, steady, first minute).
 #[test]
-fn a_pass_makes_room_for_many_tasks_whatever_is_coming_already() {
+fn one_pass_preempts_for_many_tasks_whatever_is_coming_free() {
     let mut scene = full_of_idle_work(30);
     array(&mut scene, 2, 50);
-    assert_eq!(scene.step().1.len(), 50);
-    assert!(scene.step().1.is_empty(), "their room is coming");
+    assert_eq!(scene.step().stops.len(), 50);
+    assert!(
+        scene.step().stops.is_empty(),
+        "their resources are coming free"
+    );
     array(&mut scene, 3, 40);
-    assert_eq!(scene.step().1.len(), 40, "beside what is coming");
+    assert_eq!(scene.step().stops.len(), 40, "beside what is coming free");
 }
 
 #[test]
-fn no_more_is_stopped_than_makes_room() {
+fn preemption_stops_no_more_than_it_needs() {
     let mut scene = full_of_idle_work(3);
     scene.job(2, |s| {
         s.tasks = 3;
         s.cpus = 3.0;
     });
     // Two idle tasks of 2 CPUs for the first of 3, one more for the second.
-    let stops = scene.step().1;
+    let stops = scene.step().stops;
     assert_eq!(stops.len(), 5);
 }
 
-/// Room that is kept for replicas is no room for arrays: looked at as such it hid the idle work
-/// that stood beside it.
+/// The replica reserve is not free for arrays: counted as such it would hide the idle work beside
+/// it.
 #[test]
-fn lower_work_beside_room_for_replicas_gives_way_too() {
+fn lower_work_beside_the_replica_reserve_is_preempted() {
     let mut scene = full_of_idle_work(1);
     let service = scene.job(2, |s| {
         s.kind = JobKind::Service;
@@ -67,18 +158,18 @@
         s.tasks = 1;
     });
     scene.machine(7, "a", false, &[(&service, 0, 900), (&idle, 0, 901)]);
-    // Two spare replicas of 1 CPU are kept there: of 8 CPUs 3 are free for others.
+    // Two spare replicas of 1 CPU are provided for there: of 8 CPUs 3 are free for others.
     array(&mut scene, 4, 6);
-    let (allotments, stops) = scene.step();
+    let StepOutcome { allotments, stops } = scene.step();
     let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
     assert_eq!(given, 1);
     assert_eq!(stops.len(), 5);
     assert!(stops.iter().any(|attempt| attempt.task.job == idle.id));
 }
 
-/// A task that can save is stopped with the time that it needs for that, and no other is.
+/// A task with a checkpoint is stopped with the time that saving takes, any other at once.
 #[test]
-fn idle_work_gets_the_time_to_save() {
+fn preempted_tasks_get_their_checkpoint_time() {
     let mut scene = full_of_idle_work(1);
     let saving = scene.job(2, |s| {
         s.priority = Priority::Low;
@@ -103,42 +194,10 @@
     assert_eq!(graces[&JobId::from("job-000001")], [Millis(0); 4]);
 }
 
-/// Gangs wait for machines with cards: work that needs none goes elsewhere while there is room.
-#[test]
-fn work_without_cards_keeps_off_machines_with_cards_while_there_is_other_room() {
-    let mut scene = Scene::new();
-    let catalog = json!({"hulls": [
-        {"name": "t8", "cores": 8, "cards": 0, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 1.0,
-         "price": 1.0, "low_price": 0.5, "startup_s": 20, "berths": ["a"]},
-        {"name": "g8", "cores": 8, "cards": 2, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 9.0,
-         "price": 9.0, "low_price": 0.5, "startup_s": 20, "berths": ["a"]}]});
-    scene.put(keys::CATALOG.to_owned(), &catalog);
-    let plain = scene.machine(1, "a", false, &[]);
-    let cards = MachineId::from("vm-0002");
-    let record = MachineRecord::new("1.1.1.1:1", &"g8".into(), &"a".into(), false);
-    scene.put(keys::machine(&cards), &record);
-    let health = scene.health(&cards);
-    scene.scheduler.on_health(NOW, vec![health], &scene.cache);
-    scene.job(1, |s| {
-        s.tasks = 6;
-        s.image_gb = 9.0;
-    });
-    let (allotments, _) = scene.step();
-    let on = |id: &MachineId| -> usize {
-        let there = allotments.iter().filter(|a| a.preferred[0] == *id);
-        there.map(|a| a.attempts.len()).sum()
-    };
-    assert_eq!(
-        (on(&plain), on(&cards)),
-        (4, 2),
-        "the faster fetch does not draw it there"
-    );
-}
-
-/// With few changes left a fifth of all tasks was stopped for others that could not be started any
-/// sooner, and had to be placed again with changes that were lacking (Tramite next, rollout).
+/// With few record changes left preemption starts nothing sooner, and what is stopped has to be
+/// placed again with changes that are lacking (Tramite next, rollout: a fifth of all tasks).
 #[test]
-fn arrays_stop_nothing_while_there_is_room_that_no_change_can_be_spent_on() {
+fn arrays_do_not_preempt_while_record_changes_are_scarce() {
     let stops_at = |changes: f64| {
         let mut scene = full_of_idle_work(20);
         scene.scheduler.set_change_rate(changes);
@@ -146,13 +205,13 @@
             scene.machine(n, "a", false, &[]);
         }
         array(&mut scene, 2, 50);
-        let (allotments, stops) = scene.step();
+        let StepOutcome { allotments, stops } = scene.step();
         let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
         (given, stops.len())
     };
     assert_eq!(stops_at(40.0), (12, 38));
     assert_eq!(stops_at(1.0), (4, 0));
-    // What must run at once gets its room all the same.
+    // What must run at once preempts all the same.
     let mut scene = full_of_idle_work(20);
     scene.scheduler.set_change_rate(1.0);
     for n in 100..103 {
@@ -171,5 +230,5 @@
         s.tasks = 4;
         s.cpus = 8.0;
     });
-    assert!(!scene.step().1.is_empty());
+    assert!(!scene.step().stops.is_empty());
 }
