--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -1,7 +1,8 @@
-//! Passing a cancellation on: whatever needs a cancelled job can never run and is cancelled too.
+//! Cancellation of dependents: a job that depends on a cancelled one can never run and is cancelled
+//! too.
 //!
-//! A job whose ancestor is cancelled has no tasks, since that ancestor was never done. So nothing
-//! has to be stopped; its final record has to say so.
+//! Such a job has no placed tasks, since the cancelled one was never done. So nothing has to be
+//! stopped: a final record is enough.
 
 use crate::ids::JobId;
 use crate::protocol::JobState;
@@ -11,17 +12,17 @@
 use crate::store::watch_cache::WatchCache;
 
 /// A final record and the deletion of the live one.
-const CHANGES_EACH: usize = 2;
+const CHANGES_PER_JOB: usize = 2;
 
-/// The transaction that cancels the waiting jobs which need a cancelled one, as many as fit, and
-/// which these are. `None`: there are none.
+/// The transaction that cancels the waiting jobs which depend on a cancelled one, as many as fit
+/// into `max_ops`, and these jobs. `None` without any.
 pub(crate) fn cancel_dependents(
     cancelled: &JobId,
     cache: &WatchCache,
     max_ops: usize,
 ) -> Option<(Txn, Vec<JobId>)> {
     let mut dependents = cache.dependency_graph.descendants(cancelled);
-    dependents.truncate((max_ops / CHANGES_EACH).max(1));
+    dependents.truncate((max_ops / CHANGES_PER_JOB).max(1));
     let mut txn = Txn::default();
     for id in &dependents {
         let job = cache.dependency_graph.get(id)?;
--- a/src/planning/counter.rs
+++ b/src/planning/counter.rs
@@ -1,6 +1,6 @@
-//! The completion counter of a job, in the key-value store: segments of finished tasks, and what
-//! machines' records count beside them. Whoever leads moves the latter into the former, and the
-//! update that finds all tasks done releases the job.
+//! The completion counter of a job in the key-value store: segments of finished tasks, and the
+//! tasks that machines' records count beside them. The leader moves the latter into the former, and
+//! the update that finds all tasks done gives the job its final state.
 
 use crate::config::Config;
 use crate::ids::{JobId, Revision};
@@ -12,17 +12,23 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// Changes of a release beside the deletion of segments: the final record, and the deletion of the
+/// live one.
+const RELEASE_CHANGES: usize = 2;
+
 /// How counters are stored.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Layout {
-    /// Tasks in one segment: the same for all versions of the program.
+    /// Tasks in one segment: the same in all versions of the program.
     pub segment_tasks: u32,
-    /// What fits into a value, and into a transaction.
+    /// The largest size of a value, in bytes.
     pub value_bytes: usize,
+    /// The largest number of operations in a transaction.
     pub txn_ops: usize,
 }
 
 impl Layout {
+    /// The layout that the settings give.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             segment_tasks: config.segment_tasks(),
@@ -32,9 +38,15 @@
     }
 }
 
-/// Adds the changes that move a job's counted tasks into its segments, as far as `room` changes
-/// go. `true` if none is left behind.
-pub(crate) fn fold(txn: &mut Txn, id: &JobId, job: &LiveJob, layout: &Layout, room: usize) -> bool {
+/// Adds to a transaction the changes that move a job's counted tasks into its segments, up to
+/// `max_changes`. `true` if no task is left behind.
+pub(crate) fn fold(
+    txn: &mut Txn,
+    id: &JobId,
+    job: &LiveJob,
+    layout: &Layout,
+    max_changes: usize,
+) -> bool {
     let mut changed: BTreeMap<u32, Bitmap> = BTreeMap::new();
     for index in &job.counted {
         let segment = index / layout.segment_tasks;
@@ -44,17 +56,17 @@
         });
         bits.set(index % layout.segment_tasks);
     }
-    let mut all = changed.len() <= room;
+    let mut is_complete = changed.len() <= max_changes;
     let stored = changed
         .into_iter()
-        .take(room)
+        .take(max_changes)
         .filter_map(|(segment, bits)| {
             let value = bits.stored(layout.value_bytes);
-            all &= value.is_some();
+            is_complete &= value.is_some();
             Some((segment, value?))
         });
     let stored: Vec<(u32, Value)> = stored.collect();
-    // Not before the job's record is known to stand: a counter without one is an orphan.
+    // Only while the job's record exists: a counter without one would be an orphan.
     if !stored.is_empty() {
         txn.require(keys::job(id), job.revision);
     }
@@ -64,26 +76,30 @@
         txn.require(keys::segment(id, segment), revision);
         txn.put(keys::segment(id, segment), &value, None);
     }
-    all
+    is_complete
 }
 
-/// The transaction that ends a job all of whose tasks are done; `None` while some are not. It is
-/// the counter's last update: ends that owners have seen and not written yet are in it. Done
-/// and cancelled exclude each other by the condition on the job's record. Segments that find no
-/// room are cleaned up later.
+/// The transaction that gives a job its final state once all of its tasks are done; `None` while
+/// some are not. It is the counter's last update: ends that owners have seen and not written yet are
+/// in it. Done and cancelled exclude each other by the condition on the job's record. Segments that
+/// don't fit into the transaction are deleted later.
 pub(crate) fn release(id: &JobId, job: &LiveJob, layout: &Layout) -> Option<Txn> {
     if !job.is_complete(layout.segment_tasks) {
         return None;
     }
     let mut txn = Txn::default();
     txn.require(keys::job(id), job.revision);
-    let over = FinalRecord {
+    let final_record = FinalRecord {
         state: JobState::Done,
         tasks: job.spec.tasks,
     };
-    txn.put(keys::final_state(id), &over, None);
+    txn.put(keys::final_state(id), &final_record, None);
     txn.delete(keys::job(id));
-    for segment in job.segments.keys().take(layout.txn_ops.saturating_sub(2)) {
+    for segment in job
+        .segments
+        .keys()
+        .take(layout.txn_ops.saturating_sub(RELEASE_CHANGES))
+    {
         txn.delete(keys::segment(id, *segment));
     }
     Some(txn)
--- a/src/planning/counter/tests.rs
+++ b/src/planning/counter/tests.rs
@@ -10,16 +10,16 @@
 
 /// A store of keys and revisions, and nothing else.
 #[derive(Default)]
-struct Keys {
+struct PlainStore {
     revision: u64,
-    held: BTreeMap<String, Revision>,
+    revisions: BTreeMap<String, Revision>,
     writes: usize,
     largest: usize,
 }
 
-impl Keys {
+impl PlainStore {
     fn run(&mut self, txn: &Txn, cache: &mut WatchCache) -> bool {
-        let found = |key: &String| self.held.get(key).copied().unwrap_or(Revision(0));
+        let found = |key: &String| self.revisions.get(key).copied().unwrap_or(Revision(0));
         if txn.conditions.iter().any(|c| found(&c.key) != c.revision) {
             return false;
         }
@@ -31,11 +31,11 @@
             let (put, delete, value) = match change {
                 Change::Put { key, value, .. } => {
                     self.largest = self.largest.max(value.to_string().len());
-                    self.held.insert(key.clone(), revision);
+                    self.revisions.insert(key.clone(), revision);
                     (Some(key.clone()), None, value.clone())
                 }
                 Change::Delete { key } => {
-                    self.held.remove(key);
+                    self.revisions.remove(key);
                     (None, Some(key.clone()), serde_json::Value::Null)
                 }
             };
@@ -51,20 +51,20 @@
     }
 }
 
-fn accept(keys_held: &mut Keys, cache: &mut WatchCache, tasks: u32) -> JobId {
+fn accept(store: &mut PlainStore, cache: &mut WatchCache, tasks: u32) -> JobId {
     let mut spec = crate::protocol::tests::spec("job-000001");
     spec.tasks = tasks;
     let id = spec.id.clone();
     let record = JobRecord::new(spec, crate::ids::UnixTime(0));
     let mut txn = Txn::default();
     txn.put(keys::job(&id), &record, None);
-    assert!(keys_held.run(&txn, cache));
+    assert!(store.run(&txn, cache));
     id
 }
 
 /// A shard owner's change of a machine's record: some tasks of the job have ended there.
 fn end(
-    keys_held: &mut Keys,
+    store: &mut PlainStore,
     cache: &mut WatchCache,
     machine: &MachineId,
     id: &JobId,
@@ -82,18 +82,18 @@
     }
     let mut txn = Txn::default();
     txn.put(keys::machine(machine), &record, None);
-    assert!(keys_held.run(&txn, cache));
+    assert!(store.run(&txn, cache));
 }
 
 /// Machines end the tasks of the largest array in any order and repeat some, the leader
 /// folds now and then, and machines go away. The plain model is a set.
 #[test]
-fn the_counter_of_the_largest_array_counts_each_task_once_and_releases_once() {
+fn counter_of_the_largest_array_counts_each_task_once_and_releases_once() {
     let config = sample_config();
     let layout = Layout::new(&config);
     let ops = layout.txn_ops;
-    let (mut keys_held, mut cache) = (Keys::default(), WatchCache::new(&config));
-    let id = accept(&mut keys_held, &mut cache, crate::protocol::MAX_TASKS);
+    let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
+    let id = accept(&mut store, &mut cache, crate::protocol::MAX_TASKS);
     let mut rng = StdRng::seed_from_u64(2);
     let mut order: Vec<u32> = (0..crate::protocol::MAX_TASKS).collect();
     order.shuffle(&mut rng);
@@ -104,7 +104,7 @@
         let mut batch = order[at..at + n].to_vec();
         batch.push(order[rng.random_range(0..=at)]);
         let machine = MachineId::from(format!("vm-{}", rng.random_range(0..40)).as_str());
-        end(&mut keys_held, &mut cache, &machine, &id, &batch);
+        end(&mut store, &mut cache, &machine, &id, &batch);
         model.extend(batch.iter().copied());
         assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         let long = cache.machines[&machine].record.done_size() > config.state.value_bytes / 4;
@@ -114,7 +114,7 @@
                 let all = fold(&mut txn, &id, &cache.jobs[&id], &layout, ops - 1);
                 assert!(txn.changes.len() < ops && txn.conditions.len() <= 4 * ops);
                 folds += 1;
-                assert!(keys_held.run(&txn, &mut cache));
+                assert!(store.run(&txn, &mut cache));
                 if all {
                     break;
                 }
@@ -123,7 +123,7 @@
             // Folded, its record may go: nothing of the count goes with it.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
-            assert!(keys_held.run(&txn, &mut cache));
+            assert!(store.run(&txn, &mut cache));
             assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         }
         at += n;
@@ -131,28 +131,28 @@
         assert_eq!(release.is_some(), model.len() == order.len());
         if let Some(txn) = release {
             assert!(txn.changes.len() <= ops);
-            assert!(keys_held.run(&txn, &mut cache));
-            assert!(!keys_held.run(&txn, &mut cache), "released once");
+            assert!(store.run(&txn, &mut cache));
+            assert!(!store.run(&txn, &mut cache), "released once");
         }
     }
-    assert!(!cache.jobs.contains_key(&id) && keys_held.largest <= config.state.value_bytes);
-    assert!(folds > 20 && keys_held.held.contains_key(&keys::final_state(&id)));
+    assert!(!cache.jobs.contains_key(&id) && store.largest <= config.state.value_bytes);
+    assert!(folds > 20 && store.revisions.contains_key(&keys::final_state(&id)));
 }
 
 #[test]
-fn an_update_from_a_lagging_mirror_fails_instead_of_losing_tasks() {
+fn update_from_a_lagging_watch_cache_fails_and_loses_no_task() {
     let config = sample_config();
     let layout = Layout::new(&config);
-    let (mut keys_held, mut cache) = (Keys::default(), WatchCache::new(&config));
-    let id = accept(&mut keys_held, &mut cache, 4);
+    let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
+    let id = accept(&mut store, &mut cache, 4);
     let machine = MachineId::from("vm-1");
-    end(&mut keys_held, &mut cache, &machine, &id, &[0]);
+    end(&mut store, &mut cache, &machine, &id, &[0]);
     let mut late = Txn::default();
     assert!(fold(&mut late, &id, &cache.jobs[&id], &layout, 11));
-    end(&mut keys_held, &mut cache, &machine, &id, &[1]);
+    end(&mut store, &mut cache, &machine, &id, &[1]);
     let mut first = Txn::default();
     assert!(fold(&mut first, &id, &cache.jobs[&id], &layout, 11));
-    assert!(keys_held.run(&first, &mut cache));
-    assert!(!keys_held.run(&late, &mut cache));
+    assert!(store.run(&first, &mut cache));
+    assert!(!store.run(&late, &mut cache));
     assert_eq!(cache.jobs[&id].done_count(), 2);
 }
--- a/src/planning/graph/tests.rs
+++ b/src/planning/graph/tests.rs
@@ -3,7 +3,7 @@
 use super::{Graph, Node, Predicted, plan};
 use proptest::prelude::*;
 
-/// The longest path to the end of `node`, by trying every path.
+/// Seconds of the longest path to the end of `node`, by trying every path.
 fn longest(graph: &Graph, types: &[usize], node: usize) -> f64 {
     let own = graph.nodes[node].times[types[node]].seconds;
     let before = graph.nodes[node].parents.iter();
@@ -18,76 +18,105 @@
         .fold(0.0, f64::max)
 }
 
-/// Group by group, as the design words it, with lists and linear searches only.
-fn groups(graph: &Graph, cap: usize) -> Vec<usize> {
-    let n = graph.nodes.len();
-    let mut of = vec![usize::MAX; n];
-    let mut next = 0;
-    let kids = |p: usize| {
-        (0..n)
-            .filter(|c| graph.nodes[*c].parents.contains(&p))
-            .count()
-    };
-    for id in 0..n {
-        if of[id] != usize::MAX {
-            continue;
+/// The groups, one by one, with lists and linear searches only.
+struct GroupModel<'a> {
+    graph: &'a Graph,
+    cap: usize,
+    groups: Vec<Option<usize>>,
+    next: usize,
+}
+
+impl GroupModel<'_> {
+    fn groups(graph: &Graph, cap: usize) -> Vec<usize> {
+        let count = graph.nodes.len();
+        let mut model = GroupModel {
+            graph,
+            cap,
+            groups: vec![None; count],
+            next: 0,
+        };
+        for id in 0..count {
+            if model.groups[id].is_none() {
+                model.assign(id);
+            }
         }
-        let parents = &graph.nodes[id].parents;
+        let groups = model.groups.into_iter();
+        groups.map(|g| g.expect("every job has a group")).collect()
+    }
+
+    fn assign(&mut self, id: usize) {
+        let parents = &self.graph.nodes[id].parents;
         if parents.len() > 1 {
-            let mut best = parents[0];
-            for p in parents {
-                let better = (graph.nodes[*p].output, n - p) > (graph.nodes[best].output, n - best);
-                best = if better { *p } else { best };
-            }
-            of[id] = of[best];
-            continue;
+            self.groups[id] = self.groups[self.largest_output(parents)];
+        } else if parents.len() == 1 && self.child_count(parents[0]) == 1 {
+            self.groups[id] = self.groups[parents[0]];
+        } else {
+            self.fan_out(parents);
         }
-        if parents.len() == 1 && kids(parents[0]) == 1 {
-            of[id] = of[parents[0]];
-            continue;
+    }
+
+    fn child_count(&self, parent: usize) -> usize {
+        let nodes = self.graph.nodes.iter();
+        nodes.filter(|node| node.parents.contains(&parent)).count()
+    }
+
+    /// Of several with the largest output the first.
+    fn largest_output(&self, parents: &[usize]) -> usize {
+        let count = self.graph.nodes.len();
+        let key = |p: usize| (self.graph.nodes[p].output, count - p);
+        let mut best = parents[0];
+        for p in parents {
+            best = if key(*p) > key(best) { *p } else { best };
         }
-        let fan: Vec<usize> = (0..n)
-            .filter(|c| of[*c] == usize::MAX && graph.nodes[*c].parents == *parents)
-            .collect();
-        let mut sorted: Vec<f64> = fan
-            .iter()
-            .map(|c| graph.nodes[*c].times[0].seconds)
-            .collect();
+        best
+    }
+
+    fn time(&self, id: usize) -> f64 {
+        self.graph.nodes[id].times[0].seconds
+    }
+
+    fn median(&self, ids: &[usize]) -> f64 {
+        let mut sorted: Vec<f64> = ids.iter().map(|id| self.time(*id)).collect();
         sorted.sort_by(f64::total_cmp);
-        let k = sorted.len();
-        let median = (sorted[(k - 1) / 2] + sorted[k / 2]) / 2.0;
-        let is_long = |c: &usize| graph.nodes[*c].times[0].seconds > median;
-        let mut longs: Vec<usize> = fan.iter().copied().filter(|c| is_long(c)).collect();
-        let mut shorts: Vec<usize> = fan.iter().copied().filter(|c| !is_long(c)).collect();
-        shorts.sort_by(|a, b| graph.nodes[*b].output.cmp(&graph.nodes[*a].output));
+        let count = sorted.len();
+        (sorted[(count - 1) / 2] + sorted[count / 2]) / 2.0
+    }
+
+    fn fan_out(&mut self, parents: &[usize]) {
+        let graph = self.graph;
+        let siblings: Vec<usize> = (0..graph.nodes.len())
+            .filter(|c| self.groups[*c].is_none() && graph.nodes[*c].parents == *parents)
+            .collect();
+        let median = self.median(&siblings);
+        let is_long = |c: &usize| self.time(*c) > median;
+        let mut long: Vec<usize> = siblings.iter().copied().filter(|c| is_long(c)).collect();
+        let mut short: Vec<usize> = siblings.iter().copied().filter(|c| !is_long(c)).collect();
+        short.sort_by(|a, b| graph.nodes[*b].output.cmp(&graph.nodes[*a].output));
         if let Some(parent) = parents.first() {
-            for _ in 0..cap {
-                if !shorts.is_empty() {
-                    of[shorts.remove(0)] = of[*parent];
-                }
-            }
+            let group = self.groups[*parent];
+            self.take(&mut short, self.cap, group);
         }
-        while !longs.is_empty() && !shorts.is_empty() {
-            of[longs.remove(0)] = next;
-            for _ in 1..cap {
-                if !shorts.is_empty() {
-                    of[shorts.remove(0)] = next;
-                }
-            }
-            next += 1;
+        while !long.is_empty() && !short.is_empty() {
+            self.take(&mut long, 1, Some(self.next));
+            self.take(&mut short, self.cap - 1, Some(self.next));
+            self.next += 1;
         }
-        for (list, size) in [(&mut shorts, cap), (&mut longs, (cap / 2).max(1))] {
+        for (list, size) in [(&mut short, self.cap), (&mut long, (self.cap / 2).max(1))] {
             while !list.is_empty() {
-                for _ in 0..size {
-                    if !list.is_empty() {
-                        of[list.remove(0)] = next;
-                    }
-                }
-                next += 1;
+                self.take(list, size, Some(self.next));
+                self.next += 1;
+            }
+        }
+    }
+
+    /// Puts up to `size` jobs from the front of a list into a group.
+    fn take(&mut self, list: &mut Vec<usize>, size: usize, group: Option<usize>) {
+        for _ in 0..size {
+            if !list.is_empty() {
+                self.groups[list.remove(0)] = group;
             }
         }
     }
-    of
 }
 
 prop_compose! {
@@ -101,7 +130,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn plans_agree_with_the_model(raw in proptest::collection::vec(node(), 1..10), cap in 1usize..6) {
+    fn plans_agree_with_a_plain_model(raw in proptest::collection::vec(node(), 1..10), cap in 1usize..6) {
         let mut graph = Graph::default();
         for (id, (parents, output, times)) in raw.into_iter().enumerate() {
             let mut parents: Vec<usize> =
@@ -113,7 +142,7 @@
             graph.nodes.push(Node { parents, output, times });
         }
         let made = plan(&graph, cap);
-        prop_assert_eq!(&made.groups, &groups(&graph, cap));
+        prop_assert_eq!(&made.groups, &GroupModel::groups(&graph, cap));
         let best = vec![0; graph.nodes.len()];
         prop_assert_eq!(total(&graph, &made.types), total(&graph, &best));
         for (id, t) in made.types.iter().enumerate() {
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -1,4 +1,4 @@
-//! Run times of earlier tasks of a pipeline, kept per machine type.
+//! Run times of a pipeline's earlier tasks, by machine type, and predictions from them.
 
 use crate::admin::Settings;
 use crate::ids::{Millis, Pipeline, TypeName};
@@ -6,28 +6,35 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-const SAMPLES: usize = 32;
+/// The largest number of samples that are stored for a machine type.
+const MAX_SAMPLES: usize = 32;
+/// The largest number of pipelines that have unwritten samples.
+const MAX_FRESH_PIPELINES: usize = 1000;
+/// The largest number of unwritten samples of one pipeline.
+const MAX_FRESH_SAMPLES: usize = 4 * MAX_SAMPLES;
 
-/// A predicted run time, and whether it rests on enough samples of its machine type.
+/// A predicted run time of a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Predicted {
+pub(super) struct Predicted {
+    /// The run time.
     pub seconds: f64,
+    /// Whether it rests on enough samples of its machine type.
     pub sampled: bool,
 }
 
-/// The chosen percentile of the type's samples, else of all types', else the owner's estimate.
-/// Samples are kept as parts of the estimate that came with their job: jobs of one pipeline
-/// differ in size, and the estimate says how much, even where it is wrong all day.
-pub(crate) fn predict(
+/// The percentile that the settings choose of the type's samples, else of all types' samples, else
+/// the estimate that came with the job. Samples are fractions of their jobs' estimates: jobs of one
+/// pipeline differ in size, and the estimates say how much, even where they are wrong by a factor.
+pub(super) fn predict(
     history: Option<&HistoryRecord>,
     type_name: &TypeName,
     settings: &Settings,
     estimate_s: f64,
 ) -> Predicted {
-    let scale = if estimate_s > 0.0 { estimate_s } else { 1.0 };
+    let scale = sample_scale(estimate_s);
     let enough = settings.sample_count as usize;
-    let own = history.and_then(|h| h.types.get(type_name));
-    if let Some(samples) = own.filter(|s| s.len() >= enough) {
+    let own_type = history.and_then(|h| h.types.get(type_name));
+    if let Some(samples) = own_type.filter(|s| s.len() >= enough) {
         return Predicted {
             seconds: scale * percentile(samples.clone(), settings.percentile),
             sampled: true,
@@ -48,10 +55,16 @@
     }
 }
 
-fn percentile(mut samples: Vec<f32>, part: f64) -> f64 {
+/// What samples are fractions of.
+fn sample_scale(estimate_s: f64) -> f64 {
+    if estimate_s > 0.0 { estimate_s } else { 1.0 }
+}
+
+/// The sample at a percentile from 0 to 1; 0 without samples.
+fn percentile(mut samples: Vec<f32>, percentile: f64) -> f64 {
     samples.sort_by(f32::total_cmp);
     let last = samples.len().saturating_sub(1);
-    let at = (part * last as f64).round() as usize;
+    let at = (percentile * last as f64).round() as usize;
     samples.get(at.min(last)).copied().unwrap_or(0.0).into()
 }
 
@@ -63,6 +76,8 @@
 }
 
 impl History {
+    /// Adds the run time of a task whose job came with an estimate. Bounded: what is too much is
+    /// dropped.
     pub(crate) fn add(
         &mut self,
         pipeline: &Pipeline,
@@ -70,17 +85,17 @@
         estimate_s: f64,
         ran: Millis,
     ) {
-        let scale = if estimate_s > 0.0 { estimate_s } else { 1.0 };
-        let sample = (ran.secs() / scale) as f32;
-        if self.fresh.len() < 1000 || self.fresh.contains_key(pipeline) {
+        let sample = (ran.secs() / sample_scale(estimate_s)) as f32;
+        if self.fresh.len() < MAX_FRESH_PIPELINES || self.fresh.contains_key(pipeline) {
             let samples = self.fresh.entry(pipeline.clone()).or_default();
-            if samples.len() < 4 * SAMPLES {
+            if samples.len() < MAX_FRESH_SAMPLES {
                 samples.push((type_name.clone(), sample));
             }
         }
     }
 
-    /// The next record to write, with the fresh samples merged in, as many as fit into a value.
+    /// The next record to write, with its pipeline's unwritten samples merged in, as many as fit
+    /// into `value_bytes`.
     pub(crate) fn next(
         &mut self,
         cache: &WatchCache,
@@ -95,19 +110,20 @@
         for (type_name, sample) in fresh {
             let samples = record.types.entry(type_name).or_default();
             samples.push(sample);
-            let excess = samples.len().saturating_sub(SAMPLES);
+            let excess = samples.len().saturating_sub(MAX_SAMPLES);
             samples.drain(..excess);
         }
         shrink(&mut record, value_bytes);
         Some((pipeline, record))
     }
 
+    /// Forgets all unwritten samples.
     pub(crate) fn clear(&mut self) {
         self.fresh.clear();
     }
 }
 
-/// Drops the oldest samples of the types that have most, until a record fits.
+/// Drops the oldest samples of the types that have the most, until a record fits.
 fn shrink(record: &mut HistoryRecord, value_bytes: usize) {
     let size = |record: &HistoryRecord| serde_json::to_vec(record).map_or(0, |json| json.len());
     while size(record) > value_bytes {
--- a/src/planning/history/tests.rs
+++ b/src/planning/history/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::sample_config;
 
 #[test]
-fn predictions_use_the_types_own_samples_then_all_then_the_estimate() {
+fn prediction_uses_samples_of_the_type_then_of_all_types_then_the_estimate() {
     let settings = Settings::default();
     let (a, b) = (TypeName::from("a"), TypeName::from("b"));
     let mut history = History::default();
@@ -38,10 +38,10 @@
 
 /// Samples of many types, written under a larger limit, are cut to a smaller one.
 #[test]
-fn a_record_that_was_larger_shrinks_to_the_value_limit() {
+fn record_shrinks_to_the_value_limit() {
     let mut record = HistoryRecord::default();
     for n in 0..40 {
-        let samples = (0..SAMPLES).map(|s| 1.0 / (n + s + 3) as f32);
+        let samples = (0..MAX_SAMPLES).map(|s| 1.0 / (n + s + 3) as f32);
         let name = format!("type-{n:02}");
         record.types.insert(name.as_str().into(), samples.collect());
     }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn samples_are_bounded() {
+fn samples_of_a_type_are_bounded() {
     let mut history = History::default();
     for _ in 0..10_000 {
         history.add(&"p".into(), &"a".into(), 0.0, Millis(1000));
@@ -61,5 +61,5 @@
     let (_, record) = history
         .next(&WatchCache::new(&sample_config()), 8192)
         .expect("record");
-    assert_eq!(record.types[&TypeName::from("a")].len(), SAMPLES);
+    assert_eq!(record.types[&TypeName::from("a")].len(), MAX_SAMPLES);
 }
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -1,5 +1,5 @@
-//! The design's ordinary path: predictions from a pipeline's own history, and the plans that are
-//! made at acceptance.
+//! Planning: run times predicted from a pipeline's own history, plans of jobs that are accepted,
+//! completion counters, and the cancellation of dependents.
 
 mod cancel_dependents;
 pub(crate) mod counter;
@@ -8,8 +8,7 @@
 mod pipeline;
 
 pub(crate) use cancel_dependents::cancel_dependents;
-pub(crate) use graph::{Graph, Node, plan};
-pub(crate) use history::{History, predict};
+pub(crate) use history::History;
 pub(crate) use pipeline::plan_job;
 
 use crate::store::watch_cache::LiveJob;
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -1,10 +1,11 @@
-//! Plans for accepted jobs: each is planned within the part of its pipeline that is known and not
-//! finished, as the design's ordinary path has it (the paper's II.D).
+//! Plans of accepted jobs: each is planned within the part of its pipeline that is known and not
+//! finished (the paper's II.D).
 //!
 //! Children are accepted after their parents were planned, so the plan of a pipeline is made anew
-//! with each of them. Jobs that run already keep theirs.
+//! with each of them. Jobs that already run keep theirs.
 
-use super::{Graph, Node, plan, predict};
+use super::graph::{Graph, Node, plan};
+use super::history::predict;
 use crate::ids::{JobId, MachineId};
 use crate::protocol::{JobSpec, MachineType};
 use crate::store::records::PlanRecord;
@@ -14,14 +15,14 @@
 
 /// Jobs of one pipeline that are planned together; of a larger one those nearest to the new job.
 /// Enough for any plan to be as good, and few enough for planning to cost the same each time.
-const MEMBERS: usize = 64;
+const MAX_MEMBERS: usize = 64;
 
 /// The plan of a job that was just accepted, and the changed ones of jobs that wait with it.
 pub(crate) fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
     let members = members(id, cache);
     let settings = cache.settings();
     let graph = graph(&members, cache);
-    let made = plan(&graph, settings.group_cap as usize);
+    let plan = plan(&graph, settings.group_cap as usize);
     let mut plans = Vec::new();
     for (at, member) in members.iter().enumerate() {
         let Some(spec) = cache.job_spec(member) else {
@@ -30,28 +31,34 @@
         if member != id && !cache.dependency_graph.contains(member) {
             continue;
         }
-        let joined = joined_parent(at, &graph, &made.groups);
+        let joined = joined_parent(at, &graph, &plan.groups);
         let record = PlanRecord {
-            type_name: types(spec, cache)
-                .get(made.types[at])
-                .map(|t| t.name.clone()),
-            machines: machines_with_image(spec, cache),
-            predicted_s: graph.nodes[at]
-                .times
-                .get(made.types[at])
-                .map_or(spec.estimate_s, |t| t.seconds),
             joins: joined.map(|parent| members[parent].clone()),
+            ..plan_record(spec, &graph.nodes[at], plan.types[at], cache)
         };
-        let is_new =
+        let is_changed =
             |old: &PlanRecord| (&old.type_name, &old.joins) != (&record.type_name, &record.joins);
-        if member == id || cache.plan(member).is_some_and(is_new) {
+        if member == id || cache.plan(member).is_some_and(is_changed) {
             plans.push((member.clone(), record));
         }
     }
     plans
 }
 
-/// The jobs of a pipeline that are not over, parents first.
+/// The plan of a job with one of its allowed types, without a parent to join.
+fn plan_record(spec: &JobSpec, node: &Node, type_index: usize, cache: &WatchCache) -> PlanRecord {
+    let allowed = allowed_types(spec, cache);
+    let predicted = node.times.get(type_index);
+    PlanRecord {
+        type_name: allowed.get(type_index).map(|t| t.name.clone()),
+        machines: machines_with_image(spec, cache),
+        predicted_s: predicted.map_or(spec.estimate_s, |t| t.seconds),
+        joins: None,
+    }
+}
+
+/// The jobs of a pipeline that have no final state, parents first: up to a number of them, those
+/// nearest to `id`.
 fn members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
     let mut found = BTreeSet::from([id.clone()]);
     let mut queue = VecDeque::from([id.clone()]);
@@ -59,25 +66,26 @@
         let parents = cache.job_spec(&next).map(|spec| spec.dependencies.clone());
         let parents = parents.into_iter().flatten();
         let parents = parents.filter(|p| cache.job_spec(p).is_some());
-        let near = parents.chain(cache.dependency_graph.dependents(&next).cloned());
-        for other in near {
-            if found.len() < MEMBERS && found.insert(other.clone()) {
-                queue.push_back(other);
+        let neighbors = parents.chain(cache.dependency_graph.dependents(&next).cloned());
+        for neighbor in neighbors {
+            if found.len() < MAX_MEMBERS && found.insert(neighbor.clone()) {
+                queue.push_back(neighbor);
             }
         }
     }
     parents_first(found, cache)
 }
 
+/// Jobs in an order in which parents come before their children.
 fn parents_first(mut open: BTreeSet<JobId>, cache: &WatchCache) -> Vec<JobId> {
     let mut ordered = Vec::with_capacity(open.len());
     while !open.is_empty() {
-        let free = |id: &&JobId| {
+        let has_no_open_parent = |id: &&JobId| {
             let spec = cache.job_spec(id);
             let mut parents = spec.into_iter().flat_map(|s| &s.dependencies);
             !parents.any(|p| open.contains(p))
         };
-        let mut next: Vec<JobId> = open.iter().filter(free).cloned().collect();
+        let mut next: Vec<JobId> = open.iter().filter(has_no_open_parent).cloned().collect();
         if next.is_empty() {
             // Only accepted jobs can be named, so there is no cycle.
             next = open.iter().cloned().collect();
@@ -90,15 +98,16 @@
     ordered
 }
 
+/// The graph of some jobs that are listed parents first.
 fn graph(members: &[JobId], cache: &WatchCache) -> Graph {
     let mut graph = Graph::default();
     for (at, id) in members.iter().enumerate() {
         let Some(spec) = cache.job_spec(id) else {
             continue;
         };
-        let place = |parent: &JobId| members[..at].iter().position(|m| m == parent);
+        let index_of = |parent: &JobId| members[..at].iter().position(|m| m == parent);
         graph.nodes.push(Node {
-            parents: spec.dependencies.iter().filter_map(place).collect(),
+            parents: spec.dependencies.iter().filter_map(index_of).collect(),
             ..node(spec, cache)
         });
     }
@@ -109,7 +118,7 @@
 fn node(spec: &JobSpec, cache: &WatchCache) -> Node {
     let settings = cache.settings();
     let history = cache.history.get(&spec.pipeline).map(|h| &h.value);
-    let types = types(spec, cache).into_iter();
+    let types = allowed_types(spec, cache).into_iter();
     Node {
         parents: Vec::new(),
         output: spec.tasks,
@@ -120,7 +129,7 @@
 }
 
 /// The types that a job may use, strongest first.
-fn types<'a>(spec: &JobSpec, cache: &'a WatchCache) -> Vec<&'a MachineType> {
+fn allowed_types<'a>(spec: &JobSpec, cache: &'a WatchCache) -> Vec<&'a MachineType> {
     let mut allowed: Vec<&MachineType> = cache
         .catalog
         .iter()
@@ -139,11 +148,11 @@
 /// The parent whose placement group a job shares: the one with the largest output.
 fn joined_parent(at: usize, graph: &Graph, groups: &[usize]) -> Option<usize> {
     let parents = graph.nodes[at].parents.iter().copied();
-    let mates = parents.filter(|parent| groups[*parent] == groups[at]);
-    mates.max_by_key(|parent| (graph.nodes[*parent].output, Reverse(*parent)))
+    let in_same_group = parents.filter(|parent| groups[*parent] == groups[at]);
+    in_same_group.max_by_key(|parent| (graph.nodes[*parent].output, Reverse(*parent)))
 }
 
-/// The group of the pipeline's last run with the same image, where that still stands.
+/// The placement group of a job: the machines that have its image, up to a number of them.
 fn machines_with_image(spec: &JobSpec, cache: &WatchCache) -> Vec<MachineId> {
     let mut machines: Vec<(usize, &MachineId)> = cache
         .machines
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -54,7 +54,7 @@
         plans
     }
 
-    /// The pipeline's history: parts of the estimate on each type.
+    /// Writes the history of a job's pipeline: run times as fractions of the estimate on each type.
     fn history(&mut self, id: &str, small: f32, large: f32) {
         let mut record = HistoryRecord::default();
         record.types.insert("small".into(), vec![small; 3]);
@@ -71,15 +71,15 @@
 }
 
 #[test]
-fn a_child_joins_its_parent_and_one_of_several_the_largest() {
+fn child_joins_its_parent_or_the_largest_of_several() {
     let mut scene = Scene::new();
     assert_eq!(joins(&scene.accept("job-1", 3, &[]), "job-1"), None);
     let only = scene.accept("job-2", 9, &["job-1"]);
     assert_eq!(joins(&only, "job-2").as_deref(), Some("job-1"));
     scene.accept("job-3", 2, &[]);
-    let gathers = scene.accept("job-4", 1, &["job-2", "job-3"]);
-    assert_eq!(joins(&gathers, "job-4").as_deref(), Some("job-2"));
-    // Jobs that are over, or never seen here, take no part.
+    let joined = scene.accept("job-4", 1, &["job-2", "job-3"]);
+    assert_eq!(joins(&joined, "job-4").as_deref(), Some("job-2"));
+    // Jobs that have a final state, or are unknown, take no part.
     let late = scene.accept("job-5", 1, &["job-9"]);
     assert_eq!(joins(&late, "job-5"), None);
 }
@@ -87,7 +87,7 @@
 /// The strongest type first; off the critical path a weaker one, and again the stronger one when a
 /// later child makes the path critical. Jobs that run already keep their plan.
 #[test]
-fn jobs_off_the_critical_path_step_down_and_waiting_ones_are_planned_anew() {
+fn jobs_off_the_critical_path_get_weaker_types_and_waiting_ones_are_replanned() {
     let mut scene = Scene::new();
     scene.history("job-2", 4.0, 2.0);
     scene.history("job-4", 9.0, 5.0);
@@ -109,7 +109,7 @@
     assert_eq!(
         joins(&short, "job-2"),
         None,
-        "planned anew: it is the longer one"
+        "replanned: it is the longer one"
     );
     for id in &short_ones[1..] {
         scene.accept(id, 1, &["job-1"]);
@@ -125,14 +125,14 @@
 
 /// However large a pipeline is, a bounded part of it is planned with each job.
 #[test]
-fn a_part_of_a_large_pipeline_is_planned_with_each_job() {
+fn planning_is_bounded_for_a_large_pipeline() {
     let mut scene = Scene::new();
     scene.accept("job-0", 1, &[]);
     for n in 1..300 {
         let (id, parent) = (format!("job-{n}"), format!("job-{}", n - 1));
         scene.accept(&id, 1, &[&parent]);
     }
-    assert_eq!(members(&"job-299".into(), &scene.cache).len(), MEMBERS);
+    assert_eq!(members(&"job-299".into(), &scene.cache).len(), MAX_MEMBERS);
     let plan = scene.cache.plan(&"job-299".into()).expect("plan");
     assert_eq!(plan.joins.as_ref().map(|j| j.as_str()), Some("job-298"));
 }
