--- a/src/planning/counter/tests.rs
+++ b/src/planning/counter/tests.rs
@@ -13,7 +13,6 @@
 struct PlainStore {
     revision: u64,
     revisions: BTreeMap<String, Revision>,
-    writes: usize,
     largest: usize,
 }
 
@@ -27,7 +26,6 @@
         let revision = Revision(self.revision);
         let mut events = Vec::new();
         for change in &txn.changes {
-            self.writes += 1;
             let (put, delete, value) = match change {
                 Change::Put { key, value, .. } => {
                     self.largest = self.largest.max(value.to_string().len());
