--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, under its rate.
+//! Calls to the cloud, limited to its rate.
 
 use crate::cloud::RentOutcome;
 use crate::http::{Client, Method, Response};
@@ -12,27 +12,31 @@
 use std::time::{Duration, Instant};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-const BODY_LIMIT: usize = 2 * 1024 * 1024;
-const MOST_PAGES: usize = 40;
+const RESPONSE_LIMIT: usize = 2 * 1024 * 1024;
+const MAX_LIST_PAGES: usize = 40;
 
+/// The client of the cloud. A call that the rate limiter refuses, or that has no usable answer, is
+/// left to the controller to repeat.
 pub(super) struct CloudCalls {
     client: Client,
     addr: SocketAddr,
-    bucket: RefCell<TokenBucket>,
+    rate_limiter: RefCell<TokenBucket>,
     started: Instant,
 }
 
 impl CloudCalls {
+    /// A client that calls `addr` at most `rps` times a second; its clock starts at `started`.
     pub(super) fn new(addr: SocketAddr, rps: f64, started: Instant) -> Self {
         Self {
-            client: Client::new(BODY_LIMIT, 1),
+            client: Client::new(RESPONSE_LIMIT, 1),
             addr,
-            bucket: RefCell::new(TokenBucket::new(rps)),
+            rate_limiter: RefCell::new(TokenBucket::new(rps)),
             started,
         }
     }
 
-    /// Deletions come first, then rentals, then lists and the catalog.
+    /// Calls the cloud once. The classes let deletions come first, then rentals, then lists and the
+    /// catalog. `None`: refused by the rate limiter, or unanswered.
     async fn call(
         &self,
         class: RequestClass,
@@ -41,20 +45,20 @@
         body: &impl serde::Serialize,
     ) -> Option<Response> {
         let now = MonotonicTime(self.started.elapsed().as_millis() as u64);
-        if !self.bucket.borrow_mut().try_acquire(now, 1.0, class) {
+        if !self.rate_limiter.borrow_mut().try_acquire(now, 1.0, class) {
             return None;
         }
         let body = match method {
             Method::Get => Vec::new(),
             _ => serde_json::to_vec(body).ok()?,
         };
-        let answer = self
+        let result = self
             .client
             .call(self.addr, method, path, &body, CALL_TIMEOUT)
             .await;
-        let response = answer.ok()?;
+        let response = result.ok()?;
         if response.status == 429 {
-            self.bucket.borrow_mut().drain(now);
+            self.rate_limiter.borrow_mut().drain(now);
         }
         Some(response)
     }
@@ -71,45 +75,56 @@
             .ok()
     }
 
+    /// The machine types, zones and images on offer.
     pub(super) async fn catalog(&self) -> Option<Catalog> {
         self.get(path::CATALOG).await
     }
 
+    /// All machines that are rented, read page by page. `None`: not all could be read.
     pub(super) async fn list(&self) -> Option<Vec<ListedMachine>> {
-        let mut all: Vec<ListedMachine> = Vec::new();
-        for _ in 0..MOST_PAGES {
-            let page: MachineList = self.get(&machines_path(all.last().map(|m| &m.id))).await?;
+        let mut machines: Vec<ListedMachine> = Vec::new();
+        for _ in 0..MAX_LIST_PAGES {
+            let page: MachineList = self
+                .get(&machines_path(machines.last().map(|machine| &machine.id)))
+                .await?;
             let more = page.more && !page.machines.is_empty();
-            all.extend(page.machines);
+            machines.extend(page.machines);
             if !more {
                 break;
             }
         }
-        Some(all)
+        Some(machines)
     }
 
+    /// Rents machines.
     pub(super) async fn rent(&self, request: &RentRequest) -> RentOutcome {
-        let answer = self
+        let response = self
             .call(RequestClass::Place, Method::Post, path::MACHINES, request)
             .await;
-        match answer {
-            Some(r) if r.status == 200 => serde_json::from_slice::<MachineNames>(&r.body)
-                .map_or(RentOutcome::Again, |n| RentOutcome::Rented(n.machines)),
-            Some(r) if r.status == 400 => RentOutcome::Malformed,
+        match response {
+            Some(response) if response.status == 200 => {
+                serde_json::from_slice::<MachineNames>(&response.body)
+                    .map_or(RentOutcome::Again, |rented| {
+                        RentOutcome::Rented(rented.machines)
+                    })
+            }
+            Some(response) if response.status == 400 => RentOutcome::Malformed,
             // "no capacity" and an outage share a status.
-            Some(r) if r.status == 503 && contains(&r.body, b"no capacity") => {
+            Some(response)
+                if response.status == 503 && contains(&response.body, b"no capacity") =>
+            {
                 RentOutcome::NoCapacity
             }
             _ => RentOutcome::Again,
         }
     }
 
-    /// `true`: the machines and everything on them are gone.
+    /// Returns machines to the cloud. `true`: they and everything on them are gone.
     pub(super) async fn delete(&self, ids: &[MachineId]) -> bool {
         let names = MachineNames {
             machines: ids.to_vec(),
         };
-        let answer = self
+        let response = self
             .call(
                 RequestClass::Lease,
                 Method::Post,
@@ -117,10 +132,10 @@
                 &names,
             )
             .await;
-        answer.is_some_and(|r| r.status == 200)
+        response.is_some_and(|response| response.status == 200)
     }
 }
 
 fn contains(body: &[u8], text: &[u8]) -> bool {
-    body.windows(text.len()).any(|w| w == text)
+    body.windows(text.len()).any(|window| window == text)
 }
--- /dev/null
+++ b/src/daemon/effects.rs
@@ -0,0 +1,130 @@
+//! Carries out the controller's effects and returns their outcomes to it.
+
+use super::node::Node;
+use crate::controller::{Effect, TxnRequester};
+use crate::http::{Failure, Method, Response};
+use crate::ids::{FencingToken, JobId, MachineId, WorkerEpoch};
+use crate::protocol::store::Txn;
+use crate::protocol::{self, Command, Heartbeat, RentRequest, path};
+use crate::runtime;
+use crate::store::rate_limiter::RequestClass;
+use crate::worker_control::DirectCallOutcome;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+const WORKER_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+
+impl Node {
+    /// Sends messages at once and starts a routine for each other effect.
+    pub(super) fn execute(self: &Rc<Self>, effects: Vec<Effect>) {
+        for effect in effects {
+            let node = self.clone();
+            match effect {
+                Effect::Peer(member, message) => self.send(&member, message),
+                Effect::Txn {
+                    requester,
+                    class,
+                    txn,
+                } => runtime::spawn(node.run_transaction(requester, class, txn)),
+                Effect::Call {
+                    machine,
+                    addr,
+                    token,
+                    epoch,
+                    commands,
+                } => runtime::spawn(node.run_direct_call(machine, addr, token, epoch, commands)),
+                Effect::Rent(request) => runtime::spawn(node.rent_machines(request)),
+                Effect::Delete(ids) => runtime::spawn(node.delete_machines(ids)),
+                Effect::QueryOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
+                Effect::List => runtime::spawn(node.list_machines()),
+                Effect::Catalog => runtime::spawn(node.fetch_catalog()),
+            }
+        }
+    }
+
+    async fn run_transaction(
+        self: Rc<Self>,
+        requester: TxnRequester,
+        class: RequestClass,
+        txn: Txn,
+    ) {
+        let outcome = self.store.txn(class, &txn).await;
+        tracing::debug!(?requester, ?outcome, "transaction");
+        self.update(|controller, now| controller.on_txn(now, &requester, &outcome));
+    }
+
+    async fn run_direct_call(
+        self: Rc<Self>,
+        machine: MachineId,
+        addr: String,
+        token: FencingToken,
+        epoch: WorkerEpoch,
+        commands: Vec<Command>,
+    ) {
+        let outcome = match addr.parse() {
+            Err(_) => DirectCallOutcome::NotSent,
+            Ok(addr) => {
+                let body = protocol::commands(token, Some(epoch), &commands);
+                self.call_worker(addr, &body).await
+            }
+        };
+        self.update(|controller, now| controller.on_call(now, &machine, token, outcome));
+    }
+
+    async fn call_worker(&self, addr: SocketAddr, body: &[u8]) -> DirectCallOutcome {
+        let result = self
+            .workers
+            .call(
+                addr,
+                Method::Post,
+                path::COMMANDS,
+                body,
+                WORKER_CALL_TIMEOUT,
+            )
+            .await;
+        match result {
+            Ok(response) => direct_call_outcome(&response),
+            Err(Failure::NotSent) => DirectCallOutcome::NotSent,
+            Err(Failure::Unknown | Failure::TooLarge) => DirectCallOutcome::Unknown,
+        }
+    }
+
+    async fn rent_machines(self: Rc<Self>, request: RentRequest) {
+        let outcome = self.cloud.rent(&request).await;
+        tracing::info!(?request, ?outcome, "scale-out request answered");
+        self.update(|controller, now| controller.on_rent(now, &request, outcome));
+    }
+
+    async fn delete_machines(self: Rc<Self>, ids: Vec<MachineId>) {
+        let ok = self.cloud.delete(&ids).await;
+        tracing::info!(?ids, ok, "machine deletion answered");
+        self.update(|controller, now| controller.on_deleted(now, &ids, ok));
+    }
+
+    async fn query_job_outcome(self: Rc<Self>, job: JobId) {
+        if let Some(state) = self.api.final_outcome(&job).await {
+            self.update(|controller, now| controller.on_job_outcome(now, &job, state));
+        }
+    }
+
+    async fn list_machines(self: Rc<Self>) {
+        let machines = self.cloud.list().await;
+        self.update(|controller, now| controller.on_list(now, machines));
+    }
+
+    async fn fetch_catalog(self: Rc<Self>) {
+        let catalog = self.cloud.catalog().await;
+        self.update(|controller, now| controller.on_catalog(now, catalog));
+    }
+}
+
+fn direct_call_outcome(response: &Response) -> DirectCallOutcome {
+    let heartbeat = Heartbeat::parse(&response.body).ok();
+    match (response.status, heartbeat) {
+        (200, Some(heartbeat)) => DirectCallOutcome::Done(heartbeat),
+        (200, None) => DirectCallOutcome::Unknown,
+        (409 | 400, heartbeat) => DirectCallOutcome::Rejected(heartbeat),
+        _ => DirectCallOutcome::Unknown,
+    }
+}
--- /dev/null
+++ b/src/daemon/endpoint.rs
@@ -0,0 +1,96 @@
+//! The kinds of requests, and what `/admin/status` shows of the responses to each.
+
+use hdrhistogram::Histogram;
+use serde_json::{Map, Value, json};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+/// The longest latency that is told apart, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Decimal digits to which latencies are kept.
+const LATENCY_DIGITS: u8 = 2;
+
+/// What a request is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Endpoint {
+    /// Operators' status and settings.
+    Admin,
+    /// Cancellation of a job.
+    Cancel,
+    /// Anything that no endpoint serves.
+    Other,
+    /// Query of a job.
+    Poll,
+    /// Readiness, for the load balancer.
+    Ready,
+    /// Heartbeats of workers.
+    Heartbeat,
+    /// Submission of a job.
+    Submit,
+}
+
+impl Endpoint {
+    /// The name under which `/admin/status` shows it.
+    fn name(self) -> &'static str {
+        match self {
+            Self::Admin => "admin",
+            Self::Cancel => "cancel",
+            Self::Other => "other",
+            Self::Poll => "poll",
+            Self::Ready => "ready",
+            Self::Heartbeat => "report",
+            Self::Submit => "submit",
+        }
+    }
+}
+
+/// Responses by endpoint and status, and how long each took.
+#[derive(Default)]
+pub(super) struct ResponseStats {
+    counts: RefCell<BTreeMap<(Endpoint, u16), u64>>,
+    latencies: RefCell<BTreeMap<Endpoint, Histogram<u32>>>,
+}
+
+impl ResponseStats {
+    /// Counts a response with this status to a request that was received at `received`.
+    pub(super) fn record(&self, endpoint: Endpoint, status: u16, received: Instant) {
+        *self
+            .counts
+            .borrow_mut()
+            .entry((endpoint, status))
+            .or_default() += 1;
+        let mut latencies = self.latencies.borrow_mut();
+        if !latencies.contains_key(&endpoint)
+            && let Ok(histogram) = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
+        {
+            latencies.insert(endpoint, histogram);
+        }
+        if let Some(histogram) = latencies.get_mut(&endpoint) {
+            histogram.saturating_record(received.elapsed().as_micros() as u64);
+        }
+    }
+
+    /// For each endpoint its responses by status, and its latencies in milliseconds.
+    pub(super) fn to_json(&self) -> Value {
+        let mut endpoints = Map::new();
+        for (endpoint, histogram) in self.latencies.borrow().iter() {
+            let ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+            let entry = json!({
+                "answers": self.counts_by_status(*endpoint),
+                "ms": {"p50": ms(0.5), "p90": ms(0.9), "p99": ms(0.99), "max": ms(1.0)},
+            });
+            endpoints.insert(endpoint.name().to_owned(), entry);
+        }
+        Value::Object(endpoints)
+    }
+
+    fn counts_by_status(&self, endpoint: Endpoint) -> Map<String, Value> {
+        self.counts
+            .borrow()
+            .iter()
+            .filter(|((counted, _), _)| *counted == endpoint)
+            .map(|((_, status), count)| (status.to_string(), (*count).into()))
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/daemon/heartbeat_endpoint.rs
@@ -0,0 +1,47 @@
+//! Heartbeats of workers: sent here by the worker itself, or forwarded by a peer.
+
+use super::forwarding;
+use super::node::Node;
+use crate::http::{Request, Response};
+use crate::protocol::{self, Heartbeat};
+use crate::worker_control::HeartbeatAnswer;
+use std::rc::Rc;
+
+/// Answers a worker with its commands, or with the shard owner that it should send to.
+pub(super) async fn heartbeat(node: &Rc<Node>, request: &Request) -> Response {
+    let heartbeat = match Heartbeat::parse(&request.body) {
+        Ok(heartbeat) => heartbeat,
+        Err(message) => return Response::error(400, &message),
+    };
+    if !node.loaded.get() {
+        return Response::retry_later("not ready yet", 1);
+    }
+    let answer = node.update_and_get(|controller, now| controller.on_heartbeat(now, &heartbeat));
+    if let HeartbeatAnswer::Redirect(Some(owner)) = &answer {
+        let machine = &heartbeat.machine;
+        let forwarded = forwarding::forward_heartbeat(node, owner, machine, request).await;
+        if let Some(response) = forwarded {
+            return response;
+        }
+    }
+    to_response(answer)
+}
+
+/// Answers a heartbeat that a peer forwarded.
+pub(super) fn relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
+    let Ok(heartbeat) = Heartbeat::parse(body) else {
+        return Response::error(400, "unreadable report");
+    };
+    let answer =
+        node.update_and_get(|controller, now| controller.on_relayed_heartbeat(now, &heartbeat));
+    to_response(answer.unwrap_or(HeartbeatAnswer::Redirect(None)))
+}
+
+fn to_response(answer: HeartbeatAnswer) -> Response {
+    match answer {
+        HeartbeatAnswer::Commands(token, commands) => {
+            Response::new(200, protocol::commands(token, None, &commands))
+        }
+        HeartbeatAnswer::Redirect(owner) => Response::new(421, protocol::redirect(owner.as_ref())),
+    }
+}
--- /dev/null
+++ b/src/daemon/peer_messages.rs
@@ -0,0 +1,85 @@
+//! Messages from peers: those of the daemon itself are answered here, all others are inputs of the
+//! controller.
+
+use super::node::Node;
+use super::{heartbeat_endpoint, user_endpoints};
+use crate::http::{Method, Request, Response};
+use crate::ids::{MachineId, Member};
+use crate::peers::Message;
+use crate::protocol::path;
+use crate::runtime;
+use std::rc::Rc;
+
+impl Node {
+    /// Handles a message that was sent, directly or through a relay, by `from`.
+    pub(super) fn on_peer_message(self: &Rc<Self>, from: &Member, message: Message) {
+        match message {
+            Message::PeerStatus {
+                store_reachable,
+                reachable_peers,
+                missing_machines,
+            } => self.on_peer_status(from, store_reachable, reachable_peers, missing_machines),
+            Message::Relay { to, from, message } => self.on_relay(to, from, message),
+            Message::ForwardedRequest {
+                id,
+                post,
+                path,
+                body,
+            } => {
+                let method = if post { Method::Post } else { Method::Get };
+                let request = Request { method, path, body };
+                runtime::spawn(answer_forwarded(self.clone(), from.clone(), id, request));
+            }
+            Message::ForwardedResponse { id, status, body } => {
+                self.pending_forwards
+                    .complete(id, Response::new(status, body));
+            }
+            message => self.update(|controller, now| controller.on_peer(now, from, message)),
+        }
+    }
+
+    fn on_peer_status(
+        &self,
+        from: &Member,
+        store_reachable: bool,
+        reachable_peers: Vec<Member>,
+        missing_machines: Vec<MachineId>,
+    ) {
+        self.routes.borrow_mut().on_peer_status(
+            self.now(),
+            from,
+            reachable_peers,
+            missing_machines,
+        );
+        self.served_peers.record(from, store_reachable);
+    }
+
+    /// A message for another controller is sent on directly and never relayed again: whoever was
+    /// asked to relay reaches the other side itself.
+    fn on_relay(self: &Rc<Self>, to: Member, from: Member, message: Box<Message>) {
+        if to == self.config.member {
+            self.on_peer_message(&from, *message);
+            return;
+        }
+        let recipient = to.clone();
+        self.links
+            .send(&recipient, Message::Relay { to, from, message });
+    }
+}
+
+/// Decides a peer's request here; it is never forwarded again.
+async fn answer_forwarded(node: Rc<Node>, from: Member, id: u64, request: Request) {
+    let response = if request.method == Method::Post && request.path == path::HEARTBEAT {
+        heartbeat_endpoint::relayed_heartbeat(&node, &request.body)
+    } else {
+        user_endpoints::respond(&node, &request)
+            .await
+            .unwrap_or_else(|| Response::error(404, "no such path"))
+    };
+    let reply = Message::ForwardedResponse {
+        id,
+        status: response.status,
+        body: response.body,
+    };
+    node.send(&from, reply);
+}
--- /dev/null
+++ b/src/daemon/store_watch.rs
@@ -0,0 +1,76 @@
+//! The routine that keeps the watch cache: a snapshot of the key-value store, then its changes.
+
+use super::node::Node;
+use crate::config::Config;
+use crate::ids::Revision;
+use crate::runtime;
+use crate::store::watch_cache::WatchCache;
+use crate::store::{Store, StoreError, keys};
+use std::rc::Rc;
+use std::time::Duration;
+
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
+const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// Loads a snapshot and applies all changes to it; starts anew when the stream of changes is lost.
+pub(super) async fn watch_store(node: Rc<Node>) {
+    loop {
+        match load_snapshot(&node.store, &node.config).await {
+            Ok(cache) => {
+                let revision = cache.revision;
+                tracing::info!(%revision, jobs = cache.jobs.len(), machines = cache.machines.len(), "watch cache loaded");
+                node.loaded.set(true);
+                node.update(|controller, now| controller.on_snapshot(now, cache));
+                apply_changes(&node, revision).await;
+            }
+            Err(error) => {
+                tracing::debug!(%error, "watch cache not loaded");
+                runtime::sleep(SNAPSHOT_RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Applies all changes after `revision`, until the store no longer has the next ones.
+async fn apply_changes(node: &Rc<Node>, mut revision: Revision) {
+    loop {
+        match node.store.watch(keys::LIVE, revision, WATCH_TIMEOUT).await {
+            Ok(events) => {
+                revision = revision.max(events.revision);
+                node.update(|controller, now| {
+                    let (effects, _) = controller.on_events(now, events.revision, events.events);
+                    effects
+                });
+                // Each answer costs a request: the fewer are left, the more changes are collected
+                // for the next one.
+                runtime::sleep(node.store.watch_delay(MAX_WATCH_DELAY)).await;
+            }
+            Err(StoreError::Gone) => return,
+            Err(StoreError::Unavailable) => runtime::sleep(WATCH_RETRY_DELAY).await,
+        }
+    }
+}
+
+/// Reads all live records. Pages may be of different revisions: watching from the first one's
+/// brings whatever changed in between.
+async fn load_snapshot(store: &Store, config: &Config) -> Result<WatchCache, StoreError> {
+    let mut cache = WatchCache::new(config);
+    let mut first_revision = None;
+    let mut last_key: Option<String> = None;
+    loop {
+        let page = store.page(keys::LIVE, last_key.as_deref()).await?;
+        first_revision.get_or_insert(page.revision);
+        last_key = page.items.last().map(|item| item.key.clone());
+        let more = page.more && last_key.is_some();
+        for item in page.items {
+            cache.load(item);
+        }
+        if !more {
+            break;
+        }
+    }
+    cache.revision = first_revision.unwrap_or_default();
+    Ok(cache)
+}
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -51,6 +51,13 @@
     pub body: Vec<u8>,
 }
 
+impl Request {
+    /// The path up to its query.
+    pub(crate) fn path_without_query(&self) -> &str {
+        self.path.split('?').next().unwrap_or("")
+    }
+}
+
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Response {
     pub status: u16,
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -7,7 +7,7 @@
 mod channel;
 mod net;
 
-pub(crate) use channel::{Receiver, Sender, channel, oneshot};
+pub(crate) use channel::{Oneshot, Receiver, Sender, channel, oneshot};
 pub(crate) use net::{TcpListener, TcpStream};
 
 use std::cell::RefCell;
