--- a/src/config.rs
+++ b/src/config.rs
@@ -1,47 +1,58 @@
 //! The platform's settings file, checked before anything starts.
 
+mod error;
+mod settings_file;
 mod store_limits;
 mod team;
+mod validation;
 
+pub use error::ConfigError;
 pub(crate) use store_limits::{StateLimits, StateRates};
 pub(crate) use team::Team;
 
 use crate::ids::{Member, Millis, Pipeline, Resources, TeamId, Zone};
-use serde::Deserialize;
+use settings_file::{ObjectiveEntry, PeerEntry, QuotaSection, SettingsFile, TeamEntry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
+use validation::{address, check_name, invalid, not_negative, positive};
 
-#[derive(Debug, thiserror::Error)]
-pub enum Error {
-    #[error("cannot read {path}: {source}")]
-    Read {
-        path: String,
-        source: std::io::Error,
-    },
-    #[error("settings file: {0}")]
-    Parse(#[from] serde_json::Error),
-    #[error("settings field `{field}`: {problem}")]
-    Invalid {
-        field: String,
-        problem: &'static str,
-    },
-}
-
+/// A page of the key-value store's lists in bytes, in full and with room for what it is wrapped in.
+const STORE_PAGE_BYTES: f64 = 1024.0 * 1024.0;
+/// Parsed, an answer takes several times its size; that must stay a small part of the memory.
+const ANSWER_MEMORY_PART: f64 = 1.0 / 32.0;
+/// Fewer sockets don't suffice for peers, workers and users.
+const MIN_SOCKETS: usize = 64;
+const SHARDS_PER_CONTROLLER: u32 = 2;
+/// How long work within a guarantee may wait when no objective says so, in seconds.
+const DEFAULT_GUARANTEE_WITHIN_S: f64 = 10.0;
+
+/// The checked settings of one controller.
 #[derive(Debug, Clone)]
 pub struct Config {
+    /// This controller's name.
     pub(crate) member: Member,
+    /// The zone that it runs in.
     pub(crate) zone: Zone,
+    /// Where it serves HTTP.
     pub(crate) listen: SocketAddr,
+    /// Where it accepts the links of its peers.
     pub(crate) peer_listen: SocketAddr,
+    /// The other controllers, and where they accept links.
     pub(crate) peers: BTreeMap<Member, SocketAddr>,
+    /// The cloud's address.
     pub(crate) cloud_addr: SocketAddr,
+    /// The key-value store's address.
     pub(crate) state_addr: SocketAddr,
+    /// All controllers, this one included.
     pub(crate) controllers: u32,
+    /// The teams with their quotas.
     pub(crate) teams: BTreeMap<TeamId, Team>,
+    /// Time between two heartbeats of a worker.
     pub(crate) heartbeat_interval: Millis,
     /// Without an answer for so long a worker drops its tasks.
     pub(crate) worker_lease: Millis,
+    /// How long a gang's tasks wait for each other.
     pub(crate) gang_wait: Millis,
     /// Within this time all tasks of a cancelled job must be gone.
     pub(crate) cancel: Millis,
@@ -51,206 +62,49 @@
     /// Within this time the operators want the jobs of a pipeline done: the shortest of their
     /// objectives for it.
     pub(crate) finish_within: BTreeMap<Pipeline, Millis>,
+    /// The limits of the key-value store.
     pub(crate) state: StateLimits,
+    /// Requests that the cloud takes in a second.
     pub(crate) cloud_rps: f64,
+    /// How old the cloud's list of machines may be.
     pub(crate) list_lag: Millis,
+    /// Sockets that the process may have open.
     pub(crate) sockets: usize,
-    /// The largest answer of the key-value store that is read at once.
+    /// The largest answer of the key-value store that is read at once, in bytes.
     pub(crate) answer_bytes: usize,
 }
 
-/// A page of the key-value store's lists, in full and with room for what it is wrapped in.
-const PAGE: f64 = 1024.0 * 1024.0;
-/// Parsed, an answer takes several times its size; that must stay a small part of the memory.
-const ANSWER_PART: f64 = 1.0 / 32.0;
-
-#[derive(Deserialize)]
-struct File {
-    member: String,
-    area: String,
-    bind: String,
-    peer_bind: String,
-    others: Vec<FilePeer>,
-    services: FileServices,
-    params: FileParams,
-}
-
-#[derive(Deserialize)]
-struct FilePeer {
-    member: String,
-    addr: String,
-}
-
-#[derive(Deserialize)]
-struct FileServices {
-    cloud: String,
-    state: String,
-}
-
-#[derive(Deserialize)]
-struct FileParams {
-    teams: Vec<FileTeam>,
-    #[serde(default)]
-    objectives: Vec<FileObjective>,
-    workers: FileWorkers,
-    state: store_limits::FileState,
-    cloud: FileCloud,
-    quota: FileQuota,
-}
-
-#[derive(Deserialize)]
-struct FileTeam {
-    name: String,
-    cpus: f64,
-    cpus_max: f64,
-    gpus: f64,
-    gpus_max: f64,
-}
-
-#[derive(Deserialize)]
-struct FileObjective {
-    kind: String,
-    class: Option<String>,
-    within_s: Option<f64>,
-}
-
-#[derive(Deserialize)]
-struct FileWorkers {
-    report_s: f64,
-    lease_s: f64,
-    gang_wait_s: f64,
-    cancel_s: f64,
-}
-
-#[derive(Deserialize)]
-struct FileCloud {
-    rps: f64,
-    list_lag_s: f64,
-}
-
-#[derive(Deserialize)]
-struct FileQuota {
-    ram_mb: f64,
-    sockets: usize,
-}
-
-fn invalid<T>(field: &str, problem: &'static str) -> Result<T, Error> {
-    Err(Error::Invalid {
-        field: field.to_owned(),
-        problem,
-    })
-}
-
-fn name(field: &str, text: &str) -> Result<(), Error> {
-    let good = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if text.is_empty() || text.len() > 100 || !text.chars().all(good) {
-        return invalid(
-            field,
-            "must be a name of 1 to 100 letters, digits, '-', '_' or '.'",
-        );
-    }
-    Ok(())
-}
-
-fn address(field: &str, text: &str) -> Result<SocketAddr, Error> {
-    text.parse().or_else(|_| {
-        invalid(
-            field,
-            "must be an IP address and a port, such as 10.0.0.1:8080",
-        )
-    })
-}
-
-fn positive(field: &str, value: f64) -> Result<f64, Error> {
-    if value.is_finite() && value > 0.0 && value < 1e9 {
-        Ok(value)
-    } else {
-        invalid(field, "must be above 0")
-    }
-}
-
-fn not_negative(field: &str, value: f64) -> Result<f64, Error> {
-    if value.is_finite() && (0.0..1e9).contains(&value) {
-        Ok(value)
-    } else {
-        invalid(field, "must not be negative")
-    }
-}
-
-/// The shortest time for each pipeline among the objectives that say when its jobs should be done.
-fn finish_within(objectives: &[FileObjective]) -> BTreeMap<Pipeline, Millis> {
-    let mut shortest: BTreeMap<Pipeline, Millis> = BTreeMap::new();
-    for objective in objectives.iter().filter(|o| o.kind == "finished") {
-        let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) else {
-            continue;
-        };
-        let within = Millis::from_secs(within_s);
-        let entry = shortest.entry(class.as_str().into()).or_insert(within);
-        *entry = within.min(*entry);
-    }
-    shortest
-}
-
 impl Config {
-    pub fn load(path: &Path) -> Result<Self, Error> {
-        let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
+    /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::Read`] if the file can't be read, and whatever [`Config::parse`] returns.
+    pub fn load(path: &Path) -> Result<Self, ConfigError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.display().to_string(),
             source,
         })?;
         Self::parse(&text)
     }
 
-    pub fn parse(text: &str) -> Result<Self, Error> {
-        let file: File = serde_json::from_str(text)?;
-        name("member", &file.member)?;
-        name("area", &file.area)?;
-        let mut peers = BTreeMap::new();
-        for (i, peer) in file.others.iter().enumerate() {
-            name(&format!("others[{i}].member"), &peer.member)?;
-            let addr = address(&format!("others[{i}].addr"), &peer.addr)?;
-            let twice = peers.insert(Member::from(peer.member.as_str()), addr);
-            if twice.is_some() || peer.member == file.member {
-                return invalid(&format!("others[{i}].member"), "names a controller twice");
-            }
-        }
+    /// Checks the text of a settings file: a JSON object. Fields that are not known are ignored.
+    /// Fields that end in `_s` are in seconds, `_kb` in KiB, `_mb` in MiB; `rps` is a rate for a
+    /// second.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::Parse`] if the text is not JSON, lacks a field or has one of the wrong type;
+    /// [`ConfigError::Invalid`] for the first field whose value is out of its range or contradicts
+    /// another one.
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        let file: SettingsFile = serde_json::from_str(text)?;
+        check_name("member", &file.member)?;
+        check_name("area", &file.area)?;
+        let peers = peers(&file.member, &file.others)?;
         let params = &file.params;
-        let mut teams = BTreeMap::new();
-        for (i, team) in params.teams.iter().enumerate() {
-            let field = |f: &str| format!("params.teams[{i}].{f}");
-            name(&field("name"), &team.name)?;
-            not_negative(&field("cpus"), team.cpus)?;
-            not_negative(&field("gpus"), team.gpus)?;
-            not_negative(&field("cpus_max"), team.cpus_max)?;
-            not_negative(&field("gpus_max"), team.gpus_max)?;
-            // 0 means none: any guarantee is within no limit.
-            let kinds = [
-                ("cpus_max", team.cpus, team.cpus_max),
-                ("gpus_max", team.gpus, team.gpus_max),
-            ];
-            for (kind, guarantee, limit) in kinds {
-                if limit > 0.0 && limit < guarantee {
-                    return invalid(&field(kind), "a limit is below the guarantee");
-                }
-            }
-            let team_amounts = Team::new(
-                Resources::room(team.cpus, team.gpus, 0.0),
-                Resources::room(team.cpus_max, team.gpus_max, 0.0),
-            );
-            if teams
-                .insert(TeamId::from(team.name.as_str()), team_amounts)
-                .is_some()
-            {
-                return invalid(&field("name"), "names a team twice");
-            }
-        }
-        if params.quota.sockets < 64 {
-            return invalid("params.quota.sockets", "must be at least 64");
-        }
-        let within = params
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "guarantee")
-            .find_map(|o| o.within_s);
+        let teams = teams(&params.teams)?;
+        check_sockets(&params.quota)?;
         let workers = &params.workers;
         Ok(Self {
             member: file.member.as_str().into(),
@@ -262,36 +116,24 @@
             cloud_addr: address("services.cloud", &file.services.cloud)?,
             state_addr: address("services.state", &file.services.state)?,
             teams,
-            worker_lease: Millis::from_secs(positive("params.workers.lease_s", workers.lease_s)?),
-            heartbeat_interval: Millis::from_secs(positive(
-                "params.workers.report_s",
-                workers.report_s,
-            )?),
+            worker_lease: duration("params.workers.lease_s", workers.lease_s)?,
+            heartbeat_interval: duration("params.workers.report_s", workers.report_s)?,
             finish_within: finish_within(&params.objectives),
-            guarantee_patience: Millis::from_secs(within.unwrap_or(10.0) / 2.0),
-            cancel: Millis::from_secs(positive("params.workers.cancel_s", workers.cancel_s)?),
-            gang_wait: Millis::from_secs(positive(
-                "params.workers.gang_wait_s",
-                workers.gang_wait_s,
-            )?),
-            state: StateLimits::check(&params.state)?,
+            guarantee_patience: guarantee_patience(&params.objectives),
+            cancel: duration("params.workers.cancel_s", workers.cancel_s)?,
+            gang_wait: duration("params.workers.gang_wait_s", workers.gang_wait_s)?,
+            state: StateLimits::from_section(&params.state)?,
             cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
-            list_lag: Millis::from_secs(not_negative(
-                "params.cloud.list_lag_s",
-                params.cloud.list_lag_s,
-            )?),
+            list_lag: list_lag(params.cloud.list_lag_s)?,
             sockets: params.quota.sockets,
-            answer_bytes: (positive("params.quota.ram_mb", params.quota.ram_mb)?
-                * 1024.0
-                * 1024.0
-                * ANSWER_PART)
-                .max(PAGE) as usize,
+            answer_bytes: answer_bytes(&params.quota)?,
         })
     }
 
-    /// Two shards for each controller: when one ends, its machines spread over the others.
+    /// How many shards the machines are divided into: two for each controller, so that the machines
+    /// of one that ends spread over the others.
     pub(crate) fn shards(&self) -> u32 {
-        self.controllers * 2
+        self.controllers * SHARDS_PER_CONTROLLER
     }
 
     /// Tasks in one record of a completion counter: four fit into a byte of it, and the rest
@@ -302,5 +144,105 @@
     }
 }
 
+/// `others`: the peers of `member`.
+fn peers(member: &str, entries: &[PeerEntry]) -> Result<BTreeMap<Member, SocketAddr>, ConfigError> {
+    let mut peers = BTreeMap::new();
+    for (index, peer) in entries.iter().enumerate() {
+        let name_field = format!("others[{index}].member");
+        check_name(&name_field, &peer.member)?;
+        let addr = address(&format!("others[{index}].addr"), &peer.addr)?;
+        let duplicate = peers.insert(Member::from(peer.member.as_str()), addr);
+        if duplicate.is_some() || peer.member == member {
+            return invalid(&name_field, "names a controller twice");
+        }
+    }
+    Ok(peers)
+}
+
+/// `params.teams`.
+fn teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, Team>, ConfigError> {
+    let mut teams = BTreeMap::new();
+    for (index, entry) in entries.iter().enumerate() {
+        let field = |name: &str| format!("params.teams[{index}].{name}");
+        check_team(entry, &field)?;
+        let team = Team::new(
+            Resources::room(entry.cpus, entry.gpus, 0.0),
+            Resources::room(entry.cpus_max, entry.gpus_max, 0.0),
+        );
+        let duplicate = teams.insert(TeamId::from(entry.name.as_str()), team);
+        if duplicate.is_some() {
+            return invalid(&field("name"), "names a team twice");
+        }
+    }
+    Ok(teams)
+}
+
+fn check_team(entry: &TeamEntry, field: &impl Fn(&str) -> String) -> Result<(), ConfigError> {
+    check_name(&field("name"), &entry.name)?;
+    not_negative(&field("cpus"), entry.cpus)?;
+    not_negative(&field("gpus"), entry.gpus)?;
+    not_negative(&field("cpus_max"), entry.cpus_max)?;
+    not_negative(&field("gpus_max"), entry.gpus_max)?;
+    let quotas = [
+        ("cpus_max", entry.cpus, entry.cpus_max),
+        ("gpus_max", entry.gpus, entry.gpus_max),
+    ];
+    for (name, guarantee, limit) in quotas {
+        // A limit of 0 means none.
+        if limit > 0.0 && limit < guarantee {
+            return invalid(&field(name), "a limit is below the guarantee");
+        }
+    }
+    Ok(())
+}
+
+/// `params.objectives`: the shortest time for each pipeline whose jobs should be done in time.
+fn finish_within(objectives: &[ObjectiveEntry]) -> BTreeMap<Pipeline, Millis> {
+    let mut shortest: BTreeMap<Pipeline, Millis> = BTreeMap::new();
+    for objective in objectives.iter().filter(|o| o.kind == "finished") {
+        let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) else {
+            continue;
+        };
+        let within = Millis::from_secs(within_s);
+        let entry = shortest.entry(class.as_str().into()).or_insert(within);
+        *entry = within.min(*entry);
+    }
+    shortest
+}
+
+/// `params.objectives`: half of the time within which guarantees are to be met.
+fn guarantee_patience(objectives: &[ObjectiveEntry]) -> Millis {
+    let within_s = objectives
+        .iter()
+        .filter(|objective| objective.kind == "guarantee")
+        .find_map(|objective| objective.within_s);
+    Millis::from_secs(within_s.unwrap_or(DEFAULT_GUARANTEE_WITHIN_S) / 2.0)
+}
+
+/// A time above 0 that the file gives in seconds.
+fn duration(field: &str, seconds: f64) -> Result<Millis, ConfigError> {
+    Ok(Millis::from_secs(positive(field, seconds)?))
+}
+
+/// `params.cloud.list_lag_s`.
+fn list_lag(seconds: f64) -> Result<Millis, ConfigError> {
+    let seconds = not_negative("params.cloud.list_lag_s", seconds)?;
+    Ok(Millis::from_secs(seconds))
+}
+
+/// `params.quota.sockets`.
+fn check_sockets(quota: &QuotaSection) -> Result<(), ConfigError> {
+    if quota.sockets < MIN_SOCKETS {
+        return invalid("params.quota.sockets", "must be at least 64");
+    }
+    Ok(())
+}
+
+/// `params.quota.ram_mb`: how much of it an answer of the key-value store may take, in bytes.
+fn answer_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
+    let memory_bytes = positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
+    Ok((memory_bytes * ANSWER_MEMORY_PART).max(STORE_PAGE_BYTES) as usize)
+}
+
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/config/store_limits/tests.rs
+++ b/src/config/store_limits/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn sizes_keep_to_the_smaller_limits_and_rates_begin_with_the_larger() {
+fn size_limits_are_the_smaller_and_initial_rates_the_larger() {
     let now = limits_with(json!(null)).expect("no later limits");
     assert_eq!((now.value_bytes, now.txn_ops), (8192, 12));
     assert_eq!(now.rates, now.least_rates);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn later_limits_that_make_no_sense_are_named() {
+fn invalid_later_limits_are_named_in_the_error() {
     for (field, value) in [
         ("value_kb", json!(0)),
         ("txn_ops", json!(3)),
@@ -55,7 +55,7 @@
 /// The numbering of a completion counter's segments is part of what is stored: it must not follow
 /// from limits that only a later version of the program knows.
 #[test]
-fn the_layout_of_stored_counters_does_not_change_with_later_limits() {
+fn counter_segment_size_is_independent_of_later_limits() {
     let mut file = sample();
     let before = Config::parse(&file.to_string()).expect("valid");
     file["params"]["state"]["next"] = json!({"value_kb": 2.0});
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -2,9 +2,10 @@
 
 use crate::ids::Resources;
 
-/// Of each kind of room an amount, or none. Without a limit a team may use any amount of that
-/// kind. Without a guarantee of a kind, what a job takes of that kind does not count: a guarantee
-/// in cards is not broken by the CPUs that tasks with cards need as well.
+/// A team's guaranteed quota and quota limit: an amount of each kind of resource, or none. Without
+/// a limit a team may use any amount of that kind. Without a guarantee of a kind, what a job takes
+/// of that kind does not count: a guarantee of GPUs is not broken by the CPUs that tasks with GPUs
+/// need as well.
 #[derive(Debug, Clone)]
 pub(crate) struct Team {
     guarantee: [Option<u64>; 2],
@@ -12,16 +13,16 @@
 }
 
 /// The kinds that guarantees and limits are given in. Memory has neither.
-fn kinds(amounts: Resources) -> [u64; 2] {
+fn quota_kinds(amounts: Resources) -> [u64; 2] {
     [amounts.cpus, amounts.gpus]
 }
 
 fn above_zero(amounts: Resources) -> [Option<u64>; 2] {
-    kinds(amounts).map(|a| (a > 0).then_some(a))
+    quota_kinds(amounts).map(|amount| (amount > 0).then_some(amount))
 }
 
 impl Team {
-    /// A value of 0 means none.
+    /// A team with these quotas. An amount of 0 means none.
     pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
             guarantee: above_zero(guarantee),
@@ -29,9 +30,9 @@
         }
     }
 
-    /// What it may use; all there is of a kind without a limit.
+    /// What it may use; the largest amount of a kind without a limit.
     pub(crate) fn limit(&self) -> Resources {
-        let [cpus, gpus] = self.limit.map(|l| l.unwrap_or(u64::MAX));
+        let [cpus, gpus] = self.limit.map(|limit| limit.unwrap_or(u64::MAX));
         Resources {
             cpus,
             gpus,
@@ -39,30 +40,34 @@
         }
     }
 
-    /// Whether the guarantee speaks of anything that a task takes.
+    /// Whether the guarantee covers any kind that a task needs.
     pub(crate) fn guarantees(&self, need: Resources) -> bool {
-        let named = self.guarantee.iter().zip(kinds(need));
-        named.into_iter().any(|(g, need)| g.is_some() && need > 0)
+        self.guarantee
+            .iter()
+            .zip(quota_kinds(need))
+            .any(|(guarantee, need)| guarantee.is_some() && need > 0)
     }
 
-    /// Whether a use goes beyond the guarantee in any kind, those that it does not speak of
-    /// included.
+    /// Whether a use goes beyond the guarantee in any kind, those without a guarantee included.
     pub(crate) fn is_exceeded(&self, used: Resources) -> bool {
-        let each = self.guarantee.iter().zip(kinds(used));
-        each.into_iter().any(|(g, used)| used > g.unwrap_or(0))
+        self.guarantee
+            .iter()
+            .zip(quota_kinds(used))
+            .any(|(guarantee, used)| used > guarantee.unwrap_or(0))
     }
 
-    /// Whether a sum of needs stays within the guarantee.
+    /// Whether a sum of needs stays within the guarantee, of the kinds that have one.
     pub(crate) fn covers(&self, sum: Resources) -> bool {
-        let each = self.guarantee.iter().zip(kinds(sum));
-        each.into_iter()
-            .all(|(g, used)| g.is_none_or(|g| used <= g))
+        self.guarantee
+            .iter()
+            .zip(quota_kinds(sum))
+            .all(|(guarantee, used)| guarantee.is_none_or(|guarantee| used <= guarantee))
     }
 }
 
 #[cfg(test)]
 impl Team {
-    /// With so many CPUs, in thousandths.
+    /// A team with quotas of CPUs alone, in thousandths.
     pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
             cpus,
--- a/src/config/team/tests.rs
+++ b/src/config/team/tests.rs
@@ -8,9 +8,9 @@
     }
 }
 
-/// Every job of the dredging deployment was refused: its teams have limits in cards alone.
+/// A limit of 0 CPUs once refused every job of teams that have limits of GPUs alone.
 #[test]
-fn a_limit_in_cards_alone_leaves_cpus_free() {
+fn limit_of_gpus_alone_leaves_cpus_unlimited() {
     let team = Team::new(amounts(0, 60), amounts(0, 250));
     assert!(amounts(1_000_000, 250).fits(team.limit()));
     assert!(!amounts(1, 251).fits(team.limit()));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_guarantee_in_cards_alone_covers_cards_whatever_cpus_come_with_them() {
+fn guarantee_of_gpus_alone_ignores_cpus() {
     let team = Team::new(amounts(0, 60), amounts(0, 250));
     assert!(team.covers(amounts(1_000_000, 60)));
     assert!(!team.covers(amounts(1, 61)));
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// A valid settings file.
 pub(crate) fn sample() -> serde_json::Value {
     serde_json::json!({
         "member": "c0", "area": "a", "bind": "127.0.0.1:1", "peer_bind": "127.0.0.1:2",
@@ -20,12 +21,13 @@
     })
 }
 
+/// The checked settings of [`sample`].
 pub(crate) fn sample_config() -> Config {
     Config::parse(&sample().to_string()).expect("the sample is valid")
 }
 
 #[test]
-fn unknown_fields_are_ignored_and_limits_come_from_the_file() {
+fn unknown_fields_are_ignored_and_limits_are_read() {
     let config = sample_config();
     assert_eq!(config.controllers, 3);
     assert_eq!(config.state.txn_ops, 12);
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn what_is_missing_mistyped_or_nonsensical_is_named() {
+fn invalid_or_missing_fields_are_named_in_the_error() {
     let cases: [(&str, serde_json::Value, &str); 8] = [
         ("/bind", "nowhere".into(), "`bind`"),
         ("/member", "".into(), "`member`"),
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn jobs_are_due_by_the_shortest_objective_for_their_pipeline() {
+fn shortest_finish_objective_of_a_pipeline_applies() {
     let mut file = sample();
     file["params"]["objectives"] = serde_json::json!([
         {"kind": "finished", "class": "clean", "within_s": 150.0, "share": 0.98},
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -75,7 +75,7 @@
             .ok()
     }
 
-    /// The machine types, zones and images on offer.
+    /// The machine types on offer.
     pub(super) async fn catalog(&self) -> Option<Catalog> {
         self.get(path::CATALOG).await
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,5 +26,5 @@
 mod store;
 mod worker_control;
 
-pub use config::{Config, Error as ConfigError};
+pub use config::{Config, ConfigError};
 pub use daemon::run;
