--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,8 +1,7 @@
-//! The client: a small pool of kept connections for each address, and a timeout on every call.
+//! The client: a small pool of idle connections for each address, and a timeout on every call.
 
-use super::{
-    Framing, HEAD_LIMIT, MAX_HEADERS, Method, Response, decode_chunks, invalid, too_large,
-};
+use super::framing::{Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks, invalid, too_large};
+use super::message::{Method, Response};
 use crate::runtime::{self, TcpStream};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,37 +11,47 @@
 use std::time::Duration;
 
 /// Idle connections kept for one address.
-const IDLE_LIMIT: usize = 8;
+const MAX_IDLE_PER_ADDRESS: usize = 8;
+const READ_CHUNK_BYTES: usize = 8192;
 
-/// Why a call has no answer. The difference decides what may be concluded from it.
+/// Why a call has no response. The difference decides what may be concluded from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Failure {
+    /// The other side has seen nothing of the request.
     #[error("not sent")]
     NotSent,
+    /// The request may have been carried out or not.
     #[error("sent, outcome unknown")]
     Unknown,
-    /// Carried out, and answered with more than is read here.
+    /// Carried out, and answered with more than the client reads.
     #[error("the answer is too large")]
     TooLarge,
 }
 
+/// A client whose clones share their connections.
 #[derive(Clone)]
 pub(crate) struct Client {
+    /// Idle connections, by the address of the other side.
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<TcpStream>>>>,
-    /// Addresses with kept connections: fewer than there are to call would be churn.
-    most_idle: usize,
+    /// Most addresses with idle connections: with fewer than there are to call, connections would
+    /// be opened anew all the time.
+    max_idle_addresses: usize,
+    /// Largest body of a response, in bytes.
     body_limit: usize,
 }
 
 impl Client {
-    pub(crate) fn new(body_limit: usize, most_idle: usize) -> Self {
+    /// A client that reads bodies of at most `body_limit` bytes and keeps idle connections for at
+    /// most `max_idle_addresses` addresses.
+    pub(crate) fn new(body_limit: usize, max_idle_addresses: usize) -> Self {
         Self {
             idle: Rc::default(),
-            most_idle,
+            max_idle_addresses,
             body_limit,
         }
     }
 
+    /// Sends a request and waits at most `limit` for its response, of any status.
     pub(crate) async fn call(
         &self,
         addr: SocketAddr,
@@ -51,41 +60,35 @@
         body: &[u8],
         limit: Duration,
     ) -> Result<Response, Failure> {
-        let mut sent = Failure::NotSent;
+        // What an error or the end of the time means at the point that the exchange has reached.
+        let mut failure = Failure::NotSent;
         let exchange = async {
             let mut stream = match self.take_idle(addr) {
                 Some(stream) => stream,
                 None => TcpStream::connect(addr).await?,
             };
-            sent = Failure::Unknown;
-            let request = format!(
-                "{} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
-                method.as_str(),
-                body.len()
-            );
-            let mut bytes = request.into_bytes();
-            bytes.extend_from_slice(body);
-            stream.write_all(&bytes).await?;
-            let (response, keep) = self.read(&mut stream).await?;
-            if keep {
+            failure = Failure::Unknown;
+            stream.write_all(&encode(addr, method, path, body)).await?;
+            let received = self.read(&mut stream).await?;
+            if received.reusable {
                 self.keep(addr, stream);
             }
-            Ok::<_, io::Error>(response)
+            Ok::<_, io::Error>(received.response)
         };
-        let outcome = runtime::timeout(limit, exchange).await;
-        match outcome {
+        match runtime::timeout(limit, exchange).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 tracing::debug!(%addr, path, %error, "call failed");
                 match error.kind() {
                     io::ErrorKind::FileTooLarge => Err(Failure::TooLarge),
-                    _ => Err(sent),
+                    _ => Err(failure),
                 }
             }
-            None => Err(sent),
+            None => Err(failure),
         }
     }
 
+    /// An idle connection that the other side has not closed.
     fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_mut(&addr)?;
@@ -98,30 +101,32 @@
         None
     }
 
+    /// How many idle connections to an address are kept.
     #[cfg(test)]
     pub(crate) fn idle_count(&self, addr: SocketAddr) -> usize {
         self.idle.borrow().get(&addr).map_or(0, Vec::len)
     }
 
+    /// Keeps a connection for later calls, unless there are enough.
     fn keep(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() >= self.most_idle && !idle.contains_key(&addr) {
+        if idle.len() >= self.max_idle_addresses && !idle.contains_key(&addr) {
             idle.pop_first();
         }
         let streams = idle.entry(addr).or_default();
-        if streams.len() < IDLE_LIMIT {
+        if streams.len() < MAX_IDLE_PER_ADDRESS {
             streams.push(stream);
         }
     }
 
-    async fn read(&self, stream: &mut TcpStream) -> io::Result<(Response, bool)> {
+    async fn read(&self, stream: &mut TcpStream) -> io::Result<ReceivedResponse> {
         let mut buffer = Vec::new();
-        let mut chunk = vec![0; 8192];
+        let mut chunk = vec![0; READ_CHUNK_BYTES];
         loop {
             let n = stream.read(&mut chunk).await?;
             buffer.extend_from_slice(&chunk[..n]);
-            if let Some(answer) = parse(&buffer, self.body_limit, n == 0)? {
-                return Ok(answer);
+            if let Some(received) = parse(&buffer, self.body_limit, n == 0)? {
+                return Ok(received);
             }
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -130,16 +135,37 @@
     }
 }
 
-/// Reads a response from the bytes so far; `true` with it if the connection may be used again.
+/// A request as it is sent.
+fn encode(addr: SocketAddr, method: Method, path: &str, body: &[u8]) -> Vec<u8> {
+    let head = format!(
+        "{} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        method.as_str(),
+        body.len()
+    );
+    let mut bytes = head.into_bytes();
+    bytes.extend_from_slice(body);
+    bytes
+}
+
+/// A response that arrived in full.
+#[derive(Debug)]
+pub(super) struct ReceivedResponse {
+    response: Response,
+    /// Whether the connection may be used again.
+    reusable: bool,
+}
+
+/// Reads a response from the bytes so far, with a body of at most `limit` bytes. `None`: more bytes
+/// are needed. `at_end`: no more will come.
 pub(super) fn parse(
     buffer: &[u8],
     limit: usize,
     at_end: bool,
-) -> io::Result<Option<(Response, bool)>> {
+) -> io::Result<Option<ReceivedResponse>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(buffer) {
-        Ok(httparse::Status::Complete(used)) => used,
+    let head_length = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
             return Err(invalid("response head too large"));
         }
@@ -147,32 +173,28 @@
         Err(_) => return Err(invalid("not an HTTP response")),
     };
     let framing = Framing::read(head.headers)?;
-    let rest = &buffer[used..];
     let status = head.code.unwrap_or(0);
-    let (body, keep) = if framing.chunked {
-        match decode_chunks(rest, limit)? {
-            Some((body, _)) => (body, !framing.close),
-            None if buffer.len() > 2 * limit + HEAD_LIMIT => {
-                return Err(too_large());
-            }
-            None => return Ok(None),
-        }
-    } else if let Some(length) = framing.length {
-        if length > limit {
-            return Err(too_large());
-        }
-        match rest.get(..length) {
-            Some(body) => (body.to_vec(), !framing.close && rest.len() == length),
-            None => return Ok(None),
-        }
-    } else if status == 204 || status == 304 {
-        (Vec::new(), !framing.close)
-    } else if rest.len() > limit {
-        return Err(too_large());
-    } else if at_end {
-        (rest.to_vec(), false)
-    } else {
-        return Ok(None);
+    let rest = &buffer[head_length..];
+    let received = |body: Vec<u8>, reusable: bool| ReceivedResponse {
+        response: Response::new(status, body),
+        reusable,
     };
-    Ok(Some((Response::new(status, body), keep)))
+    let keep_alive = !framing.close;
+    if framing.chunked {
+        return match decode_chunks(rest, limit)? {
+            Some(body) => Ok(Some(received(body.bytes, keep_alive))),
+            None if buffer.len() > 2 * limit + HEAD_LIMIT => Err(too_large()),
+            None => Ok(None),
+        };
+    }
+    match framing.length {
+        Some(length) if length > limit => Err(too_large()),
+        Some(length) => Ok(rest
+            .get(..length)
+            .map(|body| received(body.to_vec(), keep_alive && rest.len() == length))),
+        None if status == 204 || status == 304 => Ok(Some(received(Vec::new(), keep_alive))),
+        None if rest.len() > limit => Err(too_large()),
+        // Without a length the body lasts as long as the connection.
+        None => Ok(at_end.then(|| received(rest.to_vec(), false))),
+    }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,21 +1,30 @@
-//! The server: one routine for each connection, bounded in number, size and patience.
+//! The server: one routine for each connection. Connections, bodies and waiting times are bounded.
 
-use super::{Framing, HEAD_LIMIT, MAX_HEADERS, Method, Request, Response, decode_chunks};
+use super::framing::{DecodedBody, Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks};
+use super::message::{Method, Request, Response};
 use crate::runtime::{self, TcpListener, TcpStream};
 use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Largest body of a request, in bytes.
 const BODY_LIMIT: usize = 64 * 1024;
-const IDLE: Duration = Duration::from_secs(120);
-const SLOW: Duration = Duration::from_secs(10);
+const READ_CHUNK_BYTES: usize = 4096;
+/// How long a connection may be open without a request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// How long a client may take for the next part of its request, or to accept a response.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// One in so many of the connections are closed after each answer, so that many more callers than
-/// there are connections take turns: a fleet may have more machines than a controller has sockets.
+/// The last one in so many of the connections are closed after each response, so that many more
+/// clients than there are connections take turns: a cluster may have more machines than a
+/// controller has sockets.
 const SHARED_PART: usize = 4;
 
-/// Accepts connections for ever and answers each request with `handler`.
+/// Accepts connections for ever, at most `limit` at a time, and answers each request with
+/// `handler`.
 pub(crate) async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
@@ -24,35 +33,40 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         match listener.accept().await {
-            // Over the limit the connection is closed at once: the caller tries another node.
+            // Over the limit the connection is closed at once: the client tries another node.
             Ok(stream) if open.get() >= limit => drop(stream),
             Ok(stream) => {
-                let held = Held::new(&open);
+                let slot = ConnectionSlot::take(&open);
                 let handler = handler.clone();
                 runtime::spawn(async move {
-                    let shared = || held.0.get() + limit / SHARED_PART > limit;
-                    connection(stream, handler, shared).await;
-                    drop(held);
+                    let is_shared = || slot.open_connections() + limit / SHARED_PART > limit;
+                    serve_connection(stream, handler, is_shared).await;
+                    drop(slot);
                 });
             }
             Err(error) => {
                 tracing::debug!(%error, "accept failed");
-                runtime::sleep(Duration::from_millis(20)).await;
+                runtime::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-struct Held(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Held {
-    fn new(count: &Rc<Cell<usize>>) -> Self {
-        count.set(count.get() + 1);
-        Self(count.clone())
+impl ConnectionSlot {
+    fn take(open: &Rc<Cell<usize>>) -> Self {
+        open.set(open.get() + 1);
+        Self(open.clone())
+    }
+
+    fn open_connections(&self) -> usize {
+        self.0.get()
     }
 }
 
-impl Drop for Held {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -61,79 +75,104 @@
 /// How far the bytes so far go towards a request.
 #[derive(Debug)]
 pub(super) enum Progress {
+    /// The rest has not arrived yet.
     More {
+        /// Whether the client waits for `100 Continue`.
         expects_continue: bool,
     },
+    /// A request arrived in full.
     Ready {
+        /// The request.
         request: Request,
+        /// How many bytes it took up.
         used: usize,
+        /// Whether the client wants the connection closed after the response.
         close: bool,
     },
+    /// The bytes are no request that is served: this is sent, and the connection closed.
     Refused(Response),
 }
 
+impl Progress {
+    fn refused(status: u16, message: &str) -> Self {
+        Self::Refused(Response::error(status, message))
+    }
+}
+
+/// Reads the first request from the bytes so far.
 pub(super) fn parse(buffer: &[u8]) -> Progress {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(buffer) {
-        Ok(httparse::Status::Complete(used)) => used,
+    let head_length = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Progress::Refused(Response::error(431, "request head too large"));
+            return Progress::refused(431, "request head too large");
         }
         Ok(httparse::Status::Partial) => {
             return Progress::More {
                 expects_continue: false,
             };
         }
-        Err(_) => return Progress::Refused(Response::error(400, "not HTTP/1.1")),
+        Err(_) => return Progress::refused(400, "not HTTP/1.1"),
     };
     let Ok(framing) = Framing::read(head.headers) else {
-        return Progress::Refused(Response::error(400, "bad request head"));
+        return Progress::refused(400, "bad request head");
     };
-    let close = framing.close || head.version == Some(0);
-    let more = Progress::More {
-        expects_continue: framing.expects_continue,
-    };
-    let (body, used) = if framing.chunked {
-        match decode_chunks(&buffer[used..], BODY_LIMIT) {
-            Ok(Some((body, n))) => (body, used + n),
-            // Chunk heads cost bytes too: an endless run of tiny chunks is cut off here.
-            Ok(None) if buffer.len() > 2 * BODY_LIMIT + HEAD_LIMIT => {
-                return Progress::Refused(Response::error(400, "body too large"));
-            }
-            Ok(None) => return more,
-            Err(_) => return Progress::Refused(Response::error(400, "bad or oversized body")),
-        }
-    } else {
-        let length = framing.length.unwrap_or(0);
-        if length > BODY_LIMIT {
-            return Progress::Refused(Response::error(400, "body over 64 KiB"));
-        }
-        match buffer.get(used..used + length) {
-            Some(body) => (body.to_vec(), used + length),
-            None => return more,
+    let body = match read_body(&buffer[head_length..], &framing, buffer.len()) {
+        Ok(Some(body)) => body,
+        Ok(None) => {
+            return Progress::More {
+                expects_continue: framing.expects_continue,
+            };
         }
+        Err(message) => return Progress::refused(400, message),
     };
     Progress::Ready {
         request: Request {
             method: Method::parse(head.method.unwrap_or("")),
             path: head.path.unwrap_or("/").to_owned(),
-            body,
+            body: body.bytes,
         },
-        used,
-        close,
+        used: head_length + body.consumed,
+        close: framing.close || head.version == Some(0),
     }
 }
 
-/// `shared`: whether others wait for connections.
-async fn connection<F, A>(mut stream: TcpStream, handler: F, shared: impl Fn() -> bool)
+/// Reads a body from the bytes after the head. `None`: more bytes are needed. An error says why the
+/// body is refused. `received`: the bytes of the head and of all that came after it.
+fn read_body(
+    input: &[u8],
+    framing: &Framing,
+    received: usize,
+) -> Result<Option<DecodedBody>, &'static str> {
+    if framing.chunked {
+        return match decode_chunks(input, BODY_LIMIT) {
+            // Chunk heads cost bytes too: an endless run of tiny chunks is cut off here.
+            Ok(None) if received > 2 * BODY_LIMIT + HEAD_LIMIT => Err("body too large"),
+            Ok(body) => Ok(body),
+            Err(_) => Err("bad or oversized body"),
+        };
+    }
+    let length = framing.length.unwrap_or(0);
+    if length > BODY_LIMIT {
+        return Err("body over 64 KiB");
+    }
+    Ok(input.get(..length).map(|body| DecodedBody {
+        bytes: body.to_vec(),
+        consumed: length,
+    }))
+}
+
+/// Serves one connection until either side closes it. `is_shared`: whether others wait for
+/// connections, so that this one is closed after its next response.
+async fn serve_connection<F, A>(mut stream: TcpStream, handler: F, is_shared: impl Fn() -> bool)
 where
     F: Fn(Request) -> A,
     A: Future<Output = Response>,
 {
     let mut buffer = Vec::new();
-    let mut chunk = vec![0; 4096];
-    let mut continued = false;
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    let mut continue_sent = false;
     loop {
         match parse(&buffer) {
             Progress::Ready {
@@ -142,29 +181,30 @@
                 close,
             } => {
                 buffer.drain(..used);
-                continued = false;
+                continue_sent = false;
                 let response = handler(request).await;
-                let close = close || shared();
-                let bytes = encode(&response, close);
-                let written = runtime::timeout(SLOW, stream.write_all(&bytes)).await;
-                if close || !matches!(written, Some(Ok(()))) {
+                let close = close || is_shared();
+                if !write(&mut stream, &encode(&response, close)).await || close {
                     return;
                 }
             }
             Progress::Refused(response) => {
-                runtime::timeout(SLOW, stream.write_all(&encode(&response, true))).await;
+                write(&mut stream, &encode(&response, true)).await;
                 return;
             }
             Progress::More { expects_continue } => {
-                if expects_continue && !continued {
-                    continued = true;
-                    let go = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
-                    if !matches!(runtime::timeout(SLOW, go).await, Some(Ok(()))) {
+                if expects_continue && !continue_sent {
+                    continue_sent = true;
+                    if !write(&mut stream, CONTINUE).await {
                         return;
                     }
                 }
-                let patience = if buffer.is_empty() { IDLE } else { SLOW };
-                match runtime::timeout(patience, stream.read(&mut chunk)).await {
+                let limit = if buffer.is_empty() {
+                    IDLE_TIMEOUT
+                } else {
+                    TRANSFER_TIMEOUT
+                };
+                match runtime::timeout(limit, stream.read(&mut chunk)).await {
                     Some(Ok(n)) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
                     _ => return,
                 }
@@ -173,7 +213,13 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+/// Whether the bytes could be written in time.
+async fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
+    let written = runtime::timeout(TRANSFER_TIMEOUT, stream.write_all(bytes)).await;
+    matches!(written, Some(Ok(())))
+}
+
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -188,11 +234,12 @@
     }
 }
 
+/// A response as it is sent; `close` announces the end of the connection.
 pub(super) fn encode(response: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
     if let Some(seconds) = response.retry_after {
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,11 +1,11 @@
-//! The decoders take any bytes: they answer, ask for more or refuse, and never panic.
+//! Requests and responses are parsed from any bytes without a panic; connections are bounded.
 
 use super::server::{Progress, parse};
 use super::{Response, client};
 use proptest::prelude::*;
 
 #[test]
-fn requests_are_cut_out_of_the_stream() {
+fn requests_are_parsed_from_a_stream() {
     let text = b"POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}GET / HTTP/1.1\r\n";
     let Progress::Ready {
         request,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn chunked_requests_and_connection_close_are_understood() {
+fn chunked_body_and_connection_close_are_parsed() {
     let text = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
     let Progress::Ready { request, close, .. } = parse(text) else {
         panic!("not ready");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn oversized_bodies_and_heads_are_refused_before_they_arrive() {
+fn oversized_bodies_and_heads_are_refused_early() {
     let body = b"POST /work HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
     assert!(matches!(parse(body), Progress::Refused(r) if r.status == 400));
     let mut head = b"GET / HTTP/1.1\r\nX: ".to_vec();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn retry_later_response_has_a_retry_after_header() {
     let text = String::from_utf8(super::server::encode(
         &Response::retry_later("busy", 3),
         false,
@@ -54,7 +54,7 @@
 
 /// Over the limit connections are closed at once; once others end, new ones are served.
 #[test]
-fn open_connections_are_bounded_and_so_are_idle_ones_of_the_client() {
+fn server_connections_and_client_idle_connections_are_bounded() {
     use crate::runtime::{self, TcpListener, TcpStream};
     runtime::run(async {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
@@ -96,7 +96,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400), cut in 0usize..80) {
+    fn parsers_accept_any_bytes_without_panicking(bytes in proptest::collection::vec(any::<u8>(), 0..400), cut in 0usize..80) {
         parse(&bytes);
         client::parse(&bytes, 100, false).ok();
         let mut text = b"POST /work HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
@@ -106,10 +106,9 @@
     }
 }
 
-/// Many more callers than connections: past a part of the limit each answer ends its connection, so
-/// all of them are answered in turn.
+/// Past a part of the limit each response ends its connection, so that all clients get a turn.
 #[test]
-fn near_the_limit_callers_take_turns() {
+fn more_clients_than_connections_are_all_served() {
     use crate::http::{Client, Method};
     use crate::runtime::{self, TcpListener};
     use std::rc::Rc;
