--- a/src/runtime/channel.rs
+++ b/src/runtime/channel.rs
@@ -1,4 +1,4 @@
-//! Queues between the routines of one thread.
+//! Unbounded queues between the routines of one thread.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,6 +18,7 @@
 /// The reading end.
 pub(crate) struct Receiver<T>(Rc<RefCell<Shared<T>>>);
 
+/// A queue with its first writing end.
 pub(crate) fn channel<T>() -> (Sender<T>, Receiver<T>) {
     let shared = Rc::new(RefCell::new(Shared {
         queue: VecDeque::new(),
@@ -28,6 +29,7 @@
 }
 
 impl<T> Sender<T> {
+    /// Appends a value and wakes the reader.
     pub(crate) fn send(&self, value: T) {
         let mut shared = self.0.borrow_mut();
         shared.queue.push_back(value);
@@ -36,7 +38,7 @@
         }
     }
 
-    /// How much waits unread, so that writers can keep a bound.
+    /// How many values are unread, so that writers can keep a bound.
     pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
@@ -78,10 +80,12 @@
         .await
     }
 
+    /// How many values are unread.
     pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
 
+    /// The next value, if there is one.
     pub(crate) fn try_recv(&mut self) -> Option<T> {
         self.0.borrow_mut().queue.pop_front()
     }
@@ -90,9 +94,10 @@
 /// The reading end of a channel for a single answer.
 pub(crate) struct Oneshot<T>(Receiver<T>);
 
+/// A channel for a single answer.
 pub(crate) fn oneshot<T>() -> (Sender<T>, Oneshot<T>) {
-    let (tx, rx) = channel();
-    (tx, Oneshot(rx))
+    let (sender, receiver) = channel();
+    (sender, Oneshot(receiver))
 }
 
 impl<T> Oneshot<T> {
--- /dev/null
+++ b/src/runtime/executor.rs
@@ -0,0 +1,354 @@
+//! The executor of one thread: its routines, and what each of them waits for.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::task::{Context, Wake, Waker};
+use std::time::Instant;
+
+const EVENT_CAPACITY: usize = 256;
+
+type Routine = Pin<Box<dyn Future<Output = ()>>>;
+
+/// Routines that were woken and wait for their turn.
+#[derive(Default)]
+struct ReadyQueue(Mutex<VecDeque<usize>>);
+
+impl ReadyQueue {
+    fn push(&self, slot: usize) {
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push_back(slot);
+    }
+
+    fn pop(&self) -> Option<usize> {
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop_front()
+    }
+}
+
+struct RoutineWaker {
+    slot: usize,
+    ready: Arc<ReadyQueue>,
+}
+
+impl Wake for RoutineWaker {
+    fn wake(self: Arc<Self>) {
+        self.ready.push(self.slot);
+    }
+
+    fn wake_by_ref(self: &Arc<Self>) {
+        self.ready.push(self.slot);
+    }
+}
+
+/// What a routine waits for a socket to become.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Readiness {
+    /// Bytes or a connection can be read.
+    Readable,
+    /// Bytes can be written.
+    Writable,
+}
+
+/// Who waits for a socket.
+#[derive(Default)]
+struct Interest {
+    read: Option<Waker>,
+    write: Option<Waker>,
+}
+
+/// Orders timers by their time; the id tells those of the same time apart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TimerKey {
+    at: Instant,
+    id: u64,
+}
+
+struct Slot {
+    /// Taken out while the routine runs.
+    future: Option<Routine>,
+    generation: u64,
+    waker: Waker,
+    cancelled: bool,
+}
+
+/// Names a routine so that its scope can end it; the generation keeps a reused slot safe.
+#[derive(Clone, Copy)]
+struct RoutineId {
+    slot: usize,
+    generation: u64,
+}
+
+/// The routines of a thread with their sockets and timers.
+pub(super) struct Executor {
+    registry: mio::Registry,
+    /// By the token under which the socket is registered.
+    interests: Vec<Option<Interest>>,
+    free_interests: Vec<usize>,
+    timers: BTreeMap<TimerKey, Waker>,
+    last_timer: u64,
+    slots: Vec<Option<Slot>>,
+    free_slots: Vec<usize>,
+    last_generation: u64,
+    ready: Arc<ReadyQueue>,
+}
+
+impl Executor {
+    fn new(registry: mio::Registry, ready: Arc<ReadyQueue>) -> Self {
+        Self {
+            registry,
+            interests: Vec::new(),
+            free_interests: Vec::new(),
+            timers: BTreeMap::new(),
+            last_timer: 0,
+            slots: Vec::new(),
+            free_slots: Vec::new(),
+            last_generation: 0,
+            ready,
+        }
+    }
+
+    /// Registers a socket and returns its token.
+    pub(super) fn register(&mut self, source: &mut impl mio::event::Source) -> io::Result<usize> {
+        let token = self.free_interests.pop().unwrap_or_else(|| {
+            self.interests.push(None);
+            self.interests.len() - 1
+        });
+        let both = mio::Interest::READABLE | mio::Interest::WRITABLE;
+        match self.registry.register(source, mio::Token(token), both) {
+            Ok(()) => {
+                self.interests[token] = Some(Interest::default());
+                Ok(token)
+            }
+            Err(error) => {
+                self.free_interests.push(token);
+                Err(error)
+            }
+        }
+    }
+
+    /// Frees the token of a socket that is about to be closed.
+    pub(super) fn deregister(&mut self, token: usize) {
+        self.interests[token] = None;
+        self.free_interests.push(token);
+    }
+
+    /// Wakes `waker` once the socket is ready again.
+    pub(super) fn wait_for_socket(&mut self, token: usize, readiness: Readiness, waker: Waker) {
+        if let Some(interest) = self.interests[token].as_mut() {
+            let waiting = match readiness {
+                Readiness::Readable => &mut interest.read,
+                Readiness::Writable => &mut interest.write,
+            };
+            *waiting = Some(waker);
+        }
+    }
+
+    /// Wakes `waker` at a time.
+    pub(super) fn add_timer(&mut self, at: Instant, waker: Waker) -> TimerKey {
+        self.last_timer += 1;
+        let key = TimerKey {
+            at,
+            id: self.last_timer,
+        };
+        self.timers.insert(key, waker);
+        key
+    }
+
+    /// Wakes another waker at a timer's time.
+    pub(super) fn replace_timer(&mut self, key: TimerKey, waker: Waker) {
+        self.timers.insert(key, waker);
+    }
+
+    /// Cancels a timer.
+    pub(super) fn remove_timer(&mut self, key: TimerKey) -> Option<Waker> {
+        self.timers.remove(&key)
+    }
+
+    /// How many timers are set.
+    #[cfg(test)]
+    pub(super) fn timer_count(&self) -> usize {
+        self.timers.len()
+    }
+
+    /// Takes the wakers of all that `events` and the clock make ready.
+    fn take_due_wakers(&mut self, events: &mio::Events) -> Vec<Waker> {
+        let mut wakers = Vec::new();
+        for event in events {
+            let Some(Some(interest)) = self.interests.get_mut(event.token().0) else {
+                continue;
+            };
+            if event.is_readable() || event.is_read_closed() || event.is_error() {
+                wakers.extend(interest.read.take());
+            }
+            if event.is_writable() || event.is_write_closed() || event.is_error() {
+                wakers.extend(interest.write.take());
+            }
+        }
+        let now = Instant::now();
+        while let Some(entry) = self.timers.first_entry() {
+            if entry.key().at > now {
+                break;
+            }
+            wakers.push(entry.remove());
+        }
+        wakers
+    }
+
+    fn add_routine(&mut self, future: Routine) -> RoutineId {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push(None);
+            self.slots.len() - 1
+        });
+        self.last_generation += 1;
+        let waker = Waker::from(Arc::new(RoutineWaker {
+            slot,
+            ready: self.ready.clone(),
+        }));
+        self.slots[slot] = Some(Slot {
+            future: Some(future),
+            generation: self.last_generation,
+            waker,
+            cancelled: false,
+        });
+        self.ready.push(slot);
+        RoutineId {
+            slot,
+            generation: self.last_generation,
+        }
+    }
+
+    fn cancel(&mut self, id: RoutineId) {
+        if let Some(Some(slot)) = self.slots.get_mut(id.slot)
+            && slot.generation == id.generation
+        {
+            slot.cancelled = true;
+            self.ready.push(id.slot);
+        }
+    }
+}
+
+thread_local! {
+    static CURRENT: RefCell<Option<Executor>> = const { RefCell::new(None) };
+}
+
+/// Runs `f` on this thread's executor. Nothing that is called inside may call back into it.
+pub(super) fn with<T>(f: impl FnOnce(&mut Executor) -> T) -> Option<T> {
+    CURRENT.with(|current| current.try_borrow_mut().ok()?.as_mut().map(f))
+}
+
+/// Starts the loop on this thread and runs until `main` is complete.
+pub(crate) fn run(main: impl Future<Output = ()> + 'static) -> io::Result<()> {
+    let mut poll = mio::Poll::new()?;
+    let ready = Arc::new(ReadyQueue::default());
+    let executor = Executor::new(poll.registry().try_clone()?, ready.clone());
+    CURRENT.with(|current| *current.borrow_mut() = Some(executor));
+    let finished = Rc::new(Cell::new(false));
+    let finished_flag = finished.clone();
+    spawn(async move {
+        main.await;
+        finished_flag.set(true);
+    });
+    let mut events = mio::Events::with_capacity(EVENT_CAPACITY);
+    loop {
+        run_ready_routines(&ready, &finished);
+        if finished.get() {
+            break;
+        }
+        wait_for_events(&mut poll, &mut events)?;
+        let wakers = with(|executor| executor.take_due_wakers(&events)).unwrap_or_default();
+        for waker in wakers {
+            waker.wake();
+        }
+    }
+    // Routines are dropped outside the borrow: their destructors use the executor.
+    let unfinished = with(|executor| std::mem::take(&mut executor.slots));
+    drop(unfinished);
+    CURRENT.with(|current| *current.borrow_mut() = None);
+    Ok(())
+}
+
+/// Runs routines until none is ready, or the first one is complete.
+fn run_ready_routines(ready: &ReadyQueue, finished: &Cell<bool>) {
+    while !finished.get()
+        && let Some(slot) = ready.pop()
+    {
+        run_routine(slot);
+    }
+}
+
+/// Waits for the sockets, until the next timer at most.
+fn wait_for_events(poll: &mut mio::Poll, events: &mut mio::Events) -> io::Result<()> {
+    let next_timer = with(|executor| executor.timers.keys().next().map(|key| key.at)).flatten();
+    let wait = next_timer.map(|at| at.saturating_duration_since(Instant::now()));
+    match poll.poll(events, wait) {
+        Err(error) if error.kind() != io::ErrorKind::Interrupted => Err(error),
+        _ => Ok(()),
+    }
+}
+
+/// Gives a routine its turn, or drops it if it was cancelled.
+fn run_routine(id: usize) {
+    let taken = with(|executor| {
+        let slot = executor.slots.get_mut(id)?.as_mut()?;
+        let future = slot.future.take()?;
+        Some((future, slot.waker.clone(), slot.cancelled))
+    });
+    let Some((mut future, waker, cancelled)) = taken.flatten() else {
+        return;
+    };
+    let done = cancelled
+        || future
+            .as_mut()
+            .poll(&mut Context::from_waker(&waker))
+            .is_ready();
+    if done {
+        // Before its slot is free: destructors use the executor.
+        drop(future);
+        with(|executor| {
+            executor.slots[id] = None;
+            executor.free_slots.push(id);
+        });
+    } else {
+        with(|executor| {
+            if let Some(slot) = executor.slots[id].as_mut() {
+                slot.future = Some(future);
+            }
+        });
+    }
+}
+
+/// Starts a routine that lives until it returns.
+pub(crate) fn spawn(future: impl Future<Output = ()> + 'static) {
+    with(|executor| executor.add_routine(Box::pin(future)));
+}
+
+/// Owns routines: dropping it cancels them all.
+#[derive(Default)]
+pub(crate) struct Scope {
+    routines: Vec<RoutineId>,
+}
+
+impl Scope {
+    /// Starts a routine that lives until it returns or the scope is dropped.
+    pub(crate) fn spawn(&mut self, future: impl Future<Output = ()> + 'static) {
+        let routine = with(|executor| executor.add_routine(Box::pin(future)));
+        self.routines.extend(routine);
+    }
+}
+
+impl Drop for Scope {
+    fn drop(&mut self) {
+        for id in &self.routines {
+            with(|executor| executor.cancel(*id));
+        }
+    }
+}
--- a/src/runtime/tests.rs
+++ b/src/runtime/tests.rs
@@ -1,46 +1,49 @@
+use super::executor::with;
 use super::*;
 use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
 
 #[test]
-fn dropping_a_scope_drops_what_its_routines_hold() {
-    struct Tell(Rc<Cell<bool>>);
-    impl Drop for Tell {
+fn dropping_a_scope_drops_its_routines_values() {
+    struct SetOnDrop(Rc<Cell<bool>>);
+    impl Drop for SetOnDrop {
         fn drop(&mut self) {
             self.0.set(true);
         }
     }
-    let told = Rc::new(Cell::new(false));
-    let seen = told.clone();
+    let dropped = Rc::new(Cell::new(false));
+    let flag = dropped.clone();
     run(async move {
         let mut scope = Scope::default();
-        let tell = Tell(seen.clone());
+        let value = SetOnDrop(flag.clone());
         scope.spawn(async move {
-            let _held = tell;
+            let _value = value;
             std::future::pending::<()>().await;
         });
         sleep(Duration::from_millis(1)).await;
-        assert!(!seen.get());
+        assert!(!flag.get());
         drop(scope);
         sleep(Duration::from_millis(1)).await;
-        assert!(seen.get());
+        assert!(flag.get());
     })
     .expect("loop");
-    assert!(told.get());
+    assert!(dropped.get());
 }
 
 #[test]
-fn timeout_ends_what_never_completes_and_leaves_no_timer() {
+fn timeout_drops_a_pending_future_and_removes_its_timer() {
     run(async {
         let never = std::future::pending::<()>();
         assert!(timeout(Duration::from_millis(2), never).await.is_none());
         assert_eq!(timeout(Duration::from_secs(60), async { 7 }).await, Some(7));
-        assert_eq!(with(|e| e.timers.len()), Some(0));
+        assert_eq!(with(|executor| executor.timer_count()), Some(0));
     })
     .expect("loop");
 }
 
 #[test]
-fn streams_carry_bytes_and_channels_wake_their_reader() {
+fn streams_transfer_bytes_and_channels_wake_their_reader() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
--- /dev/null
+++ b/src/runtime/timer.rs
@@ -0,0 +1,61 @@
+//! Waiting for a time.
+
+use super::executor::{TimerKey, with};
+use std::future::Future;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::{Duration, Instant};
+
+/// Completes after a time; its timer is removed when it is dropped early.
+pub(crate) struct Sleep {
+    at: Instant,
+    timer: Option<TimerKey>,
+}
+
+/// Waits for a time, which begins now.
+pub(crate) fn sleep(duration: Duration) -> Sleep {
+    Sleep {
+        at: Instant::now() + duration,
+        timer: None,
+    }
+}
+
+impl Future for Sleep {
+    type Output = ();
+
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
+        if Instant::now() >= self.at {
+            return Poll::Ready(());
+        }
+        let at = self.at;
+        let waker = cx.waker().clone();
+        match self.timer {
+            Some(timer) => {
+                with(|executor| executor.replace_timer(timer, waker));
+            }
+            None => self.timer = with(|executor| executor.add_timer(at, waker)),
+        }
+        Poll::Pending
+    }
+}
+
+impl Drop for Sleep {
+    fn drop(&mut self) {
+        if let Some(timer) = self.timer {
+            with(|executor| executor.remove_timer(timer));
+        }
+    }
+}
+
+/// Runs a future for at most `limit`; `None` means that it was dropped unfinished.
+pub(crate) async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    let mut future = std::pin::pin!(future);
+    let mut timer = std::pin::pin!(sleep(limit));
+    std::future::poll_fn(|cx| {
+        if let Poll::Ready(value) = future.as_mut().poll(cx) {
+            return Poll::Ready(Some(value));
+        }
+        timer.as_mut().poll(cx).map(|()| None)
+    })
+    .await
+}
