--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -14,9 +14,9 @@
 /// What the key-value store takes in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StateRates {
-    /// Requests in a second, changes included.
+    /// Requests in a second, whatever they hold.
     pub requests: f64,
-    /// Changes in a second.
+    /// Changes of keys in a second.
     pub changes: f64,
 }
 
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -1,7 +1,7 @@
 //! The kinds of requests, and what `/admin/status` shows of the responses to each.
 
 use hdrhistogram::Histogram;
-use serde_json::{Map, Value, json};
+use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -71,26 +71,58 @@
         }
     }
 
-    /// For each endpoint its responses by status, and its latencies in milliseconds.
-    pub(super) fn to_json(&self) -> Value {
-        let mut endpoints = Map::new();
-        for (endpoint, histogram) in self.latencies.borrow().iter() {
-            let ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-            let entry = json!({
-                "answers": self.counts_by_status(*endpoint),
-                "ms": {"p50": ms(0.5), "p90": ms(0.9), "p99": ms(0.99), "max": ms(1.0)},
-            });
-            endpoints.insert(endpoint.name().to_owned(), entry);
-        }
-        Value::Object(endpoints)
+    /// The responses of each endpoint that gave any, by the endpoint's name.
+    pub(super) fn report(&self) -> BTreeMap<&'static str, EndpointReport> {
+        let latencies = self.latencies.borrow();
+        latencies
+            .iter()
+            .map(|(endpoint, histogram)| {
+                let report = EndpointReport {
+                    counts: self.counts_by_status(*endpoint),
+                    latencies_ms: LatencyReport::new(histogram),
+                };
+                (endpoint.name(), report)
+            })
+            .collect()
     }
 
-    fn counts_by_status(&self, endpoint: Endpoint) -> Map<String, Value> {
-        self.counts
-            .borrow()
+    fn counts_by_status(&self, endpoint: Endpoint) -> BTreeMap<u16, u64> {
+        let counts = self.counts.borrow();
+        counts
             .iter()
             .filter(|((counted, _), _)| *counted == endpoint)
-            .map(|((_, status), count)| (status.to_string(), (*count).into()))
+            .map(|((_, status), count)| (*status, *count))
             .collect()
     }
 }
+
+/// An endpoint's responses since the start, as `/admin/status` shows them.
+#[derive(Serialize)]
+pub(super) struct EndpointReport {
+    /// How many, by status.
+    #[serde(rename = "answers")]
+    counts: BTreeMap<u16, u64>,
+    #[serde(rename = "ms")]
+    latencies_ms: LatencyReport,
+}
+
+/// Quantiles of latencies, in milliseconds.
+#[derive(Serialize)]
+struct LatencyReport {
+    p50: f64,
+    p90: f64,
+    p99: f64,
+    max: f64,
+}
+
+impl LatencyReport {
+    fn new(histogram: &Histogram<u32>) -> Self {
+        let ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+        Self {
+            p50: ms(0.5),
+            p90: ms(0.9),
+            p99: ms(0.99),
+            max: ms(1.0),
+        }
+    }
+}
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -19,6 +19,7 @@
 mod peer_status;
 mod pending_forwards;
 mod served_peers;
+mod status_report;
 mod store_watch;
 mod tick_loop;
 mod user_endpoints;
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -30,7 +30,7 @@
     pub(super) incarnation: Incarnation,
     /// The zero of the node's [`MonotonicTime`].
     pub(super) started: Instant,
-    /// All decisions; borrowed only between two awaits.
+    /// All decisions; never borrowed across an await point.
     pub(super) controller: Rc<RefCell<Controller>>,
     /// The client of the key-value store.
     pub(super) store: Rc<Store>,
--- /dev/null
+++ b/src/daemon/status_report.rs
@@ -0,0 +1,172 @@
+//! The body of `/admin/status`. Its field names are part of the operators' interface.
+
+use super::endpoint::EndpointReport;
+use super::node::Node;
+use crate::ids::{FencingToken, MachineId, Member, Resources, Revision, TeamId, TypeName, Zone};
+use crate::store::rate_limiter::RequestClass;
+use crate::store::records::ProgramVersion;
+use crate::store::watch_cache::WatchCache;
+use crate::store::{ClassUse, Store};
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// What a node knows of the cluster and of itself.
+#[derive(Serialize)]
+pub(super) struct StatusReport<'a> {
+    member: &'a Member,
+    zone: &'a Zone,
+    /// Whether the load balancer should send users here.
+    ready: bool,
+    /// The leader, as far as the watch cache knows.
+    leader: Option<&'a Member>,
+    /// All controllers that hold a lease.
+    members: Vec<&'a Member>,
+    /// Their program versions.
+    versions: BTreeMap<&'a Member, ProgramVersion>,
+    /// The revision of the watch cache.
+    revision: Revision,
+    /// By the shard's id.
+    #[serde(rename = "blocks")]
+    shards: BTreeMap<String, ShardReport<'a>>,
+    machines: Vec<MachineReport<'a>>,
+    /// Machines that the cloud lists and that have no record yet.
+    booting: usize,
+    /// What each team's tasks use.
+    teams: BTreeMap<TeamId, Resources>,
+    /// Jobs that are not over.
+    jobs: usize,
+    /// Those of them that wait for other jobs.
+    waiting_jobs: usize,
+    /// Tasks for which no machine has room.
+    waiting_tasks: u64,
+    /// Task attempts that the leader allotted to shards and that no machine's record shows yet.
+    allotted: usize,
+    /// Machines that this node controls as a shard owner.
+    #[serde(rename = "held_machines")]
+    owned_machines: usize,
+    #[serde(rename = "state_service")]
+    store: StoreReport,
+    /// Responses by endpoint.
+    #[serde(rename = "answers")]
+    responses: BTreeMap<&'static str, EndpointReport>,
+}
+
+/// A shard's owner and its fencing token.
+#[derive(Serialize)]
+struct ShardReport<'a> {
+    #[serde(rename = "holder")]
+    owner: &'a Member,
+    token: FencingToken,
+}
+
+/// A machine's record.
+#[derive(Serialize)]
+struct MachineReport<'a> {
+    id: &'a MachineId,
+    #[serde(rename = "type")]
+    type_name: &'a TypeName,
+    zone: &'a Zone,
+    spot: bool,
+    /// How many tasks are placed on it.
+    tasks: usize,
+    /// What they use.
+    used: Resources,
+}
+
+/// The key-value store as seen from this node, and what was asked of it since the start.
+#[derive(Serialize)]
+struct StoreReport {
+    up: bool,
+    /// Requests that the rate limiter would admit now.
+    #[serde(rename = "request_tokens")]
+    request_permits: f64,
+    /// Changes that the rate limiter would admit now.
+    #[serde(rename = "write_tokens")]
+    write_permits: f64,
+    calls: u64,
+    /// Calls that the store refused.
+    refused: u64,
+    unanswered: u64,
+    /// Calls that the rate limiter refused.
+    held_back: u64,
+    classes: BTreeMap<RequestClass, ClassUse>,
+}
+
+impl<'a> StatusReport<'a> {
+    /// The report of a node, whose watch cache is `cache`.
+    pub(super) fn new(node: &'a Node, cache: &'a WatchCache) -> Self {
+        let controller = node.controller.borrow();
+        let unmet_demands = &controller.scheduler.unmet_demands;
+        Self {
+            member: &node.config.member,
+            zone: &node.config.zone,
+            ready: node.is_ready(),
+            leader: cache.leader.as_ref().map(|leader| &leader.value.member),
+            members: cache.members.keys().collect(),
+            versions: versions_by_member(cache),
+            revision: cache.revision,
+            shards: shard_reports(cache),
+            machines: machine_reports(cache),
+            booting: controller.autoscaler.booting(),
+            teams: cache.team_usage(),
+            jobs: cache.jobs.len(),
+            waiting_jobs: cache.dependency_graph.len(),
+            waiting_tasks: unmet_demands.iter().map(|demand| demand.tasks).sum(),
+            allotted: controller.scheduler.allotted_count(),
+            owned_machines: controller.shard_owner.tracked_count(),
+            store: StoreReport::new(&node.store),
+            responses: node.response_stats.report(),
+        }
+    }
+}
+
+fn versions_by_member(cache: &WatchCache) -> BTreeMap<&Member, ProgramVersion> {
+    let members = cache.members.iter();
+    members
+        .map(|(member, record)| (member, record.version))
+        .collect()
+}
+
+fn shard_reports(cache: &WatchCache) -> BTreeMap<String, ShardReport<'_>> {
+    let shards = cache.shards.iter();
+    shards
+        .map(|(id, shard)| {
+            let report = ShardReport {
+                owner: &shard.value.owner,
+                token: FencingToken::of(shard.revision, 0),
+            };
+            (id.to_string(), report)
+        })
+        .collect()
+}
+
+fn machine_reports(cache: &WatchCache) -> Vec<MachineReport<'_>> {
+    let machines = cache.machines.iter();
+    machines
+        .map(|(id, machine)| MachineReport {
+            id,
+            type_name: &machine.record.type_name,
+            zone: &machine.record.zone,
+            spot: machine.record.spot,
+            tasks: machine.record.runs().count(),
+            used: machine.record.used(),
+        })
+        .collect()
+}
+
+impl StoreReport {
+    fn new(store: &Store) -> Self {
+        let (request_permits, write_permits) = store.levels();
+        let counters = &store.counters;
+        Self {
+            up: store.is_up(),
+            request_permits,
+            write_permits,
+            calls: counters.calls.get(),
+            refused: counters.refused.get(),
+            unanswered: counters.unknown.get(),
+            held_back: counters.held_back.get(),
+            classes: counters.classes.borrow().clone(),
+        }
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use laurellanding::Config;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -21,6 +21,10 @@
     CheckConfig { file: PathBuf },
 }
 
+/// The exit code for a wrong command line or settings file.
+const EXIT_USAGE: u8 = 2;
+
+/// The level that the environment variable `LOG_LEVEL` names; info without it.
 fn log_level() -> Result<tracing::Level, String> {
     match std::env::var("LOG_LEVEL").as_deref() {
         Err(_) | Ok("") | Ok("info") => Ok(tracing::Level::INFO),
@@ -32,26 +36,38 @@
     }
 }
 
+/// Prints why the program ends.
 fn fail(message: &str) -> ExitCode {
     eprintln!("laurellanding: {message}");
-    ExitCode::from(2)
+    ExitCode::from(EXIT_USAGE)
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let (file, check) = match (cli.command, cli.config) {
-        (Some(Command::CheckConfig { file }), _) => (file, true),
-        (None, Some(file)) => (file, false),
-        (None, None) => return fail("--config FILE is needed; see --help"),
-    };
-    let config = match Config::load(&file) {
+    match (cli.command, cli.config) {
+        (Some(Command::CheckConfig { file }), _) => check_config(&file),
+        (None, Some(file)) => serve(&file),
+        (None, None) => fail("--config FILE is needed; see --help"),
+    }
+}
+
+/// Reads a settings file and prints whether it is valid.
+fn check_config(file: &Path) -> ExitCode {
+    match Config::load(file) {
+        Ok(_) => {
+            println!("{}: ok", file.display());
+            ExitCode::SUCCESS
+        }
+        Err(error) => fail(&error.to_string()),
+    }
+}
+
+/// Runs a controller that logs to the standard error output.
+fn serve(file: &Path) -> ExitCode {
+    let config = match Config::load(file) {
         Ok(config) => config,
         Err(error) => return fail(&error.to_string()),
     };
-    if check {
-        println!("{}: ok", file.display());
-        return ExitCode::SUCCESS;
-    }
     let level = match log_level() {
         Ok(level) => level,
         Err(message) => return fail(&message),
