--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -225,8 +225,8 @@
                    "spot": m.record.spot, "tasks": m.record.runs().count(), "used": m.record.used()})
         })
         .collect();
-    let (requests, writes) = node.store.levels();
-    let counters = &node.store.counters;
+    let levels = node.store.levels();
+    let counters = node.store.counters();
     let body = json!({
         "member": node.config.member,
         "zone": node.config.zone,
@@ -245,10 +245,10 @@
         "allotted": controller.scheduler.allotted_count(),
         "held_machines": controller.shard_owner.tracked_count(),
         "state_service": {
-            "up": node.store.is_up(), "request_tokens": requests, "write_tokens": writes,
-            "calls": counters.calls.get(), "refused": counters.refused.get(),
-            "unanswered": counters.unknown.get(), "held_back": counters.held_back.get(),
-            "classes": &*counters.classes.borrow(),
+            "up": node.store.is_up(), "request_tokens": levels.requests, "write_tokens": levels.writes,
+            "calls": counters.calls, "refused": counters.refused,
+            "unanswered": counters.unanswered, "held_back": counters.held_back,
+            "classes": counters.classes,
         },
         "answers": node.stats.json(),
     });
--- /dev/null
+++ b/src/store/client.rs
@@ -0,0 +1,286 @@
+//! The client of the key-value store. It keeps to the service's rates, and says of each call
+//! without an answer what may be concluded from it.
+
+use super::admission::{Admission, TokenLevels};
+use super::counters::Counters;
+use super::rate_limiter::RequestClass;
+use crate::config::{StateLimits, StateRates};
+use crate::http::{Client, Failure, Method, Response};
+use crate::ids::{LeaseId, MonotonicTime, Revision};
+use crate::protocol::path;
+use crate::protocol::store::{
+    Events, Item, Lease, Page, Txn, TxnAnswer, key_path, lease_path, lease_request, page_path,
+    renewal_path, watch_path,
+};
+use serde::de::DeserializeOwned;
+use std::cell::{Cell, Ref, RefCell};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// Usual answers take some ms, a few take some hundred.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The service refuses larger transactions.
+const MAX_TXN_BYTES: usize = 64 * 1024;
+/// After so many failed calls in a row the service counts as down.
+const DOWN_AFTER_FAILURES: u32 = 2;
+/// The least part of the longest delay between two watch requests.
+const MIN_WATCH_DELAY_FRACTION: f64 = 0.25;
+
+/// What became of a transaction.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum TxnOutcome {
+    /// Executed as this revision.
+    Committed(Revision),
+    /// The conditions on these keys did not hold at this revision; nothing was changed.
+    Failed(Vec<String>, Revision),
+    /// Certainly not executed.
+    Refused,
+    /// Certainly not executed, and never will be as it is: too large for the service, or under a
+    /// lease that has ended.
+    Invalid,
+    /// May have been executed, or may still be.
+    Unknown,
+}
+
+/// Why a call other than a transaction has no result.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum StoreError {
+    /// No answer that can be used; the same call may succeed later.
+    #[error("the key-value store can't be reached or refuses")]
+    Unavailable,
+    /// What was asked for is no longer there; the same call never succeeds.
+    #[error("no such lease, or revisions too old")]
+    Gone,
+}
+
+/// The client of the service at one address.
+pub(crate) struct Store {
+    client: Client,
+    addr: SocketAddr,
+    started: Instant,
+    admission: RefCell<Admission>,
+    /// Calls in a row that failed: while any, only probes are worth their wait.
+    failures: Cell<u32>,
+    counters: RefCell<Counters>,
+}
+
+impl Store {
+    /// `share`: this controller's part of the service's rates. `answer_bytes`: the largest answer
+    /// that is read. Pages of a list are bounded by the service, an answer of changes is not.
+    pub(crate) fn new(
+        addr: SocketAddr,
+        limits: &StateLimits,
+        share: f64,
+        answer_bytes: usize,
+        started: Instant,
+    ) -> Self {
+        Self {
+            client: Client::new(answer_bytes, 1),
+            addr,
+            started,
+            admission: RefCell::new(Admission::new(limits, share)),
+            failures: Cell::new(0),
+            counters: RefCell::new(Counters::default()),
+        }
+    }
+
+    fn now(&self) -> MonotonicTime {
+        MonotonicTime(self.started.elapsed().as_millis() as u64)
+    }
+
+    /// Whether the last calls were answered.
+    pub(crate) fn is_up(&self) -> bool {
+        self.failures.get() < DOWN_AFTER_FAILURES
+    }
+
+    /// What was counted of the calls.
+    pub(crate) fn counters(&self) -> Ref<'_, Counters> {
+        self.counters.borrow()
+    }
+
+    /// The tokens that are left of this controller's rates.
+    pub(crate) fn levels(&self) -> TokenLevels {
+        self.admission.borrow_mut().levels(self.now())
+    }
+
+    /// A pause that grows up to `longest` as the requests are used up. Never far below: the
+    /// controllers' watches alone would take nearly half of all requests.
+    pub(crate) fn watch_delay(&self, longest: Duration) -> Duration {
+        let available = self.admission.borrow_mut().available_fraction(self.now());
+        longest.mul_f64((1.0 - available).clamp(MIN_WATCH_DELAY_FRACTION, 1.0))
+    }
+
+    /// What the service takes in a second from all controllers, as far as it is known.
+    pub(crate) fn rates(&self) -> StateRates {
+        self.admission.borrow().rates(self.now())
+    }
+
+    fn try_admit(&self, class: RequestClass, changes: usize) -> bool {
+        let mut admission = self.admission.borrow_mut();
+        let admitted = admission.try_admit(self.now(), class, changes);
+        let mut counters = self.counters.borrow_mut();
+        counters.count_request(class, changes, admitted);
+        admitted
+    }
+
+    /// Takes a token for a request that is never held back.
+    fn admit_lease_request(&self) {
+        self.try_admit(RequestClass::Lease, 0);
+    }
+
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: &[u8],
+        timeout: Duration,
+    ) -> Result<Response, Failure> {
+        self.counters.borrow_mut().calls += 1;
+        let result = self
+            .client
+            .call(self.addr, method, path, body, timeout)
+            .await;
+        let answered = matches!(&result, Ok(response) if response.status < 500);
+        self.failures.set(if answered {
+            0
+        } else {
+            self.failures.get().saturating_add(1)
+        });
+        match &result {
+            Ok(response) if response.status == 429 => {
+                self.counters.borrow_mut().refused += 1;
+                self.admission.borrow_mut().on_refused(self.now());
+            }
+            Ok(_) => {}
+            Err(_) => self.counters.borrow_mut().unanswered += 1,
+        }
+        result
+    }
+
+    /// Runs a transaction if its class has a token for it.
+    pub(crate) async fn txn(&self, class: RequestClass, txn: &Txn) -> TxnOutcome {
+        if !self.try_admit(class, txn.changes.len()) {
+            return TxnOutcome::Refused;
+        }
+        let body = match serde_json::to_vec(txn) {
+            Ok(body) if body.len() <= MAX_TXN_BYTES => body,
+            _ => return TxnOutcome::Invalid,
+        };
+        let result = self.call(Method::Post, path::TXN, &body, CALL_TIMEOUT);
+        match result.await {
+            Ok(answer) => txn_outcome(&answer),
+            Err(Failure::NotSent) => TxnOutcome::Refused,
+            Err(Failure::Unknown | Failure::TooLarge) => TxnOutcome::Unknown,
+        }
+    }
+
+    /// Reads one record, if there is one, when its class has a token for it.
+    pub(crate) async fn get(
+        &self,
+        class: RequestClass,
+        key: &str,
+    ) -> Result<Option<Item>, StoreError> {
+        if !self.try_admit(class, 0) {
+            return Err(StoreError::Unavailable);
+        }
+        let path = key_path(key);
+        match self.call(Method::Get, &path, b"", CALL_TIMEOUT).await {
+            Ok(answer) if answer.status == 200 => decode(&answer).map(Some),
+            Ok(answer) if answer.status == 404 => Ok(None),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Reads a page of the records under a prefix, behind the key `after`.
+    pub(crate) async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
+        self.admit_lease_request();
+        let path = page_path(prefix, after);
+        match self.call(Method::Get, &path, b"", 2 * CALL_TIMEOUT).await {
+            Ok(answer) if answer.status == 200 => decode(&answer),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Waits for changes under a prefix after a revision. `Gone`: the records have to be read anew.
+    pub(crate) async fn watch(
+        &self,
+        prefix: &str,
+        after: Revision,
+        wait_up_to: Duration,
+    ) -> Result<Events, StoreError> {
+        self.admit_lease_request();
+        let path = watch_path(prefix, after, wait_up_to.as_millis() as u64);
+        let timeout = wait_up_to + CALL_TIMEOUT;
+        match self.call(Method::Get, &path, b"", timeout).await {
+            Ok(answer) if answer.status == 200 => decode(&answer),
+            Ok(answer) if answer.status == 410 => Err(StoreError::Gone),
+            // The same request would get the same answer for ever, and the watch cache would stop.
+            // Pages are bounded, however many records there are.
+            Err(Failure::TooLarge) => Err(StoreError::Gone),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Creates a lease that ends when it is not renewed for so many milliseconds.
+    pub(crate) async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
+        self.admit_lease_request();
+        let body = lease_request(life_ms);
+        let result = self.call(Method::Post, path::LEASES, &body, CALL_TIMEOUT);
+        match result.await {
+            Ok(answer) if answer.status == 200 => decode::<Lease>(&answer).map(|lease| lease.id),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Begins a lease's life anew. `Gone`: it has ended.
+    pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+        self.admit_lease_request();
+        let path = renewal_path(lease);
+        match self.call(Method::Post, &path, b"", CALL_TIMEOUT).await {
+            Ok(answer) if answer.status == 200 => Ok(()),
+            Ok(answer) if answer.status == 404 => Err(StoreError::Gone),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Ends a lease, and with it the records attached to it.
+    pub(crate) async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+        self.admit_lease_request();
+        let path = lease_path(lease);
+        match self.call(Method::Delete, &path, b"", CALL_TIMEOUT).await {
+            Ok(answer) if matches!(answer.status, 200 | 204 | 404) => Ok(()),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+}
+
+fn decode<T: DeserializeOwned>(answer: &Response) -> Result<T, StoreError> {
+    serde_json::from_slice(&answer.body).map_err(|_| StoreError::Unavailable)
+}
+
+/// What an answer to a transaction says of it.
+fn txn_outcome(answer: &Response) -> TxnOutcome {
+    let text = || String::from_utf8_lossy(&answer.body);
+    match answer.status {
+        200 => match decode::<TxnAnswer>(answer) {
+            Ok(committed) => TxnOutcome::Committed(committed.revision),
+            Err(_) => TxnOutcome::Unknown,
+        },
+        409 => {
+            let failed: TxnAnswer = decode(answer).unwrap_or_default();
+            TxnOutcome::Failed(failed.failed, failed.revision)
+        }
+        400 => {
+            tracing::warn!(body = %text(), "transaction is malformed or too large");
+            TxnOutcome::Invalid
+        }
+        401..=499 | 503 => {
+            tracing::debug!(body = %text(), "transaction refused");
+            TxnOutcome::Refused
+        }
+        _ => TxnOutcome::Unknown,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/store/tests.rs
+++ b/src/store/client/tests.rs
@@ -1,11 +1,13 @@
 use super::*;
 use crate::http::{Response, serve};
 use crate::runtime::{self, TcpListener};
+use crate::store::keys;
 
-/// More changes at once than memory allows: the watch cache is read anew, page by page. Asked for
-/// again it would come again, and the watch cache would stand still.
+/// Many changes at once, after half a minute without any, can take more memory than a controller
+/// has. The watch cache is then read anew, page by page: the same request would get the same answer
+/// for ever, and the watch cache would stop (Savannah fleet, zone).
 #[test]
-fn a_watch_answer_over_its_bound_counts_as_too_old() {
+fn watch_answer_over_the_size_limit_counts_as_gone() {
     runtime::run(async {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets with classes of use: when more is asked than the rates allow, leases and
+//! Token buckets with classes of use: when more is asked for than the rates allow, leases and
 //! placements go on and the rest is refused at once.
 
 use crate::ids::MonotonicTime;
@@ -7,13 +7,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RequestClass {
-    /// Leases, fences and the watch cache: never held back.
+    /// Leases, the shards' fences and the watch cache: never held back.
     #[serde(rename = "grant")]
     Lease,
     /// Acceptance, cancellation, and the ends and releases of jobs: few, and waited for.
     Accept,
     /// Placements.
     Place,
+    /// Reads of single records.
     Poll,
     /// Plans, history and cleaning up.
     Record,
@@ -33,12 +34,16 @@
     }
 }
 
+/// A bucket of tokens that fills at a steady rate.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
+    /// Tokens that come in a second.
     rate: f64,
+    /// The most that it holds.
     burst: f64,
+    /// Tokens in it; negative after more was spent than there were.
     level: f64,
-    at: MonotonicTime,
+    updated_at: MonotonicTime,
 }
 
 impl TokenBucket {
@@ -49,7 +54,7 @@
             rate,
             burst,
             level: burst,
-            at: MonotonicTime::default(),
+            updated_at: MonotonicTime::default(),
         }
     }
 
@@ -66,13 +71,14 @@
         self.level(now) / self.burst
     }
 
+    /// The tokens in it now.
     pub(crate) fn level(&mut self, now: MonotonicTime) -> f64 {
-        self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.burst);
-        self.at = now.max(self.at);
+        self.level = (self.level + now.since(self.updated_at).secs() * self.rate).min(self.burst);
+        self.updated_at = now.max(self.updated_at);
         self.level
     }
 
-    /// A full bucket lets any class through, however much it asks for.
+    /// Whether a class may take so many tokens. A full bucket allows any class any amount.
     pub(crate) fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         if amount == 0.0 {
             return true;
@@ -82,24 +88,26 @@
         self.level(now) >= needed
     }
 
+    /// Takes tokens out. The debt is bounded by one second's worth.
     pub(crate) fn spend(&mut self, amount: f64) {
         self.level = (self.level - amount).max(-self.burst);
     }
 
+    /// Takes tokens out if the class may have them; returns whether it did.
     pub(crate) fn try_acquire(
         &mut self,
         now: MonotonicTime,
         amount: f64,
         class: RequestClass,
     ) -> bool {
-        let ok = self.allows(now, amount, class);
-        if ok {
+        let allowed = self.allows(now, amount, class);
+        if allowed {
             self.spend(amount);
         }
-        ok
+        allowed
     }
 
-    /// The service itself said that it is too much: others use the rate as well.
+    /// Takes all tokens out after the service has refused: others use the rate as well.
     pub(crate) fn drain(&mut self, now: MonotonicTime) {
         self.level = self.level(now).min(0.0);
     }
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn under_overload_grants_and_placements_go_on_and_the_rest_is_refused() {
+fn leases_and_placements_are_admitted_under_overload() {
     let mut bucket = TokenBucket::new(20.0);
     let (mut granted, mut placed, mut polled) = (0, 0, 0);
     for ms in 0..10_000 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_refusal_by_the_service_empties_the_bucket() {
+fn drain_empties_the_bucket() {
     let mut bucket = TokenBucket::new(10.0);
     bucket.drain(MonotonicTime(0));
     assert!(!bucket.try_acquire(MonotonicTime(50), 1.0, RequestClass::Place));
--- a/src/store/rate_choice.rs
+++ b/src/store/rate_selector.rs
@@ -8,16 +8,18 @@
 use crate::ids::{Millis, MonotonicTime};
 
 /// The larger rates are tried again after this at first.
-const FIRST_PAUSE: Millis = Millis(30_000);
+const FIRST_RETRY_DELAY: Millis = Millis(30_000);
 /// Never later than this.
-const LONGEST_PAUSE: Millis = Millis(600_000);
+const MAX_RETRY_DELAY: Millis = Millis(600_000);
 
+/// That the smaller rates hold for a while.
 #[derive(Clone, Copy, Debug)]
 struct Lowered {
     until: MonotonicTime,
     pause: Millis,
 }
 
+/// Chooses between the larger and the least of the rates that the service has announced.
 #[derive(Debug)]
 pub(super) struct RateSelector {
     larger: StateRates,
@@ -26,6 +28,7 @@
 }
 
 impl RateSelector {
+    /// Starts with the larger rates; nothing is chosen where both are the same.
     pub(super) fn new(larger: StateRates, least: StateRates) -> Self {
         Self {
             larger,
@@ -38,6 +41,7 @@
         self.lowered.is_some_and(|l| now < l.until)
     }
 
+    /// The rates that hold now.
     pub(super) fn current(&self, now: MonotonicTime) -> StateRates {
         match self.is_lowered(now) {
             true => self.least,
@@ -51,8 +55,8 @@
             return;
         }
         let pause = match self.lowered {
-            None => FIRST_PAUSE,
-            Some(last) => Millis(2 * last.pause.0).min(LONGEST_PAUSE),
+            None => FIRST_RETRY_DELAY,
+            Some(last) => Millis(2 * last.pause.0).min(MAX_RETRY_DELAY),
         };
         self.lowered = Some(Lowered {
             until: now + pause,
--- a/src/store/rate_choice/tests.rs
+++ b/src/store/rate_selector/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_larger_rate_is_followed_until_a_refusal_and_then_tried_seldom() {
+fn larger_rate_holds_until_a_refusal_and_is_retried_ever_later() {
     let mut choice = RateSelector::new(rates(50.0), rates(35.0));
     let mut refusals = 0;
     for second in 0..3600 {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn without_later_limits_nothing_changes() {
+fn equal_rates_are_not_affected_by_a_refusal() {
     let mut choice = RateSelector::new(rates(50.0), rates(50.0));
     choice.refused(MonotonicTime(1));
     assert_eq!(choice.current(MonotonicTime(2)), rates(50.0));
