--- a/src/controller.rs
+++ b/src/controller.rs
@@ -595,7 +595,8 @@
                     let health = self.scheduler.health.values().map(|h| &h.last);
                     let shards = self.config.shards();
                     self.reachability.evaluate(now, shards, health, &self.cache);
-                    self.leadership.quarantined = self.reachability.quarantined();
+                    let quarantined = self.reachability.quarantined();
+                    self.leadership.set_quarantined(quarantined);
                 }
                 self.step_leader(now, term, &mut effects);
             }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -10,85 +10,95 @@
 use std::time::{Duration, Instant};
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// A lease is renewed so many times in its life.
+const RENEWALS_PER_LIFE: u32 = 3;
 
-/// Ends what an earlier life of this controller left, then holds a lease for ever. `tell` hears
-/// of each new lease, and of its loss; `assure` until when it holds for certain.
+/// Ends the lease of an earlier process of this controller, then keeps one for ever. `life`: how
+/// long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None`
+/// when it is gone; `on_valid_until` with the time until which it holds for certain.
 pub(crate) async fn keep_lease(
     store: Rc<Store>,
     member: Member,
     incarnation: Incarnation,
     life: impl Fn() -> Duration,
-    tell: impl Fn(Option<LeaseId>),
-    assure: impl Fn(Instant),
+    on_lease: impl Fn(Option<LeaseId>),
+    on_valid_until: impl Fn(Instant),
 ) {
     let key = keys::member(&member);
     loop {
-        // Sent before the request leaves: the lease can't end sooner than this says.
-        let sent = Instant::now();
+        // Taken before the request leaves: the lease can't end sooner than this says.
+        let requested_at = Instant::now();
         let life_now = life();
-        match enter(&store, &key, incarnation, life_now).await {
-            Some(lease) => {
-                assure(sent + life_now);
-                tell(Some(lease));
-                extend(&store, lease, life_now, sent, &assure).await;
-                tell(None);
+        match acquire(&store, &key, incarnation, life_now).await {
+            Ok(lease) => {
+                on_valid_until(requested_at + life_now);
+                on_lease(Some(lease));
+                renew_until_gone(&store, lease, life_now, requested_at, &on_valid_until).await;
+                on_lease(None);
             }
-            None => runtime::sleep(RETRY_DELAY).await,
+            Err(_) => runtime::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn enter(
+/// Creates a lease and writes the member record under it.
+async fn acquire(
     store: &Store,
     key: &str,
     incarnation: Incarnation,
     life: Duration,
-) -> Option<LeaseId> {
-    let old = store.get(RequestClass::Lease, key).await.ok()?;
-    let mut revision = Revision(0);
-    if let Some(item) = old {
-        let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
-        let left = record.map(|r| r.lease).or(item.lease);
-        match left {
-            // Ending the old lease removes its keys: the member's, the leader's and the shards'.
-            Some(lease) => store.revoke_lease(lease).await.ok()?,
-            None => revision = item.revision,
-        }
-    }
-    let lease = store.create_lease(life.as_millis() as u64).await.ok()?;
+) -> Result<LeaseId, StoreError> {
+    let expected = end_previous_lease(store, key).await?;
+    let lease = store.create_lease(life.as_millis() as u64).await?;
     let mut txn = Txn::default();
-    txn.require(key, revision);
+    txn.require(key, expected);
     let record = MemberRecord::new(incarnation, lease);
     txn.put(key, &record, Some(lease));
     match store.txn(RequestClass::Lease, &txn).await {
-        TxnOutcome::Committed(_) => Some(lease),
+        TxnOutcome::Committed(_) => Ok(lease),
         _ => {
             store.revoke_lease(lease).await.ok();
-            None
+            Err(StoreError::Unavailable)
+        }
+    }
+}
+
+/// Ends the lease of an earlier process. Returns the revision that the member record has after it.
+async fn end_previous_lease(store: &Store, key: &str) -> Result<Revision, StoreError> {
+    let Some(item) = store.get(RequestClass::Lease, key).await? else {
+        return Ok(Revision(0));
+    };
+    let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
+    match record.map(|r| r.lease).or(item.lease) {
+        // This removes the keys under the lease: the member's, the leader's and the shards'.
+        Some(lease) => {
+            store.revoke_lease(lease).await?;
+            Ok(Revision(0))
         }
+        None => Ok(item.revision),
     }
 }
 
-/// Returns once the lease is gone.
-async fn extend(
+/// Renews a lease; returns once it is gone.
+async fn renew_until_gone(
     store: &Store,
     lease: LeaseId,
     life: Duration,
-    mut sent: Instant,
-    assure: impl Fn(Instant),
+    mut renewed_at: Instant,
+    on_valid_until: impl Fn(Instant),
 ) {
     loop {
-        runtime::sleep(life / 3).await;
+        runtime::sleep(life / RENEWALS_PER_LIFE).await;
         let now = Instant::now();
         match store.renew_lease(lease).await {
             Ok(()) => {
-                sent = now;
-                assure(sent + life);
+                renewed_at = now;
+                on_valid_until(renewed_at + life);
             }
             Err(StoreError::Gone) => return,
-            // In an outage leases keep their time; only the service can say that it is gone.
+            // In an outage leases keep their time; only the service can say that one is gone.
             Err(StoreError::Unavailable) => {
-                tracing::debug!(late = ?sent.elapsed(), "lease not renewed");
+                tracing::debug!(late = ?renewed_at.elapsed(), "lease not renewed");
                 runtime::sleep(RETRY_DELAY).await;
             }
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,8 +1,9 @@
-//! Who leads, and who holds which shard: decided by compare-and-set on the key-value store, with
-//! records that go when their writer's lease goes.
+//! Who leads, and who owns which shard: decided by compare-and-swap transactions on the key-value
+//! store, with records that are removed when their writer's lease ends.
 
 mod lease;
 mod reachability;
+mod shard_assignment;
 
 pub(crate) use lease::keep_lease;
 pub(crate) use reachability::ReachabilityMonitor;
@@ -13,26 +14,38 @@
 use crate::store::records::{LeaderRecord, ShardRecord};
 use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
+/// The pause after a transaction that was not executed, or perhaps was.
 const RETRY_DELAY: Millis = Millis(300);
+/// The pause after a transaction whose conditions did not hold.
+const CONFLICT_RETRY_DELAY: Millis = Millis(20);
+/// How long to wait for the watch cache to show the last transaction.
+const CACHE_WAIT: Millis = Millis(2000);
 
+/// This controller's part in electing a leader and, where it leads, in assigning the shards.
 pub(crate) struct Leadership {
     member: Member,
     incarnation: Incarnation,
+    /// How many shards there are.
     shards: u32,
+    /// The most changes that a transaction may have.
     txn_ops: usize,
     lease: Option<LeaseId>,
+    /// Whether a transaction has no outcome yet.
     in_flight: bool,
+    /// No transaction before this time,
     retry_at: MonotonicTime,
+    /// nor before the watch cache shows this revision.
     retry_revision: Revision,
     /// The leader's record that was ours under a lease which has ended since.
     ended_term: Revision,
     /// Who is given no shards, while there is somebody else.
-    pub quarantined: BTreeSet<Member>,
+    quarantined: BTreeSet<Member>,
 }
 
 impl Leadership {
+    /// Starts without a lease: nothing is written before there is one.
     pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             member: config.member.clone(),
@@ -48,14 +61,15 @@
         }
     }
 
+    /// The incarnation of this process.
     #[cfg(test)]
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// A term ends with the lease it was claimed under. After a long stand the watch cache still shows
-    /// it when the next lease is there already: a leader that went on then deleted a third of the
-    /// fleet, silent only to itself (Tramite fleet, apart).
+    /// Sets the lease that this process holds. A term ends with the lease it was claimed under: the
+    /// watch cache may still show it when the next lease is there already, and a leader that went
+    /// on would judge machines by a state that is long past.
     pub(crate) fn set_lease(&mut self, lease: Option<LeaseId>, cache: &WatchCache) {
         if self.lease != lease
             && let Some(term) = self.term(cache)
@@ -79,11 +93,9 @@
     /// that any earlier term can have committed.
     pub(crate) fn settled_term(&self, cache: &WatchCache) -> Option<Revision> {
         let term = self.term(cache)?;
-        let all = (0..self.shards).all(|b| {
-            cache
-                .shards
-                .get(&ShardId(b))
-                .is_some_and(|r| r.value.term == term)
+        let all = (0..self.shards).all(|shard| {
+            let record = cache.shards.get(&ShardId(shard));
+            record.is_some_and(|r| r.value.term == term)
         });
         all.then_some(term)
     }
@@ -94,7 +106,7 @@
         if self.in_flight || now < self.retry_at {
             return None;
         }
-        if cache.revision < self.retry_revision && now < self.retry_at + Millis(2000) {
+        if cache.revision < self.retry_revision && now < self.retry_at + CACHE_WAIT {
             return None;
         }
         let txn = match (&cache.leader, self.term(cache)) {
@@ -106,6 +118,12 @@
         Some(txn)
     }
 
+    /// Sets who is given no shards, while there is somebody else.
+    pub(crate) fn set_quarantined(&mut self, members: BTreeSet<Member>) {
+        self.quarantined = members;
+    }
+
+    /// Takes the outcome of the last transaction of [`Self::step`].
     pub(crate) fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
@@ -115,7 +133,7 @@
             }
             TxnOutcome::Failed(_, revision) => {
                 self.retry_revision = *revision;
-                self.retry_at = now + Millis(20);
+                self.retry_at = now + CONFLICT_RETRY_DELAY;
             }
             TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => {
                 self.retry_at = now + RETRY_DELAY;
@@ -134,58 +152,16 @@
         txn
     }
 
-    /// Rewrites shards that are of an earlier term, have lost their shard owner, or would be better
-    /// held elsewhere. Owners that live keep what they hold.
+    /// Rewrites shards that are of an earlier term, have lost their owner, or would balance the
+    /// load better elsewhere; at most as many as a transaction may change.
     fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
-        let rests = |m: &Member| self.quarantined.contains(m) && cache.members.len() > 1;
-        let able = cache.members.keys().filter(|m| !rests(m));
-        let mut loads: BTreeMap<&Member, usize> = able.map(|m| (m, 0)).collect();
-        if loads.is_empty() {
-            return None;
-        }
-        let owner = |b: &ShardId| -> Option<&Member> {
-            let record = &cache.shards.get(b)?.value;
-            let (member, live) = cache.members.get_key_value(&record.owner)?;
-            (live.incarnation == record.incarnation && !rests(member)).then_some(member)
-        };
-        let all: Vec<ShardId> = (0..self.shards).map(ShardId).collect();
-        for member in all.iter().filter_map(owner) {
-            *loads.entry(member).or_default() += 1;
-        }
-        let mut wanted: BTreeMap<ShardId, &Member> = BTreeMap::new();
-        // Those without a shard owner first: dealing them out mostly balances the loads, and no shard
-        // changes hands for that.
-        let (held, orphaned): (Vec<_>, Vec<_>) = all.iter().partition(|b| owner(b).is_some());
-        for shard in orphaned.into_iter().chain(held) {
-            let current = owner(shard);
-            let old_term = cache.shards.get(shard).is_none_or(|r| r.value.term != term);
-            let least = loads
-                .iter()
-                .min_by_key(|(_, n)| **n)
-                .map(|(m, n)| (*m, *n))?;
-            match current {
-                None => {
-                    *loads.entry(least.0).or_default() += 1;
-                    wanted.insert(*shard, least.0);
-                }
-                Some(member) => {
-                    let load = loads.get(member).copied().unwrap_or(0);
-                    if load >= least.1 + 2 {
-                        *loads.entry(member).or_default() -= 1;
-                        *loads.entry(least.0).or_default() += 1;
-                        wanted.insert(*shard, least.0);
-                    } else if old_term {
-                        wanted.insert(*shard, member);
-                    }
-                }
-            }
-        }
-        if wanted.is_empty() {
+        let owners = shard_assignment::required_owners(self.shards, term, cache, &self.quarantined);
+        if owners.is_empty() {
             return None;
         }
         let mut txn = Txn::default();
         txn.require(keys::LEADER, term);
-        for (shard, member) in wanted.into_iter().take(self.txn_ops) {
+        for (shard, member) in owners.into_iter().take(self.txn_ops) {
             let live = cache.members.get(member)?;
             let record = ShardRecord {
                 owner: member.clone(),
@@ -199,7 +175,8 @@
         Some(txn)
     }
 
-    /// Rewrites a shard as it stands, to raise its token. Its shard owner may, and its leader.
+    /// Rewrites a shard's record unchanged, to raise its fencing token. Its owner may, and the
+    /// leader.
     pub(crate) fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
         let live = cache.members.get(&record.value.owner)?;
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -1,7 +1,7 @@
-//! Owners that hear nothing of machines which others hear. A controller that is cut off from its
-//! workers alone keeps its lease and its shards; its machines ask the others, are sent back, and
-//! lose all their work when their leases run out (Tramite fleet, apart: 0.94 of the replicas in the
-//! worst 30 s). Shards of such a shard owner are leased to others, which only costs a token.
+//! Shard owners that hear nothing of machines which others hear. A controller that is cut off from
+//! its workers alone keeps its lease and its shards; its machines ask the others, are sent back, and
+//! lose all their work when their leases run out. Shards of such an owner are given to others, which
+//! only costs a rise of their fencing tokens.
 //!
 //! Silence alone says nothing of the sort: a zone may be cut off, and then nobody hears it.
 
@@ -15,17 +15,40 @@
 const MIN_SILENT_DIVISOR: usize = 2;
 /// And so many of those must be heard elsewhere.
 const MIN_HEARD_DIVISOR: usize = 4;
+/// One machine alone, heard elsewhere, proves nothing.
+const MIN_HEARD: usize = 2;
 
+/// Finds the shard owners that their machines can't reach, and quarantines them for a while.
 pub(crate) struct ReachabilityMonitor {
     heartbeat_interval: Millis,
     /// How long a shard owner gets no shards back: what cut it off may last.
     quarantine_period: Millis,
-    /// When a machine last reported to a controller that does not hold it.
+    /// When a machine last sent its heartbeat to a controller that does not own it.
     misdirected: BTreeMap<MachineId, MonotonicTime>,
+    /// Until when each owner is quarantined.
     quarantined: BTreeMap<Member, MonotonicTime>,
 }
 
+/// What a shard owner has reported of its machines.
+#[derive(Clone, Copy, Debug, Default)]
+struct OwnedMachines {
+    all: usize,
+    /// Those that don't reach it directly.
+    silent: usize,
+    /// Those of the silent ones that reach another controller.
+    heard_elsewhere: usize,
+}
+
+impl OwnedMachines {
+    fn is_owner_unreachable(self) -> bool {
+        self.silent * MIN_SILENT_DIVISOR > self.all
+            && self.heard_elsewhere * MIN_HEARD_DIVISOR > self.silent
+            && self.heard_elsewhere >= MIN_HEARD
+    }
+}
+
 impl ReachabilityMonitor {
+    /// A monitor that has heard of no machine yet.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             heartbeat_interval: config.heartbeat_interval,
@@ -35,6 +58,7 @@
         }
     }
 
+    /// Notes machines whose heartbeats have reached a controller that does not own them.
     pub(crate) fn on_misdirected_heartbeats(
         &mut self,
         now: MonotonicTime,
@@ -49,7 +73,7 @@
         self.quarantined.keys().cloned().collect()
     }
 
-    /// Judges all owners by what they said last of their machines.
+    /// Quarantines the owners that are unreachable by what they last reported of their machines.
     pub(crate) fn evaluate<'a>(
         &mut self,
         now: MonotonicTime,
@@ -60,8 +84,26 @@
         let fresh = Millis(2 * self.heartbeat_interval.0);
         self.misdirected.retain(|_, at| now.since(*at) < fresh);
         self.quarantined.retain(|_, until| now < *until);
+        let controllers = cache.members.len();
+        for (member, machines) in self.count_by_owner(shards, health, cache) {
+            let others_remain = self.quarantined.len() + 1 < controllers;
+            if machines.is_owner_unreachable()
+                && others_remain
+                && !self.quarantined.contains_key(member)
+            {
+                self.quarantine(now, member, machines);
+            }
+        }
+    }
+
+    fn count_by_owner<'a, 'b>(
+        &self,
+        shards: u32,
+        health: impl Iterator<Item = &'a MachineHealth>,
+        cache: &'b WatchCache,
+    ) -> BTreeMap<&'b Member, OwnedMachines> {
         let patience = self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
-        let mut owners: BTreeMap<&Member, (usize, usize, usize)> = BTreeMap::new();
+        let mut owners: BTreeMap<&Member, OwnedMachines> = BTreeMap::new();
         for last in health {
             let shard: ShardId = last.machine.shard(shards);
             let Some(shard_record) = cache.shards.get(&shard) else {
@@ -70,27 +112,28 @@
             if shard_record.revision != last.fence {
                 continue;
             }
-            let counts = owners.entry(&shard_record.value.owner).or_default();
-            counts.0 += 1;
-            // Through others a shard owner may hear them all: its commands get nowhere for all that
-            // (Savannah fleet, apart: 0.83 to 0.73 while only silence counted).
+            let machines = owners.entry(&shard_record.value.owner).or_default();
+            machines.all += 1;
+            // An owner may hear of all its machines through others, and still can't command them.
             if last.silent.max(last.since_direct_heartbeat) >= patience {
-                counts.1 += 1;
-                counts.2 += usize::from(self.misdirected.contains_key(&last.machine));
-            }
-        }
-        let others = cache.members.len();
-        for (member, (all, silent, heard)) in owners {
-            let deaf = silent * MIN_SILENT_DIVISOR > all
-                && heard * MIN_HEARD_DIVISOR > silent
-                && heard > 1;
-            if deaf && self.quarantined.len() + 1 < others && !self.quarantined.contains_key(member)
-            {
-                tracing::info!(%member, all, silent, heard, "shard owner quarantined: it misses machines whose heartbeats reach others");
-                self.quarantined
-                    .insert(member.clone(), now + self.quarantine_period);
+                machines.silent += 1;
+                let heard_elsewhere = self.misdirected.contains_key(&last.machine);
+                machines.heard_elsewhere += usize::from(heard_elsewhere);
             }
         }
+        owners
+    }
+
+    fn quarantine(&mut self, now: MonotonicTime, member: &Member, machines: OwnedMachines) {
+        tracing::info!(
+            %member,
+            all = machines.all,
+            silent = machines.silent,
+            heard = machines.heard_elsewhere,
+            "shard owner quarantined: heartbeats of its machines reach only others"
+        );
+        let until = now + self.quarantine_period;
+        self.quarantined.insert(member.clone(), until);
     }
 }
 
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -46,9 +46,10 @@
     }
 }
 
-/// Heartbeats that others hand on keep a shard owner informed, and leave it unable to command.
+/// Relayed heartbeats keep a shard owner informed, and leave it unable to command: counting silence
+/// alone let availability fall from 0.83 to 0.73 (Savannah fleet, apart).
 #[test]
-fn a_holder_that_hears_its_machines_through_others_alone_is_relieved() {
+fn owner_that_hears_its_machines_only_through_others_is_quarantined() {
     let (config, cache) = scene();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
@@ -65,9 +66,9 @@
     assert_eq!(deaf, ["c1".into()]);
 }
 
-/// Machine n belongs to shard n mod 6, which c(n mod 3) holds.
+/// Machine n belongs to shard n mod 6, which c(n mod 3) owns.
 #[test]
-fn only_a_holder_whose_silent_machines_others_hear_is_relieved() {
+fn only_an_owner_whose_silent_machines_others_hear_is_quarantined() {
     let (config, cache) = scene();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
--- /dev/null
+++ b/src/leadership/shard_assignment.rs
@@ -0,0 +1,109 @@
+//! Which controller should own which shard.
+
+use crate::ids::{Member, Revision, ShardId};
+use crate::store::watch_cache::WatchCache;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A shard moves to another live owner only where that one has so many fewer.
+const MIN_IMBALANCE: usize = 2;
+
+/// The shards that have to be rewritten in this term, and who is to own each: those that are of an
+/// earlier term, have no owner that may keep them, or would balance the load better elsewhere.
+pub(super) fn required_owners<'a>(
+    shards: u32,
+    term: Revision,
+    cache: &'a WatchCache,
+    quarantined: &'a BTreeSet<Member>,
+) -> BTreeMap<ShardId, &'a Member> {
+    let mut balance = ShardBalance::new(cache, quarantined);
+    let all: Vec<ShardId> = (0..shards).map(ShardId).collect();
+    balance.count_owned(&all);
+    // Shards without an owner first: assigning them mostly balances the loads, and then no shard
+    // has to change hands.
+    let (owned, orphaned): (Vec<ShardId>, Vec<ShardId>) = all
+        .into_iter()
+        .partition(|shard| balance.current_owner(*shard).is_some());
+    let mut owners = BTreeMap::new();
+    for shard in orphaned.into_iter().chain(owned) {
+        if let Some(owner) = balance.choose_owner(shard, term) {
+            owners.insert(shard, owner);
+        }
+    }
+    owners
+}
+
+/// How many shards each eligible controller owns, updated with each choice.
+struct ShardBalance<'a> {
+    cache: &'a WatchCache,
+    quarantined: &'a BTreeSet<Member>,
+    shard_counts: BTreeMap<&'a Member, usize>,
+}
+
+impl<'a> ShardBalance<'a> {
+    fn new(cache: &'a WatchCache, quarantined: &'a BTreeSet<Member>) -> Self {
+        let mut balance = Self {
+            cache,
+            quarantined,
+            shard_counts: BTreeMap::new(),
+        };
+        let eligible = cache.members.keys().filter(|m| balance.is_eligible(m));
+        balance.shard_counts = eligible.map(|m| (m, 0)).collect();
+        balance
+    }
+
+    /// A quarantined controller gets shards only when there is no other.
+    fn is_eligible(&self, member: &Member) -> bool {
+        self.cache.members.len() <= 1 || !self.quarantined.contains(member)
+    }
+
+    /// The shard's owner, if it may keep the shard: it lives, and has not restarted since.
+    fn current_owner(&self, shard: ShardId) -> Option<&'a Member> {
+        let record = &self.cache.shards.get(&shard)?.value;
+        let (member, live) = self.cache.members.get_key_value(&record.owner)?;
+        let same_process = live.incarnation == record.incarnation;
+        (same_process && self.is_eligible(member)).then_some(member)
+    }
+
+    fn count_owned(&mut self, shards: &[ShardId]) {
+        for shard in shards {
+            if let Some(owner) = self.current_owner(*shard) {
+                self.add_shard(owner);
+            }
+        }
+    }
+
+    fn add_shard(&mut self, member: &'a Member) {
+        *self.shard_counts.entry(member).or_default() += 1;
+    }
+
+    fn remove_shard(&mut self, member: &'a Member) {
+        *self.shard_counts.entry(member).or_default() -= 1;
+    }
+
+    fn shard_count(&self, member: &Member) -> usize {
+        self.shard_counts.get(member).copied().unwrap_or(0)
+    }
+
+    fn least_loaded(&self) -> Option<&'a Member> {
+        let counts = self.shard_counts.iter();
+        let least = counts.min_by_key(|(_, count)| **count);
+        least.map(|(member, _)| *member)
+    }
+
+    /// The owner that the shard's record has to be rewritten with, if it has to be.
+    fn choose_owner(&mut self, shard: ShardId, term: Revision) -> Option<&'a Member> {
+        let least_loaded = self.least_loaded()?;
+        let Some(owner) = self.current_owner(shard) else {
+            self.add_shard(least_loaded);
+            return Some(least_loaded);
+        };
+        if self.shard_count(owner) >= self.shard_count(least_loaded) + MIN_IMBALANCE {
+            self.remove_shard(owner);
+            self.add_shard(least_loaded);
+            return Some(least_loaded);
+        }
+        let record = self.cache.shards.get(&shard);
+        let is_of_term = record.is_some_and(|r| r.value.term == term);
+        (!is_of_term).then_some(owner)
+    }
+}
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -37,7 +37,7 @@
     let mut leadership = Leadership::new(&sample_config(), Incarnation(1));
     assert!(
         leadership.step(MonotonicTime(0), &cache).is_none(),
-        "no grant, no claim"
+        "no lease, no claim"
     );
     leadership.set_lease(Some(LeaseId(101)), &cache);
     for (n, member) in ["c0", "c1", "c2"].into_iter().enumerate() {
@@ -64,7 +64,8 @@
     owners.sort();
     assert_eq!(owners, ["c0", "c0", "c1", "c1", "c2", "c2"]);
     assert_eq!(leadership.settled_term(&cache), Some(Revision(10)));
-    // The lease is lost and another one taken, and the watch cache is still behind.
+    // The lease is lost and another one taken, and the watch cache is still behind. A leader that
+    // went on then deleted a third of the fleet, silent only to itself (Tramite fleet, apart).
     leadership.set_lease(None, &cache);
     leadership.set_lease(Some(LeaseId(150)), &cache);
     assert_eq!(leadership.settled_term(&cache), None);
