--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -1,4 +1,5 @@
-//! The decision: rounds of telling the others, and what their answers amount to.
+//! Acknowledgement rounds: each asks the other controllers about one cancellation, and decides from
+//! their answers and the watch cache whether all of the job's tasks are gone.
 
 use crate::ids::{JobId, Member, Revision, ShardId};
 use crate::peers::ShardFence;
@@ -9,34 +10,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RoundId(pub u64);
 
-/// What the watch cache of the controller that asks shows.
+/// What the watch cache of the asking controller shows.
 #[derive(Debug)]
 pub(crate) struct CacheView {
+    /// The revision that the cache has reached.
     pub revision: Revision,
-    /// The shards with machines on whose records the job stands, and the fence of each, if it is
-    /// held at present.
-    pub machines_with_job: BTreeMap<ShardId, Option<Revision>>,
+    /// The shards with machines on whose records the job is placed, and the fence of each, if it
+    /// is owned at present.
+    pub shards_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
 
-/// The telling of one cancellation, and who has answered.
+/// The cancellation that a round asks about, and who has answered.
 #[derive(Debug)]
 struct CancellationRound {
     job: JobId,
     /// The change that cancelled it.
     cancelled: Revision,
+    /// The shards that each controller has said to be clear of the job, and the highest fence
+    /// under which it said so.
     answers: BTreeMap<Member, BTreeMap<ShardId, Revision>>,
 }
 
+/// The rounds of one controller that are not closed yet.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationRounds {
-    next: u64,
+    /// The number of the last round.
+    last: u64,
     open: BTreeMap<RoundId, CancellationRound>,
 }
 
 impl CancellationRounds {
+    /// Opens a round for a job that the change `cancelled` has cancelled.
     pub(crate) fn open(&mut self, job: &JobId, cancelled: Revision) -> RoundId {
-        self.next += 1;
-        let id = RoundId(self.next);
+        self.last += 1;
+        let id = RoundId(self.last);
         let round = CancellationRound {
             job: job.clone(),
             cancelled,
@@ -46,6 +53,7 @@
         id
     }
 
+    /// Forgets a round; later answers to it count for nothing.
     pub(crate) fn close(&mut self, id: RoundId) {
         self.open.remove(&id);
     }
@@ -55,20 +63,20 @@
         self.open.get(&id).map(|r| (&r.job, r.cancelled))
     }
 
-    /// `from` knows of the cancellation. It names the shards that it holds, with their fences, in
-    /// which all of the job's tasks are proved gone: they never start again, so an answer can only
-    /// gain by a later one. One to an earlier life of this process may name another job under the
-    /// same number.
+    /// Takes the answer of `from`, which knows of the cancellation. `cleared` names the shards that
+    /// it owns, with their fences, in which all of the job's tasks are proved gone. They never start
+    /// again, so a later answer can only add to an earlier one. An answer to an earlier process of
+    /// this controller may name another job under the same number, and is ignored.
     pub(crate) fn on_acknowledged(
         &mut self,
         id: RoundId,
         job: &JobId,
         from: &Member,
-        settled: Vec<ShardFence>,
+        cleared: Vec<ShardFence>,
     ) {
         if let Some(round) = self.open.get_mut(&id).filter(|r| r.job == *job) {
             let known = round.answers.entry(from.clone()).or_default();
-            for ShardFence { shard, fence } in settled {
+            for ShardFence { shard, fence } in cleared {
                 let highest = known.entry(shard).or_default();
                 *highest = fence.max(*highest);
             }
@@ -76,19 +84,18 @@
     }
 
     /// Whether all tasks are gone. After the cancellation nothing more of the job is committed, so
-    /// a watch cache that has come so far shows every shard in which any of it can be; and whoever
-    /// holds such a shard under that record, or a later one, has seen all that was placed there.
+    /// a watch cache that has reached it shows every shard in which any task can be; and whoever
+    /// owns such a shard under that record, or a later one, has seen all that was placed there.
     pub(crate) fn is_settled(&self, id: RoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
         };
         let gone = |shard: &ShardId, fence: &Revision| {
             let mut answers = round.answers.values();
-            answers.any(|named| named.get(shard).is_some_and(|f| f >= fence))
+            answers.any(|cleared| cleared.get(shard).is_some_and(|f| f >= fence))
         };
-        let mut machines_with_job = view.machines_with_job.iter();
+        let mut shards = view.shards_with_job.iter();
         view.revision >= round.cancelled
-            && machines_with_job
-                .all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
+            && shards.all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
     }
 }
--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -1,6 +1,6 @@
 //! Tasks of cancelled jobs that could not be stopped in time. Where no command arrives, a task
 //! ends only with its machine: a controller inside a cut-off zone goes on answering its workers,
-//! so their leases never run out (hunt 7f89873a: `ran_cancelled`, 46 s after the cancellation).
+//! so their leases never run out, and the machine has to be deleted.
 //!
 //! That a job is gone from the watch cache does not say how it ended, and most end done; deleting
 //! machines for those would throw away healthy work. So the key-value store is asked first.
@@ -13,65 +13,82 @@
 /// The part of the time for a cancellation that is kept for asking and deleting: the cloud may be
 /// out, and a deletion be refused and asked again.
 const CLEANUP_DIVISOR: u64 = 2;
-/// A question without an answer is asked again after this.
+/// An outcome that was asked for and not answered is asked for again after this.
 const OUTCOME_QUERY_INTERVAL: Millis = Millis(2000);
 
+/// What is known of a job that has ended.
 #[derive(Debug)]
 struct EndedJob {
-    /// Not known for those that were over when this process began: that may be long ago.
+    /// Not known for those that had ended when this process began: that may be long ago.
     since: Option<MonotonicTime>,
-    asked: Option<MonotonicTime>,
+    /// When its outcome was last asked for.
+    queried_at: Option<MonotonicTime>,
     state: Option<JobState>,
 }
 
-/// Jobs that are over and still have tasks on record, since when, and how they ended. Every
-/// controller keeps it, so that the next leader knows the times as well.
+impl EndedJob {
+    fn new(since: Option<MonotonicTime>) -> Self {
+        Self {
+            since,
+            queried_at: None,
+            state: None,
+        }
+    }
+
+    fn has_ended_within(&self, now: MonotonicTime, limit: Millis) -> bool {
+        self.since.is_some_and(|at| now.since(at) < limit)
+    }
+
+    /// Whether its outcome has to be asked for now.
+    fn needs_query(&self, now: MonotonicTime) -> bool {
+        let is_due = |at| now.since(at) >= OUTCOME_QUERY_INTERVAL;
+        self.state.is_none() && self.queried_at.is_none_or(is_due)
+    }
+}
+
+/// Jobs that have ended and still have tasks on record, since when, and how they ended. Every
+/// controller keeps them, so that the next leader knows the times as well.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationDeadlines {
     ended: BTreeMap<JobId, EndedJob>,
-    begun: bool,
+    /// Whether the jobs on record were looked through before.
+    has_scanned: bool,
 }
 
-/// What the leader does about them.
+/// What has to be done about tasks that did not stop in time.
 #[derive(Debug, Default)]
-pub(crate) struct Due {
+pub(crate) struct OverdueCancellations {
     /// How these jobs ended has to be read.
-    pub ask: Vec<JobId>,
-    /// These machines have to go: their deletion is the proof.
+    pub unknown_outcomes: Vec<JobId>,
+    /// These machines have to go: their deletion is the proof that the tasks ended.
     pub decommission: Vec<MachineId>,
 }
 
 impl CancellationDeadlines {
-    /// Notes which jobs are over. A process that has just begun can't know for how long.
+    /// Notes which jobs have ended. A process that has just begun can't know for how long.
     pub(crate) fn scan(&mut self, now: MonotonicTime, cache: &WatchCache) {
-        let since = self.begun.then_some(now);
-        self.begun = true;
-        let groups = cache.machines.values().flat_map(|m| &m.record.jobs);
-        let ended_jobs: BTreeSet<&JobId> = groups
-            .map(|g| &g.job)
+        let since = self.has_scanned.then_some(now);
+        self.has_scanned = true;
+        let placed = cache.machines.values().flat_map(|m| &m.record.jobs);
+        let ended_jobs: BTreeSet<&JobId> = placed
+            .map(|p| &p.job)
             .filter(|job| !cache.jobs.contains_key(*job))
             .collect();
         self.ended.retain(|job, _| ended_jobs.contains(job));
         for job in ended_jobs {
             if !self.ended.contains_key(job) {
-                let ended = EndedJob {
-                    since,
-                    asked: None,
-                    state: None,
-                };
-                self.ended.insert(job.clone(), ended);
+                self.ended.insert(job.clone(), EndedJob::new(since));
             }
         }
     }
 
-    /// A job was cancelled so long ago: known for certain, with no need to ask.
+    /// Notes that a job was cancelled so long ago: known for certain, with no need to ask.
     pub(crate) fn cancelled(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
-        let at = MonotonicTime(now.0.saturating_sub(age.0));
-        let ended = self.ended.entry(job.clone()).or_insert(EndedJob {
-            since: None,
-            asked: None,
-            state: None,
-        });
+        let at = now - age;
+        let ended = self
+            .ended
+            .entry(job.clone())
+            .or_insert_with(|| EndedJob::new(None));
         ended.since = Some(ended.since.map_or(at, |s| s.min(at)));
         ended.state = Some(JobState::Cancelled);
     }
@@ -83,14 +100,16 @@
         ended.since.filter(|_| cancelled).map(|at| now.since(at))
     }
 
+    /// Notes what a job's final record says.
     pub(crate) fn record_outcome(&mut self, job: &JobId, state: JobState) {
         if let Some(ended) = self.ended.get_mut(job) {
             ended.state = Some(state);
         }
     }
 
-    /// The machines on which a cancelled job's time runs out, out of those that have been `silent`
-    /// for so long that no command can be hoped to arrive, without the tasks that are `freed`.
+    /// The machines on which a cancelled job's time of `cancel` runs out, among those that have
+    /// been `silent` for so long that no command can be hoped to arrive. Tasks that are `freed`
+    /// are known to have ended.
     pub(crate) fn due(
         &mut self,
         now: MonotonicTime,
@@ -98,8 +117,8 @@
         cache: &WatchCache,
         silent: impl Fn(&MachineId) -> bool,
         freed: impl Fn(&TaskAttempt) -> bool,
-    ) -> Due {
-        let mut due = Due::default();
+    ) -> OverdueCancellations {
+        let mut overdue = OverdueCancellations::default();
         let limit = Millis(cancel.0 - cancel.0 / CLEANUP_DIVISOR);
         for (id, machine) in &cache.machines {
             if self.ended.is_empty() || !silent(id) {
@@ -109,27 +128,19 @@
                 let Some(ended) = self.ended.get_mut(&attempt.task.job) else {
                     continue;
                 };
-                let early = ended.since.is_some_and(|at| now.since(at) < limit);
-                if early || freed(&attempt) {
+                if ended.has_ended_within(now, limit) || freed(&attempt) {
                     continue;
                 }
-                match ended.state {
-                    Some(JobState::Cancelled) => {
-                        due.decommission.push(id.clone());
-                        break;
-                    }
-                    Some(_) => {}
-                    None if ended
-                        .asked
-                        .is_none_or(|at| now.since(at) >= OUTCOME_QUERY_INTERVAL) =>
-                    {
-                        ended.asked = Some(now);
-                        due.ask.push(attempt.task.job.clone());
-                    }
-                    None => {}
+                if ended.state == Some(JobState::Cancelled) {
+                    overdue.decommission.push(id.clone());
+                    break;
+                }
+                if ended.needs_query(now) {
+                    ended.queried_at = Some(now);
+                    overdue.unknown_outcomes.push(attempt.task.job);
                 }
             }
         }
-        due
+        overdue
     }
 }
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -59,7 +59,7 @@
         });
         let view = CacheView {
             revision: self.cache.revision,
-            machines_with_job: machines_with_job.collect(),
+            shards_with_job: machines_with_job.collect(),
         };
         self.rounds.is_settled(round, &view)
     }
@@ -106,7 +106,7 @@
         let due =
             self.cancellation_deadlines
                 .due(now, self.config.cancel, &self.cache, silent, freed);
-        effects.extend(due.ask.into_iter().map(Effect::QueryOutcome));
+        effects.extend(due.unknown_outcomes.into_iter().map(Effect::QueryOutcome));
         if !due.decommission.is_empty() {
             tracing::info!(machines = ?due.decommission, "machines are deleted: tasks of a cancelled job did not stop in time");
             self.autoscaler.decommission(now, due.decommission);
