--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -49,7 +49,7 @@
             return 0;
         }
         let work: f64 = self.came.values().map(|(_, work)| work).sum();
-        (work / WINDOW.secs()) as u64
+        (work / WINDOW.as_secs_f64()) as u64
     }
 
     pub(super) fn clear(&mut self) {
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -98,7 +98,7 @@
     }
     let age = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
     let objective = config.finish_within.get(&job.spec.pipeline);
-    let due = objective.map_or(4.0 * task + 60.0, |s| s.secs());
+    let due = objective.map_or(4.0 * task + 60.0, |s| s.as_secs_f64());
     due - age
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -233,8 +233,8 @@
                 }
             }
             let team_amounts = Team::new(
-                Resources::room(team.cpus, team.gpus, 0.0),
-                Resources::room(team.cpus_max, team.gpus_max, 0.0),
+                Resources::capacity(team.cpus, team.gpus, 0.0),
+                Resources::capacity(team.cpus_max, team.gpus_max, 0.0),
             );
             if teams
                 .insert(TeamId::from(team.name.as_str()), team_amounts)
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -128,7 +128,14 @@
     }
     let life = {
         let node = node.clone();
-        move || node.controller.borrow().cache.settings().lease().duration()
+        move || {
+            node.controller
+                .borrow()
+                .cache
+                .settings()
+                .lease()
+                .to_duration()
+        }
     };
     let told = node.clone();
     let assured = node.clone();
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn needs_round_up_and_room_rounds_down() {
+fn needs_round_up_and_capacity_rounds_down() {
     let need = Resources::need(0.1, 0.0, 1.00001);
     assert_eq!((need.cpus, need.memory), (100, 1001));
-    assert_eq!(Resources::room(4.0, 0.0, 15.9999).memory, 15_999);
-    assert_eq!(need.count_in(Resources::room(1.0, 0.0, 64.0)), 10);
+    assert_eq!(Resources::capacity(4.0, 0.0, 15.9999).memory, 15_999);
+    assert_eq!(need.count_in(Resources::capacity(1.0, 0.0, 64.0)), 10);
 }
 
 #[test]
-fn machines_are_dealt_out_evenly_in_the_order_of_their_names() {
+fn consecutive_machines_are_spread_evenly_over_shards() {
     let shards: Vec<u32> = (230..236)
         .map(|n| MachineId::from(format!("vm-{n:06}").as_str()).shard(6).0)
         .collect();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn task_ids_read_back() {
+fn displayed_task_id_parses_to_itself() {
     let task = TaskId::parse("job-000412/3").expect("task");
     assert_eq!((task.job.as_str(), task.index), ("job-000412", 3));
     assert_eq!(task.to_string(), "job-000412/3");
@@ -28,7 +28,7 @@
 
 /// Whatever the texts, names are in the order of the texts.
 #[test]
-fn names_are_ordered_as_their_texts() {
+fn names_are_ordered_like_their_texts() {
     let texts = [
         "",
         "a",
--- /dev/null
+++ b/src/ids/time.rs
@@ -0,0 +1,72 @@
+//! Moments and lengths of time, in milliseconds.
+
+use serde::{Deserialize, Serialize};
+use std::ops::{Add, Sub};
+use std::time::Duration;
+
+/// A moment of this process's monotonic clock, in milliseconds since it started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct MonotonicTime(pub u64);
+
+/// A length of time in milliseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(transparent)]
+pub(crate) struct Millis(pub u64);
+
+impl Millis {
+    /// Rounded down; 0 for a negative number of seconds.
+    pub(crate) fn from_secs(seconds: f64) -> Self {
+        Self((seconds.max(0.0) * 1000.0) as u64)
+    }
+
+    /// The same in seconds.
+    pub(crate) fn as_secs_f64(self) -> f64 {
+        self.0 as f64 / 1000.0
+    }
+
+    /// The same for the standard library.
+    pub(crate) fn to_duration(self) -> Duration {
+        Duration::from_millis(self.0)
+    }
+}
+
+impl MonotonicTime {
+    /// The time since an earlier moment; 0 if that is later.
+    pub(crate) fn since(self, earlier: Self) -> Millis {
+        Millis(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl Add for Millis {
+    type Output = Self;
+    fn add(self, other: Self) -> Self {
+        Self(self.0.saturating_add(other.0))
+    }
+}
+
+impl Add<Millis> for MonotonicTime {
+    type Output = Self;
+    fn add(self, span: Millis) -> Self {
+        Self(self.0.saturating_add(span.0))
+    }
+}
+
+impl Sub<Millis> for MonotonicTime {
+    type Output = Self;
+    fn sub(self, span: Millis) -> Self {
+        Self(self.0.saturating_sub(span.0))
+    }
+}
+
+/// Milliseconds since the Unix epoch. Controllers' clocks differ by up to the settings' bound.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(transparent)]
+pub(crate) struct UnixTime(pub u64);
+
+impl UnixTime {
+    /// This host's clock.
+    pub(crate) fn now() -> Self {
+        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        Self(since.map_or(0, |d| d.as_millis() as u64))
+    }
+}
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -95,7 +95,7 @@
             for (attempt, _) in machine.record.runs() {
                 let job = self.cache.jobs.get(&attempt.task.job);
                 let saves = job.is_some_and(|j| {
-                    j.spec.checkpoint_s > 0.0 && j.spec.save_s + 1.0 < left.secs()
+                    j.spec.checkpoint_s > 0.0 && j.spec.save_s + 1.0 < left.as_secs_f64()
                 });
                 if saves {
                     self.stop_whole(&attempt, id, &mut gone, &mut stops);
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -71,7 +71,7 @@
         ran: Millis,
     ) {
         let scale = if estimate_s > 0.0 { estimate_s } else { 1.0 };
-        let sample = (ran.secs() / scale) as f32;
+        let sample = (ran.as_secs_f64() / scale) as f32;
         if self.fresh.len() < 1000 || self.fresh.contains_key(pipeline) {
             let samples = self.fresh.entry(pipeline.clone()).or_default();
             if samples.len() < 4 * SAMPLES {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -26,7 +26,7 @@
 
 impl MachineType {
     pub(crate) fn room(&self) -> Resources {
-        Resources::room(self.cpus, self.gpus, self.memory_gb)
+        Resources::capacity(self.cpus, self.gpus, self.memory_gb)
     }
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -115,7 +115,7 @@
     fn from(command: &Command) -> Self {
         let (verb, grace_s) = match command {
             Command::Launch(_) => ("launch", None),
-            Command::Stop(_, grace) => ("stop", Some(grace.secs())),
+            Command::Stop(_, grace) => ("stop", Some(grace.as_secs_f64())),
             Command::Forget(_) => ("reap", None),
         };
         let attempt = command.run();
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -73,7 +73,8 @@
 
     /// The tokens in it now.
     pub(crate) fn level(&mut self, now: MonotonicTime) -> f64 {
-        self.level = (self.level + now.since(self.updated_at).secs() * self.rate).min(self.burst);
+        self.level =
+            (self.level + now.since(self.updated_at).as_secs_f64() * self.rate).min(self.burst);
         self.updated_at = now.max(self.updated_at);
         self.level
     }
