--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -57,7 +57,7 @@
 
 /// What has to be done about tasks that did not stop in time.
 #[derive(Debug, Default)]
-pub(crate) struct OverdueCancellations {
+pub(crate) struct DueActions {
     /// How these jobs ended has to be read.
     pub unknown_outcomes: Vec<JobId>,
     /// These machines have to go: their deletion is the proof that the tasks ended.
@@ -117,8 +117,8 @@
         cache: &WatchCache,
         silent: impl Fn(&MachineId) -> bool,
         freed: impl Fn(&TaskAttempt) -> bool,
-    ) -> OverdueCancellations {
-        let mut overdue = OverdueCancellations::default();
+    ) -> DueActions {
+        let mut actions = DueActions::default();
         let limit = Millis(cancel.0 - cancel.0 / CLEANUP_DIVISOR);
         for (id, machine) in &cache.machines {
             if self.ended.is_empty() || !silent(id) {
@@ -132,15 +132,15 @@
                     continue;
                 }
                 if ended.state == Some(JobState::Cancelled) {
-                    overdue.decommission.push(id.clone());
+                    actions.decommission.push(id.clone());
                     break;
                 }
                 if ended.needs_query(now) {
                     ended.queried_at = Some(now);
-                    overdue.unknown_outcomes.push(attempt.task.job);
+                    actions.unknown_outcomes.push(attempt.task.job);
                 }
             }
         }
-        overdue
+        actions
     }
 }
--- a/src/store/bitmap/tests.rs
+++ b/src/store/bitmap/tests.rs
@@ -5,7 +5,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn a_bitmap_is_a_set_and_its_largest_record_fits_a_value(bits in proptest::collection::vec(0u32..8192, 0..300)) {
+    fn bitmap_is_a_set_and_its_stored_form_fits_a_value(bits in proptest::collection::vec(0u32..8192, 0..300)) {
         let mut bitmap = Bitmap::default();
         let model: BTreeSet<u32> = bits.iter().copied().collect();
         for bit in &bits {
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -1,9 +1,11 @@
-//! Jobs that wait for others to be done: which job each of them still needs, what follows from
-//! another job's end, and how urgent that makes the jobs that they need.
+//! Blocked jobs: those that wait for others to be done. For each, the dependencies that are not done
+//! yet; for each dependency, how its end affects its dependents and how urgent they make it.
 //!
-//! A waiting job's counter is the set of jobs whose final record has not been seen to say "done"
-//! (the paper's II.B, as a set: a repeat counts once). Final records never change, so what was
-//! once noted stays true.
+//! A blocked job counts its open dependencies as the set of jobs whose final record has not been
+//! seen to say "done": a set, so that a repeat counts once. Final records never change, so what was
+//! once recorded stays true.
+
+mod inherited_urgency;
 
 use super::records::PlanRecord;
 use super::urgency::Urgency;
@@ -15,21 +17,29 @@
 /// How a job that others need has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobOutcome {
+    /// All its tasks are done: its dependents may start.
     Done,
+    /// It was cancelled, so its dependents have to be cancelled too.
     Cancelled,
 }
 
+/// A job none of whose tasks may start yet.
 #[derive(Debug)]
 pub(crate) struct BlockedJob {
+    /// What the job's owner asked for.
     pub spec: Rc<JobSpec>,
+    /// When the job was accepted.
     pub accepted: UnixTime,
+    /// The change that wrote its record.
     pub revision: Revision,
+    /// How it is to run; none until a controller has planned it.
     pub plan: Option<PlanRecord>,
-    /// Jobs that are not known to be done.
+    /// Dependencies that are not known to be done.
     unfinished: BTreeSet<JobId>,
 }
 
 impl BlockedJob {
+    /// A job of whose dependencies none is known to be done.
     pub(crate) fn new(
         spec: JobSpec,
         accepted: UnixTime,
@@ -51,10 +61,11 @@
     }
 }
 
+/// The blocked jobs, and what is known of the jobs that they depend on.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyGraph {
     jobs: BTreeMap<JobId, BlockedJob>,
-    /// The waiting jobs that need a job, by that job; never empty.
+    /// The blocked jobs that need a job, by that job; never empty.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
     /// What a job's dependents pass back to it, by that job.
     inherited: BTreeMap<JobId, Urgency>,
@@ -64,38 +75,41 @@
     with_unknown_outcome: BTreeSet<JobId>,
     /// Jobs with dependents that are known to be cancelled.
     cancelled: BTreeSet<JobId>,
-    /// Waiting jobs without a plan.
+    /// Blocked jobs without a plan.
     unplanned: BTreeSet<JobId>,
-    /// Waiting jobs that need nothing more.
+    /// Blocked jobs all of whose dependencies are done.
     ready: BTreeSet<JobId>,
     /// Where the tasks of ended jobs with dependents ran.
     ran_on: BTreeMap<JobId, Vec<MachineId>>,
 }
 
 impl DependencyGraph {
+    /// A blocked job.
     pub(crate) fn get(&self, id: &JobId) -> Option<&BlockedJob> {
         self.jobs.get(id)
     }
 
+    /// How many jobs are blocked.
     pub(crate) fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether a job is blocked.
     pub(crate) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Whether any waiting job needs this one.
+    /// Whether any blocked job needs this one.
     pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependents.contains_key(id)
     }
 
-    /// The waiting jobs that name a job as one that they need.
+    /// The blocked jobs that name a job as one that they need.
     pub(crate) fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// All waiting jobs that need a job, directly or through others, nearest first.
+    /// All blocked jobs that need a job, directly or through others, nearest first.
     pub(crate) fn descendants(&self, id: &JobId) -> Vec<JobId> {
         let mut seen = BTreeSet::new();
         let mut found = Vec::new();
@@ -111,27 +125,27 @@
         found
     }
 
-    /// Jobs with dependents that have ended, and of which it has to be read how.
+    /// Jobs with dependents that have ended, and whose final record has to be read.
     pub(crate) fn with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
         self.with_unknown_outcome.iter()
     }
 
-    /// Cancelled jobs on which waiting jobs still depend.
+    /// Cancelled jobs on which blocked jobs still depend.
     pub(crate) fn cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cancelled.iter()
     }
 
-    /// Waiting jobs without a plan.
+    /// Blocked jobs without a plan.
     pub(crate) fn unplanned(&self) -> impl Iterator<Item = &JobId> {
         self.unplanned.iter()
     }
 
-    /// Waiting jobs all of whose dependencies are done.
+    /// Blocked jobs all of whose dependencies are done.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &JobId> {
         self.ready.iter()
     }
 
-    /// Where the job ran whose placement group a waiting job shares.
+    /// Where the job ran whose placement group a blocked job shares.
     pub(crate) fn group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
         let parent = plan.and_then(|p| p.joins.as_ref());
@@ -139,30 +153,8 @@
         ran_on.map_or(&[], Vec::as_slice)
     }
 
-    /// What the dependents of a job pass back to it.
-    pub(crate) fn inherited(&self, id: &JobId) -> Option<Urgency> {
-        self.inherited.get(id).copied()
-    }
-
-    /// How urgent a job is that is as urgent as `own` by itself.
-    pub(super) fn merge_inherited(&self, id: &JobId, own: Urgency) -> Urgency {
-        self.inherited(id).map_or(own, |other| own.merge(other))
-    }
-
-    /// How urgent a waiting job is, by itself and by its own dependents.
-    pub(crate) fn urgency(&self, id: &JobId) -> Option<Urgency> {
-        let job = self.jobs.get(id)?;
-        let own = Urgency::of(&job.spec, job.accepted);
-        Some(self.merge_inherited(id, own))
-    }
-
-    fn urgency_for_dependencies(&self, id: &JobId) -> Option<Urgency> {
-        let predicted = self.jobs.get(id)?.predicted();
-        Some(self.urgency(id)?.before(predicted))
-    }
-
-    /// Takes in a waiting job. `is_live` tells of any other job whether it stands and does not
-    /// wait. Returns the jobs that have become more urgent.
+    /// Adds a blocked job. `is_live` says of any other job whether its tasks may run. Returns the
+    /// jobs that have become more urgent.
     pub(crate) fn insert(
         &mut self,
         id: JobId,
@@ -191,7 +183,8 @@
         self.propagate_urgency(&id)
     }
 
-    /// Takes out a job that waits no more. Returns the jobs whose urgency may have changed.
+    /// Removes a job that is no longer blocked, or has ended. Returns the jobs whose urgency has
+    /// changed.
     pub(crate) fn remove(&mut self, id: &JobId) -> Vec<JobId> {
         let Some(job) = self.jobs.remove(id) else {
             return Vec::new();
@@ -210,7 +203,7 @@
                 lowered.push(dependency.clone());
             }
         }
-        self.recompute(lowered)
+        self.recompute_inherited(lowered)
     }
 
     fn forget(&mut self, id: &JobId) {
@@ -225,19 +218,19 @@
         self.outcomes.contains_key(id) || self.with_unknown_outcome.contains(id)
     }
 
-    /// A job stands in the watch cache, waiting or not.
+    /// Notes that a job is in the watch cache, blocked or not.
     pub(crate) fn mark_live(&mut self, id: &JobId) {
         self.with_unknown_outcome.remove(id);
     }
 
-    /// A job has left the watch cache.
+    /// Notes that a job has left the watch cache.
     pub(crate) fn mark_ended(&mut self, id: &JobId) {
         if self.has_dependents(id) && !self.outcomes.contains_key(id) {
             self.with_unknown_outcome.insert(id.clone());
         }
     }
 
-    /// A job has ended, or is about to, and its tasks ran on these machines.
+    /// Notes on which machines the tasks of a job ran that has ended, or is about to.
     pub(crate) fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
             self.ran_on.insert(id.clone(), machines.to_vec());
@@ -255,18 +248,20 @@
             JobOutcome::Cancelled => drop(self.cancelled.insert(id.clone())),
             JobOutcome::Done => {
                 for dependent in dependents {
-                    if let Some(job) = self.jobs.get_mut(dependent) {
-                        job.unfinished.remove(id);
-                        if job.unfinished.is_empty() {
-                            self.ready.insert(dependent.clone());
-                        }
+                    let Some(job) = self.jobs.get_mut(dependent) else {
+                        continue;
+                    };
+                    job.unfinished.remove(id);
+                    if job.unfinished.is_empty() {
+                        self.ready.insert(dependent.clone());
                     }
                 }
             }
         }
     }
 
-    /// A plan predicts how long a waiting job takes. Returns the jobs whose urgency has changed.
+    /// Sets the plan of a blocked job, which predicts how long it takes. Returns the jobs whose
+    /// urgency has changed.
     pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> Vec<JobId> {
         let before = self.urgency_for_dependencies(id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -278,53 +273,7 @@
         if self.urgency_for_dependencies(id) == before {
             return Vec::new();
         }
-        self.recompute(dependencies)
-    }
-
-    /// Passes a new job's urgency back along its ancestors, as far as it changes anything.
-    fn propagate_urgency(&mut self, id: &JobId) -> Vec<JobId> {
-        let mut raised = Vec::new();
-        let mut queue = VecDeque::from([id.clone()]);
-        while let Some(next) = queue.pop_front() {
-            let Some(passed) = self.urgency_for_dependencies(&next) else {
-                continue;
-            };
-            let dependencies = self.jobs[&next].spec.dependencies.clone();
-            for dependency in dependencies {
-                let old = self.inherited.get(&dependency).copied();
-                let new = old.map_or(passed, |old| old.merge(passed));
-                if old != Some(new) {
-                    self.inherited.insert(dependency.clone(), new);
-                    raised.push(dependency.clone());
-                    queue.push_back(dependency);
-                }
-            }
-        }
-        raised
-    }
-
-    /// Works out anew what jobs inherit, and what changes with it along their ancestors.
-    fn recompute(&mut self, jobs: Vec<JobId>) -> Vec<JobId> {
-        let mut changed = Vec::new();
-        let mut queue = VecDeque::from(jobs);
-        while let Some(next) = queue.pop_front() {
-            let passed = self
-                .dependents(&next)
-                .filter_map(|d| self.urgency_for_dependencies(d));
-            let new = passed.reduce(Urgency::merge);
-            if new == self.inherited.get(&next).copied() {
-                continue;
-            }
-            match new {
-                Some(new) => drop(self.inherited.insert(next.clone(), new)),
-                None => drop(self.inherited.remove(&next)),
-            }
-            if let Some(job) = self.jobs.get(&next) {
-                queue.extend(job.spec.dependencies.iter().cloned());
-            }
-            changed.push(next);
-        }
-        changed
+        self.recompute_inherited(dependencies)
     }
 }
 
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ModelState {
-    DependencyGraph,
+    Blocked,
     Live,
     Done,
     Cancelled,
@@ -33,7 +33,7 @@
         estimate: u32,
     },
     /// The job's final record is seen, or only that it has left the watch cache.
-    AttemptOutcome {
+    End {
         job: usize,
         cancelled: bool,
         noted: bool,
@@ -63,19 +63,16 @@
 }
 
 impl Model {
-    fn mark_live(&self, job: usize) -> bool {
-        matches!(
-            self.jobs[job].state,
-            ModelState::DependencyGraph | ModelState::Live
-        )
+    fn has_not_ended(&self, job: usize) -> bool {
+        matches!(self.jobs[job].state, ModelState::Blocked | ModelState::Live)
     }
 
     fn children(&self, job: usize) -> Vec<usize> {
-        let waits = |c: &usize| {
+        let is_blocked_by_job = |c: &usize| {
             let child = &self.jobs[*c];
-            child.state == ModelState::DependencyGraph && child.parents.contains(&job)
+            child.state == ModelState::Blocked && child.parents.contains(&job)
         };
-        (0..self.jobs.len()).filter(waits).collect()
+        (0..self.jobs.len()).filter(is_blocked_by_job).collect()
     }
 
     /// By trying every path forward.
@@ -112,10 +109,10 @@
     }
 }
 
-/// The real one, with the jobs that stand and do not wait beside it.
+/// The real graph, with the jobs beside it that are live and not blocked.
 #[derive(Default)]
 struct Real {
-    waiting: DependencyGraph,
+    graph: DependencyGraph,
     live: BTreeSet<JobId>,
 }
 
@@ -123,7 +120,7 @@
     fn accept(&mut self, job: usize, model: &ModelJob) {
         if model.state == ModelState::Live {
             self.live.insert(id(job));
-            self.waiting.mark_live(&id(job));
+            self.graph.mark_live(&id(job));
             return;
         }
         let mut spec = crate::protocol::tests::spec(id(job).as_str());
@@ -131,16 +128,15 @@
         spec.priority = model.priority;
         spec.deadline_s = model.deadline;
         spec.estimate_s = model.predicted;
-        let waiting = BlockedJob::new(spec, UnixTime(0), Revision(1), None);
+        let blocked = BlockedJob::new(spec, UnixTime(0), Revision(1), None);
         let live = &self.live;
-        self.waiting
-            .insert(id(job), waiting, |id| live.contains(id));
+        self.graph.insert(id(job), blocked, |id| live.contains(id));
     }
 
     fn leave(&mut self, job: usize) {
         self.live.remove(&id(job));
-        self.waiting.remove(&id(job));
-        self.waiting.mark_ended(&id(job));
+        self.graph.remove(&id(job));
+        self.graph.mark_ended(&id(job));
     }
 }
 
@@ -160,13 +156,13 @@
     parents.sort_unstable();
     parents.dedup();
     let state = |p: &usize| model.jobs[*p].state;
-    // As the intake decides it.
+    // As the API decides it.
     let state = if parents.iter().any(|p| state(p) == ModelState::Cancelled) {
         ModelState::Cancelled
     } else if parents.iter().all(|p| state(p) == ModelState::Done) {
         ModelState::Live
     } else {
-        ModelState::DependencyGraph
+        ModelState::Blocked
     };
     let job = ModelJob {
         parents,
@@ -186,8 +182,7 @@
         return;
     }
     let job = job % model.jobs.len();
-    if !model.mark_live(job) || (!cancelled && model.jobs[job].state == ModelState::DependencyGraph)
-    {
+    if !model.has_not_ended(job) || (!cancelled && model.jobs[job].state == ModelState::Blocked) {
         return;
     }
     let (state, outcome) = match cancelled {
@@ -198,23 +193,23 @@
     // A final record may be known before the stream brings the change, or after, or only when it
     // is read.
     if noted && job.is_multiple_of(2) {
-        real.waiting.record_outcome(&id(job), outcome);
+        real.graph.record_outcome(&id(job), outcome);
         real.leave(job);
     } else {
         real.leave(job);
         if noted {
-            real.waiting.record_outcome(&id(job), outcome);
+            real.graph.record_outcome(&id(job), outcome);
         }
     }
 }
 
 fn read(model: &Model, real: &mut Real) {
-    let with_unknown_outcome: Vec<JobId> = real.waiting.with_unknown_outcome().cloned().collect();
+    let with_unknown_outcome: Vec<JobId> = real.graph.with_unknown_outcome().cloned().collect();
     for asked in with_unknown_outcome {
         let job: usize = asked.as_str()[4..].parse().expect("a number");
         match model.jobs[job].state {
-            ModelState::Done => real.waiting.record_outcome(&asked, JobOutcome::Done),
-            ModelState::Cancelled => real.waiting.record_outcome(&asked, JobOutcome::Cancelled),
+            ModelState::Done => real.graph.record_outcome(&asked, JobOutcome::Done),
+            ModelState::Cancelled => real.graph.record_outcome(&asked, JobOutcome::Cancelled),
             state => panic!("{asked} is {state:?} and was taken for over"),
         }
     }
@@ -222,20 +217,20 @@
 
 /// Releases what is ready, cancels what is doomed: as the leader does it.
 fn lead(model: &mut Model, real: &mut Real) {
-    let ready: Vec<JobId> = real.waiting.ready().cloned().collect();
+    let ready: Vec<JobId> = real.graph.ready().cloned().collect();
     for released in ready {
         let job: usize = released.as_str()[4..].parse().expect("a number");
         assert!(model.may_start(job), "{released} is released too early");
         model.jobs[job].state = ModelState::Live;
-        real.waiting.remove(&released);
+        real.graph.remove(&released);
         real.live.insert(released);
     }
     loop {
-        let next = real.waiting.cancelled().next().cloned();
+        let next = real.graph.cancelled().next().cloned();
         let Some(root) = next else {
             return;
         };
-        for dependent in real.waiting.descendants(&root) {
+        for dependent in real.graph.descendants(&root) {
             let job: usize = dependent.as_str()[4..].parse().expect("a number");
             assert!(
                 model.is_doomed(job),
@@ -243,25 +238,24 @@
             );
             model.jobs[job].state = ModelState::Cancelled;
             real.leave(job);
-            real.waiting
-                .record_outcome(&dependent, JobOutcome::Cancelled);
+            real.graph.record_outcome(&dependent, JobOutcome::Cancelled);
         }
     }
 }
 
 fn compare(model: &Model, real: &Real) {
     for (job, known) in model.jobs.iter().enumerate() {
-        let waits = known.state == ModelState::DependencyGraph;
-        assert_eq!(real.waiting.contains(&id(job)), waits, "{job}");
-        if waits {
-            assert_eq!(real.waiting.urgency(&id(job)), Some(model.urgency(job)));
+        let is_blocked = known.state == ModelState::Blocked;
+        assert_eq!(real.graph.contains(&id(job)), is_blocked, "{job}");
+        if is_blocked {
+            assert_eq!(real.graph.urgency(&id(job)), Some(model.urgency(job)));
         }
         if known.state == ModelState::Live {
             let own = Urgency {
                 priority: known.priority,
                 finish_by: known.deadline.map(|s| UnixTime((s * 1000.0) as u64)),
             };
-            let inherited = real.waiting.inherited(&id(job));
+            let inherited = real.graph.inherited(&id(job));
             let merged = inherited.map_or(own, |other| own.merge(other));
             assert_eq!(merged, model.urgency(job), "live {job}");
         }
@@ -282,7 +276,7 @@
         estimate,
     });
     let end = (0usize..40, 0u32..4, any::<bool>());
-    let end = end.prop_map(|(job, kind, noted)| Step::AttemptOutcome {
+    let end = end.prop_map(|(job, kind, noted)| Step::End {
         job,
         cancelled: kind == 0,
         noted,
@@ -295,18 +289,18 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(22), failure_persistence: None, ..ProptestConfig::default() })]
     /// Who may start, who is cancelled, effective priority and latest finish.
     #[test]
-    fn waiting_jobs_agree_with_the_model(steps in proptest::collection::vec(step(), 1..60)) {
+    fn graph_agrees_with_the_model(steps in proptest::collection::vec(step(), 1..60)) {
         let (mut model, mut real) = (Model::default(), Real::default());
         for step in &steps {
             match step {
                 Step::Accept { .. } => accept(&mut model, &mut real, step),
-                Step::AttemptOutcome { job, cancelled, noted } => {
+                Step::End { job, cancelled, noted } => {
                     end(&mut model, &mut real, *job, *cancelled, *noted);
                 }
                 Step::Read => read(&model, &mut real),
                 Step::Plan { job, seconds } => {
                     let job = job % model.jobs.len().max(1);
-                    if real.waiting.contains(&id(job)) {
+                    if real.graph.contains(&id(job)) {
                         model.jobs[job].predicted = f64::from(*seconds);
                         let plan = PlanRecord {
                             type_name: None,
@@ -314,7 +308,7 @@
                             predicted_s: f64::from(*seconds),
                             joins: None,
                         };
-                        real.waiting.set_plan(&id(job), plan);
+                        real.graph.set_plan(&id(job), plan);
                     }
                 }
             }
@@ -324,14 +318,14 @@
         read(&model, &mut real);
         lead(&mut model, &mut real);
         compare(&model, &real);
-        // Nothing that could go on waits, and nothing that is doomed.
+        // No job is blocked that may start, or that has to be cancelled.
         for (job, known) in model.jobs.iter().enumerate() {
-            let waits = known.state == ModelState::DependencyGraph;
-            prop_assert!(!waits || (!model.may_start(job) && !model.is_doomed(job)));
+            let is_blocked = known.state == ModelState::Blocked;
+            prop_assert!(!is_blocked || (!model.may_start(job) && !model.is_doomed(job)));
         }
-        // Nothing is kept of jobs on which none waits.
-        if real.waiting.len() == 0 {
-            let kept = (&real.waiting.dependents, &real.waiting.inherited, &real.waiting.outcomes);
+        // Nothing is kept of jobs without dependents.
+        if real.graph.len() == 0 {
+            let kept = (&real.graph.dependents, &real.graph.inherited, &real.graph.outcomes);
             prop_assert!(kept.0.is_empty() && kept.1.is_empty() && kept.2.is_empty());
         }
     }
@@ -340,7 +334,7 @@
 /// A chain of thousands whose last job alone has a deadline costs a walk along it once, and a
 /// fan-out of thousands is not looked through for each of its jobs.
 #[test]
-fn long_chains_and_wide_fans_cost_what_has_changed() {
+fn urgency_and_outcome_reach_thousands_of_dependents() {
     const JOBS: usize = 5000;
     let mut real = Real::default();
     let job = |parents: Vec<usize>, deadline| ModelJob {
@@ -348,7 +342,7 @@
         priority: Priority::Low,
         deadline,
         predicted: 10.0,
-        state: ModelState::DependencyGraph,
+        state: ModelState::Blocked,
     };
     let first = ModelJob {
         state: ModelState::Live,
@@ -359,14 +353,14 @@
         real.accept(n, &job(vec![n - 1], None));
     }
     real.accept(JOBS, &job(vec![JOBS - 1], Some(1e6)));
-    let urgency = real.waiting.inherited(&id(0)).expect("inherited");
+    let urgency = real.graph.inherited(&id(0)).expect("inherited");
     let before = 10_000 * JOBS as u64;
     assert_eq!(urgency.finish_by, Some(UnixTime(1_000_000_000 - before)));
     for n in 0..JOBS {
         real.accept(JOBS + 1 + n, &job(vec![0], Some(1e6)));
     }
-    assert_eq!(real.waiting.descendants(&id(0)).len(), 2 * JOBS);
+    assert_eq!(real.graph.descendants(&id(0)).len(), 2 * JOBS);
     real.leave(0);
-    real.waiting.record_outcome(&id(0), JobOutcome::Done);
-    assert_eq!(real.waiting.ready().count(), JOBS + 1);
+    real.graph.record_outcome(&id(0), JobOutcome::Done);
+    assert_eq!(real.graph.ready().count(), JOBS + 1);
 }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,10 +1,14 @@
-//! The keys under which records stand. Everything under `live/` is cached by every controller.
+//! The keys of the records. Everything under `live/` is cached by every controller.
 
 use crate::ids::{JobId, MachineId, Member, Pipeline, ShardId};
 
+/// The prefix of all records that are cached.
 pub(crate) const LIVE: &str = "live/";
+/// The leader's record.
 pub(crate) const LEADER: &str = "live/cluster/leader";
+/// The cloud's machine types and zones.
 pub(crate) const CATALOG: &str = "live/catalog";
+/// The administrators' settings.
 pub(crate) const SETTINGS: &str = "live/settings";
 
 const MEMBER: &str = "live/cluster/member/";
@@ -14,36 +18,52 @@
 const MACHINE: &str = "live/machine/";
 const HISTORY: &str = "live/history/";
 
+/// A controller's record.
 pub(crate) fn member(member: &Member) -> String {
     format!("{MEMBER}{member}")
 }
+
+/// A shard's record.
 pub(crate) fn shard(shard: ShardId) -> String {
     format!("{SHARD}{shard}")
 }
+
+/// A live job's record.
 pub(crate) fn job(job: &JobId) -> String {
     format!("{JOB}{job}")
 }
+
+/// A segment of a job's completion counter.
 pub(crate) fn segment(job: &JobId, segment: u32) -> String {
     format!("{JOB}{job}/{segment}")
 }
+
+/// A batch of plans.
 pub(crate) fn plans(batch: &str) -> String {
     format!("{PLANS}{batch}")
 }
+
+/// A machine's record.
 pub(crate) fn machine(machine: &MachineId) -> String {
     format!("{MACHINE}{machine}")
 }
+
 /// The machine whose record a key names.
 pub(crate) fn machine_of(key: &str) -> Option<MachineId> {
     key.strip_prefix(MACHINE).map(MachineId::from)
 }
+
+/// The run times of a pipeline.
 pub(crate) fn history(pipeline: &Pipeline) -> String {
     format!("{HISTORY}{pipeline}")
 }
+
 /// Where a finished or cancelled job's final state is kept for good.
 pub(crate) fn final_state(job: &JobId) -> String {
     format!("over/{job}")
 }
 
+/// A key of a cached record, taken apart.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum LiveKey {
     Leader,
@@ -53,12 +73,15 @@
     Settings,
     History(Pipeline),
     Job(JobId),
+    /// A segment of this job's completion counter, by its number.
     Segment(JobId, u32),
+    /// A batch of plans, by its name.
     Plans(String),
     Machine(MachineId),
 }
 
 impl LiveKey {
+    /// Takes a key apart; none for one that is not cached, or that another version wrote.
     pub(crate) fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER => return Some(Self::Leader),
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn keys_read_back() {
+fn formatted_keys_parse_to_themselves() {
     let id = JobId::from("job-7");
     assert_eq!(LiveKey::parse(&job(&id)), Some(LiveKey::Job(id.clone())));
     assert_eq!(
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -1,4 +1,4 @@
-//! The record of a machine: what is placed there, and what has completed there.
+//! The record of a machine: what is placed there, and what was completed there.
 
 pub(crate) mod size;
 
@@ -8,27 +8,42 @@
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// A job's tasks on one machine. The needs stand here as well, so that a cancelled job's
+/// The part of a record's bytes that is kept for completions.
+const COMPLETIONS_DIVISOR: usize = 4;
+
+/// A job's tasks on one machine. What they need is recorded here as well, so that a cancelled job's
 /// tasks still count while they are not proved gone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlacedJob {
+    /// The job.
     pub job: JobId,
+    /// The team whose quotas the tasks use.
     pub team: TeamId,
+    /// What each task needs.
     pub need: Resources,
+    /// The image that the tasks run.
     pub image: Image,
+    /// The placed tasks: the index of each, and the number of its attempt. Pairs, because both the
+    /// stored form and the frames between controllers have them so.
     pub tasks: Vec<(u32, AttemptNumber)>,
 }
 
+/// A machine that is rented, and what its shard's owner has recorded of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MachineRecord {
+    /// The address of its worker, as host and port.
     pub addr: String,
+    /// Its machine type.
     pub type_name: TypeName,
+    /// The zone that it is in.
     pub zone: Zone,
+    /// Whether the cloud may take it back at short notice.
     pub spot: bool,
+    /// The tasks that are placed there, by job.
     pub jobs: Vec<PlacedJob>,
-    /// Tasks that completed here and may not stand in their job's own counter yet: this record
-    /// has to be written for them anyway, so counting them costs no change of its own. Never
-    /// skipped: records also travel between controllers, where each field has its place.
+    /// Tasks that completed here and may not be in their job's own counter yet: this record has to
+    /// be written for them anyway, so counting them costs no change of its own. Never skipped when
+    /// serialized: records are also sent between controllers, where fields go by position.
     #[serde(default)]
     pub done: Vec<DoneTasks>,
 }
@@ -36,11 +51,14 @@
 /// Finished tasks of one job, as ranges from first to last.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DoneTasks {
+    /// The job.
     pub job: JobId,
+    /// Ranges of task indices, both ends included, ascending and apart.
     pub ranges: Vec<(u32, u32)>,
 }
 
 impl DoneTasks {
+    /// The indices of the tasks, ascending.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = u32> {
         self.ranges.iter().flat_map(|(first, last)| *first..=*last)
     }
@@ -87,12 +105,14 @@
         self.done.iter().map(size::done).sum()
     }
 
+    /// What the placed tasks use.
     pub(crate) fn used(&self) -> Resources {
         self.jobs.iter().fold(Resources::default(), |sum, j| {
             sum + j.need.times(j.tasks.len() as u64)
         })
     }
 
+    /// The placed attempts, each with the entry of its job.
     pub(crate) fn runs(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
         self.jobs.iter().flat_map(|placed| {
             placed.tasks.iter().map(move |(index, attempt_number)| {
@@ -108,12 +128,14 @@
         })
     }
 
+    /// Whether an attempt is placed here.
     pub(crate) fn holds(&self, attempt: &TaskAttempt) -> bool {
         self.jobs.iter().any(|p| {
             p.job == attempt.task.job && p.tasks.contains(&(attempt.task.index, attempt.number))
         })
     }
 
+    /// Places an attempt here.
     pub(crate) fn add(&mut self, attempt: &TaskAttempt, spec: &JobSpec) {
         let entry = (attempt.task.index, attempt.number);
         match self.jobs.iter_mut().find(|p| p.job == attempt.task.job) {
@@ -128,6 +150,7 @@
         }
     }
 
+    /// Takes an attempt out.
     pub(crate) fn remove(&mut self, attempt: &TaskAttempt) {
         for placed in &mut self.jobs {
             if placed.job == attempt.task.job {
@@ -148,17 +171,15 @@
     /// What a placement adds to the stored size.
     pub(crate) fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
         let task = size::task(attempt.task.index, attempt.number);
-        let stands = self.jobs.iter().any(|p| p.job == attempt.task.job);
-        task + if stands { 0 } else { size::job(spec) }
+        let has_job = self.jobs.iter().any(|p| p.job == attempt.task.job);
+        task + if has_job { 0 } else { size::job(spec) }
     }
 
     /// The stored size up to which placements may be added to a record that may have so many bytes:
-    /// their ends need room as well.
+    /// their completions need space as well.
     pub(crate) fn placement_capacity(value_bytes: usize) -> usize {
-        value_bytes - value_bytes / Self::PART_FOR_ENDS
+        value_bytes - value_bytes / COMPLETIONS_DIVISOR
     }
-
-    const PART_FOR_ENDS: usize = 4;
 }
 
 #[cfg(test)]
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -1,12 +1,12 @@
 //! The sizes of the parts of a machine's record as they are stored, as JSON.
 //!
-//! Each part is counted with the comma behind it, so a sum is a few bytes too large at most.
+//! Each part is counted with a comma after it, so a sum is a few bytes too large at most.
 
 use super::{DoneTasks, MachineRecord, PlacedJob};
 use crate::ids::{AttemptNumber, Resources};
 use crate::protocol::JobSpec;
 
-/// The names and signs of a record without its texts, jobs and finished tasks.
+/// The keys and punctuation of a record without its texts, jobs and finished tasks.
 const HEAD: usize = r#"{"addr":,"type_name":,"zone":,"spot":false,"jobs":[],"done":[]}"#.len();
 const PLACED: usize = r#"{"job":,"team":,"need":,"image":,"tasks":[]},"#.len();
 const NEED: usize = r#"{"cpus":,"gpus":,"memory":}"#.len();
@@ -14,8 +14,9 @@
 const DONE: usize = r#"{"job":,"ranges":[]},"#.len();
 const QUOTES: usize = 2;
 
-/// A placed task whose attempt is a number of up to sixteen digits. Attempts lead with a revision
-/// of the key-value store, so they get there after billions of changes; the shard owner counts exactly.
+/// A placed task whose attempt number has up to sixteen digits. Attempt numbers begin with a revision
+/// of the key-value store, so they get there after billions of changes; the shard owner counts
+/// exactly.
 pub(crate) const LARGEST_TASK: usize = PAIR + "99999".len() + "9999999999999999".len();
 
 fn number(value: u64) -> usize {
@@ -35,7 +36,7 @@
     NEED + number(need.cpus) + number(need.gpus) + number(need.memory)
 }
 
-/// A record on which nothing stands.
+/// A record without jobs.
 pub(crate) fn head(record: &MachineRecord) -> usize {
     let texts = [
         record.addr.as_str(),
@@ -51,10 +52,12 @@
     PLACED + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
 }
 
+/// A placed task.
 pub(crate) fn task(index: u32, attempt_number: AttemptNumber) -> usize {
     PAIR + number(index.into()) + number(attempt_number.0)
 }
 
+/// A job on a record, with its tasks.
 pub(crate) fn placed(placed: &PlacedJob) -> usize {
     let names = [
         placed.job.as_str(),
@@ -69,6 +72,7 @@
     PLACED + need(placed.need) + names + tasks
 }
 
+/// A job's finished tasks.
 pub(crate) fn done(done: &DoneTasks) -> usize {
     let range =
         |(first, last): &(u32, u32)| PAIR + number((*first).into()) + number((*last).into());
--- a/src/store/machine_record/tests.rs
+++ b/src/store/machine_record/tests.rs
@@ -4,7 +4,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default() })]
-    /// The model is a set; ranges stay in order, apart, and as few as can be.
+    /// The model is a set; ranges stay ascending, apart, and as few as possible.
     #[test]
     fn counted_ranges_are_a_set(steps in proptest::collection::vec((0u32..80, 0u32..6), 1..60)) {
         let mut done = DoneTasks { job: "job-1".into(), ranges: Vec::new() };
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_records_size_never_passes_its_bound() {
+fn size_is_an_upper_bound_of_the_stored_size() {
     let spec = crate::protocol::tests::spec("job-00000000000000000001");
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
     for index in 0..200 {
@@ -38,9 +38,9 @@
     assert!(record.size() <= size + 8, "{size}");
 }
 
-/// Placements that were announced add no more than they were said to.
+/// The size that is announced for a placement is the one that it adds.
 #[test]
-fn what_a_placement_adds_is_known_before() {
+fn size_of_adding_is_what_a_placement_adds() {
     let mut spec = crate::protocol::tests::spec("job-000001");
     spec.team = "a\\\"team".into();
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,6 +2,7 @@
 //! there, and the watch cache of the live ones.
 
 mod admission;
+mod bitmap;
 mod client;
 mod counters;
 pub(crate) mod dependency_graph;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,24 +1,28 @@
-//! The records' contents.
+//! The contents of the records, stored as JSON.
 
+pub(crate) use super::bitmap::Bitmap;
 pub(crate) use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
 
 use crate::ids::{Incarnation, JobId, LeaseId, MachineId, Member, Revision, TypeName, UnixTime};
 use crate::protocol::{JobSpec, JobState};
-use base64::Engine;
-use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// Who leads; attached to the leader's lease. The record's revision is the leader's term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaderRecord {
+    /// The controller.
     pub member: Member,
+    /// Its process: the leadership is not that of a restarted one.
     pub incarnation: Incarnation,
 }
 
+/// A controller whose lease holds; attached to that lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MemberRecord {
+    /// The controller's process.
     pub incarnation: Incarnation,
+    /// The lease, to which leaders attach the shards that they assign to the controller.
     #[serde(rename = "grant")]
     pub lease: LeaseId,
     /// What the controller's program understands; 0 where it does not say so.
@@ -50,19 +54,24 @@
     pub(crate) const CURRENT: Self = Self::DEPENDENCIES;
 }
 
-/// A lease of a shard; attached to its shard owner's lease.
+/// Who owns a shard; attached to the owner's lease. The record's revision is the shard's fence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ShardRecord {
     #[serde(rename = "holder")]
+    /// The controller that owns it.
     pub owner: Member,
+    /// The owner's process: a restarted one has to be assigned the shard anew.
     pub incarnation: Incarnation,
-    /// The leader's term that it was leased in.
+    /// The leader's term in which it was assigned.
     pub term: Revision,
 }
 
+/// An accepted job, until it ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct JobRecord {
+    /// What the job's owner asked for.
     pub spec: JobSpec,
+    /// When it was accepted.
     pub accepted: UnixTime,
     /// When the last job that this one depends on was done. `None` while it waits, and for jobs
     /// that depend on nothing.
@@ -89,7 +98,9 @@
 /// How a job ended; written once and never changed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FinalRecord {
+    /// Done or cancelled.
     pub state: JobState,
+    /// How many tasks the job had.
     pub tasks: u32,
 }
 
@@ -99,8 +110,11 @@
 /// A job's plan, written once at acceptance. Its machines are preferred, not binding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanRecord {
+    /// The preferred machine type.
     pub type_name: Option<TypeName>,
+    /// The preferred machines; at most [`Self::MACHINES`].
     pub machines: Vec<MachineId>,
+    /// How long each of its tasks is predicted to run, in seconds.
     pub predicted_s: f64,
     /// The job whose placement group this one shares, among those that it needs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -112,91 +126,9 @@
     pub(crate) const MACHINES: usize = 12;
 }
 
-/// Run times of a pipeline's tasks as parts of the estimates, by machine type, oldest first.
+/// How long tasks of a pipeline's earlier jobs ran.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HistoryRecord {
+    /// The run times on each machine type, as fractions of the estimates, oldest first.
     pub types: BTreeMap<TypeName, Vec<f32>>,
 }
-
-/// A part of a completion counter: which tasks are done. A task that reports twice counts once.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Bitmap {
-    words: Vec<u64>,
-}
-
-impl Bitmap {
-    pub(crate) fn set(&mut self, bit: u32) {
-        let word = (bit / 64) as usize;
-        if self.words.len() <= word {
-            self.words.resize(word + 1, 0);
-        }
-        self.words[word] |= 1 << (bit % 64);
-    }
-
-    pub(crate) fn get(&self, bit: u32) -> bool {
-        self.words
-            .get((bit / 64) as usize)
-            .is_some_and(|w| w & (1 << (bit % 64)) != 0)
-    }
-
-    pub(crate) fn count(&self) -> u32 {
-        self.words.iter().map(|w| w.count_ones()).sum()
-    }
-
-    /// As it is stored in a value of so many bytes: in hexadecimal digits, as all versions read it,
-    /// or where these don't fit in base64. `None`: neither fits.
-    pub(crate) fn stored(&self, value_bytes: usize) -> Option<Value> {
-        let fits = |text: &String| text.len() + QUOTES <= value_bytes;
-        let text = Some(self.digits()).filter(fits);
-        let text = text.or_else(|| Some(self.base64()).filter(fits));
-        text.map(Value::String)
-    }
-
-    fn digits(&self) -> String {
-        self.words.iter().map(|w| format!("{w:016x}")).collect()
-    }
-
-    fn base64(&self) -> String {
-        let bytes: Vec<u8> = self.words.iter().flat_map(|w| w.to_be_bytes()).collect();
-        format!("{BASE64_MARK}{}", STANDARD_NO_PAD.encode(bytes))
-    }
-
-    fn from_digits(text: &str) -> Option<Vec<u64>> {
-        let chunks = text.as_bytes().chunks(16);
-        let word = |chunk| u64::from_str_radix(std::str::from_utf8(chunk).ok()?, 16).ok();
-        chunks.map(word).collect()
-    }
-
-    fn from_base64(text: &str) -> Option<Vec<u64>> {
-        let bytes = STANDARD_NO_PAD.decode(text).ok()?;
-        let (words, rest) = bytes.as_chunks::<8>();
-        let words = words.iter().map(|word| u64::from_be_bytes(*word));
-        rest.is_empty().then(|| words.collect())
-    }
-}
-
-/// Stands before a bitmap in base64; no hexadecimal digit.
-const BASE64_MARK: &str = "=";
-/// Around a stored text.
-const QUOTES: usize = 2;
-
-impl Serialize for Bitmap {
-    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(&self.digits())
-    }
-}
-
-impl<'de> Deserialize<'de> for Bitmap {
-    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(deserializer)?;
-        let words = match text.strip_prefix(BASE64_MARK) {
-            Some(rest) => Self::from_base64(rest),
-            None => Self::from_digits(&text),
-        };
-        let words = words.ok_or_else(|| serde::de::Error::custom("not a bitmap"))?;
-        Ok(Self { words })
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/store/urgency.rs
+++ b/src/store/urgency.rs
@@ -7,12 +7,14 @@
 /// depends on it can still be in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Urgency {
+    /// The highest priority that anything depends on.
     pub priority: Priority,
+    /// That moment; none where there is no deadline.
     pub finish_by: Option<UnixTime>,
 }
 
 impl Urgency {
-    /// What the job's owner says of it.
+    /// By itself: as the job's owner has specified it.
     pub(crate) fn of(spec: &JobSpec, accepted: UnixTime) -> Self {
         let deadline = spec.deadline_s.map(Millis::from_secs);
         Self {
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -108,6 +108,7 @@
         }
     }
 
+    /// Takes a segment out, whether its job is here or not.
     pub(super) fn delete_segment(&mut self, key: &SegmentKey) {
         self.early_segments.remove(key);
         if let Some(job) = self.jobs.get_mut(&key.job) {
@@ -126,6 +127,7 @@
         }
     }
 
+    /// Forgets a batch of plans, and those of its plans whose jobs have not come.
     pub(super) fn delete_plan_batch(&mut self, name: &str) {
         for id in self.plan_batches.remove(name).unwrap_or_default() {
             self.early_plans.remove(&id);
