--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Names a round among those of one controller's life.
+/// Identifies a round among those of one process of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RoundId(pub u64);
 
--- a/src/ids/time.rs
+++ b/src/ids/time.rs
@@ -19,12 +19,12 @@
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// The same in seconds.
+    /// This length in seconds.
     pub(crate) fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The same for the standard library.
+    /// This length as the standard library's type.
     pub(crate) fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -10,17 +10,17 @@
 use std::time::{Duration, Instant};
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// A lease is renewed so many times in its life.
-const RENEWALS_PER_LIFE: u32 = 3;
+/// How often a lease is renewed in the time after which it would end.
+const RENEWALS_PER_TTL: u32 = 3;
 
-/// Ends the lease of an earlier process of this controller, then keeps one for ever. `life`: how
+/// Ends the lease of an earlier process of this controller, then keeps one for ever. `ttl`: how
 /// long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None`
 /// when it is gone; `on_valid_until` with the time until which it holds for certain.
 pub(crate) async fn keep_lease(
     store: Rc<Store>,
     member: Member,
     incarnation: Incarnation,
-    life: impl Fn() -> Duration,
+    ttl: impl Fn() -> Duration,
     on_lease: impl Fn(Option<LeaseId>),
     on_valid_until: impl Fn(Instant),
 ) {
@@ -28,12 +28,12 @@
     loop {
         // Taken before the request leaves: the lease can't end sooner than this says.
         let requested_at = Instant::now();
-        let life_now = life();
-        match acquire(&store, &key, incarnation, life_now).await {
+        let ttl_now = ttl();
+        match acquire(&store, &key, incarnation, ttl_now).await {
             Ok(lease) => {
-                on_valid_until(requested_at + life_now);
+                on_valid_until(requested_at + ttl_now);
                 on_lease(Some(lease));
-                renew_until_gone(&store, lease, life_now, requested_at, &on_valid_until).await;
+                renew_until_gone(&store, lease, ttl_now, requested_at, &on_valid_until).await;
                 on_lease(None);
             }
             Err(_) => runtime::sleep(RETRY_DELAY).await,
@@ -46,10 +46,10 @@
     store: &Store,
     key: &str,
     incarnation: Incarnation,
-    life: Duration,
+    ttl: Duration,
 ) -> Result<LeaseId, StoreError> {
     let expected = end_previous_lease(store, key).await?;
-    let lease = store.create_lease(life.as_millis() as u64).await?;
+    let lease = store.create_lease(ttl).await?;
     let mut txn = Txn::default();
     txn.require(key, expected);
     let record = MemberRecord::new(incarnation, lease);
@@ -83,17 +83,17 @@
 async fn renew_until_gone(
     store: &Store,
     lease: LeaseId,
-    life: Duration,
+    ttl: Duration,
     mut renewed_at: Instant,
     on_valid_until: impl Fn(Instant),
 ) {
     loop {
-        runtime::sleep(life / RENEWALS_PER_LIFE).await;
+        runtime::sleep(ttl / RENEWALS_PER_TTL).await;
         let now = Instant::now();
         match store.renew_lease(lease).await {
             Ok(()) => {
                 renewed_at = now;
-                on_valid_until(renewed_at + life);
+                on_valid_until(renewed_at + ttl);
             }
             Err(StoreError::Gone) => return,
             // In an outage leases keep their time; only the service can say that one is gone.
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -5,7 +5,7 @@
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ShardRecord};
 
-fn scene() -> (Config, WatchCache) {
+fn three_owners() -> (Config, WatchCache) {
     let config = sample_config();
     let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: serde_json::Value| {
@@ -50,7 +50,7 @@
 /// alone let availability fall from 0.83 to 0.73 (Savannah fleet, apart).
 #[test]
 fn owner_that_hears_its_machines_only_through_others_is_quarantined() {
-    let (config, cache) = scene();
+    let (config, cache) = three_owners();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| MachineHealth {
@@ -62,14 +62,14 @@
     let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
     reachability.evaluate(MonotonicTime(1100), config.shards(), all.iter(), &cache);
-    let deaf: Vec<Member> = reachability.quarantined().into_iter().collect();
-    assert_eq!(deaf, ["c1".into()]);
+    let unreachable: Vec<Member> = reachability.quarantined().into_iter().collect();
+    assert_eq!(unreachable, ["c1".into()]);
 }
 
 /// Machine n belongs to shard n mod 6, which c(n mod 3) owns.
 #[test]
 fn only_an_owner_whose_silent_machines_others_hear_is_quarantined() {
-    let (config, cache) = scene();
+    let (config, cache) = three_owners();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
@@ -90,8 +90,8 @@
         "those are not silent"
     );
     reachability.on_misdirected_heartbeats(MonotonicTime(3000), named(1));
-    let deaf: Vec<Member> = evaluate(&mut reachability, 3100).into_iter().collect();
-    assert_eq!(deaf, ["c1".into()]);
+    let unreachable: Vec<Member> = evaluate(&mut reachability, 3100).into_iter().collect();
+    assert_eq!(unreachable, ["c1".into()]);
     let later = 3100 + 2 * config.worker_lease.0;
     reachability.evaluate(MonotonicTime(later), config.shards(), [].iter(), &cache);
     assert!(
--- a/src/store/admission.rs
+++ b/src/store/admission.rs
@@ -14,7 +14,7 @@
     pub writes: f64,
 }
 
-/// One bucket of tokens for requests and one for changes of keys, at the rates that hold now.
+/// One bucket of tokens for requests and one for changes of keys, at the rates that apply now.
 pub(super) struct Admission {
     /// This controller's part of the rates.
     share: f64,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -59,7 +59,7 @@
     addr: SocketAddr,
     started: Instant,
     admission: RefCell<Admission>,
-    /// Calls in a row that failed: while any, only probes are worth their wait.
+    /// Calls that have failed one after another, up to now.
     failures: Cell<u32>,
     counters: RefCell<Counters>,
 }
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Waits for changes under a prefix after a revision. `Gone`: the records have to be read anew.
+    /// Waits for changes under a prefix after a revision. `Gone`: the records have to be read
+    /// again, page by page.
     pub(crate) async fn watch(
         &self,
         prefix: &str,
@@ -221,10 +222,10 @@
         }
     }
 
-    /// Creates a lease that ends when it is not renewed for so many milliseconds.
-    pub(crate) async fn create_lease(&self, life_ms: u64) -> Result<LeaseId, StoreError> {
+    /// Creates a lease that ends when it is not renewed for so long.
+    pub(crate) async fn create_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         self.admit_lease_request();
-        let body = lease_request(life_ms);
+        let body = lease_request(ttl.as_millis() as u64);
         let result = self.call(Method::Post, path::LEASES, &body, CALL_TIMEOUT);
         match result.await {
             Ok(answer) if answer.status == 200 => decode::<Lease>(&answer).map(|lease| lease.id),
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Begins a lease's life anew. `Gone`: it has ended.
+    /// Extends a lease by its full time from now. `Gone`: it has ended.
     pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.admit_lease_request();
         let path = renewal_path(lease);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -63,9 +63,18 @@
     format!("over/{job}")
 }
 
+/// Names one segment of a job's completion counter.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SegmentKey {
+    /// The job.
+    pub job: JobId,
+    /// The segment's number, from 0.
+    pub segment: u32,
+}
+
 /// A key of a cached record, taken apart.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum LiveKey {
+pub(super) enum LiveKey {
     Leader,
     Member(Member),
     Shard(ShardId),
@@ -73,8 +82,8 @@
     Settings,
     History(Pipeline),
     Job(JobId),
-    /// A segment of this job's completion counter, by its number.
-    Segment(JobId, u32),
+    /// A segment of a job's completion counter.
+    Segment(SegmentKey),
     /// A batch of plans, by its name.
     Plans(String),
     Machine(MachineId),
@@ -82,7 +91,7 @@
 
 impl LiveKey {
     /// Takes a key apart; none for one that is not cached, or that another version wrote.
-    pub(crate) fn parse(key: &str) -> Option<Self> {
+    pub(super) fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER => return Some(Self::Leader),
             CATALOG => return Some(Self::Catalog),
@@ -92,7 +101,10 @@
         if let Some(rest) = key.strip_prefix(JOB) {
             return match rest.split_once('/') {
                 None => Some(Self::Job(rest.into())),
-                Some((job, segment)) => Some(Self::Segment(job.into(), segment.parse().ok()?)),
+                Some((job, segment)) => Some(Self::Segment(SegmentKey {
+                    job: job.into(),
+                    segment: segment.parse().ok()?,
+                })),
             };
         }
         let named = |prefix| key.strip_prefix(prefix);
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -6,7 +6,10 @@
     assert_eq!(LiveKey::parse(&job(&id)), Some(LiveKey::Job(id.clone())));
     assert_eq!(
         LiveKey::parse(&segment(&id, 3)),
-        Some(LiveKey::Segment(id.clone(), 3))
+        Some(LiveKey::Segment(SegmentKey {
+            job: id.clone(),
+            segment: 3
+        }))
     );
     assert_eq!(
         LiveKey::parse(&shard(ShardId(4))),
--- a/src/store/rate_selector.rs
+++ b/src/store/rate_selector.rs
@@ -12,7 +12,7 @@
 /// Never later than this.
 const MAX_RETRY_DELAY: Millis = Millis(600_000);
 
-/// That the smaller rates hold for a while.
+/// The time for which the smaller rates apply.
 #[derive(Clone, Copy, Debug)]
 struct Lowered {
     until: MonotonicTime,
@@ -41,7 +41,7 @@
         self.lowered.is_some_and(|l| now < l.until)
     }
 
-    /// The rates that hold now.
+    /// The rates that apply now.
     pub(super) fn current(&self, now: MonotonicTime) -> StateRates {
         match self.is_lowered(now) {
             true => self.least,
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -73,8 +73,8 @@
     pub spec: JobSpec,
     /// When it was accepted.
     pub accepted: UnixTime,
-    /// When the last job that this one depends on was done. `None` while it waits, and for jobs
-    /// that depend on nothing.
+    /// When the last job that this one depends on was done. `None` while it is blocked, and
+    /// for jobs that depend on nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub released: Option<UnixTime>,
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -11,7 +11,7 @@
 pub(crate) use machines::LiveMachine;
 
 use super::dependency_graph::DependencyGraph;
-use super::keys;
+use super::keys::{self, SegmentKey};
 use super::records::{
     Bitmap, HistoryRecord, LeaderRecord, MemberRecord, PlanRecord, ProgramVersion, ShardRecord,
 };
@@ -45,7 +45,7 @@
     pub history: BTreeMap<Pipeline, Versioned<HistoryRecord>>,
     /// Jobs whose tasks may run.
     pub jobs: BTreeMap<JobId, LiveJob>,
-    /// Jobs that wait for others to be done. Nothing that counts or places work sees them.
+    /// Blocked jobs. Nothing that counts or places work sees them.
     pub dependency_graph: DependencyGraph,
     /// Machines with a record, and those that answer before they have one.
     pub machines: BTreeMap<MachineId, LiveMachine>,
@@ -55,17 +55,10 @@
     early_plans: BTreeMap<JobId, PlanRecord>,
     /// The jobs of each batch of plans, by the batch's name.
     plan_batches: BTreeMap<String, Vec<JobId>>,
-    /// Jobs that are known to be cancelled, by that change, before the stream has come so far.
+    /// Jobs that are known to be cancelled, by that change, before the stream has reached it.
     cancelled: BTreeMap<JobId, Revision>,
 }
 
-/// Names one segment of a job's completion counter.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct SegmentKey {
-    job: JobId,
-    segment: u32,
-}
-
 impl WatchCache {
     /// An empty cache, before the first page of records.
     pub(crate) fn new(config: &Config) -> Self {
--- a/src/store/watch_cache/changes.rs
+++ b/src/store/watch_cache/changes.rs
@@ -1,6 +1,6 @@
 //! Applies the stream's changes to the cache, each by the kind of its key.
 
-use super::{SegmentKey, WatchCache};
+use super::WatchCache;
 use crate::ids::{JobId, Revision, ShardId};
 use crate::protocol::store::{Event, Item};
 use crate::store::keys::LiveKey;
@@ -96,9 +96,9 @@
                 }
             }
             LiveKey::Job(id) => self.put_stored_job(id, record),
-            LiveKey::Segment(job, segment) => {
+            LiveKey::Segment(key) => {
                 if let Some(bits) = record.decode_versioned() {
-                    self.put_segment(SegmentKey { job, segment }, bits);
+                    self.put_segment(key, bits);
                 }
             }
             LiveKey::Plans(name) => {
@@ -150,7 +150,7 @@
             }
             LiveKey::History(pipeline) => drop(self.history.remove(&pipeline)),
             LiveKey::Job(id) => return self.delete_job(id, revision),
-            LiveKey::Segment(job, segment) => self.delete_segment(&SegmentKey { job, segment }),
+            LiveKey::Segment(key) => self.delete_segment(&key),
             LiveKey::Plans(name) => self.delete_plan_batch(&name),
             LiveKey::Machine(id) => self.delete_machine(&id, revision),
         }
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -1,9 +1,10 @@
 //! The cached jobs, blocked and live: their records, plans and completion counters.
 
-use super::{LiveJob, SegmentKey, WatchCache};
+use super::{LiveJob, WatchCache};
 use crate::ids::{JobId, Revision};
 use crate::protocol::JobSpec;
 use crate::store::dependency_graph::{BlockedJob, JobOutcome};
+use crate::store::keys::SegmentKey;
 use crate::store::records::{Bitmap, JobRecord, PlanBatch, PlanRecord};
 use crate::store::versioned::Versioned;
 use std::collections::BTreeMap;
