--- a/src/controller.rs
+++ b/src/controller.rs
@@ -23,7 +23,7 @@
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::{PlanBatch, PlanRecord};
 use crate::store::watch_cache::WatchCache;
-use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, ShardOwner};
+use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, HeartbeatPath, ShardOwner};
 use dependents::Dependents;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -216,19 +216,19 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
-        self.process_heartbeat(now, heartbeat, false)
+        self.process_heartbeat(now, heartbeat, HeartbeatPath::FromWorker)
     }
 
     fn process_heartbeat(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
-        relayed: bool,
+        path: HeartbeatPath,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
         let mut out = Vec::new();
         let answer = self
             .shard_owner
-            .on_heartbeat(now, heartbeat, relayed, &self.cache, &mut out);
+            .on_heartbeat(now, heartbeat, path, &self.cache, &mut out);
         (answer, self.finish(now, out))
     }
 
@@ -241,7 +241,7 @@
         if !self.shard_owner.accepts_relayed(now, &heartbeat.machine) {
             return (None, Vec::new());
         }
-        let (answer, effects) = self.process_heartbeat(now, heartbeat, true);
+        let (answer, effects) = self.process_heartbeat(now, heartbeat, HeartbeatPath::Relayed);
         (Some(answer), effects)
     }
 
@@ -253,7 +253,7 @@
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
     pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
-        self.shard_owner.partitioned = partitioned;
+        self.shard_owner.set_partitioned(partitioned);
     }
 
     pub(crate) fn on_call(
@@ -483,12 +483,12 @@
                         effects.push(Effect::Peer(leader.value.member.clone(), message));
                     }
                 }
-                worker_control::Effect::Found(id, record) => {
+                worker_control::Effect::MachineDiscovered(id, record) => {
                     self.cache.discover(id, record);
                     self.shard_owner.compare_all_trackers();
                     self.next_reconcile = now;
                 }
-                worker_control::Effect::Lost(id) => self.cache.forget(&id),
+                worker_control::Effect::MachineLost(id) => self.cache.forget(&id),
                 worker_control::Effect::RenewShard(shard) => self.renew(shard, effects),
             }
         }
--- a/src/worker_control/mod.rs
+++ b/src/worker_control/mod.rs
@@ -4,4 +4,6 @@
 mod machine_tracker;
 mod shard_owner;
 
-pub(crate) use shard_owner::{DirectCallOutcome, Effect, HeartbeatAnswer, ShardOwner};
+pub(crate) use shard_owner::{
+    DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner,
+};
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -1,8 +1,27 @@
 //! Allotments of the leader: which of the machines here takes what.
 
-use super::*;
+use super::{Effect, ShardOwner};
+use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
+use crate::peers::{Allotment, Message};
+use crate::protocol::JobSpec;
+use crate::store::machine_record::{MachineRecord, size};
+use crate::store::watch_cache::{LiveJob, WatchCache};
+use crate::worker_control::machine_tracker::{MachineTracker, PendingPlacement};
+use std::collections::BTreeSet;
+
+/// How long an allotment waits for the watch cache to bring its job.
+const ALLOTMENT_WAIT_LIMIT: Millis = Millis(1500);
+
+/// An allotment that came before the watch cache brought what it refers to.
+#[derive(Debug)]
+pub(super) struct WaitingAllotment {
+    /// When it came.
+    since: MonotonicTime,
+    allotment: Allotment,
+}
 
 impl ShardOwner {
+    /// Takes in an allotment of the leader.
     pub(crate) fn on_allot(
         &mut self,
         now: MonotonicTime,
@@ -10,96 +29,119 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        self.waiting.push((now, allotment));
+        self.waiting_allotments.push(WaitingAllotment {
+            since: now,
+            allotment,
+        });
         self.place_waiting(now, cache, out);
         self.flush(now, cache, out);
     }
 
+    /// Places the allotments for which the watch cache is recent enough, or has been awaited for
+    /// too long.
     pub(super) fn place_waiting(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        for (since, mut allotment) in std::mem::take(&mut self.waiting) {
-            let fence = self.fence(cache, allotment.shard);
-            let job = allotment.attempts.first().map(|r| r.task.job.clone());
-            let live = job.as_ref().and_then(|j| cache.jobs.get(j));
-            let behind = fence.is_none_or(|f| f < allotment.fence)
-                || (live.is_none() && cache.revision < allotment.job_revision);
-            if behind && now.since(since) < ALLOTMENT_WAIT_LIMIT {
-                self.waiting.push((since, allotment));
-                continue;
+        for waiting in std::mem::take(&mut self.waiting_allotments) {
+            let behind = self.is_cache_behind(&waiting.allotment, cache);
+            if behind && now.since(waiting.since) < ALLOTMENT_WAIT_LIMIT {
+                self.waiting_allotments.push(waiting);
+            } else {
+                self.place(now, waiting.allotment, cache, out);
             }
-            let fits = fence == Some(allotment.fence)
-                && live.is_some_and(|j| j.revision == allotment.job_revision);
-            let attempts = std::mem::take(&mut allotment.attempts);
-            let mut refused = Vec::new();
-            let mut touched = BTreeSet::new();
-            for attempt in attempts {
-                let place = live.filter(|_| fits).and_then(|job| {
-                    let id = self.choose(job, &attempt, &allotment, cache)?;
-                    Some((job, id))
+        }
+    }
+
+    /// Whether the watch cache lacks the shard's record or the job that an allotment refers to.
+    fn is_cache_behind(&self, allotment: &Allotment, cache: &WatchCache) -> bool {
+        let fence = self.fence(cache, allotment.shard);
+        let job = allotted_job(allotment, cache);
+        fence.is_none_or(|fence| fence < allotment.fence)
+            || (job.is_none() && cache.revision < allotment.job_revision)
+    }
+
+    /// Chooses machines for an allotment; attempts for which none fits are refused.
+    fn place(
+        &mut self,
+        now: MonotonicTime,
+        mut allotment: Allotment,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
+        let valid = self.fence(cache, allotment.shard) == Some(allotment.fence);
+        let job = allotted_job(&allotment, cache)
+            .filter(|job| valid && job.revision == allotment.job_revision);
+        let mut refused = Vec::new();
+        let mut changed = BTreeSet::new();
+        for attempt in std::mem::take(&mut allotment.attempts) {
+            let choice = job.and_then(|job| {
+                let id = self.choose(job, &attempt, &allotment, cache)?;
+                Some((job, id))
+            });
+            let Some((job, id)) = choice else {
+                refused.push(attempt);
+                continue;
+            };
+            if let Some(tracker) = self.trackers.get_mut(&id) {
+                tracker.placements_mut().push(PendingPlacement {
+                    since: now,
+                    attempt,
+                    spec: job.spec.clone(),
+                    job_revision: job.revision,
                 });
-                match place {
-                    Some((job, id)) => {
-                        if let Some(tracker) = self.trackers.get_mut(&id) {
-                            tracker.incoming.push_back(Incoming {
-                                since: now,
-                                attempt,
-                                spec: job.spec.clone(),
-                                job_revision: job.revision,
-                            });
-                            touched.insert(id);
-                        }
-                    }
-                    None => refused.push(attempt),
-                }
-            }
-            if !refused.is_empty() {
-                out.push(Effect::ToLeader(Message::Refused {
-                    fence: allotment.fence,
-                    attempts: refused,
-                }));
-            }
-            for id in touched {
-                self.step(now, &id, cache, out);
+                changed.insert(id);
             }
         }
+        if !refused.is_empty() {
+            out.push(Effect::ToLeader(Message::Refused {
+                fence: allotment.fence,
+                attempts: refused,
+            }));
+        }
+        for id in changed {
+            self.step(now, &id, cache, out);
+        }
     }
 
-    /// The first of the leader's choices inside the shard that fits as the shard stands now. The
+    /// The first of the leader's choices inside the shard that fits as the shard is now. The
     /// leader lists every machine of the shard that it would accept.
-    pub(super) fn choose(
+    fn choose(
         &self,
         job: &LiveJob,
         attempt: &TaskAttempt,
         allotment: &Allotment,
         cache: &WatchCache,
     ) -> Option<MachineId> {
-        let need = job.spec.need();
-        let fits = |id: &&MachineId| -> Option<bool> {
-            let tracker = self.trackers.get(*id)?;
-            let record = &cache.machines.get(*id)?.record;
-            let usable = tracker.confirmed && !tracker.superseded && tracker.notice.is_none();
-            let allowed = job
-                .spec
-                .allows(&record.type_name, &record.zone, record.spot);
-            let room = cache.machine_type(&record.type_name)?.room();
-            let freed = tracker
-                .unwritten
-                .as_ref()
-                .map_or(Resources::default(), |r| r.freed);
-            let free = room + freed - record.used() - self.promised(tracker);
+        let fits = |id: &&MachineId| {
             let in_shard = id.shard(self.shards) == allotment.shard;
-            let stored = self.stored_size(tracker, record, attempt, &job.spec) <= self.value_bytes;
-            Some(in_shard && usable && allowed && need.fits(free) && stored)
+            in_shard && self.fits(id, job, attempt, cache).unwrap_or(false)
         };
-        allotment
-            .preferred
-            .iter()
-            .find(|id| fits(id).unwrap_or(false))
-            .cloned()
+        allotment.preferred.iter().find(fits).cloned()
+    }
+
+    /// Whether a machine can take a task more. `None`: the machine or its type is unknown.
+    fn fits(
+        &self,
+        id: &MachineId,
+        job: &LiveJob,
+        attempt: &TaskAttempt,
+        cache: &WatchCache,
+    ) -> Option<bool> {
+        let tracker = self.trackers.get(id)?;
+        let record = &cache.machines.get(id)?.record;
+        let usable = tracker.obeys_us() && tracker.notice().is_none();
+        let allowed = job
+            .spec
+            .allows(&record.type_name, &record.zone, record.spot);
+        let room = cache.machine_type(&record.type_name)?.room();
+        let pending = tracker.placements().pending_need();
+        let free = room + tracker.writes().freed() - record.used() - pending;
+        let stored = self.stored_size(tracker, record, attempt, &job.spec);
+        let storable = stored <= self.limits.value_bytes;
+        Some(usable && allowed && job.spec.need().fits(free) && storable)
     }
 
     /// The size of a machine's record with all that is allotted there and one placement more. What
@@ -111,26 +153,28 @@
         attempt: &TaskAttempt,
         spec: &JobSpec,
     ) -> usize {
-        let ends = self.value_bytes - MachineRecord::placement_capacity(self.value_bytes);
+        let value_bytes = self.limits.value_bytes;
+        let ends = value_bytes - MachineRecord::placement_capacity(value_bytes);
         let mut jobs = BTreeSet::new();
-        let incoming = tracker.incoming.iter().map(|i| (&i.attempt, &*i.spec));
-        let added = incoming.chain([(attempt, spec)]).map(|(attempt, spec)| {
-            let task = size::task(attempt.task.index, attempt.number);
-            match jobs.insert(&attempt.task.job) {
-                true => record.size_of_adding(attempt, spec),
-                false => task,
+        let pending = tracker
+            .placements()
+            .pending()
+            .map(|p| (&p.attempt, &*p.spec));
+        let added = pending.chain([(attempt, spec)]).map(|(attempt, spec)| {
+            if jobs.insert(&attempt.task.job) {
+                record.size_of_adding(attempt, spec)
+            } else {
+                size::task(attempt.task.index, attempt.number)
             }
         });
         let added: usize = added.sum();
         let done = record.done_size();
         record.size() - done + done.max(ends) + added
     }
+}
 
-    /// What a tracker has taken on that its record does not show yet.
-    pub(super) fn promised(&self, tracker: &MachineTracker) -> Resources {
-        tracker
-            .incoming
-            .iter()
-            .fold(Resources::default(), |sum, i| sum + i.spec.need())
-    }
+/// The job whose tasks are allotted, if the watch cache has it.
+fn allotted_job<'a>(allotment: &Allotment, cache: &'a WatchCache) -> Option<&'a LiveJob> {
+    let first = allotment.attempts.first()?;
+    cache.jobs.get(&first.task.job)
 }
--- /dev/null
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -0,0 +1,49 @@
+//! What a shard owner can prove about the tasks of cancelled jobs.
+
+use super::ShardOwner;
+use crate::ids::{JobId, MachineId, ShardId, TaskAttempt};
+use crate::peers::ShardFence;
+use crate::store::watch_cache::WatchCache;
+use std::collections::BTreeSet;
+
+impl ShardOwner {
+    /// The shards owned here in which all tasks of a cancelled job are proved gone, but for those
+    /// on machines that are deleted. With `known` it suffices that the machines obey this shard
+    /// owner alone, which knows of the cancellation.
+    pub(crate) fn cleared_shards(
+        &self,
+        job: &JobId,
+        known: bool,
+        deleted: impl Fn(&MachineId) -> bool,
+        cache: &WatchCache,
+    ) -> Vec<ShardFence> {
+        let unsettled: BTreeSet<ShardId> = cache
+            .machines_with_job(job)
+            .filter(|id| !deleted(id) && !self.is_cleared(id, job, known, cache))
+            .map(|id| id.shard(self.shards))
+            .collect();
+        let owned = cache.shards.keys().filter_map(|shard| {
+            let fence = self.fence(cache, *shard)?;
+            (!unsettled.contains(shard)).then_some(ShardFence {
+                shard: *shard,
+                fence,
+            })
+        });
+        owned.collect()
+    }
+
+    /// Whether no task of a cancelled job can run on a machine any more.
+    fn is_cleared(&self, id: &MachineId, job: &JobId, known: bool, cache: &WatchCache) -> bool {
+        let (Some(tracker), Some(machine)) = (self.trackers.get(id), cache.machines.get(id)) else {
+            return false;
+        };
+        let mut attempts = machine.record.runs().filter(|(r, _)| r.task.job == *job);
+        (known && tracker.obeys_us()) || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
+    }
+
+    /// Whether a placement here is proved gone, though its machine's record may still show it.
+    pub(crate) fn is_gone(&self, attempt: &TaskAttempt) -> bool {
+        let mut trackers = self.trackers.values();
+        trackers.any(|tracker| tracker.placements().is_reported(attempt))
+    }
+}
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -1,167 +1,233 @@
-//! What a shard owner orders its workers to do, in answers and by direct command.
+//! What a shard owner commands its workers to do, in answers and by direct command.
 
-use super::*;
+use super::calls::CALL_RETRY_DELAY;
+use super::{Effect, ShardOwner};
+use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
+use crate::protocol::{Command, TaskState};
+use crate::store::watch_cache::{LiveMachine, WatchCache};
+use crate::worker_control::machine_tracker::{CommandRoute, MachineTracker, TaskPresence};
+
+/// Commands in one message: no launch or forget command is added beyond this.
+const COMMAND_BATCH: usize = 200;
+/// Exited tasks that a worker goes on listing because their direct launches could be repeated.
+/// More of them, and the machine's token rises: fewer would be calls, more is longer heartbeats.
+const MAX_UNFORGETTABLE_TASKS: usize = 24;
 
 impl ShardOwner {
-    /// The commands that are due; what they change is noted as sent.
-    pub(super) fn commands(
+    /// The leader wants a task stopped.
+    pub(crate) fn on_stop(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
+        attempt: TaskAttempt,
+        grace: Millis,
         cache: &WatchCache,
-        direct: bool,
+        out: &mut Vec<Effect>,
+    ) {
+        if let Some(tracker) = self.trackers.get_mut(id) {
+            tracker.request_stop(attempt, grace);
+            self.step(now, id, cache, out);
+        }
+    }
+
+    /// The commands that are due; they are noted as sent.
+    pub(super) fn due_commands(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+        cache: &WatchCache,
+        route: CommandRoute,
     ) -> Vec<Command> {
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
             return Vec::new();
         };
-        let mut commands = Vec::new();
-        for (attempt, _) in machine.record.runs() {
-            let cancelled = !cache.jobs.contains_key(&attempt.task.job);
-            let stop = match tracker.stops.get(&attempt) {
-                _ if cancelled => Some(Millis(0)),
-                Some((grace, _)) => Some(*grace),
-                None => None,
-            };
-            let presence = tracker.presence(&attempt);
-            match (presence, stop) {
-                (TaskPresence::Alive(state), Some(grace)) => {
-                    let saving = state == TaskState::Saving && grace > Millis(0);
-                    let entry = tracker
-                        .stops
-                        .entry(attempt.clone())
-                        .or_insert((grace, None));
-                    let due = entry
-                        .1
-                        .is_none_or(|at| now.since(at) >= STOP_RETRY_INTERVAL);
-                    if due && !saving {
-                        entry.1 = Some(now);
-                        commands.push(Command::Stop(attempt, grace));
-                    }
-                }
-                (TaskPresence::Absent | TaskPresence::MayAppear, None)
-                    if tracker.launchable.contains(&attempt) =>
-                {
-                    let pending = tracker
-                        .launches
-                        .get(&attempt)
-                        .is_some_and(|s| s.direct == DirectLaunch::Pending);
-                    let unanswered = direct && presence == TaskPresence::MayAppear;
-                    if !unanswered && !pending {
-                        tracker.record_launch(&attempt, direct);
-                        commands.push(Command::Launch(attempt));
-                    }
-                }
-                _ => {}
-            }
-            if commands.len() >= COMMAND_BATCH {
-                break;
-            }
+        let mut commands = placement_commands(now, tracker, machine, cache, route);
+        if route == CommandRoute::HeartbeatResponse {
+            let room = COMMAND_BATCH.saturating_sub(commands.len());
+            commands.extend(forget_commands(tracker, machine, room));
         }
-        // Exited tasks whose end is recorded are forgotten, never sooner: a forgotten task
-        // would start again if its start came a second time.
-        let finished: Vec<TaskAttempt> = tracker
-            .listed
-            .iter()
-            .filter(|(attempt, (state, _))| {
-                *state == TaskState::Exited
-                    && !machine.record.holds(attempt)
-                    && tracker.may_forget(attempt)
-            })
-            .map(|(attempt, _)| attempt.clone())
-            .collect();
-        let in_flight =
-            |attempt: &TaskAttempt| tracker.incoming.iter().any(|i| i.attempt == *attempt);
-        for attempt in finished {
-            if !in_flight(&attempt) && commands.len() < COMMAND_BATCH && !direct {
-                tracker.launches.remove(&attempt);
-                commands.push(Command::Forget(attempt));
-            }
-        }
-        // What runs without a placement is nobody's: it is stopped.
-        for (attempt, (state, _)) in &tracker.listed {
-            if *state != TaskState::Exited && !machine.record.holds(attempt) && tracker.confirmed {
-                commands.push(Command::Stop(attempt.clone(), Millis(0)));
-            }
+        if tracker.is_confirmed() {
+            // A task that runs without a placement belongs to nobody.
+            let orphans = tracker
+                .alive_tasks()
+                .filter(|attempt| !machine.record.holds(attempt));
+            commands.extend(orphans.map(|attempt| Command::Stop(attempt.clone(), Millis(0))));
         }
         commands
     }
 
     /// Sends direct commands: to take a machine over, to start and stop at once, to probe.
-    pub(super) fn command(
+    pub(super) fn send_direct_commands(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let heartbeat = self.heartbeat_interval;
+        let quiet_limits = QuietLimits::new(self.heartbeat_interval);
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
             return;
         };
         // What can't bring its heartbeats here can't be reached from here either.
-        if tracker.call.is_some()
-            || tracker.superseded
-            || now < tracker.next_call
-            || tracker.is_relayed()
-        {
+        if !tracker.calls().may_send(now) || tracker.is_superseded() || tracker.is_relayed() {
             return;
         }
-        // Heartbeats show that the machine lives, not that anything reaches it.
-        let quiet = now.since(tracker.last_heartbeat) > heartbeat + Millis(heartbeat.0 / 4 + 300)
-            || now.since(tracker.last_reached) > Millis(4 * heartbeat.0 + 2000);
-        let may_raise = tracker.confirmed && !quiet && !tracker.token_raised_recently(now);
+        let quiet = quiet_limits.exceeded(tracker, now);
+        let may_raise = tracker.is_confirmed() && !quiet && !tracker.token_raised_recently(now);
         if may_raise && needs_token_raise(tracker, machine, cache) && !tracker.raise_token(now) {
             out.push(Effect::RenewShard(id.shard(self.shards)));
         }
-        let take_over = !tracker.confirmed;
+        let take_over = !tracker.is_confirmed();
         let commands = if take_over {
             Vec::new()
         } else {
-            self.commands(now, id, cache, true)
-        };
-        let Some(tracker) = self.trackers.get_mut(id) else {
-            return;
+            self.due_commands(now, id, cache, CommandRoute::DirectCall)
         };
         if commands.is_empty() && !quiet && !take_over {
             return;
         }
-        tracker.call = Some(commands.clone());
-        tracker.next_call = now
-            + if take_over || quiet {
-                CALL_RETRY_DELAY
-            } else {
-                Millis(0)
-            };
+        let probe = take_over || quiet;
+        let pause = if probe { CALL_RETRY_DELAY } else { Millis(0) };
+        self.send_call(id, commands, now + pause, out);
+    }
+
+    fn send_call(
+        &mut self,
+        id: &MachineId,
+        commands: Vec<Command>,
+        next_at: MonotonicTime,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(tracker) = self.trackers.get_mut(id) else {
+            return;
+        };
+        tracker.calls_mut().begin(commands.clone(), next_at);
         out.push(Effect::Call {
             machine: id.clone(),
-            addr: tracker.addr.clone(),
+            addr: tracker.addr().to_owned(),
             token: tracker.token(),
-            epoch: tracker.epoch,
+            epoch: tracker.epoch(),
             commands,
         });
     }
 }
 
-/// Whether only a higher token helps: a cancelled task whose start has no answer, which can only
-/// be fenced off; or many exited ones whose start could be repeated once they were forgotten.
-pub(super) fn needs_token_raise(
-    tracker: &MachineTracker,
+/// How long a machine may be quiet before it is probed.
+struct QuietLimits {
+    /// Since its last heartbeat.
+    heartbeat: Millis,
+    /// Since something of ours arrived: heartbeats show that the machine lives, not that anything
+    /// reaches it.
+    reached: Millis,
+}
+
+impl QuietLimits {
+    fn new(heartbeat_interval: Millis) -> Self {
+        Self {
+            heartbeat: heartbeat_interval + Millis(heartbeat_interval.0 / 4 + 300),
+            reached: Millis(4 * heartbeat_interval.0 + 2000),
+        }
+    }
+
+    fn exceeded(&self, tracker: &MachineTracker, now: MonotonicTime) -> bool {
+        tracker.since_heartbeat(now) > self.heartbeat || tracker.since_reached(now) > self.reached
+    }
+}
+
+/// Launches and stops of the placements that the machine's record shows.
+fn placement_commands(
+    now: MonotonicTime,
+    tracker: &mut MachineTracker,
     machine: &LiveMachine,
     cache: &WatchCache,
-) -> bool {
-    let burden = tracker.listed.len() > MAX_UNFORGETTABLE_TASKS
-        && tracker.incoming.is_empty()
+    route: CommandRoute,
+) -> Vec<Command> {
+    let mut commands = Vec::new();
+    for (attempt, _) in machine.record.runs() {
+        let cancelled = !cache.jobs.contains_key(&attempt.task.job);
+        let stop_grace = if cancelled {
+            Some(Millis(0))
+        } else {
+            tracker.stop_grace(&attempt)
+        };
+        commands.extend(match stop_grace {
+            Some(grace) => stop_command(now, tracker, attempt, grace),
+            None => launch_command(tracker, attempt, route),
+        });
+        if commands.len() >= COMMAND_BATCH {
+            break;
+        }
+    }
+    commands
+}
+
+fn stop_command(
+    now: MonotonicTime,
+    tracker: &mut MachineTracker,
+    attempt: TaskAttempt,
+    grace: Millis,
+) -> Option<Command> {
+    let TaskPresence::Alive(state) = tracker.presence(&attempt) else {
+        return None;
+    };
+    tracker.request_stop(attempt.clone(), grace);
+    let saving = state == TaskState::Saving && grace > Millis(0);
+    let send = !saving && tracker.send_stop_if_due(&attempt, now);
+    send.then_some(Command::Stop(attempt, grace))
+}
+
+fn launch_command(
+    tracker: &mut MachineTracker,
+    attempt: TaskAttempt,
+    route: CommandRoute,
+) -> Option<Command> {
+    let may_launch = match tracker.presence(&attempt) {
+        TaskPresence::Absent => true,
+        // A direct launch is without an answer: only a response may repeat it.
+        TaskPresence::MayAppear => route == CommandRoute::HeartbeatResponse,
+        _ => false,
+    };
+    let committed = tracker.placements().is_launchable(&attempt);
+    if !may_launch || !committed || tracker.is_launch_pending(&attempt) {
+        return None;
+    }
+    tracker.record_launch(&attempt, route);
+    Some(Command::Launch(attempt))
+}
+
+/// Exited tasks whose end is recorded are forgotten, never sooner: a forgotten task would start
+/// again if its launch came a second time.
+fn forget_commands(
+    tracker: &mut MachineTracker,
+    machine: &LiveMachine,
+    limit: usize,
+) -> Vec<Command> {
+    let finished = tracker.exited_tasks().filter(|attempt| {
+        !machine.record.holds(attempt)
+            && tracker.may_forget(attempt)
+            && !tracker.placements().is_pending(attempt)
+    });
+    let finished: Vec<TaskAttempt> = finished.take(limit).cloned().collect();
+    for attempt in &finished {
+        tracker.forget_launch(attempt);
+    }
+    finished.into_iter().map(Command::Forget).collect()
+}
+
+/// Whether only a higher token helps: a cancelled task whose launch has no answer, which can only
+/// be fenced off; or many exited ones whose launch could be repeated once they were forgotten.
+fn needs_token_raise(tracker: &MachineTracker, machine: &LiveMachine, cache: &WatchCache) -> bool {
+    let burden = tracker.listed_count() > MAX_UNFORGETTABLE_TASKS
+        && tracker.placements().pending_count() == 0
         && tracker.unforgettable_count() > MAX_UNFORGETTABLE_TASKS;
-    let stuck = || {
-        machine.record.runs().any(|(attempt, _)| {
-            let wanted =
-                !tracker.stops.contains_key(&attempt) && cache.jobs.contains_key(&attempt.task.job);
-            let launch = tracker.launches.get(&attempt);
-            let unanswered = launch.is_some_and(|s| s.direct == DirectLaunch::Unknown);
-            !wanted && unanswered && tracker.presence(&attempt) == TaskPresence::MayAppear
-        })
+    let is_stuck = |attempt: &TaskAttempt| {
+        let wanted =
+            !tracker.is_stop_requested(attempt) && cache.jobs.contains_key(&attempt.task.job);
+        !wanted
+            && tracker.is_launch_unanswered(attempt)
+            && tracker.presence(attempt) == TaskPresence::MayAppear
     };
-    burden || stuck()
+    burden || machine.record.runs().any(|(attempt, _)| is_stuck(&attempt))
 }
--- /dev/null
+++ b/src/worker_control/shard_owner/effects.rs
@@ -0,0 +1,72 @@
+//! What a shard owner asks to be done, and the forms of what it hears back.
+
+use crate::ids::{FencingToken, MachineId, Member, ShardId, WorkerEpoch};
+use crate::peers::Message;
+use crate::protocol::store::Txn;
+use crate::protocol::{Command, Heartbeat};
+use crate::store::machine_record::MachineRecord;
+
+/// An action that the shard owner has decided on.
+#[derive(Debug)]
+pub(crate) enum Effect {
+    /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn`].
+    Txn {
+        /// The machine whose record it writes.
+        machine: MachineId,
+        /// The transaction.
+        txn: Txn,
+    },
+    /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_call`].
+    Call {
+        /// The machine.
+        machine: MachineId,
+        /// Where its worker takes direct commands.
+        addr: String,
+        /// The token that the commands carry.
+        token: FencingToken,
+        /// The worker's epoch for which they are meant.
+        epoch: WorkerEpoch,
+        /// The commands; none at all makes a probe.
+        commands: Vec<Command>,
+    },
+    /// Send a message to the leader.
+    ToLeader(Message),
+    /// A machine that has no record answers. Its first placement writes one: until then it
+    /// exists in the watch caches alone, and costs no change.
+    MachineDiscovered(MachineId, MachineRecord),
+    /// Such a machine has been silent for long.
+    MachineLost(MachineId),
+    /// Rewrite the record of a shard that this controller owns, so that its token rises.
+    RenewShard(ShardId),
+}
+
+/// What a worker's heartbeat is answered with.
+#[derive(Debug)]
+pub(crate) enum HeartbeatAnswer {
+    /// Commands under the machine's token.
+    Commands(FencingToken, Vec<Command>),
+    /// Another controller owns the machine, or may. The worker is sent to it, if it is known.
+    Redirect(Option<Member>),
+}
+
+/// How a heartbeat came here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HeartbeatPath {
+    /// From the worker itself.
+    FromWorker,
+    /// Through another controller.
+    Relayed,
+}
+
+/// What became of a direct command.
+#[derive(Debug)]
+pub(crate) enum DirectCallOutcome {
+    /// Carried out; the worker answered with its status.
+    Done(Heartbeat),
+    /// Refused by the worker, with its status if it gave one.
+    Rejected(Option<Heartbeat>),
+    /// Certainly not sent.
+    NotSent,
+    /// No answer: it may have been carried out, or may still be.
+    Unknown,
+}
--- /dev/null
+++ b/src/worker_control/shard_owner/health.rs
@@ -0,0 +1,150 @@
+//! Reports to the leader: health of the machines, placements that are gone, misdirected heartbeats.
+
+use super::{Effect, ShardOwner};
+use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TaskAttempt};
+use crate::peers::{AttemptOutcome, FreedAttempt, MachineHealth, Message};
+use crate::protocol::JobKind;
+use crate::store::watch_cache::WatchCache;
+use crate::worker_control::machine_tracker::MachineTracker;
+
+const HEALTH_INTERVAL: Millis = Millis(1000);
+/// A machine without a record that is silent for so long is forgotten: nothing was placed there.
+const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
+/// While controllers can't reach each other a machine gets the time to find another one that
+/// relays its heartbeats: two tries that hang, and a second after each.
+const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
+
+impl ShardOwner {
+    /// Whether nothing has shown for so long that a machine owned here can be used. One that obeys
+    /// a higher token is another shard owner's by now, and only seems silent from here.
+    pub(crate) fn is_silent(&self, now: MonotonicTime, id: &MachineId, for_long: Millis) -> bool {
+        let tracker = self.trackers.get(id);
+        tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
+    }
+
+    /// Reports to the leader in their interval what is known of the machines.
+    pub(super) fn report_health(
+        &mut self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
+        if now < self.next_health {
+            return;
+        }
+        self.next_health = now + HEALTH_INTERVAL;
+        let machines = self.trackers.iter();
+        let health: Vec<MachineHealth> = machines
+            .map(|(id, tracker)| self.health_under_partition(id, tracker, now, cache))
+            .collect();
+        if !health.is_empty() {
+            out.push(Effect::ToLeader(Message::Health(health)));
+        }
+        let misdirected = std::mem::take(&mut self.misdirected);
+        if !misdirected.is_empty() {
+            let misdirected = Message::MisdirectedHeartbeats(misdirected.into_iter().collect());
+            out.push(Effect::ToLeader(misdirected));
+        }
+    }
+
+    fn health_under_partition(
+        &self,
+        id: &MachineId,
+        tracker: &MachineTracker,
+        now: MonotonicTime,
+        cache: &WatchCache,
+    ) -> MachineHealth {
+        let mut health = machine_health(id, tracker, now, cache);
+        if self.partitioned && !tracker.is_relayed() {
+            health.silent = Millis(health.silent.0.saturating_sub(RELAY_GRACE_PERIOD.0));
+        }
+        health
+    }
+
+    /// Reports machines without a record that have been silent for too long.
+    pub(super) fn report_lost(
+        &self,
+        now: MonotonicTime,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
+        let unrecorded = |id: &MachineId| {
+            let machine = cache.machines.get(id);
+            machine.is_some_and(|machine| machine.revision == Revision(0))
+        };
+        let lost = self.trackers.iter().filter(|(id, tracker)| {
+            tracker.silent(now) >= UNRECORDED_MACHINE_TIMEOUT
+                && unrecorded(id)
+                && !tracker.writes().is_in_flight()
+        });
+        out.extend(lost.map(|(id, _)| Effect::MachineLost(id.clone())));
+    }
+
+    /// Reports ends to the leader before they are written: the room can be given out again, so
+    /// that one change writes the end and the next placement; and a job whose tasks are all done
+    /// ends without waiting for records. A new leader gets all reports again.
+    pub(super) fn report_freed(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
+        let leader = cache.leader.as_ref().map(|leader| leader.revision);
+        if self.leader != leader {
+            self.leader = leader;
+            for tracker in self.trackers.values_mut() {
+                tracker.placements_mut().clear_reported();
+            }
+        }
+        let mut freed = Vec::new();
+        for id in &self.unwritten {
+            if let Some(tracker) = self.trackers.get_mut(id) {
+                freed.extend(newly_freed(id, tracker));
+            }
+        }
+        if !freed.is_empty() {
+            out.push(Effect::ToLeader(Message::Freed(freed)));
+        }
+    }
+}
+
+/// The ends on a machine that were not reported yet; they count as reported now.
+fn newly_freed(id: &MachineId, tracker: &mut MachineTracker) -> Vec<FreedAttempt> {
+    let unwritten = tracker.writes().unwritten();
+    let ended = unwritten.map_or_else(Vec::new, |unwritten| unwritten.ended().to_vec());
+    let new = ended
+        .into_iter()
+        .filter(|ended| tracker.placements_mut().mark_reported(&ended.attempt));
+    new.map(|ended| FreedAttempt {
+        machine: id.clone(),
+        attempt: ended.attempt,
+        done: ended.outcome == AttemptOutcome::Done,
+    })
+    .collect()
+}
+
+/// What is known of one machine.
+pub(super) fn machine_health(
+    id: &MachineId,
+    tracker: &MachineTracker,
+    now: MonotonicTime,
+    cache: &WatchCache,
+) -> MachineHealth {
+    let is_gang = |attempt: &&TaskAttempt| {
+        let job = cache.jobs.get(&attempt.task.job);
+        job.is_some_and(|job| job.spec.kind == JobKind::Gang)
+    };
+    let unrecorded = cache
+        .machines
+        .get(id)
+        .filter(|machine| machine.revision == Revision(0));
+    MachineHealth {
+        machine: id.clone(),
+        fence: tracker.fence(),
+        silent: tracker.silent(now),
+        since_direct_heartbeat: tracker.since_direct_heartbeat(now),
+        confirmed: tracker.obeys_us(),
+        notice: tracker.notice().map(|at| at.since(now)),
+        unrecorded: unrecorded.map(|machine| machine.record.clone()),
+        gangs: tracker
+            .seen_running()
+            .filter(is_gang)
+            .map(|attempt| (attempt.task.job.clone(), attempt.number))
+            .collect(),
+    }
+}
--- /dev/null
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -0,0 +1,183 @@
+//! When machines' records are written, and the transactions that write them.
+
+use super::records::{attempt_outcome, needs_touch};
+use super::{Effect, ShardOwner};
+use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
+use crate::peers::AttemptOutcome;
+use crate::protocol::JobKind;
+use crate::protocol::store::Txn;
+use crate::store::keys;
+use crate::store::machine_record::MachineRecord;
+use crate::store::rate_limiter::RequestClass;
+use crate::store::watch_cache::WatchCache;
+use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
+
+/// The part of the key-value store's changes that machines' records may use, over all owners: the
+/// rest is for users' requests and for what the leader records.
+pub(super) const RECORD_WRITE_SHARE: f64 = 0.7;
+/// While changes are scarce, whatever comes to a machine within this time shares one.
+const WRITE_BATCH_DELAY: Millis = Millis(200);
+/// While this part of the burst is unused, nothing waits for others to share its change.
+const IDLE_BUDGET_FRACTION: f64 = 0.9;
+/// Which records are worth writing is examined again after a millisecond for so many of them.
+const UNWRITTEN_MACHINES_PER_MS: usize = 8;
+/// Priority of a write that is not limited by the rate of changes.
+const URGENT_PRIORITY: u64 = u64::MAX;
+
+/// A machine whose record may be written now.
+struct WriteCandidate {
+    priority: u64,
+    machine: MachineId,
+}
+
+impl ShardOwner {
+    /// Adapts the rate of record writes to the number of controllers that share it.
+    pub(super) fn adjust_write_rate(&mut self, now: MonotonicTime, cache: &WatchCache) {
+        let owners = cache.members.len().max(1) as f64;
+        let rate = self.store_changes_per_s * RECORD_WRITE_SHARE / owners;
+        self.write_budget.set_rate(now, rate);
+    }
+
+    /// Writes records while there are changes for it, those that are worth most first. What
+    /// people or other decisions wait for goes at once.
+    pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
+        if self.unwritten.is_empty() || (now < self.next_flush && !self.urgent_write) {
+            return;
+        }
+        self.urgent_write = false;
+        self.next_flush = now + Millis((self.unwritten.len() / UNWRITTEN_MACHINES_PER_MS) as u64);
+        let mut candidates = self.write_candidates(now, cache);
+        candidates.sort_by_key(|candidate| std::cmp::Reverse(candidate.priority));
+        for candidate in candidates {
+            if candidate.priority < URGENT_PRIORITY && self.is_write_scarce(now) {
+                break;
+            }
+            if self.commit(now, &candidate.machine, cache, out) {
+                self.write_budget.spend(1.0);
+            }
+        }
+    }
+
+    fn is_write_scarce(&mut self, now: MonotonicTime) -> bool {
+        !self.write_budget.allows(now, 1.0, RequestClass::Place)
+    }
+
+    /// The machines whose records may be written now.
+    fn write_candidates(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<WriteCandidate> {
+        let scarce = self.is_write_scarce(now);
+        let unhurried = self.write_budget.available_fraction(now) >= IDLE_BUDGET_FRACTION;
+        let mut candidates = Vec::new();
+        for id in &self.unwritten {
+            let Some(tracker) = self.trackers.get(id) else {
+                continue;
+            };
+            let writes = tracker.writes();
+            let Some(unwritten) = writes.unwritten() else {
+                continue;
+            };
+            let may_write = writes.may_write(now, cache.revision) && !tracker.is_superseded();
+            let batched = unhurried || now.since(unwritten.since()) >= WRITE_BATCH_DELAY;
+            let priority = if unwritten.is_urgent() {
+                URGENT_PRIORITY
+            } else {
+                unwritten.write_priority(now)
+            };
+            let affordable = unwritten.is_urgent() || (!scarce && priority > 0);
+            if may_write && batched && affordable {
+                candidates.push(WriteCandidate {
+                    priority,
+                    machine: id.clone(),
+                });
+            }
+        }
+        candidates
+    }
+
+    /// Drops what is proved gone, counts what is done, and adds what was allotted, all in one
+    /// change under the fence. Returns whether a transaction is sent.
+    fn commit(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+        cache: &WatchCache,
+        out: &mut Vec<Effect>,
+    ) -> bool {
+        self.unwritten.remove(id);
+        let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
+        else {
+            return false;
+        };
+        let Some(unwritten) = tracker.writes_mut().take_unwritten() else {
+            return false;
+        };
+        let mut txn = Txn::default();
+        txn.require(keys::shard(id.shard(self.shards)), tracker.fence());
+        txn.require(keys::machine(id), machine.revision);
+        let mut record = machine.record.clone();
+        drop_counted(&mut record, self.segment_tasks, cache);
+        let ended = unwritten.ended().iter().map(|ended| &ended.attempt);
+        let ended = write_ends(&mut record, tracker, ended, cache);
+        let placements = tracker.placements_mut();
+        placements.add_to_record(&mut record, &mut txn, self.limits);
+        let (size, value_bytes) = (record.size(), self.limits.value_bytes);
+        if !tracker.writes_mut().accepts_size(size, value_bytes, now) {
+            return false;
+        }
+        let placements = tracker.placements_mut();
+        placements.retain_launchable(|attempt| record.holds(attempt));
+        if record == machine.record && !needs_touch(tracker) {
+            return false;
+        }
+        txn.put(keys::machine(id), &record, None);
+        let fence = tracker.fence();
+        tracker.writes_mut().begin(PendingTxn {
+            record,
+            ended,
+            fence,
+        });
+        out.push(Effect::Txn {
+            machine: id.clone(),
+            txn,
+        });
+        true
+    }
+}
+
+/// Drops counted tasks that their jobs' own records show by now.
+fn drop_counted(record: &mut MachineRecord, segment_tasks: u32, cache: &WatchCache) {
+    record.done.retain(|done| {
+        let job = cache.jobs.get(&done.job);
+        job.is_some_and(|job| job.needs(done, segment_tasks))
+    });
+}
+
+/// Removes placements that are proved gone from a record and counts those that are done. Returns
+/// what was removed.
+fn write_ends<'a>(
+    record: &mut MachineRecord,
+    tracker: &MachineTracker,
+    attempts: impl Iterator<Item = &'a TaskAttempt>,
+    cache: &WatchCache,
+) -> Vec<EndedPlacement> {
+    let mut ended = Vec::new();
+    for attempt in attempts {
+        let Some(outcome) = attempt_outcome(tracker, attempt, cache) else {
+            continue;
+        };
+        let job = cache.jobs.get(&attempt.task.job);
+        if let (AttemptOutcome::Done, Some(job)) = (outcome, job) {
+            // The tasks of a gang complete together: when one is done, all are. So the loss
+            // of a machine just then does not leave the rest to be run again.
+            match job.spec.kind {
+                JobKind::Gang => record.count(&attempt.task.job, 0, job.spec.tasks - 1),
+                _ => record.count(&attempt.task.job, attempt.task.index, attempt.task.index),
+            }
+        }
+        record.remove(attempt);
+        ended.push(EndedPlacement {
+            attempt: attempt.clone(),
+            outcome,
+        });
+    }
+    ended
+}
