--- a/src/peers/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn messages_survive_their_frames_and_foreign_frames_are_told() {
+fn frames_round_trip_and_foreign_frames_are_rejected() {
     let task = TaskId::parse("job-1/2").expect("task");
     let message = Message::Refused {
         fence: Revision(u64::MAX),
@@ -16,7 +16,11 @@
         ],
     };
     let frame = encode(&message).expect("frame");
-    assert_eq!(decode(&frame), Ok(Some((message, frame.len()))));
+    let decoded = DecodedFrame {
+        message,
+        length: frame.len(),
+    };
+    assert_eq!(decode(&frame), Ok(Some(decoded)));
     assert_eq!(decode(&frame[..frame.len() - 1]), Ok(None));
     let mut other = frame.clone();
     other[4] = VERSION + 1;
@@ -29,7 +33,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn any_bytes_are_survived(body in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..40, flip in any::<u8>()) {
+    fn decoding_any_bytes_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..40, flip in any::<u8>()) {
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
         frame.push(VERSION);
         frame.extend_from_slice(&body);
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -1,4 +1,5 @@
-//! What controllers say to one another.
+//! The messages between controllers. Frames encode them by position: variants and fields keep
+//! their order, and a change of either needs another frame version.
 
 use crate::cancellation::RoundId;
 use crate::ids::{
@@ -9,73 +10,100 @@
 use crate::store::records::MachineRecord;
 use serde::{Deserialize, Serialize};
 
+/// A message from one controller to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// First on every link.
     Hello {
+        /// The controller that has opened the link.
         member: Member,
+        /// Its process.
         incarnation: Incarnation,
     },
     /// Leader to shard owner: place these tasks of a job inside the shard.
     Allot(Allotment),
     /// Shard owner to leader: these will not be placed; certain, not a guess.
     Refused {
+        /// The shard's fence under which they were allotted.
         fence: Revision,
+        /// The attempts.
         attempts: Vec<TaskAttempt>,
     },
-    /// Shard owner to leader: a placement was dropped, on proof.
+    /// Shard owner to leader: a placement was dropped from its machine's record, on proof.
     EndedAttempt(EndedAttempt),
-    /// Shard owner to leader: these placements are proved gone, though their records still stand, and
-    /// whether their tasks are done. The room may be given out again; the end is written along
-    /// with what takes it.
+    /// Shard owner to leader: these placements are proved gone, though their records still show
+    /// them. The room may be given out again; the end is written along with what takes it.
     Freed(Vec<FreedAttempt>),
     /// Leader to shard owner: stop a task, for a preemption or to drain its machine.
     Stop {
+        /// The machine that the task is placed on.
         machine: MachineId,
+        /// The attempt to stop.
         attempt: TaskAttempt,
+        /// The time that the task has to save its progress.
         grace: Millis,
     },
-    /// Any controller to any: this job was cancelled by that change, so long ago. It may be
-    /// believed without asking the key-value store, since it is final.
+    /// Any controller to any: this job was cancelled. It may be believed without asking the
+    /// key-value store, since it is final.
     Cancelled {
+        /// The sender's acknowledgement round, which the answer names.
         round: RoundId,
+        /// The job.
         job: JobId,
+        /// Revision of the change that cancelled it.
         revision: Revision,
+        /// How long ago that was.
         age: Millis,
     },
-    /// The sender knows of a cancellation. In these shards that it holds all of the job's tasks are
-    /// proved gone.
+    /// The sender knows of a cancellation.
     CancellationAcknowledged {
+        /// The round of the controller that asked.
         round: RoundId,
+        /// The job.
         job: JobId,
+        /// Shards that the sender owns and in which all of the job's tasks are proved gone.
         settled: Vec<ShardFence>,
     },
-    /// A user's request that the sender can't decide: the key-value store does not serve it.
+    /// A user's request that the sender can't decide because the key-value store does not serve
+    /// it, or a heartbeat that its worker could not bring to the receiver.
     ForwardedRequest {
+        /// Names the request among those of the sender.
         id: u64,
+        /// Whether its method is POST; GET otherwise.
         post: bool,
+        /// Path of the request.
         path: String,
+        /// Body of the request.
         body: Vec<u8>,
     },
+    /// The response to a forwarded request.
     ForwardedResponse {
+        /// The id of the request.
         id: u64,
+        /// HTTP status code.
         status: u16,
+        /// Body of the response.
         body: Vec<u8>,
     },
-    /// What every controller tells all others all the time: whether the key-value store serves it,
-    /// whom it hears, and which machines that it holds don't reach it.
+    /// The status that every controller sends to all others at short intervals.
     PeerStatus {
+        /// Whether the key-value store serves the sender.
         store_reachable: bool,
+        /// The controllers that the sender hears itself.
         reachable_peers: Vec<Member>,
+        /// Machines that the sender owns and whose heartbeats don't come to it directly.
         missing_machines: Vec<MachineId>,
     },
     /// To be passed on to a controller that the sender can't reach itself.
     Relay {
+        /// The receiver.
         to: Member,
+        /// The controller that the message comes from.
         from: Member,
+        /// The message.
         message: Box<Message>,
     },
-    /// Any controller to the leader: machines that reported to it and that others hold.
+    /// Any controller to the leader: machines that sent heartbeats to it and that others own.
     MisdirectedHeartbeats(Vec<MachineId>),
     /// Shard owner to leader: what it knows of its machines.
     Health(Vec<MachineHealth>),
@@ -101,56 +129,77 @@
     pub fence: Revision,
 }
 
+/// Tasks of one job that are to be placed inside one shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Allotment {
+    /// The shard.
     pub shard: ShardId,
+    /// Revision of the shard's record: the allotment is void under another one.
     pub fence: Revision,
+    /// Revision of the job's record: the allotment is void under another one.
     pub job_revision: Revision,
+    /// The attempts to be placed, all of the same job.
     pub attempts: Vec<TaskAttempt>,
-    /// Best first; the shard owner takes another of its machines when none of these fits.
+    /// The machines of the shard that the leader accepts, best first.
     pub preferred: Vec<MachineId>,
 }
 
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AttemptOutcome {
+    /// Its task is done.
     Done,
+    /// It exited for another reason.
     Exited(ExitReason),
     /// Never started here, or lost with its machine's epoch.
     Absent,
 }
 
+/// A placement that was dropped from its machine's record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndedAttempt {
+    /// The attempt.
     pub attempt: TaskAttempt,
+    /// The machine that it was placed on.
     pub machine: MachineId,
-    /// Of the machine's record, without it.
+    /// Revision of the machine's record without it.
     pub revision: Revision,
+    /// Type of the machine.
     pub type_name: TypeName,
+    /// Pipeline of the job; none if the job is not live any more.
     pub pipeline: Option<Pipeline>,
+    /// How it ended.
     pub end: AttemptOutcome,
+    /// The user's estimate of the task's duration, in seconds; 0 if the job is not live any more.
     pub estimate_s: f64,
     /// How long it was seen running.
     pub ran: Option<Millis>,
 }
 
+/// What a shard owner knows of one of its machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MachineHealth {
+    /// The machine.
     pub machine: MachineId,
+    /// Revision of the shard's record under which it is owned.
     pub fence: Revision,
-    /// Time without a word, heartbeats and answered probes alike.
+    /// How long nothing has shown that the machine can be used: no heartbeat and no answered
+    /// probe came, or direct commands fail.
     pub silent: Millis,
-    /// Time without a heartbeat that came straight from it, and not through another controller.
+    /// Time without a heartbeat that came directly from it, and not through another controller.
     pub since_direct_heartbeat: Millis,
-    /// It has said so under the shard owner's own token.
+    /// It obeys the shard owner's own token, as its latest heartbeat shows.
     pub confirmed: bool,
+    /// Time until the machine is interrupted, if its cloud has given notice.
     pub notice: Option<Millis>,
-    /// Its description, while no record of it stands in the key-value store.
+    /// Its description, while the key-value store has no record of it.
     pub unrecorded: Option<MachineRecord>,
     /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
     pub gangs: Vec<(JobId, AttemptNumber)>,
 }
 
-/// Attempts are never used twice: a term's number leads them.
+/// The number of an attempt that the leader of a term allots. The term leads it, so that no number
+/// is ever used twice.
 pub(crate) fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
     AttemptNumber((term.0 << 20) + counter)
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! The links between controllers: messages, frames and routines.
+//! The links between controllers: their messages, the frames that carry them, the connections,
+//! and the routes around links that are cut.
 
 mod frame;
 mod link;
@@ -14,14 +15,14 @@
 };
 pub(crate) use relay_routes::RelayRoutes;
 
-/// What the other side of a link makes of a message: simulated days send each through its frame,
-/// since a record that can't be read there once stopped all links (entry 5b6cc840).
+/// A message as the other side of a link reads it. Simulated days send each message through its
+/// frame, since one that can't be read there closes the link.
 #[cfg(test)]
 pub(crate) fn over_link(message: &Message) -> Message {
     let frame = frame::encode(message).expect("frame");
-    let (message, used) = frame::decode(&frame)
+    let decoded = frame::decode(&frame)
         .expect("own frame")
         .expect("whole frame");
-    assert_eq!(used, frame.len());
-    message
+    assert_eq!(decoded.length, frame.len());
+    decoded.message
 }
--- a/src/peers/relay_routes.rs
+++ b/src/peers/relay_routes.rs
@@ -1,28 +1,31 @@
-//! Which way a message takes to another controller: straight, or through one that hears both. Two
+//! Which way a message takes to another controller: directly, or through one that hears both. Two
 //! zones that can't reach each other while a third reaches both cut the links between their
 //! controllers, and nothing else is wrong with them.
 
 use crate::ids::{MachineId, Member, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Each controller says a word to all others more often than three times in this.
-const FRESH: Millis = Millis(2500);
+/// How long a status counts. Each controller sends more than three to all others in this time.
+const STATUS_TIMEOUT: Millis = Millis(2500);
 
-/// What a controller said last, straight to this one.
+/// The last status that a controller sent directly to this one.
 #[derive(Debug, Default)]
 struct PeerStatus {
-    at: MonotonicTime,
+    received_at: MonotonicTime,
+    /// The controllers that it hears itself.
     reachable_peers: BTreeSet<Member>,
+    /// Machines that it owns and whose heartbeats don't come to it directly.
     missing_machines: BTreeSet<MachineId>,
 }
 
+/// What this controller knows of the links between all controllers.
 #[derive(Debug, Default)]
 pub(crate) struct RelayRoutes {
-    words: BTreeMap<Member, PeerStatus>,
+    statuses: BTreeMap<Member, PeerStatus>,
 }
 
 impl RelayRoutes {
-    /// A controller said whom it hears itself, and which of its machines it misses.
+    /// A controller reports whom it hears itself, and which of its machines it misses.
     pub(crate) fn on_peer_status(
         &mut self,
         now: MonotonicTime,
@@ -30,60 +33,70 @@
         reachable_peers: Vec<Member>,
         missing_machines: Vec<MachineId>,
     ) {
-        let word = PeerStatus {
-            at: now,
+        let status = PeerStatus {
+            received_at: now,
             reachable_peers: reachable_peers.into_iter().collect(),
             missing_machines: missing_machines.into_iter().collect(),
         };
-        self.words.insert(from.clone(), word);
+        self.statuses.insert(from.clone(), status);
     }
 
-    fn fresh(&self, now: MonotonicTime) -> impl Iterator<Item = (&Member, &PeerStatus)> {
-        let fresh = move |(_, w): &(&Member, &PeerStatus)| now.since(w.at) < FRESH;
-        self.words.iter().filter(fresh)
+    /// The controllers that are heard directly now, with their statuses.
+    fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = (&Member, &PeerStatus)> {
+        let is_recent = move |(_, status): &(&Member, &PeerStatus)| {
+            now.since(status.received_at) < STATUS_TIMEOUT
+        };
+        self.statuses.iter().filter(is_recent)
     }
 
-    /// Whom this controller hears itself.
+    /// The controllers that this one hears itself.
     pub(crate) fn reachable_peers(&self, now: MonotonicTime) -> Vec<Member> {
-        self.fresh(now).map(|(m, _)| m.clone()).collect()
+        self.recent(now).map(|(member, _)| member.clone()).collect()
     }
 
-    /// Who passes messages on to a controller that is not heard itself, if anybody does.
+    /// The controller that relays messages to one that is not heard directly. `None`: it is heard
+    /// directly, or nobody hears it.
     pub(crate) fn relay_for(&self, now: MonotonicTime, to: &Member) -> Option<&Member> {
-        if self.fresh(now).any(|(m, _)| m == to) {
+        if self.recent(now).any(|(member, _)| member == to) {
             return None;
         }
-        let mut between = self
-            .fresh(now)
-            .filter(|(_, w)| w.reachable_peers.contains(to));
-        between.next().map(|(m, _)| m)
+        let mut relays = self
+            .recent(now)
+            .filter(|(_, status)| status.reachable_peers.contains(to));
+        relays.next().map(|(member, _)| member)
     }
 
     /// Whether some controller is only heard through another: machines may be cut off from
     /// this one in the same way.
     pub(crate) fn has_partition(&self, now: MonotonicTime) -> bool {
-        self.words
+        self.statuses
             .keys()
             .any(|member| self.relay_for(now, member).is_some())
     }
 
-    /// Whether a machine that turns up here is cut off from its shard owner as other controllers are:
-    /// then its heartbeat is handed on instead of being sent there, where it would not arrive. A
-    /// shard owner that hears all others and misses its machines has lost them alone, and is relieved
-    /// sooner if it goes on missing them (Savannah fleet, apart: 0.83 to 0.76, bc14cf10).
+    /// Whether a machine that sends its heartbeat here is cut off from its shard owner as other
+    /// controllers are: then the heartbeat is relayed, instead of the machine being redirected to
+    /// an owner that it can't reach. A shard owner that hears all others and misses its machines
+    /// has lost them alone, and is relieved sooner if it goes on missing them.
     pub(crate) fn may_be_missing(
         &self,
         now: MonotonicTime,
         owner: &Member,
         machine: &MachineId,
     ) -> bool {
-        let parted = |word: &PeerStatus| {
-            let mut others = self.fresh(now).filter(|(m, _)| *m != owner);
-            others.any(|(m, _)| !word.reachable_peers.contains(m))
-        };
-        let mut words = self.fresh(now);
-        words.any(|(m, w)| m == owner && w.missing_machines.contains(machine) && parted(w))
-            || self.relay_for(now, owner).is_some()
+        let mut statuses = self.recent(now);
+        let reported_missing = statuses.any(|(member, status)| {
+            member == owner
+                && status.missing_machines.contains(machine)
+                && self.is_partitioned(now, owner, status)
+        });
+        reported_missing || self.relay_for(now, owner).is_some()
+    }
+
+    /// Whether a controller fails to hear some other that is heard here.
+    fn is_partitioned(&self, now: MonotonicTime, member: &Member, status: &PeerStatus) -> bool {
+        let mut others = self.recent(now).filter(|(other, _)| *other != member);
+        others.any(|(other, _)| !status.reachable_peers.contains(other))
     }
 }
 
--- a/src/worker_control/machine_tracker/launches.rs
+++ b/src/worker_control/machine_tracker/launches.rs
@@ -103,7 +103,7 @@
         self.sent.contains_key(attempt)
     }
 
-    /// Whether a direct launch awaits its answer.
+    /// Whether a direct launch is in flight: its answer has not come yet.
     pub(super) fn is_pending(&self, attempt: &TaskAttempt) -> bool {
         self.direct(attempt) == DirectLaunch::Pending
     }
--- a/src/worker_control/machine_tracker/tasks.rs
+++ b/src/worker_control/machine_tracker/tasks.rs
@@ -90,7 +90,7 @@
         self.launches.record_outcomes(commands, direct);
     }
 
-    /// Whether a direct launch awaits its answer.
+    /// Whether a direct launch is in flight: its answer has not come yet.
     pub(in crate::worker_control) fn is_launch_pending(&self, attempt: &TaskAttempt) -> bool {
         self.launches.is_pending(attempt)
     }
