--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -12,17 +12,17 @@
 mod records;
 mod tracking;
 mod transactions;
+mod write_queue;
 
 pub(crate) use effects::{DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath};
 
 use super::machine_tracker::{MachineTracker, RecordLimits};
 use crate::config::Config;
 use crate::ids::{Incarnation, MachineId, Member, Millis, MonotonicTime, Revision, ShardId};
-use crate::store::rate_limiter::TokenBucket;
 use crate::store::watch_cache::WatchCache;
 use allotments::WaitingAllotment;
-use record_commits::RECORD_WRITE_SHARE;
 use std::collections::{BTreeMap, BTreeSet};
+use write_queue::WriteQueue;
 
 /// A machine that has not answered its probe by then is probed again at its next heartbeat.
 const PROBE_RETRY_INTERVAL: Millis = Millis(3000);
@@ -37,18 +37,11 @@
     limits: RecordLimits,
     /// Tasks in one segment of a job's completion record.
     segment_tasks: u32,
-    /// Changes in a second that the key-value store takes from all controllers.
-    store_changes_per_s: f64,
     heartbeat_interval: Millis,
     worker_lease: Millis,
     trackers: BTreeMap<MachineId, MachineTracker>,
     /// Machines whose records are to change, written by priority as the rate of changes allows.
-    unwritten: BTreeSet<MachineId>,
-    /// This controller's part of the changes for machines' records.
-    write_budget: TokenBucket,
-    next_flush: MonotonicTime,
-    /// Something is to be written that may not be held back.
-    urgent_write: bool,
+    write_queue: WriteQueue,
     /// Machines without a record that were probed, and when.
     probed: BTreeMap<MachineId, MonotonicTime>,
     /// The leader that ends were reported to.
@@ -80,14 +73,10 @@
                 txn_ops: config.state.txn_ops,
             },
             segment_tasks: config.segment_tasks(),
-            store_changes_per_s: config.state.rates.changes,
             heartbeat_interval: config.heartbeat_interval,
             worker_lease: config.worker_lease,
             trackers: BTreeMap::new(),
-            unwritten: BTreeSet::new(),
-            write_budget: TokenBucket::new(config.state.rates.changes * RECORD_WRITE_SHARE),
-            next_flush: MonotonicTime::default(),
-            urgent_write: false,
+            write_queue: WriteQueue::new(config.state.rates.changes),
             probed: BTreeMap::new(),
             leader: None,
             owned_shards: BTreeMap::new(),
@@ -102,7 +91,7 @@
 
     /// How many changes the key-value store takes in a second from all controllers.
     pub(crate) fn set_change_rate(&mut self, changes: f64) {
-        self.store_changes_per_s = changes;
+        self.write_queue.set_store_rate(changes);
     }
 
     /// Whether some controllers can't reach each other, and machines perhaps neither.
@@ -130,7 +119,7 @@
         self.place_waiting(now, cache, out);
         self.probed
             .retain(|_, at| now.since(*at) < PROBE_RETRY_INTERVAL);
-        self.adjust_write_rate(now, cache);
+        self.write_queue.adjust_rate(now, cache.members.len());
         for id in self.next_batch() {
             self.step(now, &id, cache, out);
         }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -92,7 +92,7 @@
             }
         }
         let mut freed = Vec::new();
-        for id in &self.unwritten {
+        for id in self.write_queue.machines() {
             if let Some(tracker) = self.trackers.get_mut(id) {
                 freed.extend(newly_freed(id, tracker));
             }
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -8,19 +8,11 @@
 use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::machine_record::MachineRecord;
-use crate::store::rate_limiter::RequestClass;
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
 
-/// The part of the key-value store's changes that machines' records may use, over all owners: the
-/// rest is for users' requests and for what the leader records.
-pub(super) const RECORD_WRITE_SHARE: f64 = 0.7;
 /// While changes are scarce, whatever comes to a machine within this time shares one.
 const WRITE_BATCH_DELAY: Millis = Millis(200);
-/// While this part of the burst is unused, nothing waits for others to share its change.
-const IDLE_BUDGET_FRACTION: f64 = 0.9;
-/// Which records are worth writing is examined again after a millisecond for so many of them.
-const UNWRITTEN_MACHINES_PER_MS: usize = 8;
 /// Priority of a write that is not limited by the rate of changes.
 const URGENT_PRIORITY: u64 = u64::MAX;
 
@@ -31,43 +23,30 @@
 }
 
 impl ShardOwner {
-    /// Adapts the rate of record writes to the number of controllers that share it.
-    pub(super) fn adjust_write_rate(&mut self, now: MonotonicTime, cache: &WatchCache) {
-        let owners = cache.members.len().max(1) as f64;
-        let rate = self.store_changes_per_s * RECORD_WRITE_SHARE / owners;
-        self.write_budget.set_rate(now, rate);
-    }
-
     /// Writes records while there are changes for it, those that are worth most first. What
     /// people or other decisions wait for goes at once.
     pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
-        if self.unwritten.is_empty() || (now < self.next_flush && !self.urgent_write) {
+        if !self.write_queue.begin_flush(now) {
             return;
         }
-        self.urgent_write = false;
-        self.next_flush = now + Millis((self.unwritten.len() / UNWRITTEN_MACHINES_PER_MS) as u64);
         let mut candidates = self.write_candidates(now, cache);
         candidates.sort_by_key(|candidate| std::cmp::Reverse(candidate.priority));
         for candidate in candidates {
-            if candidate.priority < URGENT_PRIORITY && self.is_write_scarce(now) {
+            if candidate.priority < URGENT_PRIORITY && self.write_queue.is_exhausted(now) {
                 break;
             }
             if self.commit(now, &candidate.machine, cache, out) {
-                self.write_budget.spend(1.0);
+                self.write_queue.spend();
             }
         }
     }
 
-    fn is_write_scarce(&mut self, now: MonotonicTime) -> bool {
-        !self.write_budget.allows(now, 1.0, RequestClass::Place)
-    }
-
     /// The machines whose records may be written now.
     fn write_candidates(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<WriteCandidate> {
-        let scarce = self.is_write_scarce(now);
-        let unhurried = self.write_budget.available_fraction(now) >= IDLE_BUDGET_FRACTION;
+        let scarce = self.write_queue.is_exhausted(now);
+        let unhurried = self.write_queue.has_ample_budget(now);
         let mut candidates = Vec::new();
-        for id in &self.unwritten {
+        for id in self.write_queue.machines() {
             let Some(tracker) = self.trackers.get(id) else {
                 continue;
             };
@@ -102,7 +81,7 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) -> bool {
-        self.unwritten.remove(id);
+        self.write_queue.remove(id);
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
             return false;
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -24,13 +24,13 @@
     ) {
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
-            self.unwritten.remove(id);
+            self.write_queue.remove(id);
             return;
         };
         tracker.writes_mut().resolve_uncertainty(machine.revision);
         settle_placements(now, tracker, machine, cache);
         if tracker.writes().is_in_flight() {
-            self.unwritten.remove(id);
+            self.write_queue.remove(id);
             return;
         }
         if !tracker.writes().is_uncertain() && tracker.placements().has_rejected() {
@@ -41,10 +41,11 @@
         }
         let unwritten = unwritten_changes(tracker, machine, cache, now);
         if let Some(unwritten) = &unwritten {
-            self.unwritten.insert(id.clone());
-            self.urgent_write |= unwritten.is_urgent() && tracker.writes().is_retry_due(now);
+            self.write_queue.insert(id.clone());
+            let urgent = unwritten.is_urgent() && tracker.writes().is_retry_due(now);
+            self.write_queue.add_urgency(urgent);
         } else {
-            self.unwritten.remove(id);
+            self.write_queue.remove(id);
         }
         tracker.writes_mut().set_unwritten(unwritten);
     }
--- a/src/worker_control/shard_owner/tracking.rs
+++ b/src/worker_control/shard_owner/tracking.rs
@@ -90,7 +90,7 @@
         let fence = self.owned_shards.get(&id.shard(self.shards)).copied();
         let (Some(fence), Some(machine)) = (fence, cache.machines.get(id)) else {
             self.trackers.remove(id);
-            self.unwritten.remove(id);
+            self.write_queue.remove(id);
             return;
         };
         match self.trackers.get_mut(id) {
