--- a/src/peers/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -31,9 +31,18 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(9),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
     #[test]
-    fn decoding_any_bytes_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..40, flip in any::<u8>()) {
+    fn decoding_any_bytes_does_not_panic(
+        body in proptest::collection::vec(any::<u8>(), 0..200),
+        at in 0usize..40,
+        flip in any::<u8>(),
+    ) {
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
         frame.push(VERSION);
         frame.extend_from_slice(&body);
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -1,7 +1,7 @@
 //! Outcomes of the transactions that write machines' records.
 
 use super::{Effect, ShardOwner};
-use crate::ids::{MachineId, MonotonicTime, Revision, TypeName};
+use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TypeName};
 use crate::peers::{EndedAttempt, Message};
 use crate::store::TxnOutcome;
 use crate::store::watch_cache::WatchCache;
@@ -23,83 +23,85 @@
         let Some(pending) = tracker.writes_mut().finish() else {
             return;
         };
-        if let TxnOutcome::Committed(revision) = outcome {
-            on_committed(tracker, now, id, pending, *revision, cache, out);
-        } else {
-            on_not_committed(tracker, now, id, &pending, outcome, cache);
+        match outcome {
+            TxnOutcome::Committed(revision) => {
+                on_committed(now, id, tracker, pending, *revision, cache, out);
+            }
+            TxnOutcome::Failed(_, revision) => tracker.writes_mut().on_conflict(*revision, now),
+            TxnOutcome::Refused => tracker.writes_mut().retry_later(now),
+            TxnOutcome::Invalid => {
+                let bytes = pending.record.size();
+                tracing::info!(machine = %id, bytes, "machine record is too large for the key-value store");
+                tracker.writes_mut().on_too_large(now);
+            }
+            TxnOutcome::Unknown => {
+                // Under an earlier fence it can't be applied any more.
+                if tracker.fence() == pending.fence {
+                    let revision = cache.machines.get(id).map(|machine| machine.revision);
+                    tracker.writes_mut().set_uncertain(revision);
+                }
+                tracker.writes_mut().retry_later(now);
+            }
         }
         self.step(now, id, cache, out);
         self.flush(now, cache, out);
     }
 }
 
+/// Shows the written record in the watch cache, and reports what it ended to the leader.
 fn on_committed(
-    tracker: &mut MachineTracker,
     now: MonotonicTime,
     id: &MachineId,
+    tracker: &mut MachineTracker,
     pending: PendingTxn,
     revision: Revision,
     cache: &mut WatchCache,
     out: &mut Vec<Effect>,
 ) {
-    let type_name = pending.record.type_name.clone();
+    let written = WrittenRecord {
+        machine: id,
+        type_name: pending.record.type_name.clone(),
+        revision,
+    };
     cache.put_machine(id.clone(), pending.record, revision);
     if let Some(machine) = cache.machines.get(id) {
         tracker.placements_mut().drop_committed(&machine.record);
     }
     for ended in pending.ended {
         tracker.on_end_written(&ended.attempt);
-        let message = ended_attempt(tracker, now, id, &type_name, revision, ended, cache);
-        out.push(Effect::ToLeader(Message::EndedAttempt(message)));
+        let started = tracker.running_since(&ended.attempt);
+        let ran = started.map(|at| now.since(at));
+        let ended = written.ended_attempt(ended, ran, cache);
+        out.push(Effect::ToLeader(Message::EndedAttempt(ended)));
     }
 }
 
-fn ended_attempt(
-    tracker: &MachineTracker,
-    now: MonotonicTime,
-    id: &MachineId,
-    type_name: &TypeName,
+/// A machine's record that was written.
+struct WrittenRecord<'a> {
+    machine: &'a MachineId,
+    type_name: TypeName,
     revision: Revision,
-    ended: EndedPlacement,
-    cache: &WatchCache,
-) -> EndedAttempt {
-    let ran = tracker.running_since(&ended.attempt);
-    let job = cache.jobs.get(&ended.attempt.task.job);
-    EndedAttempt {
-        machine: id.clone(),
-        revision,
-        type_name: type_name.clone(),
-        estimate_s: job.map_or(0.0, |job| job.spec.estimate_s),
-        pipeline: job.map(|job| job.spec.pipeline.clone()),
-        end: ended.outcome,
-        ran: ran.map(|at| now.since(at)),
-        attempt: ended.attempt,
-    }
 }
 
-fn on_not_committed(
-    tracker: &mut MachineTracker,
-    now: MonotonicTime,
-    id: &MachineId,
-    pending: &PendingTxn,
-    outcome: &TxnOutcome,
-    cache: &WatchCache,
-) {
-    let fence = tracker.fence();
-    let writes = tracker.writes_mut();
-    match outcome {
-        TxnOutcome::Committed(_) | TxnOutcome::Refused => writes.retry_later(now),
-        TxnOutcome::Failed(_, revision) => writes.on_conflict(*revision, now),
-        TxnOutcome::Invalid => {
-            tracing::info!(machine = %id, bytes = pending.record.size(), "machine record is too large for the key-value store");
-            writes.on_too_large(now);
-        }
-        TxnOutcome::Unknown => {
-            // Under an earlier fence it can't be applied any more.
-            if fence == pending.fence {
-                writes.set_uncertain(cache.machines.get(id).map(|machine| machine.revision));
-            }
-            writes.retry_later(now);
+impl WrittenRecord<'_> {
+    /// The report of a placement that the record does not show any more. `ran`: how long it was
+    /// seen running.
+    fn ended_attempt(
+        &self,
+        ended: EndedPlacement,
+        ran: Option<Millis>,
+        cache: &WatchCache,
+    ) -> EndedAttempt {
+        let job = cache.jobs.get(&ended.attempt.task.job);
+        EndedAttempt {
+            machine: self.machine.clone(),
+            revision: self.revision,
+            type_name: self.type_name.clone(),
+            estimate_s: job.map_or(0.0, |job| job.spec.estimate_s),
+            pipeline: job.map(|job| job.spec.pipeline.clone()),
+            end: ended.outcome,
+            ran,
+            attempt: ended.attempt,
         }
     }
 }
