--- a/src/controller.rs
+++ b/src/controller.rs
@@ -30,7 +30,7 @@
 use crate::store::rate_limiter::RequestClass;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
-use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, ShardOwner};
+use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, HeartbeatPath, ShardOwner};
 use cancellation::CancellationDuty;
 use catalog::CatalogWriter;
 use cleanup::RecordCleanup;
@@ -170,19 +170,19 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
-        self.process_heartbeat(now, heartbeat, false)
+        self.process_heartbeat(now, heartbeat, HeartbeatPath::FromWorker)
     }
 
     fn process_heartbeat(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
-        relayed: bool,
+        path: HeartbeatPath,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
         let mut out = Vec::new();
         let answer = self
             .shard_owner
-            .on_heartbeat(now, heartbeat, relayed, &self.cache, &mut out);
+            .on_heartbeat(now, heartbeat, path, &self.cache, &mut out);
         (answer, self.finish(now, out))
     }
 
@@ -195,7 +195,7 @@
         if !self.shard_owner.accepts_relayed(now, &heartbeat.machine) {
             return (None, Vec::new());
         }
-        let (answer, effects) = self.process_heartbeat(now, heartbeat, true);
+        let (answer, effects) = self.process_heartbeat(now, heartbeat, HeartbeatPath::Relayed);
         (Some(answer), effects)
     }
 
@@ -206,7 +206,7 @@
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
     pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
-        self.shard_owner.partitioned = partitioned;
+        self.shard_owner.set_partitioned(partitioned);
     }
 
     /// The outcome of direct commands that were sent under a token.
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -156,12 +156,12 @@
                 worker_control::Effect::ToLeader(message) => {
                     self.send_to_leader(now, message, effects);
                 }
-                worker_control::Effect::Found(id, record) => {
+                worker_control::Effect::MachineDiscovered(id, record) => {
                     self.cache.discover(id, record);
                     self.shard_owner.compare_all_trackers();
                     self.timers.reconcile.expedite(now);
                 }
-                worker_control::Effect::Lost(id) => self.cache.forget(&id),
+                worker_control::Effect::MachineLost(id) => self.cache.forget(&id),
                 worker_control::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
             }
         }
--- /dev/null
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -0,0 +1,107 @@
+//! Outcomes of the transactions that write machines' records.
+
+use super::{Effect, ShardOwner};
+use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TypeName};
+use crate::peers::{EndedAttempt, Message};
+use crate::store::TxnOutcome;
+use crate::store::watch_cache::WatchCache;
+use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
+
+impl ShardOwner {
+    /// Takes in what became of the transaction on a machine's record.
+    pub(crate) fn on_txn(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+        outcome: &TxnOutcome,
+        cache: &mut WatchCache,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(tracker) = self.trackers.get_mut(id) else {
+            return;
+        };
+        let Some(pending) = tracker.writes_mut().finish() else {
+            return;
+        };
+        match outcome {
+            TxnOutcome::Committed(revision) => {
+                on_committed(now, id, tracker, pending, *revision, cache, out);
+            }
+            TxnOutcome::Failed(_, revision) => tracker.writes_mut().on_conflict(*revision, now),
+            TxnOutcome::Refused => tracker.writes_mut().retry_later(now),
+            TxnOutcome::Invalid => {
+                let bytes = pending.record.size();
+                tracing::info!(machine = %id, bytes, "machine record is too large for the key-value store");
+                tracker.writes_mut().on_too_large(now);
+            }
+            TxnOutcome::Unknown => {
+                // Under an earlier fence it can't be applied any more.
+                if tracker.fence() == pending.fence {
+                    let revision = cache.machines.get(id).map(|machine| machine.revision);
+                    tracker.writes_mut().set_uncertain(revision);
+                }
+                tracker.writes_mut().retry_later(now);
+            }
+        }
+        self.step(now, id, cache, out);
+        self.flush(now, cache, out);
+    }
+}
+
+/// Shows the written record in the watch cache, and reports what it ended to the leader.
+fn on_committed(
+    now: MonotonicTime,
+    id: &MachineId,
+    tracker: &mut MachineTracker,
+    pending: PendingTxn,
+    revision: Revision,
+    cache: &mut WatchCache,
+    out: &mut Vec<Effect>,
+) {
+    let written = WrittenRecord {
+        machine: id,
+        type_name: pending.record.type_name.clone(),
+        revision,
+    };
+    cache.put_machine(id.clone(), pending.record, revision);
+    if let Some(machine) = cache.machines.get(id) {
+        tracker.placements_mut().drop_committed(&machine.record);
+    }
+    for ended in pending.ended {
+        tracker.on_end_written(&ended.attempt);
+        let started = tracker.running_since(&ended.attempt);
+        let ran = started.map(|at| now.since(at));
+        let ended = written.ended_attempt(ended, ran, cache);
+        out.push(Effect::ToLeader(Message::EndedAttempt(ended)));
+    }
+}
+
+/// A machine's record that was written.
+struct WrittenRecord<'a> {
+    machine: &'a MachineId,
+    type_name: TypeName,
+    revision: Revision,
+}
+
+impl WrittenRecord<'_> {
+    /// The report of a placement that the record does not show any more. `ran`: how long it was
+    /// seen running.
+    fn ended_attempt(
+        &self,
+        ended: EndedPlacement,
+        ran: Option<Millis>,
+        cache: &WatchCache,
+    ) -> EndedAttempt {
+        let job = cache.jobs.get(&ended.attempt.task.job);
+        EndedAttempt {
+            machine: self.machine.clone(),
+            revision: self.revision,
+            type_name: self.type_name.clone(),
+            estimate_s: job.map_or(0.0, |job| job.spec.estimate_s),
+            pipeline: job.map(|job| job.spec.pipeline.clone()),
+            end: ended.outcome,
+            ran,
+            attempt: ended.attempt,
+        }
+    }
+}
