--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -1,57 +1,68 @@
-//! How much work of arrays comes in, on average of the last while. What deadlines ask for at an
-//! instant leaves all slack used up before anything more is rented: the fleet of a calm day swung
-//! between a third too small and twice too large, paying for boots and returns, and jobs waited
-//! (Savannah fleet, calm: 19,000 to 62,000 CPUs for a load of 25,000).
+//! How much work of arrays arrives, on average over a window. What deadlines ask for at an instant
+//! uses up all slack before anything more is rented: the fleet then swings between too small and
+//! too large, jobs wait, and boots and returns are paid for.
 
-use super::demand::task_time;
+use super::demand::task_time_s;
 use crate::ids::{JobId, Millis, UnixTime};
 use crate::protocol::JobKind;
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// The time over which the work that came in is averaged.
+/// The time over which the work that arrived is averaged.
 const WINDOW: Millis = Millis(60_000);
 
+/// The work of one array.
+#[derive(Clone, Copy, Debug)]
+struct Arrival {
+    at: UnixTime,
+    /// CPU seconds, in thousandths.
+    work: f64,
+}
+
+/// The arrays that have arrived within the window.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRate {
-    /// Arrays of the window, those that are over by now as well: when, and their CPU seconds.
-    came: BTreeMap<JobId, (UnixTime, f64)>,
-    /// How far back it has seen all that came.
+    /// By job; those that have ended by now count as well.
+    arrivals: BTreeMap<JobId, Arrival>,
+    /// From when on all arrivals were seen.
     since: Option<UnixTime>,
 }
 
 impl ArrivalRate {
-    /// Notes what has come. Whoever has just begun to lead knows only what is unfinished.
+    /// Records new arrivals, and forgets those that are older than the window. What arrived before
+    /// the first call is left out: a new leader knows only what is unfinished of it.
     pub(super) fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
         let since = *self.since.get_or_insert(now);
         let old = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
-        self.came.retain(|_, (at, _)| !old(*at));
+        self.arrivals.retain(|_, arrival| !old(arrival.at));
         for (id, job) in &cache.jobs {
             let spec = &job.spec;
             let before = job.eligible < since;
             if spec.kind != JobKind::Array
                 || before
                 || old(job.eligible)
-                || self.came.contains_key(id)
+                || self.arrivals.contains_key(id)
             {
                 continue;
             }
             let cpus = spec.need().times(spec.tasks.into()).cpus as f64;
-            let work = cpus * task_time(job, cache, turnaround_s);
-            self.came.insert(id.clone(), (job.eligible, work));
+            let work = cpus * task_time_s(job, cache, turnaround_s);
+            let at = job.eligible;
+            self.arrivals.insert(id.clone(), Arrival { at, work });
         }
     }
 
-    /// The CPUs that keep up with it; nothing is said before the window has been seen in full.
+    /// The CPUs (in thousandths) that keep up with the arrivals; 0 until a whole window was seen.
     pub(super) fn cpus(&self, now: UnixTime) -> u64 {
         let seen = self.since.map_or(0, |at| now.0.saturating_sub(at.0));
         if seen < WINDOW.0 {
             return 0;
         }
-        let work: f64 = self.came.values().map(|(_, work)| work).sum();
+        let work: f64 = self.arrivals.values().map(|arrival| arrival.work).sum();
         (work / WINDOW.secs()) as u64
     }
 
+    /// Forgets all arrivals; the window begins anew.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/cloud/arrival_rate/tests.rs
+++ b/src/cloud/arrival_rate/tests.rs
@@ -5,10 +5,10 @@
 use crate::store::keys;
 use crate::store::records::JobRecord;
 
-/// Jobs come evenly and end at once: what they need on average is seen all the same, and is
-/// forgotten when no more come.
+/// Jobs arrive evenly and end at once: what they need on average is seen all the same, and is
+/// forgotten when no more arrive.
 #[test]
-fn work_that_is_over_still_counts_until_its_window_has_passed() {
+fn finished_work_counts_until_its_window_has_passed() {
     let mut cache = WatchCache::new(&sample_config());
     let mut arrival_rate = ArrivalRate::default();
     let mut seen = Vec::new();
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -1,29 +1,57 @@
-//! Machines that are not needed any more: emptied, then returned.
+//! Machines that are not needed any more: drained, then returned.
 
-use super::*;
-use crate::cloud::slot_turnaround::turnaround_s;
+use super::Autoscaler;
+use super::cheapest_offer::cheapest_offer;
+use crate::ids::{MachineId, Millis, MonotonicTime, TypeName};
+use crate::placement::{Scheduler, replicas, spare_replicas};
+use crate::store::watch_cache::WatchCache;
 
-/// At most one in so many machines is emptied at a time.
+/// At most one in so many machines begins to drain at a time.
 const SCALE_IN_DIVISOR: usize = 50;
-/// The time between two rounds of it.
+/// The time between two rounds of scale-in.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
 
-/// A machine that could be emptied, in the order in which that is done.
+/// Replicas may use at most one in so many CPUs of a machine that is to be drained: moving them
+/// costs them a moment, so it is done only where little is moved for much.
+const REPLICA_SHARE_DIVISOR: u64 = 4;
+
+/// CPUs (in thousandths) of the machines that count as capacity.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct FleetCapacity {
+    /// Of all of them.
+    pub(super) total: u64,
+    /// Of those that the cloud does not take back.
+    pub(super) on_demand: u64,
+}
+
+impl FleetCapacity {
+    fn add(&mut self, spot: bool, cpus: u64) {
+        self.total += cpus;
+        self.on_demand += if spot { 0 } else { cpus };
+    }
+
+    fn subtract(&mut self, spot: bool, cpus: u64) {
+        self.total -= cpus;
+        self.on_demand -= if spot { 0 } else { cpus };
+    }
+}
+
+/// A machine that could be drained, in the order in which that is done.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DrainCandidate {
     spot: bool,
     replicas: usize,
-    used: u64,
-    room: u64,
+    used_cpus: u64,
+    cpus: u64,
     id: MachineId,
 }
 
-/// For so long a load counts that has passed.
-fn idle_window(cache: &WatchCache) -> Millis {
-    Millis::from_secs(cache.settings().idle_s)
+/// The CPUs (in thousandths) of a machine, as far as its type is known.
+fn machine_cpus(type_name: &TypeName, cache: &WatchCache) -> u64 {
+    cache.machine_type(type_name).map_or(0, |t| t.room().cpus)
 }
 
-/// Whether something that waits for room may run on a machine.
+/// Whether something that waits for capacity may run on a machine.
 fn may_serve_waiting(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
@@ -37,85 +65,65 @@
 }
 
 impl Autoscaler {
-    /// Empties machines that the load has not needed for a while, the dearest first, and returns
-    /// those that are empty. What runs on them may finish; replicas are moved.
-    pub(super) fn unused(
+    /// Drains machines that the load has not needed for a while, the dearest first, and returns
+    /// those that are drained. What runs on them may finish; replicas are moved.
+    pub(super) fn scale_in(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) -> Vec<MachineId> {
-        self.measure_load(now, cache);
+        self.load_history
+            .observe(now, self.unix_time, cache, &self.config, self.change_rate);
+        self.service_reserve = spare_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
         scheduler
             .leaving
             .retain(|id| cache.machines.contains_key(id));
-        let drain_candidates = self.measure_capacity(now, cache, scheduler);
+        let candidates = self.measure_capacity(now, cache, scheduler);
         let drained = self.drained(now, cache, scheduler);
-        if self.has_looked_on(now, cache) && now >= self.next_scale_in {
-            let short = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
-            if !short {
-                self.release_idle(now, drain_candidates, scheduler);
+        if self.load_history.covers_window(now, cache) && now >= self.next_scale_in {
+            let demand_is_unmet = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
+            if !demand_is_unmet {
+                self.drain_idle(now, candidates, scheduler);
             } else if self.is_blocked(cache, scheduler) {
-                self.release_unusable(now, drain_candidates, cache, scheduler);
+                self.drain_unusable(now, candidates, cache, scheduler);
             }
         }
         drained
     }
 
-    /// Takes the load as it is now, and forgets what is older than the time for which a machine
-    /// may idle.
-    fn measure_load(&mut self, now: MonotonicTime, cache: &WatchCache) {
-        let turnaround = turnaround_s(cache, self.change_rate);
-        let (mut load, batches) = demand::load(self.unix_time, cache, &self.config, turnaround);
-        self.arrival_rate.observe(self.unix_time, cache, turnaround);
-        load.arrays = load.arrays.max(self.arrival_rate.cpus(self.unix_time));
-        self.recent.push_back((now, load));
-        let window = idle_window(cache);
-        let old = |at: MonotonicTime| now.since(at) > window;
-        while self.recent.front().is_some_and(|(at, _)| old(*at)) {
-            self.recent.pop_front();
-        }
-        self.load = load;
-        self.batches = batches;
-        self.spare = spare_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
-    }
-
-    /// Takes what the machines hold that are there, and returns those that could be emptied.
+    /// Takes the capacity of the machines that are there, and returns those that could be drained.
     fn measure_capacity(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<DrainCandidate> {
-        (self.capacity, self.on_demand) = (0, 0);
-        let mut drain_candidates = Vec::new();
-        let counts_as_capacity = cache.machines.iter();
-        for (id, machine) in
-            counts_as_capacity.filter(|(id, _)| scheduler.counts_as_capacity(now, id))
-        {
+        self.capacity = FleetCapacity::default();
+        let mut candidates = Vec::new();
+        for (id, machine) in &cache.machines {
+            if !scheduler.counts_as_capacity(now, id) {
+                continue;
+            }
             let spot = machine.record.spot;
-            let room = cache
-                .machine_type(&machine.record.type_name)
-                .map_or(0, |t| t.room().cpus);
-            self.capacity += room;
-            self.on_demand += if spot { 0 } else { room };
+            let cpus = machine_cpus(&machine.record.type_name, cache);
+            self.capacity.add(spot, cpus);
             let (replicas, in_use) = replicas(machine, cache);
-            // Moving replicas costs them a moment: only where little is moved for much.
-            if 4 * in_use.cpus > room {
+            if REPLICA_SHARE_DIVISOR * in_use.cpus > cpus {
                 continue;
             }
-            drain_candidates.push(DrainCandidate {
+            candidates.push(DrainCandidate {
                 spot,
                 replicas,
-                used: machine.record.used().cpus,
-                room,
+                used_cpus: machine.record.used().cpus,
+                cpus,
                 id: id.clone(),
             });
         }
-        drain_candidates
+        candidates
     }
 
-    /// Those that are leaving go once nothing is on them, or can be on its way to them any more.
+    /// Those that are draining go once nothing is on them, or can be on its way to them any more.
     fn drained(
         &mut self,
         now: MonotonicTime,
@@ -137,49 +145,41 @@
         scheduler
             .leaving
             .iter()
-            .filter(|id| !self.deleting.contains_key(*id))
+            .filter(|id| !self.deletions.is_pending(id))
             .filter(empty)
             .cloned()
             .collect()
     }
 
-    /// A new leader first looks on for a while.
-    fn has_looked_on(&self, now: MonotonicTime, cache: &WatchCache) -> bool {
-        let first = self.recent.front();
-        first.is_some_and(|(at, _)| now.since(*at) + Millis(1000) > idle_window(cache))
-    }
-
-    /// Lets machines leave that the highest load of the last while did not need: a part of the
-    /// fleet at a time, a small one gives up one, a large one several.
-    fn release_idle(
+    /// Begins to drain machines that the highest load of the last while did not need: a part of
+    /// the fleet at a time, a small one gives up one, a large one several.
+    fn drain_idle(
         &mut self,
         now: MonotonicTime,
-        mut drain_candidates: Vec<DrainCandidate>,
+        mut candidates: Vec<DrainCandidate>,
         scheduler: &mut Scheduler,
     ) {
-        let peak = self
-            .recent
-            .iter()
-            .fold(Load::default(), |p, (_, l)| p.max(*l));
-        let (mut cpus, mut on_demand) = (self.capacity, self.on_demand);
-        let mut most = 1 + drain_candidates.len() / SCALE_IN_DIVISOR;
-        drain_candidates.sort();
-        for machine in drain_candidates {
-            let room = machine.room;
-            let needless = cpus >= peak.total() + self.spare + room
-                && (machine.spot || on_demand >= peak.services + self.spare + room);
-            if !needless || most == 0 {
+        let peak = self.load_history.peak();
+        let reserve = self.service_reserve;
+        let mut remaining = self.capacity;
+        let mut most = max_drains(&candidates);
+        candidates.sort();
+        for machine in candidates {
+            let cpus = machine.cpus;
+            let is_needless = remaining.total >= peak.total() + reserve + cpus
+                && (machine.spot || remaining.on_demand >= peak.services + reserve + cpus);
+            if !is_needless || most == 0 {
                 continue;
             }
             most -= 1;
-            cpus -= room;
-            on_demand -= if machine.spot { 0 } else { room };
+            remaining.subtract(machine.spot, cpus);
             self.next_scale_in = now + SCALE_IN_INTERVAL;
             scheduler.leaving.insert(machine.id);
         }
     }
 
-    /// Takes machines back that were to leave, when they are needed again after all.
+    /// Stops draining machines when they are needed again after all, until `cpu_shortfall` (in
+    /// thousandths of a CPU) is covered or none is left.
     pub(super) fn reclaim_leaving(
         &mut self,
         cpu_shortfall: &mut u64,
@@ -191,25 +191,21 @@
             let back = scheduler
                 .leaving
                 .iter()
-                .filter(|id| !self.deleting.contains_key(*id) && cache.machines.contains_key(*id))
+                .filter(|id| !self.deletions.is_pending(id) && cache.machines.contains_key(*id))
                 .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
                 .cloned();
             let Some(id) = back else { return };
             scheduler.leaving.remove(&id);
-            let room = cache
-                .machines
-                .get(&id)
-                .and_then(|m| cache.machine_type(&m.record.type_name))
-                .map_or(0, |t| t.room().cpus);
-            *cpu_shortfall = cpu_shortfall.saturating_sub(room.max(1));
+            let machine = cache.machines.get(&id);
+            let cpus = machine.map_or(0, |m| machine_cpus(&m.record.type_name, cache));
+            *cpu_shortfall = cpu_shortfall.saturating_sub(cpus.max(1));
         }
     }
 
     /// Whether something that must run all at once waits for a machine that the cloud has not got,
     /// with none on its way.
     fn is_blocked(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
-        let stored = cache.catalog.as_ref().map(|c| &c.value);
-        let Some(catalog) = self.catalog.as_ref().or(stored) else {
+        let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
         let together = scheduler.unmet_demands.iter().filter(|s| s.together);
@@ -218,31 +214,28 @@
                 return false;
             };
             let spec = &job.spec;
-            let asked = self.rentals.iter().map(|r| &r.request);
-            let mut asked = asked.filter(|r| spec.allows(&r.type_name, &r.zone, r.spot));
-            let mut booting = self.booting.values();
-            asked.next().is_none()
-                && !booting.any(|b| spec.allows(&b.type_name, &b.zone, b.spot))
-                && self
-                    .cheapest(catalog, cache, unmet_demand, unmet_demand.tasks)
-                    .is_none()
+            let tasks = unmet_demand.tasks;
+            let mut pending = self.rentals.pending();
+            !pending.any(|rental| rental.offer.is_allowed_by(spec))
+                && !self.boots.offers().any(|offer| offer.is_allowed_by(spec))
+                && cheapest_offer(&self.rentals, catalog, cache, unmet_demand, tasks).is_none()
         })
     }
 
-    /// Lets empty machines leave that nothing which waits may use: they take up what the cloud
-    /// could give instead.
-    fn release_unusable(
+    /// Begins to drain empty machines that nothing which waits may use: they take up what the
+    /// cloud could give instead.
+    fn drain_unusable(
         &mut self,
         now: MonotonicTime,
-        drain_candidates: Vec<DrainCandidate>,
+        candidates: Vec<DrainCandidate>,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
         let is_useless = |machine: &DrainCandidate| {
-            machine.used == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
+            machine.used_cpus == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
         };
-        let most = 1 + drain_candidates.len() / SCALE_IN_DIVISOR;
-        let useless: Vec<MachineId> = drain_candidates
+        let most = max_drains(&candidates);
+        let useless: Vec<MachineId> = candidates
             .into_iter()
             .filter(is_useless)
             .map(|machine| machine.id)
@@ -254,3 +247,8 @@
         }
     }
 }
+
+/// How many machines may begin to drain at a time.
+fn max_drains(candidates: &[DrainCandidate]) -> usize {
+    1 + candidates.len() / SCALE_IN_DIVISOR
+}
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -1,48 +1,55 @@
 use super::*;
 use crate::config::tests::sample_config;
+use crate::ids::{Incarnation, Millis};
 use crate::peers::MachineHealth;
 use crate::protocol::store::Item;
 use crate::store::keys;
 use crate::store::records::{MachineRecord, ShardRecord};
+use unresponsive::{HeartbeatCounts, OwnerSilence};
+
+fn counts(machines: usize, missed: usize) -> HeartbeatCounts {
+    HeartbeatCounts { machines, missed }
+}
 
 #[test]
-fn a_holder_that_alone_misses_many_machines_is_doubted_and_a_cut_off_zone_is_not() {
+fn shard_owner_that_alone_misses_many_machines_is_suspect_and_one_in_a_partitioned_zone_is_not() {
     let id = MachineId::from("vm-1");
-    let quiet = |count, overdue, silent| OwnerSilence {
-        count,
-        overdue,
+    let owner = |machines, missed, silent| OwnerSilence {
+        counts: counts(machines, missed),
         silent: vec![&id; silent],
     };
-    assert!(quiet(300, 90, 20).is_owner_suspect((600, 3)));
+    assert!(owner(300, 90, 20).is_owner_suspect(counts(600, 3)));
     assert!(
-        quiet(300, 200, 160).is_owner_suspect((600, 400)),
+        owner(300, 200, 160).is_owner_suspect(counts(600, 400)),
         "most of them"
     );
     assert!(
-        !quiet(300, 90, 20).is_owner_suspect((600, 170)),
+        !owner(300, 90, 20).is_owner_suspect(counts(600, 170)),
         "of all alike"
     );
-    assert!(!quiet(300, 20, 20).is_owner_suspect((600, 2)), "a few");
-    assert!(!quiet(20, 3, 1).is_owner_suspect((40, 0)), "a small fleet");
+    assert!(
+        !owner(300, 20, 20).is_owner_suspect(counts(600, 2)),
+        "a few"
+    );
+    assert!(
+        !owner(20, 3, 1).is_owner_suspect(counts(40, 0)),
+        "a small fleet"
+    );
 }
 
-/// Found in an incident: while the key-value store was down, a machine that had gone silent
-/// was deleted at every turn, since its record could not be removed.
-#[test]
-fn a_silent_machine_is_deleted_once_however_long_its_record_stays() {
-    let config = sample_config();
-    let mut cache = WatchCache::new(&sample_config());
-    let id = MachineId::from("vm-0001");
+/// A watch cache with one machine, whose shard has an owner.
+fn cache_with_machine(config: &Config, id: &MachineId) -> WatchCache {
+    let mut cache = WatchCache::new(config);
     let shard = id.shard(config.shards());
     let shard_record = ShardRecord {
         owner: "c0".into(),
-        incarnation: crate::ids::Incarnation(1),
+        incarnation: Incarnation(1),
         term: Revision(1),
     };
     let machine = MachineRecord::new("1.1.1.1:1", &"t".into(), &"a".into(), false);
     let values = [
         (keys::shard(shard), serde_json::to_value(&shard_record)),
-        (keys::machine(&id), serde_json::to_value(&machine)),
+        (keys::machine(id), serde_json::to_value(&machine)),
     ];
     for (key, value) in values {
         let value = value.expect("json");
@@ -53,25 +60,36 @@
             lease: None,
         });
     }
+    cache
+}
+
+/// The report of a machine that has been silent for far too long.
+fn silent_machine(id: &MachineId) -> MachineHealth {
+    MachineHealth {
+        machine: id.clone(),
+        fence: Revision(5),
+        silent: Millis(30_000),
+        since_direct_heartbeat: Millis(30_000),
+        confirmed: true,
+        notice: None,
+        unrecorded: None,
+        gangs: Vec::new(),
+    }
+}
+
+/// Found in an incident: while the key-value store was down, a machine that had gone silent
+/// was deleted at every step, since its record could not be removed.
+#[test]
+fn silent_machine_is_deleted_once_while_its_record_stays() {
+    let config = sample_config();
+    let id = MachineId::from("vm-0001");
+    let cache = cache_with_machine(&config, &id);
     let mut scheduler = Scheduler::new(&config);
     let mut autoscaler = Autoscaler::new(&config);
     let mut deletions = 0;
-    for turn in 0..50 {
-        let now = MonotonicTime(10_000 + turn * 400);
-        scheduler.on_health(
-            now,
-            vec![MachineHealth {
-                machine: id.clone(),
-                fence: Revision(5),
-                silent: Millis(30_000),
-                since_direct_heartbeat: Millis(30_000),
-                confirmed: true,
-                notice: None,
-                unrecorded: None,
-                gangs: Vec::new(),
-            }],
-            &cache,
-        );
+    for step in 0..50 {
+        let now = MonotonicTime(10_000 + step * 400);
+        scheduler.on_health(now, vec![silent_machine(&id)], &cache);
         let mut out = Vec::new();
         autoscaler.step(now, Revision(1), &cache, &mut scheduler, &mut out);
         for effect in out {
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -1,13 +1,34 @@
-//! Machines of which nothing is hoped for any more.
+//! Machines that are given up: failed, never booted, or silent for too long.
 
-use super::*;
+use super::Autoscaler;
+use crate::ids::{MachineId, Millis, MonotonicTime};
+use crate::placement::Scheduler;
+use crate::store::watch_cache::WatchCache;
+use std::collections::BTreeMap;
+use std::ops::{Add, Sub};
 
-/// Past this many boot times a machine will not come up any more.
-const FAILED_BOOT_FACTOR: f64 = 4.0;
-/// Seconds that a boot counts as at least.
-const MIN_BOOT_S: f64 = 10.0;
+/// What is known of a machine's silence counts only if its owner has reported it so lately.
+const HEALTH_REPORT_EXPIRY: Millis = Millis(3000);
+/// The least time past a heartbeat's interval after which the next one is missed.
+const OVERDUE_MARGIN_MS: u64 = 500;
+/// The least time past a heartbeat's interval for which a machine may be silent.
+const SILENCE_MARGIN_MS: u64 = 2500;
+/// After so many times the limit a machine is given up even if its owner is suspect: most may
+/// really be gone, and their work would wait for ever.
+const SUSPECT_OWNER_FACTOR: u64 = 4;
 
 impl Autoscaler {
+    /// How long a machine may be silent before it is given up.
+    pub(crate) fn patience(&self, cache: &WatchCache) -> Millis {
+        Millis::from_secs(cache.settings().silent_s).max(self.missed_after(SILENCE_MARGIN_MS))
+    }
+
+    /// The heartbeat interval with a quarter more, and a margin.
+    fn missed_after(&self, margin_ms: u64) -> Millis {
+        let interval = self.config.heartbeat_interval;
+        interval + Millis(interval.0 / 4 + margin_ms)
+    }
+
     /// Machines that failed, never came up, or have been silent for too long. Deleting them is
     /// also the proof that their tasks are gone.
     pub(super) fn machines_to_decommission(
@@ -17,92 +38,117 @@
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
         let mut list: Vec<MachineId> = self.failed.iter().cloned().collect();
-        list.extend(self.failed_to_boot(now, cache));
+        list.extend(self.boots.failed(now, cache));
         list.extend(self.silent(now, cache, scheduler));
         list
     }
 
-    /// Machines that have taken far too long to boot.
-    fn failed_to_boot(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
-        let limit = |boot: &Boot| {
-            let boot_time = self.boot_time(&boot.type_name, cache);
-            Millis::from_secs(FAILED_BOOT_FACTOR * boot_time.max(MIN_BOOT_S))
-        };
-        let late = self
-            .booting
-            .iter()
-            .filter(|(_, boot)| now.since(boot.rented) > limit(boot));
-        late.map(|(id, _)| id.clone()).collect()
-    }
-
-    /// Machines of which nothing has been heard for too long, but for those where it is rather
-    /// the shard owner that hears nothing.
+    /// Machines that sent no heartbeat for too long, but for those where it is rather the shard
+    /// owner that receives none.
     fn silent(
         &self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
+        let patience = self.patience(cache);
+        let by_owner = self.silence_by_owner(now, cache, scheduler);
+        let all = by_owner
+            .values()
+            .fold(HeartbeatCounts::default(), |all, owner| all + owner.counts);
         let mut list = Vec::new();
+        for owner in by_owner.into_values() {
+            let is_suspect = owner.is_owner_suspect(all - owner.counts);
+            let given_up = owner.silent.into_iter().filter(|id| {
+                let silent = scheduler.health[*id].last.silent;
+                !is_suspect || silent >= Millis(SUSPECT_OWNER_FACTOR * patience.0)
+            });
+            list.extend(given_up.cloned());
+        }
+        list
+    }
+
+    /// What each shard owner reports of the machines that are still its own.
+    fn silence_by_owner<'a>(
+        &self,
+        now: MonotonicTime,
+        cache: &'a WatchCache,
+        scheduler: &'a Scheduler,
+    ) -> BTreeMap<&'a str, OwnerSilence<'a>> {
         let patience = self.patience(cache);
-        let overdue =
-            self.config.heartbeat_interval + Millis(self.config.heartbeat_interval.0 / 4 + 500);
+        let missed_after = self.missed_after(OVERDUE_MARGIN_MS);
         let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
-            let shard_record = cache.shards.get(&id.shard(self.config.shards()));
-            let Some(shard_record) = shard_record.filter(|l| l.revision == health.last.fence)
-            else {
+            let shard = cache.shards.get(&id.shard(self.config.shards()));
+            let Some(shard) = shard.filter(|s| s.revision == health.last.fence) else {
                 continue;
             };
-            let entry = by_owner
-                .entry(shard_record.value.owner.as_str())
-                .or_default();
-            entry.count += 1;
-            entry.overdue += usize::from(health.last.silent >= overdue);
-            if health.last.silent >= patience && now.since(health.at) < Millis(3000) {
-                entry.silent.push(id);
+            let owner = by_owner.entry(shard.value.owner.as_str()).or_default();
+            owner.counts.machines += 1;
+            owner.counts.missed += usize::from(health.last.silent >= missed_after);
+            let is_recent = now.since(health.at) < HEALTH_REPORT_EXPIRY;
+            if health.last.silent >= patience && is_recent {
+                owner.silent.push(id);
             }
         }
-        let all = by_owner.values().fold((0, 0), |(count, overdue), q| {
-            (count + q.count, overdue + q.overdue)
-        });
-        for quiet in by_owner.into_values() {
-            let rest = (all.0 - quiet.count, all.1 - quiet.overdue);
-            let doubtful = quiet.is_owner_suspect(rest);
-            let silent = quiet.silent;
-            // But most may really be gone: after a while they are given up all the same, or
-            // their work would wait for ever (simulated seed 45).
-            let machines_to_decommission = silent.into_iter().filter(|id| {
-                !doubtful || scheduler.health[*id].last.silent >= Millis(4 * patience.0)
-            });
-            list.extend(machines_to_decommission.cloned());
+        by_owner
+    }
+}
+
+/// How many of some machines have sent their heartbeats.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct HeartbeatCounts {
+    /// All of them.
+    pub(super) machines: usize,
+    /// Those whose next heartbeat should have come by now.
+    pub(super) missed: usize,
+}
+
+impl Add for HeartbeatCounts {
+    type Output = Self;
+
+    fn add(self, other: Self) -> Self {
+        Self {
+            machines: self.machines + other.machines,
+            missed: self.missed + other.missed,
+        }
+    }
+}
+
+impl Sub for HeartbeatCounts {
+    type Output = Self;
+
+    fn sub(self, other: Self) -> Self {
+        Self {
+            machines: self.machines - other.machines,
+            missed: self.missed - other.missed,
         }
-        list
     }
 }
 
-/// What a shard owner says of its machines.
+/// What a shard owner reports of its machines.
 #[derive(Debug, Default)]
 pub(super) struct OwnerSilence<'a> {
-    pub count: usize,
-    /// A heartbeat of theirs should have come by now.
-    pub overdue: usize,
-    /// Silent for so long that they would be given up.
-    pub silent: Vec<&'a MachineId>,
+    /// Of all its machines.
+    pub(super) counts: HeartbeatCounts,
+    /// Machines that are silent for so long that they would be given up.
+    pub(super) silent: Vec<&'a MachineId>,
 }
 
 impl OwnerSilence<'_> {
-    /// Whether it is rather the shard owner that hears nothing: most of its machines are silent, or far
-    /// more than of all others, `rest`, though shards are dealt out over zones and types alike. The
-    /// first of them are silent for long while the most have a moment left: what is overdue counts
-    /// (Tramite fleet, apart: a hundred healthy machines were deleted before it was clear).
-    pub(super) fn is_owner_suspect(&self, rest: (usize, usize)) -> bool {
-        let most = self.silent.len() > 1.max(self.count / 2);
-        let (others, overdue) = rest;
+    /// Whether it is rather the shard owner that receives nothing: most of its machines are silent,
+    /// or far more than of all others, though shards are dealt out over zones and types alike. The
+    /// first of them are silent for long while the most have a moment left, so what is missed
+    /// counts: otherwise many healthy machines would be deleted before it is clear.
+    ///
+    /// `others`: the machines of all other shard owners.
+    pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
+        let HeartbeatCounts { machines, missed } = self.counts;
+        let most = self.silent.len() > 1.max(machines / 2);
         // More than an eighth, and more than three times the others' part.
-        let far_more = 8 * self.overdue > self.count
-            && self.overdue > 3
-            && self.overdue * others > 3 * overdue * self.count;
-        most || (far_more && others > 0)
+        let far_more = 8 * missed > machines
+            && missed > 3
+            && missed * others.machines > 3 * others.missed * machines;
+        most || (far_more && others.machines > 0)
     }
 }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -8,18 +8,22 @@
 use crate::protocol::JobKind;
 use crate::store::watch_cache::{LiveJob, WatchCache};
 
-/// CPUs, in thousandths.
+/// The CPUs that jobs need at one moment, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
-    pub services: u64,
-    pub arrays: u64,
+    /// Of services and gangs, for all their tasks.
+    pub(super) services: u64,
+    /// Of arrays, for as much as gets each done by its deadline.
+    pub(super) arrays: u64,
 }
 
 impl Load {
+    /// Of all jobs.
     pub(super) fn total(self) -> u64 {
         self.services + self.arrays
     }
 
+    /// The higher of both loads, services and arrays apart.
     pub(super) fn max(self, other: Self) -> Self {
         Self {
             services: self.services.max(other.services),
@@ -32,56 +36,65 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Batch {
     /// Seconds until it is due.
-    pub due: f64,
-    /// CPUs that it can use at once.
-    pub width: f64,
+    pub(super) due_s: f64,
+    /// CPUs (in thousandths) that it can use at once.
+    pub(super) width: f64,
     /// Predicted seconds of one task.
-    pub task: f64,
-    /// CPU seconds left.
-    pub work: f64,
+    pub(super) task_s: f64,
+    /// CPU seconds (in thousandths) left.
+    pub(super) work: f64,
 }
 
 /// The part of a task's time that is kept in hand.
-const MARGIN: f64 = 0.8;
-/// What can't be in time any more is still to be done, within about this time.
-const LATE: f64 = 15.0;
+const TASK_MARGIN: f64 = 0.8;
+/// The part of a task's time that a batch takes at least.
+const MIN_TASK_PART: f64 = 0.7;
+/// Seconds that a batch takes at least.
+const MIN_TIME_S: f64 = 1.0;
+/// What can't be in time any more is still to be done, within about this many seconds.
+const LATE_TIME_S: f64 = 15.0;
+/// Without a deadline or an objective, an array is due after so many task times, and a minute.
+const DEFAULT_DUE_TASKS: f64 = 4.0;
+/// The minute of it, in seconds.
+const DEFAULT_DUE_MARGIN_S: f64 = 60.0;
 
-/// How long a batch may take: its last tasks end apart, and estimates err.
-fn time(batch: &Batch) -> f64 {
-    (batch.due - MARGIN * batch.task)
-        .max(0.7 * batch.task)
-        .max(1.0)
+/// How many seconds a batch may take: its last tasks end apart, and estimates err.
+fn time_s(batch: &Batch) -> f64 {
+    (batch.due_s - TASK_MARGIN * batch.task_s)
+        .max(MIN_TASK_PART * batch.task_s)
+        .max(MIN_TIME_S)
 }
 
-/// The CPUs that are lacking beside `capacity`, when machines that are rented now help only
-/// after `boot` seconds.
-pub(super) fn lacking(batches: &[Batch], capacity: f64, boot: f64) -> f64 {
+/// The CPUs (in thousandths) that are lacking beside `capacity`, when machines that are rented now
+/// help only after `boot_s` seconds.
+pub(super) fn lacking(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
         width += batch.width;
-        let time = time(batch);
-        let open = work - capacity * time;
-        most = most.max((open / (time - boot).max(LATE)).min(width - capacity));
+        let time_s = time_s(batch);
+        let open = work - capacity * time_s;
+        most = most.max((open / (time_s - boot_s).max(LATE_TIME_S)).min(width - capacity));
     }
     most
 }
 
-/// The CPUs that finish every batch in time when they are served in this order: the work up to
-/// each, spread over the time that is left for it. A guarantee may go before what is due sooner.
+/// The CPUs (in thousandths) that finish every batch in time when they are served in this order: the work up to
+/// each, spread over the time that is left for it. A team's guaranteed quota may go before what is
+/// due sooner.
 pub(super) fn required(batches: &[Batch]) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
         width += batch.width;
-        most = most.max((work / time(batch)).min(width));
+        most = most.max((work / time_s(batch)).min(width));
     }
     most
 }
 
-/// How long a place is taken by one task of a job, on average, with the time until the next one.
-/// The image's fetch counts half: later tasks find it there.
-pub(super) fn task_time(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
+/// How many seconds a slot is taken by one task of a job, on average, with the time until the next
+/// one. The image's fetch counts half: later tasks find it there.
+pub(super) fn task_time_s(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
     let types = cache.catalog.iter().flat_map(|c| &c.value.types);
     let fetch = types
         .map(|t| t.fetch_gb_per_s)
@@ -92,17 +105,17 @@
 
 /// In how many seconds an array is due: by its deadline or by those of the jobs that depend on it,
 /// else by the operators' objective for its pipeline. Without either there is no hurry, but an end.
-fn due_s(unix_time: UnixTime, job: &LiveJob, task: f64, config: &Config) -> f64 {
+fn due_s(unix_time: UnixTime, job: &LiveJob, task_s: f64, config: &Config) -> f64 {
     if let Some(finish_by) = job.urgency.finish_by {
         return (finish_by.0 as f64 - unix_time.0 as f64) / 1000.0;
     }
-    let age = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
+    let age_s = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
     let objective = config.finish_within.get(&job.spec.pipeline);
-    let due = objective.map_or(4.0 * task + 60.0, |s| s.secs());
-    due - age
+    let default_s = DEFAULT_DUE_TASKS * task_s + DEFAULT_DUE_MARGIN_S;
+    objective.map_or(default_s, |within| within.secs()) - age_s
 }
 
-/// The load, and the batches that it is made of.
+/// The load, and the batches that its arrays are, in the order in which they are served.
 pub(super) fn load(
     unix_time: UnixTime,
     cache: &WatchCache,
@@ -122,17 +135,17 @@
         let limit = config.teams.get(&spec.team).map_or(0, |t| t.limit().cpus);
         let left = spec.tasks.saturating_sub(job.done_count());
         let running = (job.placed.len() as u32).min(left);
-        let task = task_time(job, cache, turnaround_s);
+        let task_s = task_time_s(job, cache, turnaround_s);
         let width = need.cpus.saturating_mul(left.into()).min(limit) as f64;
-        let due = due_s(unix_time, job, task, config);
+        let due_s = due_s(unix_time, job, task_s, config);
         let cpus = need.cpus as f64;
-        // What runs holds its place whatever comes first; on average half of it is left.
-        busy += 0.5 * f64::from(running) * cpus * task;
-        let work = f64::from(left - running) * cpus * task;
+        // What runs keeps its slot whatever comes first; on average half of it is left.
+        busy += 0.5 * f64::from(running) * cpus * task_s;
+        let work = f64::from(left - running) * cpus * task_s;
         batches.push(Batch {
-            due,
+            due_s,
             width,
-            task,
+            task_s,
             work,
         });
     }
@@ -140,7 +153,9 @@
         first.work += busy;
     }
     let spare = 1.0 + cache.settings().array_spare;
-    batches.iter_mut().for_each(|b| b.work *= spare);
+    for batch in &mut batches {
+        batch.work *= spare;
+    }
     load.arrays = required(&batches) as u64;
     (load, batches)
 }
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -9,7 +9,7 @@
 prop_compose! {
     fn batch()(due in 20.0..300.0f64, tasks in 1u32..60, task in 5.0..60.0f64) -> Batch {
         let width = f64::from(tasks) * 4.0;
-        Batch { due: due.max(2.5 * task), width, task, work: width * task }
+        Batch { due_s: due.max(2.5 * task), width, task_s: task, work: width * task }
     }
 }
 
@@ -22,10 +22,10 @@
         let mut end = 0.0f64;
         for _ in 0..(batch.width / 4.0) as u32 {
             slots.sort_by(f64::total_cmp);
-            slots[0] += batch.task;
+            slots[0] += batch.task_s;
             end = end.max(slots[0]);
         }
-        worst = worst.max((end - batch.due) / batch.task);
+        worst = worst.max((end - batch.due_s) / batch.task_s);
     }
     worst
 }
@@ -33,7 +33,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_required_is_enough_and_far_less_is_not(batches in proptest::collection::vec(batch(), 1..8)) {
+    fn required_cpus_finish_every_batch_in_time(batches in proptest::collection::vec(batch(), 1..8)) {
         let cpus = required(&batches);
         prop_assert!(worst_lateness(&batches, cpus) <= 1.0);
         let width: f64 = batches.iter().map(|b| b.width).sum();
@@ -62,10 +62,10 @@
     load(accepted, &cache, &config, 3.0).0.arrays
 }
 
-/// Arrays without deadlines asked for nothing more than was there, while half of them missed what
-/// their operators want (Altamaha dredging: the fleet grew from second 60 on only).
+/// Arrays without deadlines asked for nothing more than was there, while half of them missed the
+/// objective of their pipeline.
 #[test]
-fn an_array_without_a_deadline_is_due_by_the_operators_objective() {
+fn array_without_a_deadline_is_due_by_the_pipelines_objective() {
     let (soon, late) = (Millis(60_000), Millis(400_000));
     assert!(load_of(None, Some(soon)) > load_of(None, None));
     assert!(load_of(None, Some(late)) < load_of(None, None));
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's duty towards the cloud: the catalog, renting for demand, returning what is idle,
-//! deleting what never came up or went silent.
+//! The leader's part towards the cloud: keeping the catalog, renting machines for demand, returning
+//! idle ones, deleting those that never came up or went silent.
 
 mod arrival_rate;
 mod autoscaler;
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -1,19 +1,20 @@
-//! How long a place stands empty between two tasks of arrays.
+//! How long a slot is empty between two tasks of arrays.
 //!
-//! Each task is given out by a change of its machine's record, and one change gives out several.
-//! Where tasks end faster than records can be changed, places wait until their machine's record is
-//! written again: that is time for which capacity has to be there, too.
+//! Each task is placed by a change of its machine's record, and one change places several. Where
+//! tasks end faster than records can be changed, slots wait until their machine's record is written
+//! again: that is time for which capacity has to be there, too.
 
 use crate::placement::RECORD_WRITE_SHARE;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::WatchCache;
 
-/// The way there and back, where changes are plenty.
-const LEAST: f64 = 3.0;
+/// Seconds from a task's end to the start of the next one, where changes are plenty.
+const MIN_TURNAROUND_S: f64 = 3.0;
 
-/// In seconds, on average. `changes`: what the key-value store takes in a second.
-pub(super) fn turnaround_s(cache: &WatchCache, changes: f64) -> f64 {
+/// The mean time in seconds for which a slot is empty. `change_rate`: the changes that the
+/// key-value store takes in a second.
+pub(super) fn turnaround_s(cache: &WatchCache, change_rate: f64) -> f64 {
     let arrays = cache
         .jobs
         .values()
@@ -22,13 +23,14 @@
     let wait = wait_s(
         cache.machines.len() as f64,
         ends.sum(),
-        changes * RECORD_WRITE_SHARE,
+        change_rate * RECORD_WRITE_SHARE,
     );
-    wait.max(LEAST)
+    wait.max(MIN_TURNAROUND_S)
 }
 
-/// With `ends / records` tasks for each change, a machine waits for its record until so many places
-/// are empty, of which on average half are: by Little's law the rest follows.
+/// The mean time in seconds that an empty slot waits, with `ends` of tasks and `records` changes in
+/// a second. With `ends / records` tasks for each change, a machine waits for its record until so
+/// many slots are empty, of which on average half are: by Little's law the rest follows.
 fn wait_s(machines: f64, ends: f64, records: f64) -> f64 {
     if ends <= records {
         return 0.0;
--- a/src/cloud/slot_turnaround/tests.rs
+++ b/src/cloud/slot_turnaround/tests.rs
@@ -2,10 +2,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Machines of which the emptiest gets the next change, as the leader chooses them; what stands
-/// empty is counted place by place.
+/// Machines of which the emptiest gets the next change, as the leader chooses them; the empty time
+/// is counted slot by slot.
 #[test]
-fn the_wait_agrees_with_a_count_of_empty_places() {
+fn wait_agrees_with_a_simulation_of_empty_slots() {
     let (machines, slots, task_s, records) = (300, 16, 40.0, 20.0);
     let (last, settled) = (400.0, 150.0);
     let mut random = StdRng::seed_from_u64(3);
@@ -16,7 +16,7 @@
     let (mut waited, mut starts, mut now) = (0.0, 0.0, 0.0);
     while now < last {
         now += 1.0 / records;
-        let empty = |places: &&mut Vec<f64>| places.iter().filter(|end| **end <= now).count();
+        let empty = |slots: &&mut Vec<f64>| slots.iter().filter(|end| **end <= now).count();
         let emptiest = ends_at.iter_mut().max_by_key(empty).expect("a machine");
         for end in emptiest.iter_mut().filter(|end| **end <= now) {
             if now > settled {
@@ -27,12 +27,15 @@
         }
     }
     let (found, ends) = (waited / starts, starts / (last - settled));
-    let told = wait_s(machines as f64, ends, records);
-    assert!((told - found).abs() < 0.1 * found, "{told} for {found}");
+    let predicted = wait_s(machines as f64, ends, records);
+    assert!(
+        (predicted - found).abs() < 0.1 * found,
+        "{predicted} for {found}"
+    );
 }
 
 #[test]
-fn nothing_waits_while_there_is_a_change_for_each_task() {
+fn wait_is_zero_while_there_is_a_change_for_each_task() {
     assert_eq!(wait_s(1000.0, 10.0, 10.0), 0.0);
     assert!(wait_s(1000.0, 11.0, 10.0) > 0.0);
 }
