--- /dev/null
+++ b/src/api/cancel.rs
@@ -0,0 +1,63 @@
+//! Cancellations of jobs.
+
+use super::job_api::JobApi;
+use super::responses::{STORE_UNREACHABLE, no_such_job, retry_later};
+use crate::http::Response;
+use crate::ids::JobId;
+use crate::protocol::store::{Item, Txn};
+use crate::protocol::{JobState, valid_job_id};
+use crate::store::rate_limiter::RequestClass;
+use crate::store::records::{FinalRecord, JobRecord};
+use crate::store::{TxnOutcome, keys};
+use std::time::Instant;
+
+impl JobApi {
+    /// Cancels a job, and answers once its tasks are proved gone. A job that has ended stays as it
+    /// is.
+    pub(crate) async fn cancel(&self, id: &str) -> Response {
+        if !valid_job_id(id) {
+            return no_such_job();
+        }
+        let id = JobId::from(id);
+        if let Some(final_state) = self.cached_final_state(&id) {
+            return self.settled_status(&id, final_state, None).await;
+        }
+        if !self.store.is_up() {
+            return retry_later(STORE_UNREACHABLE);
+        }
+        match self.store.get(RequestClass::Accept, &keys::job(&id)).await {
+            Ok(Some(item)) => self.cancel_live(&id, item).await,
+            Ok(None) => match self.read_final_state(&id).await {
+                Ok(Some(final_state)) => self.settled_status(&id, final_state, None).await,
+                Ok(None) => no_such_job(),
+                Err(_) => retry_later(STORE_UNREACHABLE),
+            },
+            Err(_) => retry_later(STORE_UNREACHABLE),
+        }
+    }
+
+    async fn cancel_live(&self, id: &JobId, item: Item) -> Response {
+        let revision = item.revision;
+        let tasks = serde_json::from_value::<JobRecord>(item.value).map_or(0, |r| r.spec.tasks);
+        let record = FinalRecord {
+            state: JobState::Cancelled,
+            tasks,
+        };
+        let mut txn = Txn::default();
+        txn.require(keys::job(id), revision);
+        txn.put(keys::final_state(id), &record, None);
+        txn.delete(keys::job(id));
+        let since = Instant::now();
+        match self.store.txn(RequestClass::Accept, &txn).await {
+            TxnOutcome::Committed(revision) => {
+                let final_state = self.remember_final_state(id, record, revision);
+                self.settled_status(id, final_state, Some(since)).await
+            }
+            // Done or cancelled in between, or it was never there: a retry shows which.
+            _ => retry_later("the state service did not take it"),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -1,12 +1,14 @@
-//! Submissions that name other jobs, and cancellations of jobs that others need.
+//! Submissions with dependencies, and cancellations of jobs that have dependents.
 
+mod cascade;
 mod decision;
 
-pub(crate) use decision::{
-    CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache, new_job,
-};
+pub(crate) use cascade::{CancellationCascade, CascadeStep};
+pub(crate) use decision::{Dependencies, DependencyState, named_in_cache, new_job};
 
-use super::job_api::{JobApi, JobLookup, retry_later, status};
+use super::job_api::JobApi;
+use super::job_lookup::JobLookup;
+use super::responses::{STORE_OVERLOADED, STORE_SILENT, job_status, retry_later};
 use crate::http::Response;
 use crate::ids::{JobId, Revision, UnixTime};
 use crate::protocol::{JobSpec, JobState};
@@ -17,63 +19,61 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// How often the named jobs are looked up while they go on changing.
+/// How often dependencies are looked up while they go on changing.
 const MAX_ATTEMPTS: usize = 4;
 /// How long a user's request waits for dependents to be cancelled; a poll waits for two seconds.
 const CASCADE_TIMEOUT: Duration = Duration::from_millis(600);
+/// How often the watch cache is checked for what a cascade waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 impl JobApi {
-    /// Accepts a job that names others.
+    /// Accepts or refuses a job that depends on others.
     pub(super) async fn submit_dependent(&self, spec: JobSpec) -> Response {
         let id = spec.id.clone();
-        // It would start the job at once.
+        // An earlier version would start the job at once.
         if !self.controller.borrow().cache.all_know_dependencies() {
             return retry_later("a controller of an earlier version takes part");
         }
         let mut changed = BTreeSet::new();
         for _ in 0..MAX_ATTEMPTS {
             let dependencies = self.look_up(&spec, &changed).await;
-            if let Dependencies::Refused(why) = &dependencies {
-                return self.refuse(&id, why).await;
+            if let Dependencies::Refused(reason) = &dependencies {
+                return self.refuse(&id, &reason.to_string()).await;
             }
             let ops = self.config.state.txn_ops;
             let Some((txn, state)) = dependencies.accept(&spec, UnixTime::now(), ops) else {
                 return retry_later("the jobs that it names can't be read");
             };
             match self.store.txn(RequestClass::Accept, &txn).await {
-                TxnOutcome::Committed(_) => return status(201, &id, state, None),
+                TxnOutcome::Committed(_) => return job_status(201, &id, state, None),
                 TxnOutcome::Refused | TxnOutcome::Invalid => {
-                    return retry_later("too much is asked of the state service");
+                    return retry_later(STORE_OVERLOADED);
                 }
-                // It may stand already; the repeat will tell.
-                TxnOutcome::Unknown => return retry_later("the state service did not answer"),
+                // It may be accepted already; a retry shows it.
+                TxnOutcome::Unknown => return retry_later(STORE_SILENT),
                 TxnOutcome::Failed(failed, _) => {
                     let own = [keys::job(&id), keys::final_state(&id)];
                     if failed.iter().any(|key| own.contains(key)) {
                         return self.poll_known(&id).await;
                     }
-                    let dependency_state = spec.dependencies.iter();
-                    changed.extend(
-                        dependency_state
-                            .filter(|d| failed.contains(&keys::job(d)))
-                            .cloned(),
-                    );
+                    let dependencies = spec.dependencies.iter();
+                    let stale = dependencies.filter(|d| failed.contains(&keys::job(d)));
+                    changed.extend(stale.cloned());
                 }
             }
         }
         retry_later("the jobs that it names are changing")
     }
 
-    /// Looks all named jobs up. What the watch cache shows of those that have `changed` is known to be
-    /// old.
+    /// Looks all dependencies up. What the watch cache shows of those that have `changed` is known
+    /// to be stale.
     async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> Dependencies {
-        let mut dependency_state = Vec::new();
+        let mut states = Vec::new();
         for id in &spec.dependencies {
             let state = self.dependency_state(id, changed.contains(id)).await;
-            dependency_state.push((id.clone(), state));
+            states.push((id.clone(), state));
         }
-        Dependencies::of(&spec.id, dependency_state)
+        Dependencies::of(&spec.id, states)
     }
 
     async fn dependency_state(&self, id: &JobId, changed: bool) -> DependencyState {
@@ -89,16 +89,17 @@
                 },
                 Err(_) => DependencyState::Unknown,
             },
-            JobLookup::Over(final_state) if final_state.record.state == JobState::Cancelled => {
+            JobLookup::Ended(final_state) if final_state.record.state == JobState::Cancelled => {
                 DependencyState::Cancelled
             }
-            JobLookup::Over(_) => DependencyState::Done,
-            JobLookup::Never => DependencyState::Never,
-            JobLookup::Unknown => DependencyState::Unknown,
+            JobLookup::Ended(_) => DependencyState::Done,
+            JobLookup::NeverAccepted => DependencyState::Never,
+            JobLookup::Unavailable => DependencyState::Unknown,
         }
     }
 
-    /// Cancels all jobs that need a cancelled one, before its user is told. `false`: not all yet.
+    /// Cancels all dependents of a cancelled job, before its user is answered. `false`: not all of
+    /// them yet. `revision`: the change that cancelled the job.
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
         let until = Instant::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
@@ -119,7 +120,7 @@
                     let mut controller = self.controller.borrow_mut();
                     controller.dependents_cancelled(&jobs, at);
                 }
-                // Released, cancelled by others, or the watch cache is behind.
+                // Released, cancelled by others, or the watch cache lags.
                 TxnOutcome::Failed(..) => runtime::sleep(POLL_INTERVAL).await,
                 TxnOutcome::Refused | TxnOutcome::Invalid | TxnOutcome::Unknown => return false,
             }
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -1,82 +1,107 @@
-//! What a submission that names other jobs amounts to, and the transactions that follow: decided
-//! without I/O.
+//! Whether a submission with dependencies is accepted, and by which transaction: decided without
+//! I/O.
 
 use crate::ids::{JobId, Revision, UnixTime};
-use crate::planning::cancel_dependents;
 use crate::protocol::store::Txn;
 use crate::protocol::{JobKind, JobSpec, JobState};
 use crate::store::keys;
 use crate::store::records::{FinalRecord, JobRecord};
 use crate::store::watch_cache::WatchCache;
-use std::collections::BTreeSet;
+use thiserror::Error;
 
-/// Conditions that a submission needs beside those on the jobs that it names.
+/// Conditions that a submission needs beside those on its dependencies.
 const OWN_CONDITIONS: usize = 2;
-/// Conditions that a transaction may have for each of its changes.
-const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// How one of the named jobs stands.
+/// The state of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DependencyState {
-    /// Accepted and not over.
+    /// Accepted and not ended.
     Live {
+        /// Its kind: a service is never done.
         kind: JobKind,
+        /// The revision of its record.
         revision: Revision,
     },
+    /// Ended as done.
     Done,
+    /// Ended as cancelled.
     Cancelled,
+    /// It was never accepted.
     Never,
+    /// It could not be read.
     Unknown,
 }
 
-/// What a submission amounts to, by the jobs that it names.
+/// Why a job can't depend on another. The texts are shown to users.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub(crate) enum InvalidDependency {
+    /// The job names itself.
+    #[error("{0} can't need itself")]
+    OnItself(JobId),
+    /// The named job never ends as done.
+    #[error("{0} is a service: it is never done")]
+    OnService(JobId),
+    /// The named job does not exist.
+    #[error("{0} was never accepted")]
+    NeverAccepted(JobId),
+}
+
+/// The dependencies of a submission, taken together.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Dependencies {
-    /// These are not over, at these revisions.
+    /// These have not ended, at these revisions.
     Open(Vec<(JobId, Revision)>),
+    /// All are done.
     Done,
+    /// At least one is cancelled.
     Cancelled,
-    /// They can't be named, for good.
-    Refused(String),
+    /// One of them is refused for good.
+    Refused(InvalidDependency),
+    /// At least one could not be read.
     Unknown,
 }
 
 impl Dependencies {
-    /// Sums up how the jobs stand that `job` names. What is refused for good comes first, then
-    /// what is not known.
+    /// Sums up the states of a job's dependencies. What is refused for good comes first, then what
+    /// is not known.
     pub(crate) fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
-        let (mut open, mut unknown, mut cancelled) = (Vec::new(), false, false);
+        let mut open = Vec::new();
+        let (mut unknown, mut cancelled) = (false, false);
         for (id, state) in named {
             if id == *job {
-                return Self::Refused(format!("{id} can't need itself"));
+                return Self::Refused(InvalidDependency::OnItself(id));
             }
             match state {
                 DependencyState::Live {
                     kind: JobKind::Service,
                     ..
-                } => return Self::Refused(format!("{id} is a service: it is never done")),
-                DependencyState::Never => return Self::Refused(format!("{id} was never accepted")),
+                } => return Self::Refused(InvalidDependency::OnService(id)),
+                DependencyState::Never => {
+                    return Self::Refused(InvalidDependency::NeverAccepted(id));
+                }
                 DependencyState::Live { revision, .. } => open.push((id, revision)),
                 DependencyState::Done => {}
                 DependencyState::Cancelled => cancelled = true,
                 DependencyState::Unknown => unknown = true,
             }
         }
-        match (unknown, cancelled, open.is_empty()) {
-            (true, ..) => Self::Unknown,
-            (_, true, _) => Self::Cancelled,
-            (.., false) => Self::Open(open),
-            (.., true) => Self::Done,
+        if unknown {
+            Self::Unknown
+        } else if cancelled {
+            Self::Cancelled
+        } else if open.is_empty() {
+            Self::Done
+        } else {
+            Self::Open(open)
         }
     }
 
-    /// The transaction that accepts the job, and how the job then stands. `None`: it is not
-    /// accepted.
+    /// The transaction that accepts the job, and the job's state then. `None`: it is not accepted.
     ///
-    /// A job that needs a cancelled one is accepted as cancelled. One that waits is accepted on the
-    /// condition that the jobs it waits for stand as they were found, so whoever cancels one of
-    /// these finds, once the watch cache has come up to that change, every job that needs it. Of a very
-    /// long list only the first are checked there; the leader finds out about the others.
+    /// A dependent of a cancelled job is accepted as cancelled. One that is blocked is accepted on
+    /// the condition that its open dependencies are still as they were read, so whoever cancels one
+    /// of these finds every dependent once the watch cache has caught up with that change. Of a
+    /// very long list only the first are checked there; the leader finds out about the others.
     pub(crate) fn accept(
         &self,
         spec: &JobSpec,
@@ -97,8 +122,8 @@
             Self::Done => &[][..],
             Self::Open(open) => open.as_slice(),
         };
-        let room = CONDITIONS_PER_CHANGE * max_ops - OWN_CONDITIONS;
-        for (job, revision) in open.iter().take(room) {
+        let max_checked = Txn::CONDITIONS_PER_CHANGE * max_ops - OWN_CONDITIONS;
+        for (job, revision) in open.iter().take(max_checked) {
             txn.require(keys::job(job), *revision);
         }
         let mut record = JobRecord::new(spec.clone(), now);
@@ -116,7 +141,7 @@
     txn
 }
 
-/// How a job stands that the watch cache shows. That one is missing there proves nothing.
+/// The state of a job that the watch cache shows. That one is missing there proves nothing.
 pub(crate) fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
     Some(DependencyState::Live {
         kind: cache.job_spec(id)?.kind,
@@ -124,53 +149,5 @@
     })
 }
 
-/// The cancellation of everything that needs a job, step by step.
-#[derive(Debug)]
-pub(crate) struct CancellationCascade {
-    cancelled: Vec<JobId>,
-    /// The last change that cancelled any of them.
-    revision: Revision,
-}
-
-/// What the cascade needs next.
-#[derive(Debug)]
-pub(crate) enum CascadeStep {
-    /// All that need the job are cancelled.
-    Complete,
-    /// The watch cache has to come up to what was written.
-    Wait,
-    Write(Txn, Vec<JobId>),
-}
-
-impl CancellationCascade {
-    /// `revision`: the change that cancelled the job.
-    pub(crate) fn new(job: &JobId, revision: Revision) -> Self {
-        Self {
-            cancelled: vec![job.clone()],
-            revision,
-        }
-    }
-
-    /// No job that needs a cancelled one is accepted as waiting after the change that cancelled it,
-    /// and the watch cache shows all that were before, once it has come up to that change.
-    pub(crate) fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
-        let mut cancelled = self.cancelled.iter();
-        let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
-        let found = self.cancelled.iter();
-        let found = found.flat_map(|id| cache.dependency_graph.descendants(id));
-        let new: BTreeSet<JobId> = found.filter(|id| !self.cancelled.contains(id)).collect();
-        self.cancelled.extend(new);
-        match next {
-            Some((txn, jobs)) => CascadeStep::Write(txn, jobs),
-            None if cache.revision >= self.revision => CascadeStep::Complete,
-            None => CascadeStep::Wait,
-        }
-    }
-
-    pub(crate) fn committed(&mut self, revision: Revision) {
-        self.revision = self.revision.max(revision);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -13,71 +13,69 @@
     Dependencies::of(&"job-9".into(), named.collect())
 }
 
+/// What a decision is, without its details; what these must hold is checked.
+fn outcome_of(decided: &Dependencies) -> &'static str {
+    match decided {
+        Dependencies::Open(open) => {
+            assert_eq!(open.len(), 1);
+            "open"
+        }
+        Dependencies::Done => "done",
+        Dependencies::Cancelled => "cancelled",
+        Dependencies::Unknown => "unknown",
+        Dependencies::Refused(reason) => {
+            let reason = reason.to_string();
+            assert!(reason.contains("job-"), "{reason}");
+            "refused"
+        }
+    }
+}
+
 /// What is final outweighs what is not known, and what can be waited for comes last.
 #[test]
-fn named_jobs_are_summed_up_by_the_worst_of_them() {
+fn dependencies_are_summed_up_by_the_worst_of_them() {
+    use DependencyState::{Cancelled, Done, Never, Unknown};
     let array = live(JobKind::Array);
+    let service = live(JobKind::Service);
     let cases = [
-        (
-            vec![
-                ("job-1", DependencyState::Done),
-                ("job-2", DependencyState::Done),
-            ],
-            "done",
-        ),
-        (
-            vec![("job-1", array), ("job-2", DependencyState::Done)],
-            "open",
-        ),
-        (
-            vec![("job-1", array), ("job-2", DependencyState::Cancelled)],
-            "cancelled",
-        ),
-        (
-            vec![
-                ("job-1", DependencyState::Cancelled),
-                ("job-2", DependencyState::Unknown),
-            ],
-            "unknown",
-        ),
-        (
-            vec![
-                ("job-1", DependencyState::Unknown),
-                ("job-2", DependencyState::Never),
-            ],
-            "refused",
-        ),
-        (
-            vec![("job-1", array), ("job-2", live(JobKind::Service))],
-            "refused",
-        ),
-        (
-            vec![("job-1", DependencyState::Cancelled), ("job-9", array)],
-            "refused",
-        ),
+        ([("job-1", Done), ("job-2", Done)], "done"),
+        ([("job-1", array), ("job-2", Done)], "open"),
+        ([("job-1", array), ("job-2", Cancelled)], "cancelled"),
+        ([("job-1", Cancelled), ("job-2", Unknown)], "unknown"),
+        ([("job-1", Unknown), ("job-2", Never)], "refused"),
+        ([("job-1", array), ("job-2", service)], "refused"),
+        ([("job-1", Cancelled), ("job-9", array)], "refused"),
     ];
     for (named, expected) in cases {
-        let decided = decide(&named);
-        let found = match &decided {
-            Dependencies::Open(open) => {
-                assert_eq!(open.len(), 1);
-                "open"
-            }
-            Dependencies::Done => "done",
-            Dependencies::Cancelled => "cancelled",
-            Dependencies::Unknown => "unknown",
-            Dependencies::Refused(why) => {
-                assert!(why.contains("job-"), "{why}");
-                "refused"
-            }
-        };
-        assert_eq!(found, expected, "{named:?}");
+        assert_eq!(outcome_of(&decide(&named)), expected, "{named:?}");
     }
 }
 
-/// Only a job with open dependencies waits, and only as long as these stand as they were found.
+/// The reasons are parts of the answers that users get.
+#[test]
+fn refusals_keep_their_texts() {
+    let reason = |named: &[(&str, DependencyState)]| match decide(named) {
+        Dependencies::Refused(reason) => reason.to_string(),
+        other => panic!("{other:?}"),
+    };
+    let service = live(JobKind::Service);
+    assert_eq!(
+        reason(&[("job-9", DependencyState::Done)]),
+        "job-9 can't need itself"
+    );
+    assert_eq!(
+        reason(&[("job-1", service)]),
+        "job-1 is a service: it is never done"
+    );
+    assert_eq!(
+        reason(&[("job-1", DependencyState::Never)]),
+        "job-1 was never accepted"
+    );
+}
+
+/// Only a job with open dependencies is blocked, and only while these are as they were read.
 #[test]
-fn a_job_waits_on_the_condition_that_what_it_needs_stands() {
+fn blocked_job_is_accepted_on_condition_that_its_dependencies_are_unchanged() {
     let mut job = spec("job-9");
     job.dependencies = vec!["job-1".into()];
     let record = |txn: &Txn| -> JobRecord {
@@ -111,7 +109,7 @@
 }
 
 #[test]
-fn a_long_list_of_open_jobs_keeps_to_the_conditions_of_a_transaction() {
+fn conditions_on_a_long_list_of_dependencies_are_bounded() {
     let named = (0..100).map(|n| {
         (
             JobId::from(format!("job-{n}").as_str()),
@@ -122,5 +120,5 @@
     let (txn, _) = open
         .accept(&spec("job-1000"), UnixTime(5), OPS)
         .expect("accepted");
-    assert_eq!(txn.conditions.len(), CONDITIONS_PER_CHANGE * OPS);
+    assert_eq!(txn.conditions.len(), Txn::CONDITIONS_PER_CHANGE * OPS);
 }
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -1,7 +1,7 @@
-//! Submissions that name other jobs, over HTTP against a stand-in of the key-value store.
+//! Submissions with dependencies, over HTTP against a stand-in of the key-value store.
 
 use crate::api::JobApi;
-use crate::api::job_api::tests::{Scene, body, stand};
+use crate::api::tests::{Scene, body, job_state};
 use crate::http::Response;
 use crate::ids::{Incarnation, LeaseId, Member};
 use crate::protocol::JobState;
@@ -10,24 +10,24 @@
 use crate::store::records::{FinalRecord, MemberRecord, ProgramVersion};
 use serde_json::{Value, json};
 
-async fn submit(api: &JobApi, id: &str, awaits: Value) -> Response {
-    let body = body(id, |b| b["awaits"] = awaits.clone());
+async fn submit(api: &JobApi, id: &str, dependencies: Value) -> Response {
+    let body = body(id, |b| b["awaits"] = dependencies.clone());
     api.submit(&body).await
 }
 
-fn told(response: &Response) -> (u16, String) {
+fn status_and_body(response: &Response) -> (u16, String) {
     let text = String::from_utf8_lossy(&response.body).into_owned();
     (response.status, text)
 }
 
 #[test]
-fn what_can_be_named_is_told_from_what_cannot() {
+fn valid_dependencies_are_accepted_and_invalid_ones_refused() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
-        let job_api = body("job-2", |b| b["shape"] = json!("daemon"));
-        assert_eq!(api.submit(&job_api).await.status, 201);
+        let service = body("job-2", |b| b["shape"] = json!("daemon"));
+        assert_eq!(api.submit(&service).await.status, 201);
         // At the controller that accepted them, and at one whose watch cache shows them.
         let (other, _asked_there) = scene.api(true);
         scene.catch_up(&other);
@@ -41,25 +41,25 @@
                 (json!(["vm-1"]), 400, "awaits"),
                 (json!([1]), 400, "awaits"),
             ];
-            for (awaits, status, named) in cases {
-                let refused = told(&submit(api, &id, awaits.clone()).await);
+            for (dependencies, status, named) in cases {
+                let refused = status_and_body(&submit(api, &id, dependencies.clone()).await);
                 assert!(
                     refused.0 == status && refused.1.contains(named),
-                    "{awaits} {refused:?}"
+                    "{dependencies} {refused:?}"
                 );
             }
             let accepted = submit(api, &id, json!(["job-1", "job-1"])).await;
-            assert_eq!(stand(&accepted), (201, "pending".into()));
-            assert_eq!(stand(&api.poll(&id).await), (200, "pending".into()));
+            assert_eq!(job_state(&accepted), (201, "pending".into()));
+            assert_eq!(job_state(&api.poll(&id).await), (200, "pending".into()));
         }
     })
     .expect("loop");
 }
 
 /// A list that the smaller value limit can't hold is refused for good; everything else that fails
-/// comes back at once with when to return.
+/// is answered at once with the time of a retry.
 #[test]
-fn long_lists_and_times_without_answers_are_told_apart() {
+fn long_lists_are_refused_and_store_outages_ask_for_a_retry() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
@@ -78,36 +78,36 @@
                 answer = submit(&fresh, "job-4", json!(["job-1"])).await;
             }
         }
-        assert_eq!(stand(&answer), (201, "pending".into()));
+        assert_eq!(job_state(&answer), (201, "pending".into()));
     })
     .expect("loop");
 }
 
-/// What was accepted is known, whatever has become of what it names, or of the list.
+/// What was accepted is known, whatever has become of its dependencies, or of the list.
 #[test]
-fn a_repeat_of_an_accepted_job_comes_before_all_checks() {
+fn retry_of_an_accepted_job_succeeds_before_all_checks() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         assert_eq!(submit(&api, "job-3", json!(["job-1"])).await.status, 201);
-        for awaits in [
+        for dependencies in [
             json!(["job-1"]),
             json!(["job-9"]),
             json!("job-1"),
             json!(["job-3"]),
         ] {
-            let known = submit(&api, "job-3", awaits.clone()).await;
-            assert_eq!(stand(&known), (200, "pending".into()), "{awaits}");
+            let known = submit(&api, "job-3", dependencies.clone()).await;
+            assert_eq!(job_state(&known), (200, "pending".into()), "{dependencies}");
         }
     })
     .expect("loop");
 }
 
-/// A job that names a cancelled one is accepted and cancelled; one that names jobs which are done
-/// waits for nothing.
+/// A dependent of a cancelled job is accepted and cancelled; one whose dependencies are done is not
+/// blocked.
 #[test]
-fn named_jobs_that_are_over_decide_at_once() {
+fn dependencies_that_have_ended_decide_at_once() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
@@ -120,19 +120,19 @@
                 .insert(keys::final_state(&id.into()), (record, at));
         }
         let cancelled = submit(&api, "job-3", json!(["job-1", "job-2"])).await;
-        assert_eq!(stand(&cancelled), (201, "withdrawn".into()));
+        assert_eq!(job_state(&cancelled), (201, "withdrawn".into()));
         assert!(!scene.state.borrow().keys.contains_key("live/job/job-3"));
         let ready = submit(&api, "job-4", json!(["job-1"])).await;
-        assert_eq!(stand(&ready), (201, "pending".into()));
+        assert_eq!(job_state(&ready), (201, "pending".into()));
         let held = scene.state.borrow();
         assert!(held.keys["live/job/job-4"].0["released"].is_u64());
     })
     .expect("loop");
 }
 
-/// A controller of the version before would start such jobs at once.
+/// A controller of the earlier version would start such jobs at once.
 #[test]
-fn jobs_that_name_others_are_put_off_while_an_earlier_version_takes_part() {
+fn dependent_jobs_are_put_off_while_an_earlier_version_takes_part() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
@@ -160,9 +160,9 @@
     .expect("loop");
 }
 
-/// The user of a job hears of its cancellation only after everything that needs it is cancelled.
+/// The user of a job is answered only after all its dependents are cancelled.
 #[test]
-fn a_cancellation_is_told_after_what_needs_the_job_is_cancelled() {
+fn cancellation_is_answered_after_all_dependents_are_cancelled() {
     runtime::run(async {
         let scene = Scene::new();
         let (api, mut asked) = scene.api(true);
@@ -175,7 +175,7 @@
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         assert_eq!(submit(&api, "job-2", json!(["job-1"])).await.status, 201);
         assert_eq!(submit(&api, "job-3", json!(["job-2"])).await.status, 201);
-        // Its watch cache has not come up to the cancellation: it can't know of all that need the job.
+        // Its watch cache lags behind the cancellation: it can't know all dependents of the job.
         assert_eq!(api.cancel("job-1").await.status, 503);
         assert!(scene.state.borrow().keys.contains_key("live/job/job-2"));
         scene.catch_up(&api);
@@ -187,7 +187,7 @@
             scene.catch_up(&api);
             answer = api.cancel("job-1").await;
         }
-        assert_eq!(stand(&answer), (200, "withdrawn".into()));
+        assert_eq!(job_state(&answer), (200, "withdrawn".into()));
         for job in ["job-2", "job-3"] {
             let live = keys::job(&job.into());
             assert!(!scene.state.borrow().keys.contains_key(&live), "{job}");
--- /dev/null
+++ b/src/api/feasibility/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+use crate::api::tests::catalog;
+use crate::config::tests::sample_config;
+
+#[test]
+fn infeasible_jobs_are_told_from_those_that_must_wait() {
+    let config = sample_config();
+    let base = crate::protocol::tests::spec("job-000001");
+    let check_changed = |change: &dyn Fn(&mut JobSpec)| {
+        let mut spec = base.clone();
+        change(&mut spec);
+        check(&spec, &config, &catalog())
+    };
+    assert_eq!(check_changed(&|_| ()), Ok(()));
+    // Far more tasks than the limit are fine for an array, and never for a service.
+    assert_eq!(check_changed(&|s| s.tasks = 100_000), Ok(()));
+    assert!(
+        check_changed(&|s| {
+            s.tasks = 13;
+            s.kind = JobKind::Service
+        })
+        .is_err()
+    );
+    assert_eq!(
+        check_changed(&|s| {
+            s.tasks = 12;
+            s.kind = JobKind::Service
+        }),
+        Ok(())
+    );
+    assert!(check_changed(&|s| s.team = "green".into()).is_err());
+    assert!(check_changed(&|s| s.cpus = 8.5).is_err());
+    assert!(check_changed(&|s| s.zone = Some("b".into())).is_err());
+    assert!(check_changed(&|s| s.types = Some(vec!["t9".into()])).is_err());
+    assert!(check_changed(&|s| s.gpus = 1.0).is_err());
+    // Two replicas of which at most one may be in a zone need two zones.
+    let apart = |kind: JobKind| {
+        check_changed(&move |s| {
+            s.tasks = 2;
+            s.kind = kind;
+            s.spread = true;
+        })
+    };
+    assert!(apart(JobKind::Service).is_err() && apart(JobKind::Gang).is_err());
+    assert!(apart(JobKind::Array).is_ok());
+}
+
+/// The reasons are parts of the answers that users get.
+#[test]
+fn reasons_keep_their_texts() {
+    let texts = [
+        (Infeasible::UnknownTeam, "unknown team"),
+        (
+            Infeasible::TaskTooLarge,
+            "a task fits no allowed machine type",
+        ),
+        (
+            Infeasible::ZoneConflict,
+            "its tasks may not be in one zone, nor in several",
+        ),
+        (
+            Infeasible::OverTeamLimit,
+            "needs more than the team's limit",
+        ),
+        (Infeasible::RecordTooLarge, "its description is too long"),
+    ];
+    for (reason, text) in texts {
+        assert_eq!(reason.to_string(), text);
+    }
+}
--- a/src/api/final_state/tests.rs
+++ b/src/api/final_state/tests.rs
@@ -2,7 +2,7 @@
 use crate::protocol::JobState;
 
 #[test]
-fn the_cache_is_bounded_and_keeps_the_latest() {
+fn cache_is_bounded_and_keeps_the_latest() {
     let mut cache = FinalStateCache::default();
     let record = FinalState {
         record: FinalRecord {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,17 @@
-//! The users' side: submissions, polls, cancellations. Any controller serves it.
+//! The users' side: submissions, polls and cancellations. Any controller serves it; every answer
+//! that binds is decided by the key-value store.
 
+mod cancel;
 pub(crate) mod dependencies;
+mod feasibility;
 mod final_state;
 mod job_api;
+mod job_lookup;
+mod query;
+mod responses;
 mod revision_check;
+mod submit;
+#[cfg(test)]
+mod tests;
 
 pub(crate) use job_api::{Cancellation, JobApi};
--- /dev/null
+++ b/src/api/query.rs
@@ -0,0 +1,101 @@
+//! Polls of jobs.
+
+use super::final_state::FinalState;
+use super::job_api::{Cancellation, JobApi};
+use super::job_lookup::JobLookup;
+use super::responses::{
+    STORE_UNREACHABLE, TaskCounts, final_status, job_status, no_such_job, retry_later,
+};
+use super::revision_check::RevisionStatus;
+use crate::http::Response;
+use crate::ids::JobId;
+use crate::protocol::{JobState, valid_job_id};
+use crate::runtime::oneshot;
+use std::time::Instant;
+
+impl JobApi {
+    /// Answers a user's poll.
+    pub(crate) async fn poll(&self, id: &str) -> Response {
+        if !valid_job_id(id) {
+            return no_such_job();
+        }
+        self.poll_known(&id.into()).await
+    }
+
+    /// Answers how a job stands, as validated against the key-value store.
+    pub(super) async fn poll_known(&self, id: &JobId) -> Response {
+        if let Some(final_state) = self.cached_final_state(id) {
+            return self.settled_status(id, final_state, None).await;
+        }
+        if !self.store.is_up() {
+            return retry_later(STORE_UNREACHABLE);
+        }
+        let revision = {
+            let controller = self.controller.borrow();
+            controller.cache.job_revision(id)
+        };
+        if let Some(revision) = revision {
+            match self.revision_checker.check_revision(id, revision).await {
+                RevisionStatus::Unchanged => return self.live_status(id),
+                RevisionStatus::Changed => {}
+                RevisionStatus::Unknown => return retry_later(STORE_UNREACHABLE),
+            }
+        }
+        match self.find(id).await {
+            JobLookup::Live(_) => self.live_status(id),
+            JobLookup::Ended(final_state) => self.settled_status(id, final_state, None).await,
+            JobLookup::NeverAccepted => no_such_job(),
+            JobLookup::Unavailable => retry_later(STORE_UNREACHABLE),
+        }
+    }
+
+    /// Counts are for display: they are the watch cache's.
+    fn live_status(&self, id: &JobId) -> Response {
+        let controller = self.controller.borrow();
+        let job = controller.cache.jobs.get(id);
+        let counts = TaskCounts {
+            done: job.map_or(0, |j| u64::from(j.done_count())),
+            running: job.map_or(0, |j| j.placed.len() as u64),
+        };
+        let state = if counts.running > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        job_status(200, id, state, Some(counts))
+    }
+
+    /// The final answer: for a cancelled job not before its tasks are proved gone, whoever asks
+    /// and however often. That mostly takes some tens of milliseconds; otherwise the answer is to
+    /// come back.
+    ///
+    /// `since`: when this request sent the cancellation, if it did.
+    pub(super) async fn settled_status(
+        &self,
+        id: &JobId,
+        final_state: FinalState,
+        since: Option<Instant>,
+    ) -> Response {
+        if !final_state.settled {
+            let (settled, result) = oneshot();
+            self.cancellations.send(Cancellation {
+                job: id.clone(),
+                revision: final_state.revision,
+                since,
+                settled,
+            });
+            if result.get().await != Some(true) {
+                return retry_later("its tasks are being stopped");
+            }
+            if !self.cancel_dependents(id, final_state.revision).await {
+                return retry_later("the jobs that need it are being cancelled");
+            }
+            let settled_state = FinalState {
+                settled: true,
+                ..final_state
+            };
+            self.final_states.borrow_mut().put(id, settled_state);
+        }
+        final_status(id, final_state.record)
+    }
+}
--- a/src/api/revision_check/tests.rs
+++ b/src/api/revision_check/tests.rs
@@ -2,15 +2,15 @@
 use crate::ids::MonotonicTime;
 use crate::store::rate_limiter::TokenBucket;
 
-/// Placements ask for four fifths of the requests there are, users about thousands of jobs: every question
-/// is answered within the tries of its comparison, so no job is without an answer for long.
+/// Placements take four fifths of the requests there are, and users poll thousands of jobs: every
+/// query is answered within the attempts of its comparison, so no job lacks an answer for long.
 #[test]
 fn polls_are_answered_however_much_placements_ask() {
     let (most, jobs) = (96, 3000);
     let mut bucket = TokenBucket::new(25.0);
     let mut last = vec![0u64; jobs];
     let mut longest = 0;
-    // Comparisons under way: when they try next, how often they did, whom they answer.
+    // Comparisons under way: the time of the next attempt, attempts so far, the jobs.
     let mut open: Vec<(u64, u32, Vec<usize>)> = Vec::new();
     let mut asked: Vec<usize> = Vec::new();
     for ms in (0..200_000u64).step_by(10) {
@@ -27,20 +27,20 @@
             }
             asked.clear();
         }
-        open.retain_mut(|(at, tries, batch)| {
+        open.retain_mut(|(at, attempt, batch)| {
             if *at > ms {
                 return true;
             }
-            if bucket.try_acquire(now, 1.0, class(*tries)) {
+            if bucket.try_acquire(now, 1.0, request_class(*attempt)) {
                 for job in batch.iter() {
                     longest = longest.max(ms - last[*job]);
                     last[*job] = ms;
                 }
                 return false;
             }
-            *tries += 1;
+            *attempt += 1;
             *at = ms + RETRY_DELAY.as_millis() as u64;
-            *tries < MAX_ATTEMPTS
+            *attempt < MAX_ATTEMPTS
         });
     }
     let waits = last.iter().map(|at| 200_000 - at).max().unwrap_or(0);
--- /dev/null
+++ b/src/api/submit/tests.rs
@@ -0,0 +1,52 @@
+use crate::api::responses::RETRY_AFTER_S;
+use crate::api::tests::{Scene, body, job_state};
+use crate::runtime;
+use serde_json::json;
+
+/// What is refused for good, what has to be retried, and what was accepted once: at a controller
+/// that accepted it, at one that knows nothing yet, and while the store can't be read.
+#[test]
+fn bad_requests_are_told_from_retries_of_accepted_jobs_at_every_controller() {
+    runtime::run(async {
+        let scene = Scene::new();
+        let (first, _kept) = scene.api(true);
+        let (fresh, _kept_too) = scene.api(false);
+        let whole = body("job-1", |_| ());
+        let lacking = |id: &str| {
+            body(id, |b| {
+                b.as_object_mut().expect("object").remove("crew");
+            })
+        };
+        let unknown_team = |id: &str| body(id, |b| b["crew"] = json!("green"));
+        assert_eq!(first.submit(&lacking("job-1")).await.status, 400);
+        assert_eq!(first.submit(&unknown_team("job-1")).await.status, 422);
+        assert_eq!(first.submit(b"{").await.status, 400);
+        // Machine types are not known there: it can't tell, and says so at once.
+        let retry_later = fresh.submit(&whole).await;
+        assert_eq!(
+            (retry_later.status, retry_later.retry_after),
+            (503, Some(RETRY_AFTER_S))
+        );
+        assert_eq!(first.submit(&whole).await.status, 201);
+        for retry in [&whole, &lacking("job-1"), &unknown_team("job-1")] {
+            let answer = first.submit(retry).await;
+            assert_eq!(job_state(&answer), (200, "pending".into()));
+        }
+        // A controller without machine types recognises the id all the same, or asks for a retry.
+        let answer = fresh.submit(&lacking("job-1")).await;
+        assert_eq!(job_state(&answer), (200, "pending".into()));
+        assert_eq!(fresh.submit(&unknown_team("job-1")).await.status, 503);
+        for api in [&first, &fresh] {
+            assert_eq!(api.poll("job-1").await.status, 200);
+            assert_eq!(api.poll("job-2").await.status, 404);
+            assert_eq!(api.submit(&lacking("job-2")).await.status, 400);
+        }
+        scene.state.borrow_mut().away = true;
+        for api in [&first, &fresh] {
+            assert_eq!(api.submit(&lacking("job-1")).await.status, 503);
+            assert_eq!(api.poll("job-1").await.status, 503);
+            assert_eq!(api.poll("job-3").await.status, 503);
+        }
+    })
+    .expect("loop");
+}
