--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: settings, status and counters over HTTP.
+//! The operators' side: settings that can be changed while the controllers run.
 
 mod settings;
 
--- a/src/admin/settings/tests.rs
+++ b/src/admin/settings/tests.rs
@@ -2,18 +2,18 @@
 use serde_json::json;
 
 #[test]
-fn every_setting_has_a_range_that_holds_its_default() {
+fn every_setting_has_a_range_that_contains_its_default() {
     let Ok(Value::Object(all)) = serde_json::to_value(Settings::default()) else {
         panic!("not an object");
     };
     assert_eq!(all.len(), RANGES.len());
     for (field, value) in &all {
-        assert_eq!(Settings::check(&all, field, value), Ok(()));
+        assert!(Settings::check(&all, field, value).is_ok(), "{field}");
     }
 }
 
 #[test]
-fn a_bad_change_names_its_field_and_a_good_one_is_taken() {
+fn bad_change_names_its_field_and_good_one_is_applied() {
     let old = Settings::default();
     for (change, field) in [
         (json!({"percentile": 2.0}), "percentile"),
@@ -21,7 +21,8 @@
         (json!({"lease_s": "long"}), "lease_s"),
         (json!({"idle_s": 10.0, "colour": 1}), "colour"),
     ] {
-        assert!(old.change(&change).expect_err(field).contains(field));
+        let error = old.change(&change).expect_err(field).to_string();
+        assert!(error.contains(field), "{error}");
     }
     let new = old
         .change(&json!({"group_cap": 6, "percentile": 0.8}))
@@ -29,3 +30,32 @@
     assert_eq!((new.group_cap, new.percentile), (6, 0.8));
     assert_eq!(new.lease_s, old.lease_s);
 }
+
+/// The errors are parts of the answers that operators get.
+#[test]
+fn errors_keep_their_texts() {
+    let cases = [
+        (json!([1]), "the body must be a JSON object of settings"),
+        (json!({"colour": 1}), "field `colour` is not a setting"),
+        (
+            json!({"lease_s": "long"}),
+            "field `lease_s` must be a number",
+        ),
+        (
+            json!({"group_cap": 2.5}),
+            "field `group_cap` must be a whole number",
+        ),
+        (
+            json!({"percentile": 2.0}),
+            "field `percentile` must be from 0 to 1",
+        ),
+        (
+            json!({"idle_s": 0.5}),
+            "field `idle_s` must be from 1 to 86400",
+        ),
+    ];
+    for (change, text) in cases {
+        let error = Settings::default().change(&change).expect_err(text);
+        assert_eq!(error.to_string(), text);
+    }
+}
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -22,7 +22,7 @@
         self.poll_known(&id.into()).await
     }
 
-    /// Answers how a job stands, as validated against the key-value store.
+    /// Answers a job's state, as validated against the key-value store.
     pub(super) async fn poll_known(&self, id: &JobId) -> Response {
         if let Some(final_state) = self.cached_final_state(id) {
             return self.settled_status(id, final_state, None).await;
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -5,8 +5,7 @@
 use crate::protocol::{JobState, JobStatus};
 use crate::store::records::FinalRecord;
 
-/// Seconds after which users come back. Short, since what stands in the way is mostly over in a
-/// second or two.
+/// Seconds after which users retry. Short, since most causes are over in a second or two.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 
 /// The store is known to be away, or a read of it failed.
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -53,13 +53,13 @@
         let txn: Value = serde_json::from_slice(&request.body).expect("transaction");
         let list = |field: &str| txn[field].as_array().cloned().unwrap_or_default();
         let text = |v: &Value| v.as_str().expect("key").to_owned();
-        let stands = |c: &Value| {
+        let holds = |c: &Value| {
             let found = self.keys.get(&text(&c["key"])).map_or(0, |k| k.1);
             c["amendment"].as_u64() == Some(found)
         };
         let failed: Vec<String> = list("if")
             .iter()
-            .filter(|c| !stands(c))
+            .filter(|c| !holds(c))
             .map(|c| text(&c["key"]))
             .collect();
         if !failed.is_empty() {
--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -129,7 +129,7 @@
 async fn heartbeat(node: &Rc<Node>, request: &Request) -> Response {
     let heartbeat = match Heartbeat::parse(&request.body) {
         Ok(heartbeat) => heartbeat,
-        Err(message) => return Response::error(400, &message),
+        Err(error) => return Response::error(400, &error.to_string()),
     };
     if !node.loaded.get() {
         return Response::retry_later("not ready yet", 1);
@@ -194,7 +194,7 @@
     };
     let new: Settings = match settings.change(&change) {
         Ok(new) => new,
-        Err(message) => return Response::error(400, &message),
+        Err(error) => return Response::error(400, &error.to_string()),
     };
     let mut txn = Txn::default();
     txn.require(keys::SETTINGS, revision);
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -1,4 +1,4 @@
-//! The jobs that a submission names as having to be done before its own tasks start.
+//! The jobs that have to be done before a submitted job's tasks start.
 
 use super::valid_job_id;
 use crate::ids::JobId;
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -3,6 +3,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
+/// A valid submission of an array, as JSON.
 pub(crate) fn submission(id: &str) -> serde_json::Value {
     json!({"id": id, "docket": "batch", "crew": "red", "shape": "array", "precedence": "normal",
            "sheets": 4, "cores": 2.0, "cards": 0.0, "memory_gb": 4.0, "plate": "img-1",
@@ -10,12 +11,13 @@
            "reckon_s": 30.0, "fix_s": 0.0, "stow_s": 0.0, "due_s": 90.0, "novelty": [1]})
 }
 
+/// The same, as it is read.
 pub(crate) fn spec(id: &str) -> JobSpec {
     JobSpec::parse(submission(id).to_string().as_bytes()).expect("a valid submission")
 }
 
 #[test]
-fn a_submission_is_read_and_survives_its_stored_form() {
+fn submission_round_trips_through_its_stored_form() {
     let spec = spec("job-000001");
     let stored = serde_json::to_vec(&spec).expect("json");
     assert_eq!(JobSpec::parse(&stored).expect("stored form"), spec);
@@ -51,6 +53,7 @@
         let mut body = submission("job-000001");
         body.as_object_mut().expect("object").remove(field);
         let error = JobSpec::parse(body.to_string().as_bytes()).expect_err(field);
+        let error = error.to_string();
         assert!(error.contains(field), "{error}");
     }
     for body in ["[]", "null", "\"x\"", "{", ""] {
@@ -58,8 +61,52 @@
     }
 }
 
+/// The errors are parts of the answers that users get.
 #[test]
-fn orders_take_the_protocols_words() {
+fn errors_keep_their_texts() {
+    let cases = [
+        (
+            "id",
+            json!("task-1"),
+            "field `id` must have the form job-000412",
+        ),
+        (
+            "crew",
+            json!(""),
+            "field `crew` must be a name of 1 to 100 bytes",
+        ),
+        (
+            "sheets",
+            json!(100_001),
+            "field `sheets` must be from 1 to 100000",
+        ),
+        (
+            "memory_gb",
+            json!(1e300),
+            "field `memory_gb` is out of range",
+        ),
+        ("cores", json!(0.0), "field `cores` must be above 0"),
+        (
+            "awaits",
+            json!("job-1"),
+            "field `awaits` must be a list of job ids at line 1 column 17",
+        ),
+    ];
+    for (field, value, text) in cases {
+        let mut body = submission("job-000001");
+        body[field] = value;
+        let error = JobSpec::parse(body.to_string().as_bytes()).expect_err(field);
+        assert_eq!(error.to_string(), text);
+    }
+    let error = JobSpec::parse(b"{").expect_err("no JSON");
+    assert_eq!(
+        error.to_string(),
+        "EOF while parsing an object at line 1 column 1"
+    );
+}
+
+#[test]
+fn commands_are_written_as_the_protocol_has_them() {
     let attempt = TaskAttempt {
         task: TaskId::parse("job-1/2").expect("task"),
         number: AttemptNumber(3),
@@ -84,7 +131,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn any_json_is_survived(cut in 0usize..400, byte in any::<u8>()) {
+    fn corrupted_messages_are_refused_without_panic(cut in 0usize..400, byte in any::<u8>()) {
         let mut body = submission("job-000001").to_string().into_bytes();
         let at = cut % body.len();
         body[at] = byte;
--- a/src/simulation/stand_ins.rs
+++ b/src/simulation/stand_ins.rs
@@ -230,7 +230,7 @@
     pub(super) fn obey(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
         let mut launched = Vec::new();
         for command in commands {
-            let attempt = command.run().clone();
+            let attempt = command.attempt().clone();
             match command {
                 Command::Launch(_) => {
                     if self.tasks.contains_key(&attempt) {
