--- a/src/cloud/autoscaler/load_history.rs
+++ b/src/cloud/autoscaler/load_history.rs
@@ -1,7 +1,7 @@
 //! The load of the last while: scale-in looks at its peak, scale-out at its latest.
 
 use crate::cloud::arrival_rate::ArrivalRate;
-use crate::cloud::demand::{self, Batch, Load};
+use crate::cloud::demand::{self, Batch, Demand, Load};
 use crate::cloud::slot_turnaround::turnaround_s;
 use crate::config::Config;
 use crate::ids::{Millis, MonotonicTime, UnixTime};
@@ -51,7 +51,8 @@
         change_rate: f64,
     ) {
         let turnaround = turnaround_s(cache, change_rate);
-        let (mut load, batches) = demand::load(unix_time, cache, config, turnaround);
+        let Demand { mut load, batches } =
+            demand::current_demand(unix_time, cache, config, turnaround);
         self.arrival_rate.observe(unix_time, cache, turnaround);
         load.arrays = load.arrays.max(self.arrival_rate.cpus(unix_time));
         self.samples.push_back(LoadSample { at: now, load });
@@ -85,7 +86,7 @@
     /// The CPUs (in thousandths) that arrays lack beside `capacity`, by their deadlines and by what
     /// comes in. `boot_s`: how long a machine takes to help.
     pub(super) fn cpu_shortfall(&self, unix_time: UnixTime, capacity: u64, boot_s: f64) -> u64 {
-        let by_deadlines = demand::lacking(&self.batches, capacity as f64, boot_s) as u64;
+        let by_deadlines = demand::cpu_shortfall(&self.batches, capacity as f64, boot_s) as u64;
         let arriving = self.arrival_rate.cpus(unix_time);
         by_deadlines.max(arriving.saturating_sub(capacity))
     }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -40,7 +40,7 @@
         }
         tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "autoscaler step");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
-            let left = lacking_tasks(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
+            let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
             let rented =
                 self.rent_machines_for(now, &unmet_demand, left, &mut incoming, &catalog, cache);
             if rented.is_break() {
@@ -133,7 +133,7 @@
 /// The tasks of a demand for which machines are to be rented. Tasks of arrays follow one another:
 /// only what their deadlines ask for is. What is on its way serves first those that must run all
 /// at once.
-fn lacking_tasks(
+fn tasks_to_rent_for(
     unmet_demand: &UnmetDemand,
     cpu_shortfall: &mut u64,
     incoming: &mut IncomingMachines,
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -10,7 +10,7 @@
 /// What is known of a machine's silence counts only if its owner has reported it so lately.
 const HEALTH_REPORT_EXPIRY: Millis = Millis(3000);
 /// The least time past a heartbeat's interval after which the next one is missed.
-const OVERDUE_MARGIN_MS: u64 = 500;
+const MISSED_HEARTBEAT_MARGIN_MS: u64 = 500;
 /// The least time past a heartbeat's interval for which a machine may be silent.
 const SILENCE_MARGIN_MS: u64 = 2500;
 /// After so many times the limit a machine is given up even if its owner is suspect: most may
@@ -20,11 +20,12 @@
 impl Autoscaler {
     /// How long a machine may be silent before it is given up.
     pub(crate) fn patience(&self, cache: &WatchCache) -> Millis {
-        Millis::from_secs(cache.settings().silent_s).max(self.missed_after(SILENCE_MARGIN_MS))
+        Millis::from_secs(cache.settings().silent_s)
+            .max(self.interval_with_margin(SILENCE_MARGIN_MS))
     }
 
-    /// The heartbeat interval with a quarter more, and a margin.
-    fn missed_after(&self, margin_ms: u64) -> Millis {
+    /// The heartbeat interval, a quarter of it, and a margin.
+    fn interval_with_margin(&self, margin_ms: u64) -> Millis {
         let interval = self.config.heartbeat_interval;
         interval + Millis(interval.0 / 4 + margin_ms)
     }
@@ -76,7 +77,7 @@
         scheduler: &'a Scheduler,
     ) -> BTreeMap<&'a str, OwnerSilence<'a>> {
         let patience = self.patience(cache);
-        let missed_after = self.missed_after(OVERDUE_MARGIN_MS);
+        let missed_after = self.interval_with_margin(MISSED_HEARTBEAT_MARGIN_MS);
         let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
             let shard = cache.shards.get(&id.shard(self.config.shards()));
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -45,6 +45,15 @@
     pub(super) work: f64,
 }
 
+/// What all live jobs need.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Demand {
+    /// The CPUs that they need at once.
+    pub(super) load: Load,
+    /// The arrays among them, in the order in which they are served.
+    pub(super) batches: Vec<Batch>,
+}
+
 /// The part of a task's time that is kept in hand.
 const TASK_MARGIN: f64 = 0.8;
 /// The part of a task's time that a batch takes at least.
@@ -67,7 +76,7 @@
 
 /// The CPUs (in thousandths) that are lacking beside `capacity`, when machines that are rented now
 /// help only after `boot_s` seconds.
-pub(super) fn lacking(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
+pub(super) fn cpu_shortfall(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
@@ -82,7 +91,7 @@
 /// The CPUs (in thousandths) that finish every batch in time when they are served in this order: the work up to
 /// each, spread over the time that is left for it. A team's guaranteed quota may go before what is
 /// due sooner.
-pub(super) fn required(batches: &[Batch]) -> f64 {
+pub(super) fn required_cpus(batches: &[Batch]) -> f64 {
     let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
@@ -115,16 +124,16 @@
     objective.map_or(default_s, |within| within.secs()) - age_s
 }
 
-/// The load, and the batches that its arrays are, in the order in which they are served.
-pub(super) fn load(
+/// What the live jobs need now.
+pub(super) fn current_demand(
     unix_time: UnixTime,
     cache: &WatchCache,
     config: &Config,
     turnaround_s: f64,
-) -> (Load, Vec<Batch>) {
+) -> Demand {
     let mut load = Load::default();
     let mut batches = Vec::new();
-    let mut busy = 0.0;
+    let mut running_work = 0.0;
     for (_, job) in service_order(config, cache) {
         let spec = &job.spec;
         let need = spec.need();
@@ -139,8 +148,8 @@
         let width = need.cpus.saturating_mul(left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
         let cpus = need.cpus as f64;
-        // What runs keeps its slot whatever comes first; on average half of it is left.
-        busy += 0.5 * f64::from(running) * cpus * task_s;
+        // Running tasks keep their slots whatever comes first; on average half of each is left.
+        running_work += 0.5 * f64::from(running) * cpus * task_s;
         let work = f64::from(left - running) * cpus * task_s;
         batches.push(Batch {
             due_s,
@@ -150,14 +159,14 @@
         });
     }
     if let Some(first) = batches.first_mut() {
-        first.work += busy;
+        first.work += running_work;
     }
     let spare = 1.0 + cache.settings().array_spare;
     for batch in &mut batches {
         batch.work *= spare;
     }
-    load.arrays = required(&batches) as u64;
-    (load, batches)
+    load.arrays = required_cpus(&batches) as u64;
+    Demand { load, batches }
 }
 
 #[cfg(test)]
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -34,7 +34,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn required_cpus_finish_every_batch_in_time(batches in proptest::collection::vec(batch(), 1..8)) {
-        let cpus = required(&batches);
+        let cpus = required_cpus(&batches);
         prop_assert!(worst_lateness(&batches, cpus) <= 1.0);
         let width: f64 = batches.iter().map(|b| b.width).sum();
         prop_assert!(cpus <= width + 1.0);
@@ -59,7 +59,7 @@
         revision: crate::ids::Revision(5),
         lease: None,
     });
-    load(accepted, &cache, &config, 3.0).0.arrays
+    current_demand(accepted, &cache, &config, 3.0).load.arrays
 }
 
 /// Arrays without deadlines asked for nothing more than was there, while half of them missed the
