--- a/src/cloud/autoscaler/deletions.rs
+++ b/src/cloud/autoscaler/deletions.rs
@@ -82,3 +82,6 @@
         due
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/cloud/autoscaler/polls.rs
+++ b/src/cloud/autoscaler/polls.rs
@@ -95,3 +95,6 @@
     };
     catalog.types.iter().map(strip).collect()
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/cloud/autoscaler/rentals.rs
+++ b/src/cloud/autoscaler/rentals.rs
@@ -163,3 +163,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
