--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -107,11 +107,8 @@
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts. Left out when there are none,
     /// so that other records stay as versions without the field write them.
-    #[serde(
-        rename = "awaits",
-        default,
-        deserialize_with = "dependencies::deserialize"
-    )]
+    #[serde(rename = "awaits", default)]
+    #[serde(deserialize_with = "dependencies::deserialize")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
 }
