--- a/src/daemon/admin_endpoints.rs
+++ b/src/daemon/admin_endpoints.rs
@@ -29,7 +29,7 @@
     };
     let changed: Settings = match settings.change(&change) {
         Ok(changed) => changed,
-        Err(message) => return Response::error(400, &message),
+        Err(error) => return Response::error(400, &error.to_string()),
     };
     let mut txn = Txn::default();
     txn.require(keys::SETTINGS, revision);
--- a/src/daemon/heartbeat_endpoint.rs
+++ b/src/daemon/heartbeat_endpoint.rs
@@ -11,7 +11,7 @@
 pub(super) async fn heartbeat(node: &Rc<Node>, request: &Request) -> Response {
     let heartbeat = match Heartbeat::parse(&request.body) {
         Ok(heartbeat) => heartbeat,
-        Err(message) => return Response::error(400, &message),
+        Err(error) => return Response::error(400, &error.to_string()),
     };
     if !node.loaded.get() {
         return Response::retry_later("not ready yet", 1);
