--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -1,15 +1,9 @@
 //! Acknowledgement rounds: each asks the other controllers about one cancellation, and decides from
 //! their answers and the watch cache whether all of the job's tasks are gone.
 
-use crate::ids::{JobId, Member, Revision, ShardId};
-use crate::peers::ShardFence;
-use serde::{Deserialize, Serialize};
+use crate::ids::{JobId, Member, Revision, RoundId, ShardFence, ShardId};
 use std::collections::BTreeMap;
 
-/// Identifies a round among those of one process of a controller.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) struct RoundId(pub u64);
-
 /// What the watch cache of the asking controller shows.
 #[derive(Debug)]
 pub(crate) struct CacheView {
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -11,7 +11,7 @@
 mod acknowledgement;
 mod deadlines;
 
-pub(crate) use acknowledgement::{CacheView, CancellationRounds, RoundId};
+pub(crate) use acknowledgement::{CacheView, CancellationRounds};
 pub(crate) use deadlines::CancellationDeadlines;
 
 #[cfg(test)]
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -2,8 +2,7 @@
 //! the watch cache's changes and a change of shard owner can come.
 
 use super::{CacheView, CancellationRounds};
-use crate::ids::{JobId, Member, Revision, ShardId};
-use crate::peers::ShardFence;
+use crate::ids::{JobId, Member, Revision, ShardFence, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SHARD: ShardId = ShardId(1);
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -1,14 +1,11 @@
 //! One sample of every message between controllers and of every stored record.
 
 use crate::admin::Settings;
-use crate::cancellation::RoundId;
 use crate::ids::{
-    AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, ShardId,
-    TaskAttempt, TaskId, UnixTime,
-};
-use crate::peers::{
-    Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message, ShardFence,
+    AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, RoundId,
+    ShardFence, ShardId, TaskAttempt, TaskId, UnixTime,
 };
+use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::protocol::{Catalog, ExitReason, JobState};
 use crate::store::records::{
     Bitmap, FinalRecord, HistoryRecord, JobRecord, LeaderRecord, MachineRecord, PlanBatch,
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -3,9 +3,11 @@
 
 use super::Controller;
 use super::effects::Effect;
-use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds, RoundId};
-use crate::ids::{JobId, MachineId, Millis, MonotonicTime, Revision, TaskAttempt};
-use crate::peers::{Message, ShardFence};
+use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds};
+use crate::ids::{
+    JobId, MachineId, Millis, MonotonicTime, Revision, RoundId, ShardFence, TaskAttempt,
+};
+use crate::peers::Message;
 use std::collections::BTreeMap;
 
 /// The deletion of a machine that was asked for without leading, and not executed, is asked for again
--- a/src/controller/plans.rs
+++ b/src/controller/plans.rs
@@ -104,7 +104,7 @@
         cache: &WatchCache,
     ) {
         self.in_flight = false;
-        // A refusal for want of permits comes back at once: without a pause it would be repeated
+        // A refusal by the rate limiter comes back at once: without a pause it would be repeated
         // without end (entry 37769b7d).
         self.retry_at = now + BATCH_DELAY;
         // Under any other outcome the plans are written, or another controller leads.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
-use crate::cancellation::RoundId;
 use crate::config::tests::sample_config;
-use crate::ids::{AttemptNumber, HeartbeatSequence, ShardId, TaskAttempt, TaskId, WorkerEpoch};
+use crate::ids::{
+    AttemptNumber, HeartbeatSequence, RoundId, ShardId, TaskAttempt, TaskId, WorkerEpoch,
+};
 use crate::peers::Message;
 use crate::protocol::store::Item;
 use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -2,8 +2,7 @@
 
 use super::node::Node;
 use crate::api::Cancellation;
-use crate::cancellation::RoundId;
-use crate::ids::Millis;
+use crate::ids::{Millis, RoundId};
 use crate::runtime::{self, Receiver};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -8,8 +8,8 @@
 
 pub(crate) use names::{Image, JobId, MachineId, Member, Pipeline, TeamId, TypeName, Zone};
 pub(crate) use numbers::{
-    AttemptNumber, FencingToken, HeartbeatSequence, Incarnation, LeaseId, Revision, ShardId,
-    WorkerEpoch,
+    AttemptNumber, FencingToken, HeartbeatSequence, Incarnation, LeaseId, Revision, RoundId,
+    ShardFence, ShardId, WorkerEpoch,
 };
 pub(crate) use resources::Resources;
 pub(crate) use tasks::{TaskAttempt, TaskId};
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -34,6 +34,20 @@
     LeaseId,
     /// One process of a controller; a restarted controller has another.
     Incarnation,
+    /// A round of asking the other controllers about a cancellation, among those of one process of a
+    /// controller.
+    RoundId,
+}
+
+/// Bits of an attempt's number that count the attempts of one leader's term.
+const ATTEMPT_BITS: u32 = 20;
+
+impl AttemptNumber {
+    /// The number of an attempt that the leader of a term allots. The term leads it, so that no
+    /// number is ever used twice.
+    pub(crate) fn of(term: Revision, counter: u64) -> Self {
+        Self((term.0 << ATTEMPT_BITS) + counter)
+    }
 }
 
 /// Bits of a token that count the shard owner's raises; the shard's revision is in those above.
@@ -68,3 +82,12 @@
         self.0.fmt(f)
     }
 }
+
+/// A shard under one record of its ownership.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct ShardFence {
+    /// The shard.
+    pub shard: ShardId,
+    /// The revision of the shard's record.
+    pub fence: Revision,
+}
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -1,10 +1,9 @@
 //! The messages between controllers. Frames encode them by position: variants and fields keep
 //! their order, and a change of either needs another frame version.
 
-use crate::cancellation::RoundId;
 use crate::ids::{
-    AttemptNumber, Incarnation, JobId, MachineId, Member, Millis, Pipeline, Revision, ShardId,
-    TaskAttempt, TypeName,
+    AttemptNumber, Incarnation, JobId, MachineId, Member, Millis, Pipeline, Revision, RoundId,
+    ShardFence, ShardId, TaskAttempt, TypeName,
 };
 use crate::protocol::ExitReason;
 use crate::store::records::MachineRecord;
@@ -120,15 +119,6 @@
     pub done: bool,
 }
 
-/// A shard under one record of its ownership.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ShardFence {
-    /// The shard.
-    pub shard: ShardId,
-    /// The revision of the shard's record.
-    pub fence: Revision,
-}
-
 /// Tasks of one job that are to be placed inside one shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Allotment {
@@ -197,9 +187,3 @@
     /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
     pub gangs: Vec<(JobId, AttemptNumber)>,
 }
-
-/// The number of an attempt that the leader of a term allots. The term leads it, so that no number
-/// is ever used twice.
-pub(crate) fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
-    AttemptNumber((term.0 << 20) + counter)
-}
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -10,8 +10,7 @@
 pub(crate) use frame::encode as encode_frame;
 pub(crate) use link::{Links, listen};
 pub(crate) use messages::{
-    Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message, ShardFence,
-    attempt_number,
+    Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message,
 };
 pub(crate) use relay_routes::RelayRoutes;
 
--- a/src/placement/attempt_numbers.rs
+++ b/src/placement/attempt_numbers.rs
@@ -1,7 +1,6 @@
 //! Attempt numbers of one leader's term.
 
 use crate::ids::{AttemptNumber, Revision};
-use crate::peers::attempt_number;
 
 /// Hands out attempt numbers. None is used twice: the number of the term is its leading part.
 #[derive(Default)]
@@ -24,6 +23,6 @@
     /// The next unused number.
     pub(super) fn next(&mut self) -> AttemptNumber {
         self.counter += 1;
-        attempt_number(self.term, self.counter)
+        AttemptNumber::of(self.term, self.counter)
     }
 }
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -3,8 +3,7 @@
 
 use super::cluster::{CANCEL, DisabledGuard, MEMBERS, SimulatedCluster, SimulationEvent};
 use crate::api::dependencies::CancellationCascade;
-use crate::cancellation::RoundId;
-use crate::ids::{JobId, Millis, MonotonicTime, Revision};
+use crate::ids::{JobId, Millis, MonotonicTime, Revision, RoundId};
 use crate::protocol::store::Txn;
 use crate::protocol::{JobState, TaskState};
 use crate::store::records::{FinalRecord, LeaderRecord};
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -4,13 +4,12 @@
 use super::pipelines::PipelineCounts;
 use super::stand_ins::{StoreModel, Worker, WorkerTask};
 use crate::api::dependencies::CancellationCascade;
-use crate::cancellation::RoundId;
 use crate::cloud::RentOutcome;
 use crate::config::tests::sample_config;
 use crate::config::{Config, Team};
 use crate::controller::{Controller, Effect, TxnRequester};
 use crate::ids::{
-    FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, MonotonicTime, Revision,
+    FencingToken, Incarnation, JobId, LeaseId, MachineId, Member, MonotonicTime, Revision, RoundId,
     WorkerEpoch,
 };
 use crate::peers::{Message, over_link};
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -1,8 +1,7 @@
 //! What a shard owner can prove about the tasks of cancelled jobs.
 
 use super::ShardOwner;
-use crate::ids::{JobId, MachineId, ShardId, TaskAttempt};
-use crate::peers::ShardFence;
+use crate::ids::{JobId, MachineId, ShardFence, ShardId, TaskAttempt};
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
