--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -1,7 +1,9 @@
 //! Users who cancel, through one controller and then another, and the key-value store that refuses
 //! the leader alone just then.
 
-use super::cluster::{CANCEL, DisabledGuard, MEMBERS, SimulatedCluster, SimulationEvent};
+use super::cluster::{
+    CANCELLATION_LIMIT_MS, DisabledGuard, MEMBERS, SimulatedCluster, SimulationEvent,
+};
 use crate::api::dependencies::CancellationCascade;
 use crate::cancellation::RoundId;
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
@@ -11,22 +13,22 @@
 use crate::store::{TxnOutcome, keys};
 
 /// How long a controller waits until the tasks are gone, and how often it asks.
-const PATIENCE: u64 = 900;
+const CANCELLATION_WAIT_MS: u64 = 900;
 const POLL_INTERVAL: u64 = 60;
 /// How long a controller takes to cancel what needs a cancelled job.
-const CASCADE: u64 = 600;
+const CASCADE_WAIT_MS: u64 = 600;
 /// Users repeat what was not answered.
-const AGAIN: u64 = 1000;
+const USER_RETRY_MS: u64 = 1000;
 
 impl SimulatedCluster {
     pub(super) fn cancel(&mut self, id: &JobId) {
         if self.cancelling.insert(id.clone()) {
-            self.ask_cancellation(id.clone());
+            self.request_cancellation(id.clone());
         }
     }
 
     /// What the intake does with one request.
-    pub(super) fn ask_cancellation(&mut self, job: JobId) {
+    pub(super) fn request_cancellation(&mut self, job: JobId) {
         let now = self.now;
         let able = |n: &usize| {
             let node = &self.nodes[*n];
@@ -35,7 +37,7 @@
         };
         let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
         if able.is_empty() {
-            self.after(AGAIN, SimulationEvent::Cancel(job));
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Cancel(job));
             return;
         }
         let node = able[self.pick(0, able.len() as u64 - 1) as usize];
@@ -44,18 +46,18 @@
             return;
         };
         self.nodes[node].final_records_seen.insert(job.clone());
-        if self.disabled_guard == DisabledGuard::ToldAtOnce {
+        if self.disabled_guard == DisabledGuard::CancellationConfirmedAtOnce {
             self.confirm(&job);
             return;
         }
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return;
         };
         let (round, effects) = controller.announce_cancellation(now, &job, revision, Millis(0));
         self.execute(node, effects);
-        let until = MonotonicTime(now.0 + PATIENCE);
-        self.tell_cancelled(node, life, job, round, until);
+        let until = MonotonicTime(now.0 + CANCELLATION_WAIT_MS);
+        self.poll_cancellation(node, generation, job, round, until);
     }
 
     /// The change that cancelled the job, now or before. `None`: it is done, or unknown.
@@ -77,56 +79,59 @@
         // machine with the job on it.
         if self
             .refused_alone()
-            .is_some_and(|node| self.holds(node, job))
+            .is_some_and(|node| self.serves_job(node, job))
         {
-            self.fault_encounters += 1;
+            self.faults_met += 1;
         }
-        let outcome = self.ask(txn);
-        self.check_over();
+        let outcome = self.write_as_user(txn);
+        self.check_final_states();
         match outcome {
             TxnOutcome::Committed(revision) => Some(revision),
             _ => None,
         }
     }
 
-    pub(super) fn tell_cancelled(
+    pub(super) fn poll_cancellation(
         &mut self,
         node: usize,
-        life: u64,
+        generation: u64,
         job: JobId,
         round: RoundId,
         until: MonotonicTime,
     ) {
         let now = self.now;
         let asked = &mut self.nodes[node];
-        let controller = asked.controller.as_mut().filter(|_| asked.life == life);
+        let controller = asked
+            .controller
+            .as_mut()
+            .filter(|_| asked.generation == generation);
         let Some(controller) = controller else {
-            self.after(AGAIN, SimulationEvent::Cancel(job));
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Cancel(job));
             return;
         };
         if controller.is_settled(now, round) {
             controller.close_round(round);
-            self.begin_cascade(node, life, job);
+            self.begin_cascade(node, generation, job);
         } else if self.now < until {
             let effects = controller.ask_round(now, round);
             self.execute(node, effects);
-            self.after(
+            self.schedule_in(
                 POLL_INTERVAL,
-                SimulationEvent::Told(node, life, job, round, until),
+                SimulationEvent::Told(node, generation, job, round, until),
             );
         } else {
             controller.close_round(round);
-            self.after(AGAIN, SimulationEvent::Cancel(job));
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Cancel(job));
         }
     }
 
-    fn begin_cascade(&mut self, node: usize, life: u64, job: JobId) {
+    fn begin_cascade(&mut self, node: usize, generation: u64, job: JobId) {
         let Some((_, revision, _)) = self.store.keys.get(&keys::final_state(&job)) else {
             return;
         };
         let cascade = CancellationCascade::new(&job, *revision);
-        let until = MonotonicTime(self.now.0 + CASCADE);
-        self.cascade(node, life, job, cascade, until);
+        let until = MonotonicTime(self.now.0 + CASCADE_WAIT_MS);
+        self.cascade(node, generation, job, cascade, until);
     }
 
     pub(super) fn confirm(&mut self, job: &JobId) {
@@ -144,7 +149,7 @@
     }
 
     /// Whether a task of the job is on a machine that sends heartbeats to this controller.
-    fn holds(&self, node: usize, job: &JobId) -> bool {
+    fn serves_job(&self, node: usize, job: &JobId) -> bool {
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
             let mut tasks = w.tasks.iter();
@@ -155,22 +160,22 @@
     /// The key-value store refuses the leader; users cancel what runs; a moment later it is out for
     /// everybody, before the leader's lease has run out. Now and then a controller ends as well,
     /// the links are cut, or machines hang.
-    pub(super) fn begin_gap(&mut self) {
+    pub(super) fn begin_refusal_then_outage(&mut self) {
         let Some(leader) = self.leader() else { return };
         let gap = self.pick(300, 4000);
-        let outage = self.pick(CANCEL, 2 * CANCEL);
+        let outage = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
         self.nodes[leader].store_cut_until = MonotonicTime(self.now.0 + gap);
         let before = self.pick(50, gap);
-        self.after(before, SimulationEvent::CancelRunning);
-        self.after(gap, SimulationEvent::Outage(outage));
+        self.schedule_in(before, SimulationEvent::CancelRunning);
+        self.schedule_in(gap, SimulationEvent::Outage(outage));
         match self.pick(0, 5) {
             0 => {
                 let until = MonotonicTime(self.now.0 + self.pick(500, gap + outage));
                 self.nodes[leader].peers_cut_until = until;
             }
-            1 => self.after(before + 100, SimulationEvent::Flap),
+            1 => self.schedule_in(before + 100, SimulationEvent::Flap),
             2 => {
-                let ms = self.pick(CANCEL, 2 * CANCEL);
+                let ms = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
                 let until = MonotonicTime(self.now.0 + before + ms);
                 for worker in self.workers.values_mut().step_by(3) {
                     worker.hang_until = until;
@@ -194,7 +199,7 @@
         for node in &mut self.nodes {
             node.store_cut_until = until;
         }
-        self.after(ms, SimulationEvent::OutageEnds);
+        self.schedule_in(ms, SimulationEvent::OutageEnds);
     }
 
     /// All leases have their full time again.
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -31,49 +31,49 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Faults {
-    pub crashes: bool,
-    pub lost_answers: bool,
-    pub machines: bool,
-    pub store_cuts: bool,
+    pub controller_crashes: bool,
+    pub lost_responses: bool,
+    pub machine_failures: bool,
+    pub store_disconnects: bool,
     /// Heartbeats of some machines arrive, but no answer and no command gets there.
-    pub deaf: bool,
+    pub outbound_only_machines: bool,
     /// Copies of heartbeats come once more, up to several leases late, to any controller.
-    pub copies: bool,
+    pub duplicate_heartbeats: bool,
     /// A controller loses the key-value store and its peers, but not its workers.
-    pub apart: bool,
+    pub isolated_controllers: bool,
     /// Processes are back within a fraction of a second, all at once too, and end again before
     /// the election that they met is over.
-    pub flaps: bool,
+    pub restarts_in_election: bool,
     /// Users ask for more than their teams' limits all the time.
-    pub crowd: bool,
+    pub overload: bool,
     /// A controller stands still for longer than every lease while its clocks run on.
-    pub freezes: bool,
+    pub controller_pauses: bool,
     /// A zone is cut off from everything outside, with a controller in it.
-    pub zone: bool,
+    pub zone_isolation: bool,
     /// Requests that were carried out come once more, up to several leases later.
-    pub repeats: bool,
+    pub duplicate_requests: bool,
     /// The key-value store refuses the leader alone, users cancel through the others, and then it
     /// is out for everybody for longer than a cancellation has.
-    pub gap: bool,
+    pub refusal_then_outage: bool,
     /// Machines can't reach any controller, while direct commands reach them.
-    pub mute: bool,
+    pub inbound_only_machines: bool,
     /// The key-value store takes its time: transactions are given up and carried out later, and
     /// the watch caches lag by seconds.
-    pub slow: bool,
+    pub slow_store: bool,
     /// The leader ends every eleven seconds, in outages too, and is back at any time.
-    pub leaders: bool,
+    pub leader_crashes: bool,
     /// All controllers are away for longer than a lease.
-    pub away: bool,
+    pub control_plane_outage: bool,
     /// Jobs are cancelled at the very moment of their tasks' end.
-    pub ends: bool,
+    pub cancel_at_completion: bool,
     /// Two zones can't reach each other, and a third reaches both.
-    pub partition: bool,
+    pub zone_partition: bool,
     /// Users name other jobs that have to be done first.
-    pub pipelines: bool,
+    pub dependent_jobs: bool,
     /// Controllers begin as the earlier version, and come back as this one, one after the other.
-    pub upgrade: bool,
+    pub rolling_upgrade: bool,
     /// The key-value store lowers its limits after a while.
-    pub limits: bool,
+    pub lowered_store_limits: bool,
 }
 
 /// How many controllers there are, and zones.
@@ -97,60 +97,60 @@
 pub(super) fn zone_of(node: usize, members: usize) -> &'static str {
     match (members, node) {
         (5, node) => ZONES[node / 2],
-        (_, INSIDE) => "b",
+        (_, ISOLATED_ZONE_CONTROLLER) => "b",
         _ => "a",
     }
 }
 
 impl Faults {
     pub(super) const NONE: Self = Self {
-        crashes: false,
-        lost_answers: false,
-        machines: false,
-        store_cuts: false,
-        deaf: false,
-        copies: false,
-        apart: false,
-        flaps: false,
-        crowd: false,
-        freezes: false,
-        zone: false,
-        repeats: false,
-        gap: false,
-        mute: false,
-        slow: false,
-        leaders: false,
-        away: false,
-        ends: false,
-        partition: false,
-        pipelines: false,
-        upgrade: false,
-        limits: false,
+        controller_crashes: false,
+        lost_responses: false,
+        machine_failures: false,
+        store_disconnects: false,
+        outbound_only_machines: false,
+        duplicate_heartbeats: false,
+        isolated_controllers: false,
+        restarts_in_election: false,
+        overload: false,
+        controller_pauses: false,
+        zone_isolation: false,
+        duplicate_requests: false,
+        refusal_then_outage: false,
+        inbound_only_machines: false,
+        slow_store: false,
+        leader_crashes: false,
+        control_plane_outage: false,
+        cancel_at_completion: false,
+        zone_partition: false,
+        dependent_jobs: false,
+        rolling_upgrade: false,
+        lowered_store_limits: false,
     };
 
     pub(super) const ALL: Self = Self {
-        crashes: true,
-        lost_answers: true,
-        machines: true,
-        store_cuts: true,
-        deaf: true,
-        copies: true,
-        apart: true,
-        flaps: true,
-        crowd: true,
-        freezes: true,
-        zone: true,
-        repeats: true,
-        gap: true,
-        mute: true,
-        slow: true,
-        leaders: true,
-        away: true,
-        ends: true,
-        partition: false,
-        pipelines: false,
-        upgrade: false,
-        limits: false,
+        controller_crashes: true,
+        lost_responses: true,
+        machine_failures: true,
+        store_disconnects: true,
+        outbound_only_machines: true,
+        duplicate_heartbeats: true,
+        isolated_controllers: true,
+        restarts_in_election: true,
+        overload: true,
+        controller_pauses: true,
+        zone_isolation: true,
+        duplicate_requests: true,
+        refusal_then_outage: true,
+        inbound_only_machines: true,
+        slow_store: true,
+        leader_crashes: true,
+        control_plane_outage: true,
+        cancel_at_completion: true,
+        zone_partition: false,
+        dependent_jobs: false,
+        rolling_upgrade: false,
+        lowered_store_limits: false,
     };
 }
 
@@ -159,31 +159,31 @@
 pub(super) enum DisabledGuard {
     None,
     /// A command without an answer counts as never sent.
-    LostCallsUnsent,
+    LostCallsCountAsUnsent,
     /// The cloud's answer to a deletion is not waited for.
-    DeletionsTakenOnTrust,
+    UnconfirmedDeletionsTrusted,
     /// The store does not check the fences of shards and machines.
     FencesIgnored,
     /// Whoever is asked answers, machines that are long deleted too.
-    GhostsAnswer,
+    DeletedMachinesAnswer,
     /// Commands count as carried out by machines that nothing reaches.
-    DeafObey,
+    UnreachableMachinesAcknowledge,
     /// Users are told of a cancellation as soon as its record is written.
-    ToldAtOnce,
+    CancellationConfirmedAtOnce,
     /// Nothing goes around two zones that can't reach each other.
-    NoWayAround,
+    RelayDisabled,
     /// Once all is well, workers start nothing.
-    StartsIgnored,
+    LaunchesIgnoredAfterHeal,
     /// Workers forget exited tasks once they have reported them, as if told to at once.
-    ForgottenAtOnce,
+    ExitedTasksForgottenAtOnce,
     /// Jobs are accepted as if nothing that they name had to be done first.
     DependenciesIgnored,
     /// A job that has left the watch cache counts as done.
-    MissingCountsAsDone,
+    MissingParentCountsAsDone,
     /// Jobs that need a cancelled one are left as they are.
-    DependentsKept,
+    DependentsNotCancelled,
     /// Jobs that name others are accepted while an earlier version takes part.
-    OldVersionsTrusted,
+    OldVersionsAcceptDependencies,
 }
 
 pub(super) enum SimulationEvent {
@@ -280,18 +280,18 @@
 pub(super) struct Node {
     pub config: Config,
     pub controller: Option<Controller>,
-    /// Rises with each end, so that what belongs to an earlier life is dropped.
-    pub life: u64,
-    pub position: Revision,
+    /// Rises with each end, so that what belongs to an earlier generation is dropped.
+    pub generation: u64,
+    pub watched_revision: Revision,
     pub lease: Option<LeaseId>,
-    pub old_lease: Option<LeaseId>,
+    pub previous_lease: Option<LeaseId>,
     pub store_cut_until: MonotonicTime,
     pub peers_cut_until: MonotonicTime,
     pub frozen_until: MonotonicTime,
-    /// Cancelled jobs whose record this life has written or read.
+    /// Cancelled jobs whose record this generation has written or read.
     pub final_records_seen: BTreeSet<JobId>,
     /// It runs the earlier version of the program.
-    pub earlier: bool,
+    pub earlier_version: bool,
 }
 
 /// A large fleet: what the settings allow is then refused beyond its rates, and counted.
@@ -336,7 +336,7 @@
     pub rented: BTreeMap<String, Vec<MachineId>>,
     pub next_machine: u64,
     pub jobs: BTreeMap<JobId, JobSpec>,
-    pub done_runs: BTreeMap<JobId, BTreeSet<u32>>,
+    pub completed_indices: BTreeMap<JobId, BTreeSet<u32>>,
     /// When users were told that their jobs are cancelled.
     pub cancelled: BTreeMap<JobId, MonotonicTime>,
     /// Cancellations that users wait for.
@@ -347,27 +347,27 @@
     /// These two zones can't reach each other until then; what was sent comes after, or never.
     pub partition: [&'static str; 2],
     pub partition_until: MonotonicTime,
-    pub partition_holds: bool,
+    pub partition_delays_messages: bool,
     /// Messages and heartbeats that went around the cut.
     pub relayed: u64,
     /// Tasks that ended with their machine or its lease.
-    pub killed: u64,
+    pub tasks_lost: u64,
     /// When the troubles were over.
     pub healed_at: MonotonicTime,
     /// Since when a job has nothing on any machine and could have.
-    pub left_waiting: BTreeMap<JobId, MonotonicTime>,
+    pub starving_since: BTreeMap<JobId, MonotonicTime>,
     /// How often troubles met as the day's name says.
-    pub fault_encounters: u64,
-    pub over_seen: BTreeMap<JobId, JobState>,
+    pub faults_met: u64,
+    pub final_states_seen: BTreeMap<JobId, JobState>,
     pub healed: bool,
     pub violations: Vec<String>,
     pub starts: u64,
     /// Machines that were deleted.
-    pub gone: BTreeSet<MachineId>,
+    pub deleted_machines: BTreeSet<MachineId>,
     /// Since when records of machines that are gone stand, once all troubles are over.
-    pub ghosts: BTreeMap<MachineId, MonotonicTime>,
+    pub deleted_records_since: BTreeMap<MachineId, MonotonicTime>,
     /// Until when a controller stood still last.
-    pub stood_still_until: MonotonicTime,
+    pub last_pause_until: MonotonicTime,
     pub scale: Option<Scale>,
     pub pipelines: PipelineCounts,
     /// Of all that left the controllers.
@@ -377,11 +377,11 @@
 /// As many of them as there are controllers.
 pub(super) const MEMBERS: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 /// The controller in zone `b`.
-pub(super) const INSIDE: usize = 2;
-pub(super) const LEASE: u64 = 16_000;
-pub(super) const CANCEL: u64 = 30_000;
+pub(super) const ISOLATED_ZONE_CONTROLLER: usize = 2;
+pub(super) const SHARD_LEASE_MS: u64 = 16_000;
+pub(super) const CANCELLATION_LIMIT_MS: u64 = 30_000;
 /// A machine that nothing reaches for so long must have been given up.
-pub(super) const DEAF: u64 = 36_000;
+pub(super) const UNREACHABLE_LIMIT_MS: u64 = 36_000;
 
 impl SimulatedCluster {
     pub(super) fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
@@ -405,15 +405,15 @@
             Node {
                 config,
                 controller: None,
-                life: 0,
-                position: Revision(0),
+                generation: 0,
+                watched_revision: Revision(0),
                 lease: None,
-                old_lease: None,
+                previous_lease: None,
                 store_cut_until: MonotonicTime(0),
                 peers_cut_until: MonotonicTime(0),
                 frozen_until: MonotonicTime(0),
                 final_records_seen: BTreeSet::new(),
-                earlier: faults.upgrade,
+                earlier_version: faults.rolling_upgrade,
             }
         });
         let mut cluster = Self {
@@ -434,7 +434,7 @@
             rented: BTreeMap::new(),
             next_machine: 0,
             jobs: BTreeMap::new(),
-            done_runs: BTreeMap::new(),
+            completed_indices: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             cancelling: BTreeSet::new(),
             outage_until: MonotonicTime(0),
@@ -442,43 +442,43 @@
             zones,
             partition: ["", ""],
             partition_until: MonotonicTime(0),
-            partition_holds: false,
+            partition_delays_messages: false,
             relayed: 0,
-            killed: 0,
+            tasks_lost: 0,
             healed_at: MonotonicTime(0),
-            left_waiting: BTreeMap::new(),
-            fault_encounters: 0,
-            over_seen: BTreeMap::new(),
+            starving_since: BTreeMap::new(),
+            faults_met: 0,
+            final_states_seen: BTreeMap::new(),
             healed: false,
             violations: Vec::new(),
             starts: 0,
-            gone: BTreeSet::new(),
-            ghosts: BTreeMap::new(),
-            stood_still_until: MonotonicTime(0),
+            deleted_machines: BTreeSet::new(),
+            deleted_records_since: BTreeMap::new(),
+            last_pause_until: MonotonicTime(0),
             scale: None,
             pipelines: PipelineCounts::default(),
             digest: Digest::default(),
         };
         for _ in 0..4 {
             let id = cluster.new_machine(false);
-            cluster.after(0, SimulationEvent::Boot(id));
+            cluster.schedule_in(0, SimulationEvent::Boot(id));
         }
         for node in 0..members {
-            cluster.after(10 * node as u64, SimulationEvent::Start(node));
+            cluster.schedule_in(10 * node as u64, SimulationEvent::Start(node));
         }
-        cluster.after(3000, SimulationEvent::User);
-        cluster.after(500, SimulationEvent::Gangs);
-        cluster.after(8000, SimulationEvent::Faults);
-        if faults.upgrade || faults.limits {
+        cluster.schedule_in(3000, SimulationEvent::User);
+        cluster.schedule_in(500, SimulationEvent::Gangs);
+        cluster.schedule_in(8000, SimulationEvent::Faults);
+        if faults.rolling_upgrade || faults.lowered_store_limits {
             cluster.begin_upgrade();
         }
-        if faults.leaders {
-            cluster.after(12_000, SimulationEvent::EndLeader);
+        if faults.leader_crashes {
+            cluster.schedule_in(12_000, SimulationEvent::EndLeader);
         }
         cluster
     }
 
-    pub(super) fn after(&mut self, ms: u64, event: SimulationEvent) {
+    pub(super) fn schedule_in(&mut self, ms: u64, event: SimulationEvent) {
         self.order += 1;
         self.queue.push(Reverse(Entry(
             MonotonicTime(self.now.0 + ms),
@@ -515,9 +515,9 @@
     }
 
     /// How long a message between a controller and a machine is held.
-    pub(super) fn held(&self, node: usize, zone: &str) -> MonotonicTime {
-        let parted = self.parted(zone_of(node, self.nodes.len()), zone);
-        let cut = if (node == INSIDE) == (zone == "b") {
+    pub(super) fn blocked_until(&self, node: usize, zone: &str) -> MonotonicTime {
+        let parted = self.partitioned_until(zone_of(node, self.nodes.len()), zone);
+        let cut = if (node == ISOLATED_ZONE_CONTROLLER) == (zone == "b") {
             MonotonicTime(0)
         } else {
             self.zone_cut_until
@@ -544,8 +544,8 @@
         for worker in self.workers.values_mut() {
             worker.cut_until = self.now;
             worker.hang_until = self.now;
-            worker.deaf_until = self.now;
-            worker.mute_until = self.now;
+            worker.inbound_cut_until = self.now;
+            worker.outbound_cut_until = self.now;
         }
     }
 
@@ -564,13 +564,13 @@
     }
 
     /// The machines of a large fleet, up from the start.
-    pub(super) fn settle_fleet(&mut self) {
+    pub(super) fn start_large_fleet(&mut self) {
         let Some(scale) = &self.scale else { return };
         let changes = scale.changes;
         let more = scale.machines.0.saturating_sub(self.workers.len());
         for _ in 0..more {
             let id = self.new_machine(false);
-            self.after(0, SimulationEvent::Boot(id));
+            self.schedule_in(0, SimulationEvent::Boot(id));
         }
         for node in &mut self.nodes {
             node.config.state.rates.changes = changes;
@@ -596,8 +596,8 @@
             awaiting: None,
             cut_until: MonotonicTime(0),
             hang_until: MonotonicTime(0),
-            deaf_until: MonotonicTime(0),
-            mute_until: MonotonicTime(0),
+            inbound_cut_until: MonotonicTime(0),
+            outbound_cut_until: MonotonicTime(0),
             dead: true,
         }
     }
@@ -606,76 +606,82 @@
         // What comes to a controller that stands still is held for it.
         let frozen = event.node().map(|n| self.nodes[n].frozen_until);
         if let Some(until) = frozen.filter(|until| *until > self.now) {
-            self.after(until.since(self.now).0 + 1, event);
+            self.schedule_in(until.since(self.now).0 + 1, event);
             return;
         }
         match event {
             SimulationEvent::Start(node) => self.start(node),
             SimulationEvent::Tick(node) => {
                 let now = self.now;
-                self.tell_cut(node);
+                self.report_partition(node);
                 if let Some(c) = self.nodes[node].controller.as_mut() {
                     let effects = c.tick(now, crate::ids::UnixTime(now.0));
                     self.execute(node, effects);
-                    self.after(25, SimulationEvent::Tick(node));
+                    self.schedule_in(25, SimulationEvent::Tick(node));
                 }
             }
             SimulationEvent::Watch(node) => self.watch(node),
-            SimulationEvent::Extend(node) => self.extend(node),
-            SimulationEvent::Txn(node, life, requester, txn, answered) => {
+            SimulationEvent::Extend(node) => self.renew_lease(node),
+            SimulationEvent::Txn(node, generation, requester, txn, answered) => {
                 let cut = self.nodes[node].store_cut_until > self.now;
                 let outcome = if (cut && answered) || !self.admits(node, &requester, &txn) {
                     TxnOutcome::Refused
                 } else {
                     self.store.txn(&txn)
                 };
-                self.check_over();
-                if let Some(ms) = self.repeat() {
-                    let again = SimulationEvent::Txn(node, life, requester.clone(), txn, false);
-                    self.after(ms, again);
+                self.check_final_states();
+                if let Some(ms) = self.duplicate_delay() {
+                    let again =
+                        SimulationEvent::Txn(node, generation, requester.clone(), txn, false);
+                    self.schedule_in(ms, again);
                 }
-                // What comes once more may bring a record back for a while: see `check_ghosts_go`.
+                // What comes once more may bring a record back for a while: see `check_deleted_records_removed`.
                 if let TxnOutcome::Committed(revision) = &outcome
                     && answered
-                    && !self.faults.lost_answers
-                    && !self.faults.slow
+                    && !self.faults.lost_responses
+                    && !self.faults.slow_store
                     && !self.healed
                 {
-                    self.check_ghosts(*revision);
+                    self.check_no_record_recreated(*revision);
                 }
                 if answered {
                     let ms = self.pick(1, 4);
-                    self.after(ms, SimulationEvent::TxnDone(node, life, requester, outcome));
+                    self.schedule_in(
+                        ms,
+                        SimulationEvent::TxnDone(node, generation, requester, outcome),
+                    );
                 }
             }
-            SimulationEvent::TxnDone(node, life, requester, outcome) => {
+            SimulationEvent::TxnDone(node, generation, requester, outcome) => {
                 let now = self.now;
-                self.with(node, life, |c| c.on_txn(now, &requester, &outcome));
+                self.with_controller(node, generation, |c| c.on_txn(now, &requester, &outcome));
             }
-            SimulationEvent::Call(node, life, id, token, epoch, commands, tries) => {
-                self.call(node, life, id, token, epoch, commands, tries);
+            SimulationEvent::Call(node, generation, id, token, epoch, commands, tries) => {
+                self.call(node, generation, id, token, epoch, commands, tries);
             }
-            SimulationEvent::CallDone(node, life, id, token, outcome) => {
+            SimulationEvent::CallDone(node, generation, id, token, outcome) => {
                 let now = self.now;
-                self.with(node, life, |c| c.on_call(now, &id, token, outcome));
+                self.with_controller(node, generation, |c| c.on_call(now, &id, token, outcome));
             }
             SimulationEvent::Peer(node, from, message) => {
-                let (now, life) = (self.now, self.nodes[node].life);
+                let (now, generation) = (self.now, self.nodes[node].generation);
                 let from = Member::from(MEMBERS[from]);
-                self.with(node, life, |c| c.on_peer(now, &from, message));
+                self.with_controller(node, generation, |c| c.on_peer(now, &from, message));
             }
             SimulationEvent::Worker(id) => self.work(&id),
             SimulationEvent::Heartbeat(node, id, ticket, heartbeat) => {
                 self.heartbeat(node, id, ticket, heartbeat)
             }
-            SimulationEvent::Copy(node, heartbeat) => self.copy(node, &heartbeat),
+            SimulationEvent::Copy(node, heartbeat) => {
+                self.deliver_duplicate_heartbeat(node, &heartbeat)
+            }
             SimulationEvent::Answer(id, ticket, token, commands) => {
                 self.answer(&id, ticket, token, &commands)
             }
             SimulationEvent::Redirect(id, ticket, to) => {
                 let (now, members) = (self.now, self.nodes.len());
                 if let Some(w) = self.workers.get_mut(&id)
-                    && w.deaf_until <= now
+                    && w.inbound_cut_until <= now
                     && w.awaiting.is_some_and(|(t, _)| t == ticket)
                 {
                     w.awaiting = None;
@@ -691,28 +697,37 @@
                     }
                 }
             }
-            SimulationEvent::Cloud(node, life, effect) => self.cloud(node, life, effect),
+            SimulationEvent::Cloud(node, generation, effect) => {
+                self.cloud(node, generation, effect)
+            }
             SimulationEvent::Boot(id) => {
                 if let Some(w) = self.workers.get_mut(&id) {
                     w.dead = false;
                     w.answered = self.now;
-                    self.after(0, SimulationEvent::Worker(id));
+                    self.schedule_in(0, SimulationEvent::Worker(id));
                 }
             }
             SimulationEvent::Faults => self.inject_faults(),
-            SimulationEvent::Flap => self.flap(),
+            SimulationEvent::Flap => self.restart_controllers(),
             SimulationEvent::Deaf(id) => {
                 let stands = self.workers.get(&id).is_some_and(|w| !w.dead);
                 // Without a leader, or a key-value store, no record of a machine goes.
                 let t = &self.faults;
-                let led = !(t.crashes || t.gap || t.leaders || t.away || t.slow);
+                let led = !(t.controller_crashes
+                    || t.refusal_then_outage
+                    || t.leader_crashes
+                    || t.control_plane_outage
+                    || t.slow_store);
                 let only = led && !self.healed;
-                let due = MonotonicTime(self.stood_still_until.0 + DEAF);
+                let due = MonotonicTime(self.last_pause_until.0 + UNREACHABLE_LIMIT_MS);
                 if stands && only && self.now < due {
                     // Nobody could notice while controllers stood still.
-                    let deaf = self.workers.get(&id).is_some_and(|w| w.deaf_until >= due);
+                    let deaf = self
+                        .workers
+                        .get(&id)
+                        .is_some_and(|w| w.inbound_cut_until >= due);
                     if deaf {
-                        self.after(due.since(self.now).0, SimulationEvent::Deaf(id));
+                        self.schedule_in(due.since(self.now).0, SimulationEvent::Deaf(id));
                     }
                 } else if stands && only && self.store.keys.contains_key(&keys::machine(&id)) {
                     self.record_violation("kept_deaf", &id);
@@ -720,17 +735,17 @@
             }
             SimulationEvent::User => self.user(),
             SimulationEvent::Gangs => self.gangs(),
-            SimulationEvent::Cancel(job) => self.ask_cancellation(job),
-            SimulationEvent::Told(node, life, job, round, until) => {
-                self.tell_cancelled(node, life, job, round, until);
+            SimulationEvent::Cancel(job) => self.request_cancellation(job),
+            SimulationEvent::Told(node, generation, job, round, until) => {
+                self.poll_cancellation(node, generation, job, round, until);
             }
             SimulationEvent::CancelRunning => self.cancel_running(),
             SimulationEvent::Outage(ms) => self.begin_outage(ms),
-            SimulationEvent::EndLeader => self.end_leader(),
+            SimulationEvent::EndLeader => self.stop_leader(),
             SimulationEvent::CancelAtEnd(job) => self.cancel(&job),
             SimulationEvent::Submit(spec) => self.submit_dependent(spec),
-            SimulationEvent::CancellationCascade(node, life, job, cascade, until) => {
-                self.cascade(node, life, job, cascade, until);
+            SimulationEvent::CancellationCascade(node, generation, job, cascade, until) => {
+                self.cascade(node, generation, job, cascade, until);
             }
             SimulationEvent::Upgrade(node) => self.upgrade(node),
             SimulationEvent::LowerLimits => self.lower_limits(),
@@ -742,13 +757,13 @@
         }
     }
 
-    pub(super) fn with(
+    pub(super) fn with_controller(
         &mut self,
         node: usize,
-        life: u64,
+        generation: u64,
         f: impl FnOnce(&mut Controller) -> Vec<Effect>,
     ) {
-        if self.nodes[node].life == life
+        if self.nodes[node].generation == generation
             && let Some(controller) = self.nodes[node].controller.as_mut()
         {
             let effects = f(controller);
@@ -760,52 +775,53 @@
         // Without the key-value store there is no watch cache and no lease: it answers nobody.
         let cut = self.nodes[node].store_cut_until;
         if cut > self.now {
-            self.after(cut.since(self.now).0, SimulationEvent::Start(node));
+            self.schedule_in(cut.since(self.now).0, SimulationEvent::Start(node));
             return;
         }
         let incarnation = Incarnation(self.pick(1, 1 << 40));
         let n = &mut self.nodes[node];
-        n.life += 1;
-        n.position = Revision(0);
+        n.generation += 1;
+        n.watched_revision = Revision(0);
         n.final_records_seen.clear();
         let mut controller = Controller::new(&n.config, incarnation);
-        let effects = controller.on_snapshot(self.now, self.store.snapshot(&n.config, n.earlier));
-        n.position = self.store.revision;
+        let effects =
+            controller.on_snapshot(self.now, self.store.snapshot(&n.config, n.earlier_version));
+        n.watched_revision = self.store.revision;
         n.controller = Some(controller);
-        n.old_lease = n.lease.take();
+        n.previous_lease = n.lease.take();
         self.execute(node, effects);
-        self.enter(node, incarnation);
-        self.after(1, SimulationEvent::Tick(node));
-        self.after(2, SimulationEvent::Watch(node));
-        self.after(1500, SimulationEvent::Extend(node));
+        self.acquire_lease(node, incarnation);
+        self.schedule_in(1, SimulationEvent::Tick(node));
+        self.schedule_in(2, SimulationEvent::Watch(node));
+        self.schedule_in(1500, SimulationEvent::Extend(node));
     }
 
-    /// Ends the earlier life's lease and takes a new one.
-    pub(super) fn enter(&mut self, node: usize, incarnation: Incarnation) {
-        if let Some(old) = self.nodes[node].old_lease.take() {
+    /// Ends the earlier generation's lease and takes a new one.
+    pub(super) fn acquire_lease(&mut self, node: usize, incarnation: Incarnation) {
+        if let Some(old) = self.nodes[node].previous_lease.take() {
             self.store.revoke_lease(old);
         }
         let lease = self.store.create_lease(MonotonicTime(self.now.0 + 5000));
-        if self.repeat().is_some() {
+        if self.duplicate_delay().is_some() {
             self.store.create_lease(MonotonicTime(self.now.0 + 5000));
         }
         let member = Member::from(MEMBERS[node]);
         let mut record = MemberRecord::new(incarnation, lease);
-        if self.nodes[node].earlier {
+        if self.nodes[node].earlier_version {
             record.version = ProgramVersion::default();
         }
         let mut txn = Txn::default();
         txn.put(keys::member(&member), &record, Some(lease));
         self.store.txn(&txn);
         self.nodes[node].lease = Some(lease);
-        let (now, life) = (self.now, self.nodes[node].life);
-        self.with(node, life, |c| {
+        let (now, generation) = (self.now, self.nodes[node].generation);
+        self.with_controller(node, generation, |c| {
             c.set_lease_deadline(MonotonicTime(now.0 + 5000));
             c.set_lease(now, Some(lease))
         });
     }
 
-    pub(super) fn extend(&mut self, node: usize) {
+    pub(super) fn renew_lease(&mut self, node: usize) {
         if self.nodes[node].controller.is_none() {
             return;
         }
@@ -819,12 +835,12 @@
                 }
             } else if let Some(c) = &self.nodes[node].controller {
                 let incarnation = c.leadership.incarnation();
-                let (now, life) = (self.now, self.nodes[node].life);
-                self.with(node, life, |c| c.set_lease(now, None));
-                self.enter(node, incarnation);
+                let (now, generation) = (self.now, self.nodes[node].generation);
+                self.with_controller(node, generation, |c| c.set_lease(now, None));
+                self.acquire_lease(node, incarnation);
             }
         }
-        self.after(1500, SimulationEvent::Extend(node));
+        self.schedule_in(1500, SimulationEvent::Extend(node));
     }
 
     pub(super) fn watch(&mut self, node: usize) {
@@ -832,13 +848,15 @@
             return;
         }
         if self.nodes[node].store_cut_until <= self.now {
-            let earlier = self.nodes[node].earlier;
-            let events = self.store.events(self.nodes[node].position, earlier);
+            let earlier = self.nodes[node].earlier_version;
+            let events = self
+                .store
+                .events(self.nodes[node].watched_revision, earlier);
             let revision = self.store.revision;
-            self.nodes[node].position = revision;
+            self.nodes[node].watched_revision = revision;
             if !events.is_empty() {
-                let (now, life) = (self.now, self.nodes[node].life);
-                self.with(node, life, |c| c.on_events(now, revision, events).0);
+                let (now, generation) = (self.now, self.nodes[node].generation);
+                self.with_controller(node, generation, |c| c.on_events(now, revision, events).0);
             }
         }
         let ms = if self.slow_until > self.now {
@@ -846,11 +864,11 @@
         } else {
             self.pick(2, 12)
         };
-        self.after(ms, SimulationEvent::Watch(node));
+        self.schedule_in(ms, SimulationEvent::Watch(node));
     }
 
     pub(super) fn execute(&mut self, node: usize, effects: Vec<Effect>) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         self.count_dependents(&effects);
         for effect in effects {
             self.digest.add_effect(node, &effect);
@@ -858,11 +876,11 @@
                 Effect::Txn {
                     requester: TxnRequester::CancelledDependents(_),
                     ..
-                } if self.disabled_guard == DisabledGuard::DependentsKept => {}
+                } if self.disabled_guard == DisabledGuard::DependentsNotCancelled => {}
                 Effect::Txn { requester, txn, .. } => {
                     let slow = self.slow_until > self.now;
-                    let lost =
-                        (self.faults.lost_answers && self.chance(12)) || (slow && self.chance(30));
+                    let lost = (self.faults.lost_responses && self.chance(12))
+                        || (slow && self.chance(30));
                     let ms = match (lost, slow) {
                         (true, _) => self.pick(1, 20_000),
                         (false, true) => self.pick(100, 1400),
@@ -871,13 +889,16 @@
                     if lost {
                         let done = SimulationEvent::TxnDone(
                             node,
-                            life,
+                            generation,
                             requester.clone(),
                             TxnOutcome::Unknown,
                         );
-                        self.after(1500, done);
+                        self.schedule_in(1500, done);
                     }
-                    self.after(ms, SimulationEvent::Txn(node, life, requester, txn, !lost));
+                    self.schedule_in(
+                        ms,
+                        SimulationEvent::Txn(node, generation, requester, txn, !lost),
+                    );
                 }
                 Effect::Call {
                     machine,
@@ -887,9 +908,9 @@
                     ..
                 } => {
                     let ms = self.pick(1, 5);
-                    self.after(
+                    self.schedule_in(
                         ms,
-                        SimulationEvent::Call(node, life, machine, token, epoch, commands, 0),
+                        SimulationEvent::Call(node, generation, machine, token, epoch, commands, 0),
                     );
                 }
                 Effect::Peer(member, message) => {
@@ -900,23 +921,24 @@
                     let now = self.now;
                     let cut = |n: usize| self.nodes[n].peers_cut_until > now;
                     let members = self.nodes.len();
-                    let parted = self.parted(zone_of(node, members), zone_of(to, members)) > now;
+                    let parted =
+                        self.partitioned_until(zone_of(node, members), zone_of(to, members)) > now;
                     let cut = cut(node) || cut(to) || parted;
-                    if parted && let Some(between) = self.between(node, to) {
-                        self.after(10, SimulationEvent::Peer(to, node, over_link(&message)));
+                    if parted && let Some(between) = self.relay_between(node, to) {
+                        self.schedule_in(10, SimulationEvent::Peer(to, node, over_link(&message)));
                         self.relayed += u64::from(between != node);
                         continue;
                     }
-                    let lost = cut || (self.faults.lost_answers && self.chance(5));
+                    let lost = cut || (self.faults.lost_responses && self.chance(5));
                     if !lost {
                         let ms = self.pick(1, 5);
-                        self.after(ms, SimulationEvent::Peer(to, node, over_link(&message)));
+                        self.schedule_in(ms, SimulationEvent::Peer(to, node, over_link(&message)));
                     }
                 }
                 effect => {
-                    let at_once = self.disabled_guard == DisabledGuard::MissingCountsAsDone;
+                    let at_once = self.disabled_guard == DisabledGuard::MissingParentCountsAsDone;
                     let ms = if at_once { 0 } else { self.pick(50, 200) };
-                    self.after(ms, SimulationEvent::Cloud(node, life, effect));
+                    self.schedule_in(ms, SimulationEvent::Cloud(node, generation, effect));
                 }
             }
         }
@@ -926,7 +948,7 @@
     pub(super) fn call(
         &mut self,
         node: usize,
-        life: u64,
+        generation: u64,
         id: MachineId,
         token: FencingToken,
         epoch: WorkerEpoch,
@@ -934,23 +956,27 @@
         tries: u32,
     ) {
         let now = self.now;
-        let lost = self.faults.lost_answers && self.chance(10);
+        let lost = self.faults.lost_responses && self.chance(10);
         let unanswered = match self.disabled_guard {
-            DisabledGuard::LostCallsUnsent => DirectCallOutcome::NotSent,
+            DisabledGuard::LostCallsCountAsUnsent => DirectCallOutcome::NotSent,
             _ => DirectCallOutcome::Unknown,
         };
-        let ghost = self.disabled_guard == DisabledGuard::GhostsAnswer && self.gone.contains(&id);
-        let cut = self.workers.get(&id).map(|w| self.held(node, w.zone));
+        let ghost = self.disabled_guard == DisabledGuard::DeletedMachinesAnswer
+            && self.deleted_machines.contains(&id);
+        let cut = self
+            .workers
+            .get(&id)
+            .map(|w| self.blocked_until(node, w.zone));
         let Some(worker) = self.workers.get_mut(&id).filter(|w| !w.dead) else {
             if ghost {
                 let mut ghost = self.new_worker(false);
                 ghost.token = token;
                 let heartbeat = ghost.heartbeat(id.as_str());
-                self.after(
+                self.schedule_in(
                     2,
                     SimulationEvent::CallDone(
                         node,
-                        life,
+                        generation,
                         id,
                         token,
                         DirectCallOutcome::Done(heartbeat),
@@ -959,20 +985,22 @@
                 return;
             }
             if tries == 0 {
-                self.after(
+                self.schedule_in(
                     1500,
-                    SimulationEvent::CallDone(node, life, id, token, unanswered),
+                    SimulationEvent::CallDone(node, generation, id, token, unanswered),
                 );
             }
             return;
         };
-        if worker.deaf_until > now && self.disabled_guard == DisabledGuard::DeafObey {
+        if worker.inbound_cut_until > now
+            && self.disabled_guard == DisabledGuard::UnreachableMachinesAcknowledge
+        {
             let heartbeat = worker.heartbeat(id.as_str());
-            self.after(
+            self.schedule_in(
                 2,
                 SimulationEvent::CallDone(
                     node,
-                    life,
+                    generation,
                     id,
                     token,
                     DirectCallOutcome::Done(heartbeat),
@@ -982,57 +1010,68 @@
         }
         let lost = lost
             || (cut.is_some_and(|c| c > now)
-                && !self.partition_holds
+                && !self.partition_delays_messages
                 && tries == 0
                 && cut == Some(self.partition_until));
         let silent = worker
             .cut_until
             .max(worker.hang_until)
-            .max(worker.deaf_until)
+            .max(worker.inbound_cut_until)
             .max(cut.unwrap_or_default());
         if silent > now || (lost && tries == 0) {
             // Held, and carried out when the machine goes on, long after the sender gave up.
             if tries == 0 {
-                let done = SimulationEvent::CallDone(node, life, id.clone(), token, unanswered);
-                self.after(1500, done);
+                let done =
+                    SimulationEvent::CallDone(node, generation, id.clone(), token, unanswered);
+                self.schedule_in(1500, done);
             }
             let wait = silent.since(now).0.max(if lost { 15_000 } else { 0 }) + 3;
-            self.after(
+            self.schedule_in(
                 wait,
-                SimulationEvent::Call(node, life, id, token, epoch, commands, tries + 1),
+                SimulationEvent::Call(node, generation, id, token, epoch, commands, tries + 1),
             );
             return;
         }
-        let idle = self.disabled_guard == DisabledGuard::StartsIgnored && self.healed;
+        let idle = self.disabled_guard == DisabledGuard::LaunchesIgnoredAfterHeal && self.healed;
         let commands = if idle { Vec::new() } else { commands };
         let ok = token >= worker.token && epoch == worker.epoch;
         let mut launched = Vec::new();
         if ok {
             worker.token = token;
-            launched = worker.obey(now, &commands);
+            launched = worker.execute(now, &commands);
         }
         let (id_again, orders_again) = (id.clone(), commands);
         let heartbeat = worker.heartbeat(id.as_str());
-        self.check_starts(&id, &launched, tries == 0);
+        self.check_launches(&id, &launched, tries == 0);
         if tries == 0 {
             let outcome = if ok {
                 DirectCallOutcome::Done(heartbeat)
             } else {
                 DirectCallOutcome::Rejected(Some(heartbeat))
             };
-            self.after(2, SimulationEvent::CallDone(node, life, id, token, outcome));
+            self.schedule_in(
+                2,
+                SimulationEvent::CallDone(node, generation, id, token, outcome),
+            );
         }
-        if ok && let Some(ms) = self.repeat() {
-            let again =
-                SimulationEvent::Call(node, life, id_again, token, epoch, orders_again, tries + 1);
-            self.after(ms, again);
+        if ok && let Some(ms) = self.duplicate_delay() {
+            let again = SimulationEvent::Call(
+                node,
+                generation,
+                id_again,
+                token,
+                epoch,
+                orders_again,
+                tries + 1,
+            );
+            self.schedule_in(ms, again);
         }
     }
 
     /// When what was just carried out comes once more, if it does.
-    pub(super) fn repeat(&mut self) -> Option<u64> {
-        let comes = self.faults.repeats && self.chance(10);
-        comes.then(|| self.pick(200, 4 * LEASE))
+    pub(super) fn duplicate_delay(&mut self) -> Option<u64> {
+        let comes = self.faults.duplicate_requests && self.chance(10);
+        comes.then(|| self.pick(200, 4 * SHARD_LEASE_MS))
     }
 
     /// One worker's turn: finish tasks, let the lease run out, send a heartbeat.
@@ -1046,10 +1085,10 @@
         let mut send = None;
         let mut ended = Vec::new();
         if w.hang_until <= now {
-            if now.since(w.answered).0 > LEASE {
+            if now.since(w.answered).0 > SHARD_LEASE_MS {
                 w.epoch.0 += 1;
                 let running = |t: &&WorkerTask| t.state == TaskState::Running;
-                self.killed += w.tasks.values().filter(running).count() as u64;
+                self.tasks_lost += w.tasks.values().filter(running).count() as u64;
                 w.tasks.clear();
                 w.answered = now;
                 w.awaiting = None;
@@ -1063,7 +1102,10 @@
                     if let Some(scale) = &mut self.scale {
                         scale.counts.ended += 1;
                     }
-                    let done = self.done_runs.entry(attempt.task.job.clone()).or_default();
+                    let done = self
+                        .completed_indices
+                        .entry(attempt.task.job.clone())
+                        .or_default();
                     done.insert(attempt.task.index);
                     ended.push(attempt.task.job.clone());
                     w.next_heartbeat = w.next_heartbeat.min(now);
@@ -1075,7 +1117,7 @@
                 w.next_heartbeat = MonotonicTime(now.0 + 1000);
             }
             if w.awaiting.is_none() && now >= w.next_heartbeat && w.cut_until <= now {
-                if w.mute_until > now {
+                if w.outbound_cut_until > now {
                     w.node = (w.node + 1) % members;
                     w.next_heartbeat = MonotonicTime(now.0 + 1000);
                 } else {
@@ -1086,39 +1128,39 @@
             }
         }
         for job in ended {
-            if self.faults.ends && self.chance(30) {
+            if self.faults.cancel_at_completion && self.chance(30) {
                 let ms = self.pick(0, 60);
-                self.fault_encounters += 1;
-                self.after(ms, SimulationEvent::CancelAtEnd(job));
+                self.faults_met += 1;
+                self.schedule_in(ms, SimulationEvent::CancelAtEnd(job));
             }
         }
         if let Some((node, heartbeat)) = send {
-            let late = self.faults.lost_answers && self.chance(5);
+            let late = self.faults.lost_responses && self.chance(5);
             let ms = if late {
                 self.pick(3000, 9000)
             } else {
                 self.pick(1, 4)
             };
-            if self.faults.copies && self.chance(8) {
+            if self.faults.duplicate_heartbeats && self.chance(8) {
                 let to = self.pick_node();
-                let ms = self.pick(1000, 4 * LEASE);
-                self.after(ms, SimulationEvent::Copy(to, heartbeat.clone()));
+                let ms = self.pick(1000, 4 * SHARD_LEASE_MS);
+                self.schedule_in(ms, SimulationEvent::Copy(to, heartbeat.clone()));
             }
-            self.after(
+            self.schedule_in(
                 ms,
                 SimulationEvent::Heartbeat(node, id.clone(), ticket, heartbeat),
             );
         }
-        self.after(100, SimulationEvent::Worker(id.clone()));
+        self.schedule_in(100, SimulationEvent::Worker(id.clone()));
     }
 
     /// Gangs start together once all are there, end together, and notice a member's loss.
     pub(super) fn gangs(&mut self) {
         let now = self.now;
-        self.check_cancelled();
-        self.check_orphaned();
-        self.check_waiting();
-        self.check_ghosts_go();
+        self.check_cancelled_tasks_stopped();
+        self.check_no_orphans();
+        self.check_no_starvation();
+        self.check_deleted_records_removed();
         let mut there: BTreeMap<(JobId, crate::ids::AttemptNumber), Vec<TaskState>> =
             BTreeMap::new();
         let up = |w: &&mut Worker| !w.dead && w.hang_until <= now;
@@ -1163,9 +1205,12 @@
         }
         for id in finished {
             let tasks = self.jobs[&id].tasks;
-            self.done_runs.entry(id).or_default().extend(0..tasks);
+            self.completed_indices
+                .entry(id)
+                .or_default()
+                .extend(0..tasks);
         }
-        self.after(500, SimulationEvent::Gangs);
+        self.schedule_in(500, SimulationEvent::Gangs);
     }
 
     pub(super) fn heartbeat(
@@ -1176,20 +1221,20 @@
         heartbeat: Heartbeat,
     ) {
         let now = self.now;
-        let held = self.held(node, heartbeat.zone.as_str());
+        let held = self.blocked_until(node, heartbeat.zone.as_str());
         if held > now {
-            if held == self.partition_until && !self.partition_holds {
+            if held == self.partition_until && !self.partition_delays_messages {
                 return;
             }
             // It arrives after the cut; nobody waits for the answer any more.
-            self.after(
+            self.schedule_in(
                 held.since(now).0 + 3,
                 SimulationEvent::Copy(node, heartbeat),
             );
             return;
         }
         let Some(c) = self.nodes[node].controller.as_mut() else {
-            self.after(5, SimulationEvent::Redirect(id, ticket, None));
+            self.schedule_in(5, SimulationEvent::Redirect(id, ticket, None));
             return;
         };
         let (mut answer, effects) = c.on_heartbeat(now, &heartbeat);
@@ -1197,23 +1242,23 @@
         self.execute(node, effects);
         let ms = self.pick(1, 4);
         if let HeartbeatAnswer::Redirect(Some(owner)) = &answer
-            && let Some(relayed) = self.forward_heartbeat(node, owner.clone(), &heartbeat)
+            && let Some(relayed) = self.relay_heartbeat(node, owner.clone(), &heartbeat)
         {
             answer = relayed;
         }
         match answer {
             HeartbeatAnswer::Commands(token, commands) => {
-                self.after(ms, SimulationEvent::Answer(id, ticket, token, commands));
+                self.schedule_in(ms, SimulationEvent::Answer(id, ticket, token, commands));
             }
             HeartbeatAnswer::Redirect(to) => {
                 let to = to.and_then(|t| MEMBERS.iter().position(|m| *m == t.as_str()));
-                self.after(ms, SimulationEvent::Redirect(id, ticket, to));
+                self.schedule_in(ms, SimulationEvent::Redirect(id, ticket, to));
             }
         }
     }
 
     /// A heartbeat comes once more; nobody waits for the answer.
-    pub(super) fn copy(&mut self, node: usize, heartbeat: &Heartbeat) {
+    pub(super) fn deliver_duplicate_heartbeat(&mut self, node: usize, heartbeat: &Heartbeat) {
         let now = self.now;
         if let Some(c) = self.nodes[node].controller.as_mut() {
             let (_, effects) = c.on_heartbeat(now, heartbeat);
@@ -1237,7 +1282,7 @@
         };
         // Responses of an earlier epoch, too late, with a lower token, or that can't get
         // through are dropped.
-        let unreached = w.cut_until.max(w.hang_until).max(w.deaf_until) > now;
+        let unreached = w.cut_until.max(w.hang_until).max(w.inbound_cut_until) > now;
         let late = now.since(sent).0 >= 4000 || unreached;
         if awaited != ticket || late {
             return;
@@ -1246,22 +1291,22 @@
         if token < w.token {
             return;
         }
-        let idle = self.disabled_guard == DisabledGuard::StartsIgnored && self.healed;
-        let launched = w.obey(now, if idle { &[] } else { commands });
+        let idle = self.disabled_guard == DisabledGuard::LaunchesIgnoredAfterHeal && self.healed;
+        let launched = w.execute(now, if idle { &[] } else { commands });
         w.answered = sent;
-        if self.disabled_guard == DisabledGuard::ForgottenAtOnce {
+        if self.disabled_guard == DisabledGuard::ExitedTasksForgottenAtOnce {
             w.forget_exited();
         }
         if token > w.token || !commands.is_empty() {
             w.next_heartbeat = MonotonicTime(now.0 + 500);
         }
         w.token = token;
-        self.check_starts(id, &launched, true);
+        self.check_launches(id, &launched, true);
     }
 
-    pub(super) fn cloud(&mut self, node: usize, life: u64, effect: Effect) {
+    pub(super) fn cloud(&mut self, node: usize, generation: u64, effect: Effect) {
         let now = self.now;
-        if let Some(ms) = self.repeat() {
+        if let Some(ms) = self.duplicate_delay() {
             let again = match &effect {
                 Effect::Rent(request) => Some(Effect::Rent(request.clone())),
                 Effect::Delete(ids) => Some(Effect::Delete(ids.clone())),
@@ -1269,7 +1314,7 @@
             };
             if let Some(again) = again {
                 // Nobody waits for the answer any more.
-                self.after(ms, SimulationEvent::Cloud(node, u64::MAX, again));
+                self.schedule_in(ms, SimulationEvent::Cloud(node, u64::MAX, again));
             }
         }
         match effect {
@@ -1283,7 +1328,7 @@
                     for id in &ids {
                         let boot = self.pick(1000, 6000);
                         if !self.chance(5) {
-                            self.after(boot, SimulationEvent::Boot(id.clone()));
+                            self.schedule_in(boot, SimulationEvent::Boot(id.clone()));
                         }
                     }
                     self.rented.insert(request.request.clone(), ids.clone());
@@ -1291,17 +1336,17 @@
                 });
                 let outcome = match ids.is_empty() {
                     true => RentOutcome::NoCapacity,
-                    false if self.faults.lost_answers && self.chance(20) => RentOutcome::Again,
+                    false if self.faults.lost_responses && self.chance(20) => RentOutcome::Again,
                     false => RentOutcome::Rented(ids),
                 };
-                self.with(node, life, |c| c.on_rent(now, &request, outcome));
+                self.with_controller(node, generation, |c| c.on_rent(now, &request, outcome));
             }
             Effect::Delete(ids) => {
                 // With standing controllers alone no machine is at fault.
                 let alone = Faults {
-                    freezes: true,
-                    crowd: self.faults.crowd,
-                    ends: self.faults.ends,
+                    controller_pauses: true,
+                    overload: self.faults.overload,
+                    cancel_at_completion: self.faults.cancel_at_completion,
                     ..Faults::default()
                 };
                 let only = self.faults == alone;
@@ -1310,17 +1355,17 @@
                 if only && let Some(id) = ids.iter().find(healthy).cloned() {
                     self.record_violation("deleted_healthy", id);
                 }
-                if self.disabled_guard != DisabledGuard::DeletionsTakenOnTrust {
+                if self.disabled_guard != DisabledGuard::UnconfirmedDeletionsTrusted {
                     for id in &ids {
                         let gone = self.workers.remove(id).filter(|w| !w.dead);
                         let running = |t: &&WorkerTask| t.state == TaskState::Running;
                         let tasks = gone.iter().flat_map(|w| w.tasks.values());
-                        self.killed += tasks.filter(running).count() as u64;
-                        self.gone.insert(id.clone());
+                        self.tasks_lost += tasks.filter(running).count() as u64;
+                        self.deleted_machines.insert(id.clone());
                     }
                 }
-                let ok = !(self.faults.lost_answers && self.chance(20));
-                self.with(node, life, |c| c.on_deleted(now, &ids, ok));
+                let ok = !(self.faults.lost_responses && self.chance(20));
+                self.with_controller(node, generation, |c| c.on_deleted(now, &ids, ok));
             }
             Effect::List => {
                 let list = self.workers.iter().map(|(id, w)| ListedMachine {
@@ -1336,7 +1381,7 @@
                     age_s: 5.0,
                 });
                 let list = list.collect();
-                self.with(node, life, |c| c.on_list(now, Some(list)));
+                self.with_controller(node, generation, |c| c.on_list(now, Some(list)));
             }
             Effect::Catalog => {
                 let slots = self.scale.as_ref().map_or(4, |s| s.slots);
@@ -1345,7 +1390,7 @@
                      "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
                      "berths": &ZONES[..self.zones]}]}))
                 .expect("catalog");
-                self.with(node, life, |c| c.on_catalog(now, Some(catalog)));
+                self.with_controller(node, generation, |c| c.on_catalog(now, Some(catalog)));
             }
             Effect::QueryOutcome(job) => {
                 let final_records_seen = self.store.keys.get(&keys::final_state(&job));
@@ -1354,10 +1399,10 @@
                 let cut = self.nodes[node].store_cut_until > now;
                 if let Some(FinalRecord { state, .. }) = record.filter(|_| !cut) {
                     let state = match self.disabled_guard {
-                        DisabledGuard::MissingCountsAsDone => JobState::Done,
+                        DisabledGuard::MissingParentCountsAsDone => JobState::Done,
                         _ => state,
                     };
-                    self.with(node, life, |c| c.on_job_outcome(now, &job, state));
+                    self.with_controller(node, generation, |c| c.on_job_outcome(now, &job, state));
                 }
             }
             Effect::Txn { .. } | Effect::Call { .. } | Effect::Peer(..) => {}
--- a/src/simulation/dependent_days.rs
+++ b/src/simulation/dependent_days.rs
@@ -7,7 +7,7 @@
 use super::pipelines::PipelineCounts;
 
 const PIPELINES: Faults = Faults {
-    pipelines: true,
+    dependent_jobs: true,
     ..Faults::NONE
 };
 
@@ -38,7 +38,7 @@
     sum
 }
 
-fn assert_met(counts: &PipelineCounts) {
+fn assert_dependencies_exercised(counts: &PipelineCounts) {
     assert!(counts.waited >= 10, "{counts:?}");
     assert!(counts.released >= 5, "{counts:?}");
     assert!(
@@ -50,9 +50,9 @@
 #[test]
 fn pipelines_finish_in_their_order_on_a_quiet_day() {
     let counts = days("quiet pipelines", THREE_CONTROLLERS, 500..504, PIPELINES);
-    assert_met(&counts);
+    assert_dependencies_exercised(&counts);
     // Nobody is told of a cancellation while something that needs the job still waits.
-    assert_eq!(counts.left_when_told, 0);
+    assert_eq!(counts.left_at_confirmation, 0);
 }
 
 /// Each trouble alone, with pipelines all day.
@@ -72,12 +72,12 @@
 #[test]
 fn rules_hold_for_pipelines_under_everything_at_once() {
     let all = Faults {
-        pipelines: true,
+        dependent_jobs: true,
         ..Faults::ALL
     };
     let mut sum = days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
     let parted = Faults {
-        partition: true,
+        zone_partition: true,
         ..all
     };
     sum.add(&days(
@@ -86,7 +86,7 @@
         606..610,
         parted,
     ));
-    assert_met(&sum);
+    assert_dependencies_exercised(&sum);
 }
 
 /// Leaders change while children are accepted, released and allotted, and jobs that others need
@@ -94,13 +94,13 @@
 #[test]
 fn rules_hold_for_pipelines_while_leaders_change_and_parents_are_cancelled_at_their_end() {
     let faults = Faults {
-        leaders: true,
-        ends: true,
-        flaps: true,
-        lost_answers: true,
+        leader_crashes: true,
+        cancel_at_completion: true,
+        restarts_in_election: true,
+        lost_responses: true,
         ..PIPELINES
     };
-    assert_met(&days(
+    assert_dependencies_exercised(&days(
         "leaders and ends",
         THREE_CONTROLLERS,
         620..628,
@@ -109,24 +109,24 @@
 }
 
 const UPGRADE: Faults = Faults {
-    upgrade: true,
-    limits: true,
+    rolling_upgrade: true,
+    lowered_store_limits: true,
     ..PIPELINES
 };
 
 fn upgrade_days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, faults: Faults) {
-    let (mut upgraded, mut put_off, mut lowered) = (0, 0, 0);
+    let (mut upgraded, mut postponed, mut lowered) = (0, 0, 0);
     let count = seeds.end - seeds.start;
     for seed in seeds {
         let cluster = play_at(shape, seed, faults, DisabledGuard::None);
         assert_kept(&cluster, &format!("{name}, seed {seed}"));
-        upgraded += cluster.nodes.iter().filter(|n| !n.earlier).count();
-        put_off += cluster.pipelines.put_off;
+        upgraded += cluster.nodes.iter().filter(|n| !n.earlier_version).count();
+        postponed += cluster.pipelines.postponed;
         lowered += u64::from(cluster.store.limits.is_some());
     }
     assert_eq!(upgraded, shape.members * count as usize, "{name}");
     assert_eq!(lowered, count, "{name}");
-    assert!(put_off > 0, "{name}: nothing was asked too soon");
+    assert!(postponed > 0, "{name}: nothing was asked too soon");
 }
 
 /// Both versions serve, either may lead, and the limits fall. What only the later version
@@ -136,15 +136,15 @@
     upgrade_days("upgrade", THREE_CONTROLLERS, 640..646, UPGRADE);
     upgrade_days("upgrade of five", FIVE_CONTROLLERS, 646..648, UPGRADE);
     let leaders = Faults {
-        leaders: true,
-        flaps: true,
+        leader_crashes: true,
+        restarts_in_election: true,
         ..UPGRADE
     };
     upgrade_days("upgrade and leaders", THREE_CONTROLLERS, 650..654, leaders);
     let machines = Faults {
-        crashes: true,
-        machines: true,
-        crowd: true,
+        controller_crashes: true,
+        machine_failures: true,
+        overload: true,
         ..UPGRADE
     };
     upgrade_days(
@@ -154,9 +154,9 @@
         machines,
     );
     let late = Faults {
-        lost_answers: true,
-        repeats: true,
-        slow: true,
+        lost_responses: true,
+        duplicate_requests: true,
+        slow_store: true,
         ..UPGRADE
     };
     upgrade_days(
@@ -166,9 +166,9 @@
         late,
     );
     let gap = Faults {
-        gap: true,
-        ends: true,
-        store_cuts: true,
+        refusal_then_outage: true,
+        cancel_at_completion: true,
+        store_disconnects: true,
         ..UPGRADE
     };
     upgrade_days("upgrade and gap", THREE_CONTROLLERS, 664..668, gap);
@@ -179,7 +179,7 @@
 fn little_is_refused_for_its_size_once_the_limits_have_fallen() {
     for seed in 670..674 {
         let crowd = Faults {
-            crowd: true,
+            overload: true,
             ..UPGRADE
         };
         let cluster = play_at(THREE_CONTROLLERS, seed, crowd, DisabledGuard::None);
@@ -194,9 +194,17 @@
 fn a_broken_guard_of_dependent_jobs_is_caught() {
     for (disabled_guard, faults, rule) in [
         (DisabledGuard::DependenciesIgnored, PIPELINES, "too_early"),
-        (DisabledGuard::MissingCountsAsDone, PIPELINES, "too_early"),
-        (DisabledGuard::DependentsKept, PIPELINES, "orphaned"),
-        (DisabledGuard::OldVersionsTrusted, UPGRADE, "too_early"),
+        (
+            DisabledGuard::MissingParentCountsAsDone,
+            PIPELINES,
+            "too_early",
+        ),
+        (DisabledGuard::DependentsNotCancelled, PIPELINES, "orphaned"),
+        (
+            DisabledGuard::OldVersionsAcceptDependencies,
+            UPGRADE,
+            "too_early",
+        ),
     ] {
         let record_violation = |seed: &u64| {
             let cluster: SimulatedCluster =
--- a/src/simulation/digest.rs
+++ b/src/simulation/digest.rs
@@ -87,7 +87,7 @@
 
 fn play(name: &str, shape: Shape, seed: u64, faults: Faults) {
     let mut cluster = super::play_at(shape, seed, faults, DisabledGuard::None);
-    if faults.pipelines {
+    if faults.dependent_jobs {
         cluster.run(340_000);
     }
     print(name, seed, &cluster);
@@ -116,7 +116,7 @@
 fn digests_of_days_with_pipelines() {
     for (seed, (name, add)) in (1500..).zip(super::SINGLE_FAULTS) {
         let mut faults = Faults {
-            pipelines: true,
+            dependent_jobs: true,
             ..Faults::default()
         };
         add(&mut faults);
@@ -141,13 +141,13 @@
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_all_troubles_and_upgrades() {
     let parted = Faults {
-        partition: true,
+        zone_partition: true,
         ..Faults::ALL
     };
     let upgraded = Faults {
-        pipelines: true,
-        upgrade: true,
-        limits: true,
+        dependent_jobs: true,
+        rolling_upgrade: true,
+        lowered_store_limits: true,
         ..Faults::NONE
     };
     for seed in 720..726 {
--- a/src/simulation/growth.rs
+++ b/src/simulation/growth.rs
@@ -28,7 +28,7 @@
             rates: vec![TokenBucket::new(changes * SHARE); 3],
             counts: Counts::default(),
         });
-        cluster.settle_fleet();
+        cluster.start_large_fleet();
         cluster
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// The next array or service; services end after a while.
-    pub(super) fn many_users(&mut self) {
+    pub(super) fn submit_to_large_fleet(&mut self) {
         if self.healed {
             return;
         }
@@ -104,7 +104,7 @@
             }
         }
         let next = service_ms.min(array_ms) * array_ms / (service_ms + array_ms).max(1);
-        self.after(next.max(1), SimulationEvent::User);
+        self.schedule_in(next.max(1), SimulationEvent::User);
     }
 }
 
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,6 +1,6 @@
 //! The rules, checked against what really runs.
 
-use super::cluster::{CANCEL, SimulatedCluster};
+use super::cluster::{CANCELLATION_LIMIT_MS, SimulatedCluster};
 use super::stand_ins::Worker;
 use crate::ids::{JobId, MachineId, MonotonicTime, Revision, TaskAttempt};
 use crate::protocol::{JobKind, JobState, TaskState};
@@ -11,12 +11,12 @@
 /// What a stand-in machine has, in thousandths.
 const MACHINE_CPUS: u64 = 8000;
 /// No job is left waiting for so long beside room that fits.
-const WAITS: u64 = 90_000;
+const STARVATION_LIMIT_MS: u64 = 90_000;
 /// Once all is well a deleted machine's record goes within this time: a machine that is silent to a
 /// shard owner that is doubted is given up only after four times the usual patience.
-const GHOST_STAYS: u64 = 45_000;
+const DELETED_RECORD_LIMIT_MS: u64 = 45_000;
 /// The longest way of a command that is neither held nor lost.
-const JUST_SENT: u64 = 10;
+const COMMAND_TRANSIT_MS: u64 = 10;
 
 impl SimulatedCluster {
     pub(super) fn record_violation(&mut self, rule: &str, what: impl std::fmt::Display) {
@@ -25,7 +25,7 @@
     }
 
     /// No record may come back for a machine that was deleted.
-    pub(super) fn check_ghosts(&mut self, at: Revision) {
+    pub(super) fn check_no_record_recreated(&mut self, at: Revision) {
         let new = |id: &&MachineId| {
             let held = self.store.keys.get(&keys::machine(id));
             let fresh = self
@@ -39,30 +39,39 @@
                     .nth(1)
                     .is_some_and(|(_, _, value)| value.is_none())
         };
-        if let Some(ghost) = self.gone.iter().find(new).cloned() {
+        if let Some(ghost) = self.deleted_machines.iter().find(new).cloned() {
             self.record_violation("brought_back", ghost);
         }
     }
 
     /// A record that came back for a deleted machine with what was carried out once more has to go
     /// again.
-    pub(super) fn check_ghosts_go(&mut self) {
+    pub(super) fn check_deleted_records_removed(&mut self) {
         if !self.healed || self.scale.is_some() {
             return;
         }
         let stands = |id: &&MachineId| self.store.keys.contains_key(&keys::machine(id));
-        let standing: BTreeSet<MachineId> = self.gone.iter().filter(stands).cloned().collect();
-        self.ghosts.retain(|id, _| standing.contains(id));
+        let standing: BTreeSet<MachineId> = self
+            .deleted_machines
+            .iter()
+            .filter(stands)
+            .cloned()
+            .collect();
+        self.deleted_records_since
+            .retain(|id, _| standing.contains(id));
         for id in standing {
-            let since = *self.ghosts.entry(id.clone()).or_insert(self.now);
-            if self.now.since(since).0 > GHOST_STAYS {
+            let since = *self
+                .deleted_records_since
+                .entry(id.clone())
+                .or_insert(self.now);
+            if self.now.since(since).0 > DELETED_RECORD_LIMIT_MS {
                 self.record_violation("ghost_stays", id);
             }
         }
     }
 
     /// `not_done` and `went_back`.
-    pub(super) fn check_over(&mut self) {
+    pub(super) fn check_final_states(&mut self) {
         if self.scale.is_some() {
             return;
         }
@@ -78,19 +87,19 @@
             })
             .collect();
         for (id, record) in final_records_seen {
-            let before = self.over_seen.insert(id.clone(), record.state);
+            let before = self.final_states_seen.insert(id.clone(), record.state);
             if before.is_some_and(|s| s != record.state) {
                 self.record_violation("went_back", &id);
             }
             if before.is_none() && record.state == JobState::Cancelled {
-                self.check_reason(&id);
+                self.check_cancellation_reason(&id);
             }
-            let done = self.done_runs.get(&id).map_or(0, BTreeSet::len);
+            let done = self.completed_indices.get(&id).map_or(0, BTreeSet::len);
             if record.state == JobState::Done && done < self.jobs[&id].tasks as usize {
                 let what = format!(
                     "{id} {:?} {:?} of {}",
                     self.jobs[&id].kind,
-                    self.done_runs.get(&id),
+                    self.completed_indices.get(&id),
                     self.jobs[&id].tasks
                 );
                 self.record_violation("not_done", what);
@@ -99,10 +108,10 @@
     }
 
     /// `ran_cancelled` for what is on a machine, reachable or not.
-    pub(super) fn check_cancelled(&mut self) {
+    pub(super) fn check_cancelled_tasks_stopped(&mut self) {
         let late = |job: &JobId| {
             let at = self.cancelled.get(job);
-            at.is_some_and(|at| self.now.since(*at).0 > CANCEL)
+            at.is_some_and(|at| self.now.since(*at).0 > CANCELLATION_LIMIT_MS)
         };
         let there = self.workers.iter().filter(|(_, w)| !w.dead);
         let attempts = there.flat_map(|(id, w)| {
@@ -122,7 +131,7 @@
 
     /// Once all is well, no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
-    pub(super) fn check_waiting(&mut self) {
+    pub(super) fn check_no_starvation(&mut self) {
         if !self.healed || self.scale.is_some() {
             return;
         }
@@ -137,7 +146,7 @@
         for (id, spec) in &self.jobs {
             let final_records_seen = self.store.keys.contains_key(&keys::final_state(id));
             let accepted = self.store.keys.contains_key(&keys::job(id));
-            if self.waits_for_others(spec) {
+            if self.has_unfinished_dependencies(spec) {
                 continue;
             }
             if final_records_seen
@@ -181,10 +190,10 @@
                 waiting.push(id.clone());
             }
         }
-        self.left_waiting.retain(|id, _| waiting.contains(id));
+        self.starving_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let since = *self.left_waiting.entry(id.clone()).or_insert(now);
-            if now.since(since).0 > WAITS {
+            let since = *self.starving_since.entry(id.clone()).or_insert(now);
+            if now.since(since).0 > STARVATION_LIMIT_MS {
                 self.record_violation("left_waiting", &id);
             }
         }
@@ -192,7 +201,7 @@
 
     /// The rules about what is on machines, at each start. What was sent a moment ago must not
     /// start a task of a job whose user was told that it is cancelled.
-    pub(super) fn check_starts(
+    pub(super) fn check_launches(
         &mut self,
         at: &MachineId,
         launched: &[TaskAttempt],
@@ -233,7 +242,7 @@
             {
                 self.record_violation("ran_twice", attempt);
             }
-            self.check_too_early(&spec);
+            self.check_parents_done(&spec);
             let used: u64 = alive
                 .iter()
                 .filter_map(|(_, r)| self.jobs.get(&r.task.job))
@@ -258,12 +267,12 @@
             let late = self
                 .cancelled
                 .get(&spec.id)
-                .is_some_and(|c| self.now.since(*c).0 > CANCEL);
+                .is_some_and(|c| self.now.since(*c).0 > CANCELLATION_LIMIT_MS);
             if late {
                 self.record_violation("ran_cancelled", attempt);
             }
             let told = self.cancelled.get(&spec.id);
-            if just_sent && told.is_some_and(|c| self.now.since(*c).0 > JUST_SENT) {
+            if just_sent && told.is_some_and(|c| self.now.since(*c).0 > COMMAND_TRANSIT_MS) {
                 self.record_violation("started_cancelled", attempt);
             }
         }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -62,7 +62,7 @@
 #[test]
 fn rules_hold_while_controllers_crash() {
     let crashes = Faults {
-        crashes: true,
+        controller_crashes: true,
         ..Faults::default()
     };
     days_with("crashes", 10..14, crashes);
@@ -71,7 +71,7 @@
 #[test]
 fn rules_hold_while_answers_are_lost_and_requests_are_carried_out_late() {
     let losses = Faults {
-        lost_answers: true,
+        lost_responses: true,
         ..Faults::default()
     };
     days_with("losses", 20..24, losses);
@@ -80,7 +80,7 @@
 #[test]
 fn rules_hold_while_machines_are_cut_off_hang_and_die() {
     let machines = Faults {
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     days_with("machines", 30..34, machines);
@@ -99,7 +99,7 @@
 #[test]
 fn rules_hold_while_machines_report_and_nothing_reaches_them() {
     let deaf = Faults {
-        deaf: true,
+        outbound_only_machines: true,
         ..Faults::default()
     };
     days_with("deaf machines", 50..54, deaf);
@@ -108,8 +108,8 @@
 #[test]
 fn rules_hold_while_copies_of_reports_come_late() {
     let copies = Faults {
-        copies: true,
-        machines: true,
+        duplicate_heartbeats: true,
+        machine_failures: true,
         ..Faults::default()
     };
     days_with("late copies", 60..64, copies);
@@ -118,7 +118,7 @@
 #[test]
 fn rules_hold_while_a_controller_has_only_its_workers() {
     let apart = Faults {
-        apart: true,
+        isolated_controllers: true,
         ..Faults::default()
     };
     days_with("controllers apart", 70..74, apart);
@@ -129,13 +129,13 @@
 #[test]
 fn rules_hold_while_a_zone_is_cut_off_with_a_controller_in_it() {
     let zone = Faults {
-        zone: true,
-        crowd: true,
+        zone_isolation: true,
+        overload: true,
         ..Faults::default()
     };
     days_with("zone", 110..116, zone);
     let crashes = Faults {
-        crashes: true,
+        controller_crashes: true,
         ..zone
     };
     days_with("zone and crashes", 116..120, crashes);
@@ -149,24 +149,24 @@
 #[test]
 fn rules_hold_while_cancellations_fall_between_a_refusal_and_an_outage() {
     let gap = Faults {
-        gap: true,
+        refusal_then_outage: true,
         ..Faults::default()
     };
-    let mut fault_encounters = 0;
+    let mut faults_met = 0;
     for seed in 140..150 {
         let cluster = play(seed, gap, DisabledGuard::None);
         assert_kept(&cluster, &format!("gap, seed {seed}"));
-        fault_encounters += cluster.fault_encounters;
+        faults_met += cluster.faults_met;
     }
     assert!(
-        fault_encounters >= 10,
-        "cancellations met the gap {fault_encounters} times"
+        faults_met >= 10,
+        "cancellations met the gap {faults_met} times"
     );
     let more = Faults {
-        crashes: true,
-        lost_answers: true,
-        machines: true,
-        crowd: true,
+        controller_crashes: true,
+        lost_responses: true,
+        machine_failures: true,
+        overload: true,
         ..gap
     };
     days_with("gap and more", 150..156, more);
@@ -174,20 +174,17 @@
 
 /// Days whose troubles have to meet, counted, and then with crashes and machines at fault too.
 fn days_that_meet(name: &str, seeds: std::ops::Range<u64>, faults: Faults, at_least: u64) {
-    let mut fault_encounters = 0;
+    let mut faults_met = 0;
     for seed in seeds.clone() {
         let cluster = play(seed, faults, DisabledGuard::None);
         assert_kept(&cluster, &format!("{name}, seed {seed}"));
-        fault_encounters += cluster.fault_encounters;
+        faults_met += cluster.faults_met;
     }
-    assert!(
-        fault_encounters >= at_least,
-        "{name}: met {fault_encounters} times"
-    );
+    assert!(faults_met >= at_least, "{name}: met {faults_met} times");
     let more = Faults {
-        crashes: true,
-        machines: true,
-        crowd: true,
+        controller_crashes: true,
+        machine_failures: true,
+        overload: true,
         ..faults
     };
     days_with(&format!("{name} and more"), seeds, more);
@@ -196,7 +193,7 @@
 #[test]
 fn rules_hold_while_machines_reach_no_controller_and_commands_reach_them() {
     let mute = Faults {
-        mute: true,
+        inbound_only_machines: true,
         ..Faults::default()
     };
     days_that_meet("mute machines", 160..164, mute, 20);
@@ -205,7 +202,7 @@
 #[test]
 fn rules_hold_while_the_state_service_is_slow_and_carries_out_late() {
     let slow = Faults {
-        slow: true,
+        slow_store: true,
         ..Faults::default()
     };
     days_that_meet("slow state service", 170..174, slow, 20);
@@ -214,7 +211,7 @@
 #[test]
 fn rules_hold_while_leaders_change_ten_times_in_two_minutes() {
     let leaders = Faults {
-        leaders: true,
+        leader_crashes: true,
         ..Faults::default()
     };
     days_that_meet("leaders", 180..184, leaders, 20);
@@ -223,7 +220,7 @@
 #[test]
 fn rules_hold_while_all_controllers_are_away_for_longer_than_a_lease() {
     let away = Faults {
-        away: true,
+        control_plane_outage: true,
         ..Faults::default()
     };
     days_that_meet("all away", 190..194, away, 8);
@@ -232,7 +229,7 @@
 #[test]
 fn rules_hold_while_cancellations_meet_the_end_of_a_task() {
     let ends = Faults {
-        ends: true,
+        cancel_at_completion: true,
         ..Faults::default()
     };
     days_that_meet("cancelled at the end", 200..204, ends, 40);
@@ -243,44 +240,41 @@
 #[test]
 fn rules_hold_while_two_of_three_zones_cannot_reach_each_other() {
     let parted = Faults {
-        partition: true,
+        zone_partition: true,
         ..Faults::default()
     };
     let (mut relayed, mut killed) = (0, [0, 0]);
     for seed in 400..406 {
         let cluster = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::None);
         assert_kept(&cluster, &format!("zones apart, seed {seed}"));
-        assert!(
-            cluster.fault_encounters > 0,
-            "seed {seed}: no zones were apart"
-        );
+        assert!(cluster.faults_met > 0, "seed {seed}: no zones were apart");
         relayed += cluster.relayed;
-        killed[0] += cluster.killed;
-        let without = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::NoWayAround);
+        killed[0] += cluster.tasks_lost;
+        let without = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::RelayDisabled);
         assert!(without.violations.is_empty(), "{:?}", without.violations);
-        killed[1] += without.killed;
+        killed[1] += without.tasks_lost;
     }
     assert!(relayed > 500, "{relayed} went around");
     println!("lost {killed:?} with and without a way around");
     assert!(killed[0] * 3 <= killed[1], "lost {killed:?}");
     let more = [
         Faults {
-            leaders: true,
+            leader_crashes: true,
             ..parted
         },
         Faults {
-            gap: true,
+            refusal_then_outage: true,
             ..parted
         },
         Faults {
-            flaps: true,
-            crowd: true,
-            machines: true,
+            restarts_in_election: true,
+            overload: true,
+            machine_failures: true,
             ..parted
         },
         Faults {
-            away: true,
-            ends: true,
+            control_plane_outage: true,
+            cancel_at_completion: true,
             ..parted
         },
     ];
@@ -297,7 +291,7 @@
 fn rules_hold_with_five_controllers_in_three_zones_under_everything() {
     for seed in 430..438 {
         let faults = Faults {
-            partition: true,
+            zone_partition: true,
             ..Faults::ALL
         };
         let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
@@ -308,14 +302,14 @@
 #[test]
 fn rules_hold_while_controllers_stand_still_and_go_on() {
     let freezes = Faults {
-        freezes: true,
+        controller_pauses: true,
         ..Faults::default()
     };
     days_with("freezes", 120..126, freezes);
     let crowd = Faults {
-        crowd: true,
-        machines: true,
-        crashes: true,
+        overload: true,
+        machine_failures: true,
+        controller_crashes: true,
         ..freezes
     };
     days_with("freezes and crowd", 126..130, crowd);
@@ -324,7 +318,7 @@
 #[test]
 fn rules_hold_while_processes_are_back_at_once_in_mid_election() {
     let flaps = Faults {
-        flaps: true,
+        restarts_in_election: true,
         ..Faults::default()
     };
     days_with("back at once", 80..84, flaps);
@@ -333,9 +327,9 @@
 #[test]
 fn limits_hold_while_leases_run_out_under_overload() {
     let crowd = Faults {
-        crowd: true,
-        machines: true,
-        crashes: true,
+        overload: true,
+        machine_failures: true,
+        controller_crashes: true,
         ..Faults::default()
     };
     // Those that once broke a limit, or started a task twice, and a few others.
@@ -348,14 +342,14 @@
 #[test]
 fn rules_hold_while_requests_that_were_carried_out_come_again() {
     let repeats = Faults {
-        repeats: true,
-        crowd: true,
+        duplicate_requests: true,
+        overload: true,
         ..Faults::default()
     };
     days_with("repeats", 100..104, repeats);
     let crashes = Faults {
-        crashes: true,
-        machines: true,
+        controller_crashes: true,
+        machine_failures: true,
         ..repeats
     };
     days_with("repeats and crashes", 104..108, crashes);
@@ -371,43 +365,43 @@
 fn a_broken_guard_is_caught() {
     // Crashes raise the tokens, which hides what a late command would do.
     let calm = Faults {
-        lost_answers: true,
+        lost_responses: true,
         ..Faults::default()
     };
     let all = Faults {
-        crashes: true,
-        lost_answers: true,
-        machines: true,
-        store_cuts: true,
+        controller_crashes: true,
+        lost_responses: true,
+        machine_failures: true,
+        store_disconnects: true,
         ..Faults::default()
     };
     let copies = Faults {
-        copies: true,
-        machines: true,
+        duplicate_heartbeats: true,
+        machine_failures: true,
         ..Faults::default()
     };
     let deaf = Faults {
-        deaf: true,
+        outbound_only_machines: true,
         ..Faults::default()
     };
     let repeats = Faults {
-        repeats: true,
-        crowd: true,
+        duplicate_requests: true,
+        overload: true,
         ..Faults::default()
     };
     let gap = Faults {
-        gap: true,
+        refusal_then_outage: true,
         ..Faults::default()
     };
     for (disabled_guard, faults) in [
-        (DisabledGuard::ForgottenAtOnce, repeats),
-        (DisabledGuard::LostCallsUnsent, calm),
-        (DisabledGuard::DeletionsTakenOnTrust, all),
+        (DisabledGuard::ExitedTasksForgottenAtOnce, repeats),
+        (DisabledGuard::LostCallsCountAsUnsent, calm),
+        (DisabledGuard::UnconfirmedDeletionsTrusted, all),
         (DisabledGuard::FencesIgnored, all),
-        (DisabledGuard::GhostsAnswer, copies),
-        (DisabledGuard::DeafObey, deaf),
-        (DisabledGuard::ToldAtOnce, gap),
-        (DisabledGuard::StartsIgnored, calm),
+        (DisabledGuard::DeletedMachinesAnswer, copies),
+        (DisabledGuard::UnreachableMachinesAcknowledge, deaf),
+        (DisabledGuard::CancellationConfirmedAtOnce, gap),
+        (DisabledGuard::LaunchesIgnoredAfterHeal, calm),
     ] {
         let caught =
             (40..100).find(|seed| !play(*seed, faults, disabled_guard).violations.is_empty());
@@ -421,24 +415,24 @@
 
 /// Every trouble that days with two of them draw from, with its name.
 const SINGLE_FAULTS: [(&str, AddFault); 18] = [
-    ("crashes", |t| t.crashes = true),
-    ("lost", |t| t.lost_answers = true),
-    ("machines", |t| t.machines = true),
-    ("cuts", |t| t.store_cuts = true),
-    ("deaf", |t| t.deaf = true),
-    ("copies", |t| t.copies = true),
-    ("apart", |t| t.apart = true),
-    ("flaps", |t| t.flaps = true),
-    ("crowd", |t| t.crowd = true),
-    ("freezes", |t| t.freezes = true),
-    ("zone", |t| t.zone = true),
-    ("repeats", |t| t.repeats = true),
-    ("gap", |t| t.gap = true),
-    ("mute", |t| t.mute = true),
-    ("slow", |t| t.slow = true),
-    ("leaders", |t| t.leaders = true),
-    ("away", |t| t.away = true),
-    ("ends", |t| t.ends = true),
+    ("crashes", |t| t.controller_crashes = true),
+    ("lost", |t| t.lost_responses = true),
+    ("machines", |t| t.machine_failures = true),
+    ("cuts", |t| t.store_disconnects = true),
+    ("deaf", |t| t.outbound_only_machines = true),
+    ("copies", |t| t.duplicate_heartbeats = true),
+    ("apart", |t| t.isolated_controllers = true),
+    ("flaps", |t| t.restarts_in_election = true),
+    ("crowd", |t| t.overload = true),
+    ("freezes", |t| t.controller_pauses = true),
+    ("zone", |t| t.zone_isolation = true),
+    ("repeats", |t| t.duplicate_requests = true),
+    ("gap", |t| t.refusal_then_outage = true),
+    ("mute", |t| t.inbound_only_machines = true),
+    ("slow", |t| t.slow_store = true),
+    ("leaders", |t| t.leader_crashes = true),
+    ("away", |t| t.control_plane_outage = true),
+    ("ends", |t| t.cancel_at_completion = true),
 ];
 
 /// Every two troubles at once.
--- a/src/simulation/partitions.rs
+++ b/src/simulation/partitions.rs
@@ -1,26 +1,27 @@
 //! Two zones that can't reach each other, and the ways around.
 
-use super::cluster::{DisabledGuard, LEASE, SimulatedCluster, ZONES, zone_of};
+use super::cluster::{DisabledGuard, SHARD_LEASE_MS, SimulatedCluster, ZONES, zone_of};
 use crate::ids::{Member, MonotonicTime};
 use crate::peers::RelayRoutes;
 use crate::protocol::Heartbeat;
 use crate::worker_control::HeartbeatAnswer;
 
 impl SimulatedCluster {
-    pub(super) fn part_zones(&mut self) {
+    pub(super) fn partition_zones(&mut self) {
         let spared = self.pick(0, self.zones as u64 - 1) as usize;
         let mut apart = ZONES[..self.zones].iter().enumerate();
         let mut apart = apart.by_ref().filter(|(n, _)| *n != spared);
         if let (Some((_, one)), Some((_, other))) = (apart.next(), apart.next()) {
             self.partition = [one, other];
-            self.partition_until = MonotonicTime(self.now.0 + self.pick(LEASE, 4 * LEASE));
-            self.partition_holds = self.chance(50);
-            self.fault_encounters += 1;
+            self.partition_until =
+                MonotonicTime(self.now.0 + self.pick(SHARD_LEASE_MS, 4 * SHARD_LEASE_MS));
+            self.partition_delays_messages = self.chance(50);
+            self.faults_met += 1;
         }
     }
 
     /// Until when two zones can't reach each other.
-    pub(super) fn parted(&self, one: &str, other: &str) -> MonotonicTime {
+    pub(super) fn partitioned_until(&self, one: &str, other: &str) -> MonotonicTime {
         let [a, b] = self.partition;
         match (a, b) == (one, other) || (b, a) == (one, other) {
             true => self.partition_until,
@@ -38,7 +39,8 @@
                 let stands = node.frozen_until <= now && node.peers_cut_until <= now;
                 node.controller.is_some() && stands
             };
-            let parted = self.parted(zone_of(one, members), zone_of(other, members)) > now;
+            let parted =
+                self.partitioned_until(zone_of(one, members), zone_of(other, members)) > now;
             one != other && able(one) && able(other) && !parted
         };
         let names = super::cluster::MEMBERS;
@@ -54,8 +56,8 @@
     }
 
     /// Through whom a message goes to a controller across the cut.
-    pub(super) fn between(&self, node: usize, to: usize) -> Option<usize> {
-        if self.disabled_guard == DisabledGuard::NoWayAround {
+    pub(super) fn relay_between(&self, node: usize, to: usize) -> Option<usize> {
+        if self.disabled_guard == DisabledGuard::RelayDisabled {
             return None;
         }
         let names = super::cluster::MEMBERS;
@@ -65,13 +67,13 @@
     }
 
     /// Hands a heartbeat on to the shard owner of its machine, and brings the answer back.
-    pub(super) fn forward_heartbeat(
+    pub(super) fn relay_heartbeat(
         &mut self,
         node: usize,
         owner: Member,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatAnswer> {
-        if !self.faults.partition || self.disabled_guard == DisabledGuard::NoWayAround {
+        if !self.faults.zone_partition || self.disabled_guard == DisabledGuard::RelayDisabled {
             return None;
         }
         let now = self.now;
@@ -82,7 +84,7 @@
         let mut members = super::cluster::MEMBERS.iter();
         let to = members.position(|m| *m == owner.as_str())?;
         let able = self.nodes[to].frozen_until <= now;
-        let reached = able && self.between(node, to).is_some()
+        let reached = able && self.relay_between(node, to).is_some()
             || routes.reachable_peers(now).contains(&owner);
         let controller = self.nodes[to].controller.as_mut().filter(|_| reached)?;
         let (answer, effects) = controller.on_relayed_heartbeat(now, heartbeat);
@@ -95,8 +97,8 @@
     }
 
     /// What the daemon tells each controller after every word.
-    pub(super) fn tell_cut(&mut self, node: usize) {
-        if self.faults.partition {
+    pub(super) fn report_partition(&mut self, node: usize) {
+        if self.faults.zone_partition {
             let cut = self.partition_until > self.now
                 && self.partition.contains(&zone_of(node, self.nodes.len()));
             if let Some(controller) = self.nodes[node].controller.as_mut() {
--- a/src/simulation/pipelines.rs
+++ b/src/simulation/pipelines.rs
@@ -1,7 +1,7 @@
 //! Users who submit jobs that need others, and what is checked of them: no task starts too early,
 //! and no job is left behind by the cancellation of one that it needs.
 
-use super::cluster::{CANCEL, DisabledGuard, SimulatedCluster, SimulationEvent};
+use super::cluster::{CANCELLATION_LIMIT_MS, DisabledGuard, SimulatedCluster, SimulationEvent};
 use crate::api::dependencies::{
     CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache,
 };
@@ -13,14 +13,14 @@
 use std::collections::BTreeSet;
 
 /// Users repeat what was not answered.
-const AGAIN: u64 = 1000;
+const USER_RETRY_MS: u64 = 1000;
 /// A submission whose named jobs have changed is decided anew after this.
-const CHANGED: u64 = 20;
+const DECISION_RETRY_MS: u64 = 20;
 /// Jobs that users name are among the last so many.
-const RECENT: u64 = 8;
+const RECENT_JOBS: u64 = 8;
 const POLL_INTERVAL: u64 = 15;
 /// Percent of the cancelled jobs that users name all the same.
-const NAMED_ALL_THE_SAME: u64 = 10;
+const CANCELLED_PARENT_PERCENT: u64 = 10;
 
 /// Dependent jobs as they came to be; a day without any shows nothing.
 #[derive(Debug, Default)]
@@ -33,9 +33,9 @@
     pub cancelled_at_once: u64,
     pub cancelled_with: u64,
     /// Submissions put off since a controller of an earlier version took part.
-    pub put_off: u64,
+    pub postponed: u64,
     /// Stood on record when the user of a job that they need was told.
-    pub left_when_told: u64,
+    pub left_at_confirmation: u64,
 }
 
 impl PipelineCounts {
@@ -45,27 +45,27 @@
         self.released += other.released;
         self.cancelled_at_once += other.cancelled_at_once;
         self.cancelled_with += other.cancelled_with;
-        self.put_off += other.put_off;
-        self.left_when_told += other.left_when_told;
+        self.postponed += other.postponed;
+        self.left_at_confirmation += other.left_at_confirmation;
     }
 }
 
 impl SimulatedCluster {
     /// Names some recent jobs, whatever has become of them. Users know only those that were
     /// accepted.
-    pub(super) fn name_dependencies(&mut self, spec: &mut JobSpec) {
+    pub(super) fn add_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
         let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
         let recent: Vec<JobId> = recent
             .map(|(id, _)| id.clone())
-            .take(RECENT as usize)
+            .take(RECENT_JOBS as usize)
             .collect();
         let most = (recent.len() as u64).min(3);
         let mut named = BTreeSet::new();
         for _ in 0..self.pick(0, most) {
             let at = self.pick(0, recent.len() as u64 - 1) as usize;
             let cancelled = self.final_state(&recent[at]) == Some(JobState::Cancelled);
-            if !cancelled || self.chance(NAMED_ALL_THE_SAME) {
+            if !cancelled || self.chance(CANCELLED_PARENT_PERCENT) {
                 named.insert(recent[at].clone());
             }
         }
@@ -83,16 +83,16 @@
             return;
         }
         let Some(node) = self.serving_node() else {
-            self.after(AGAIN, SimulationEvent::Submit(spec));
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Submit(spec));
             return;
         };
         let Some(controller) = &self.nodes[node].controller else {
             return;
         };
-        let guarded = self.disabled_guard != DisabledGuard::OldVersionsTrusted;
+        let guarded = self.disabled_guard != DisabledGuard::OldVersionsAcceptDependencies;
         if guarded && !controller.cache.all_know_dependencies() {
-            self.pipelines.put_off += 1;
-            self.after(AGAIN, SimulationEvent::Submit(spec));
+            self.pipelines.postponed += 1;
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Submit(spec));
             return;
         }
         let ids = spec.dependencies.iter();
@@ -111,17 +111,17 @@
             self.record_violation("not_accepted", format!("{} {dependencies:?}", spec.id));
             return;
         };
-        match self.ask(txn) {
+        match self.write_as_user(txn) {
             TxnOutcome::Committed(_) => {
                 let counts = &mut self.pipelines;
                 counts.submitted += 1;
                 counts.waited += u64::from(matches!(dependencies, Dependencies::Open(_)));
                 counts.cancelled_at_once += u64::from(state == JobState::Cancelled);
                 if state == JobState::Cancelled {
-                    self.check_over();
+                    self.check_final_states();
                 }
             }
-            _ => self.after(CHANGED, SimulationEvent::Submit(spec.clone())),
+            _ => self.schedule_in(DECISION_RETRY_MS, SimulationEvent::Submit(spec.clone())),
         }
     }
 
@@ -172,12 +172,12 @@
     pub(super) fn cascade(
         &mut self,
         node: usize,
-        life: u64,
+        generation: u64,
         job: JobId,
         mut cascade: CancellationCascade,
         until: MonotonicTime,
     ) {
-        if self.disabled_guard == DisabledGuard::DependentsKept {
+        if self.disabled_guard == DisabledGuard::DependentsNotCancelled {
             self.confirm(&job);
             return;
         }
@@ -185,28 +185,32 @@
         let ops = self.nodes[node].config.state.txn_ops;
         let served = self.nodes[node].store_cut_until <= now;
         let asked = &mut self.nodes[node];
-        let Some(controller) = asked.controller.as_mut().filter(|_| asked.life == life) else {
-            self.after(AGAIN, SimulationEvent::Cancel(job));
+        let Some(controller) = asked
+            .controller
+            .as_mut()
+            .filter(|_| asked.generation == generation)
+        else {
+            self.schedule_in(USER_RETRY_MS, SimulationEvent::Cancel(job));
             return;
         };
         let step = cascade.next(&controller.cache, ops);
         match step {
             CascadeStep::Complete => {
-                self.count_left(&job);
+                self.count_left_dependents(&job);
                 self.confirm(&job);
                 return;
             }
             _ if now > until => {
-                self.after(AGAIN, SimulationEvent::Cancel(job));
+                self.schedule_in(USER_RETRY_MS, SimulationEvent::Cancel(job));
                 return;
             }
             CascadeStep::Write(txn, jobs) if served => {
-                let outcome = self.ask(txn);
-                self.check_over();
+                let outcome = self.write_as_user(txn);
+                self.check_final_states();
                 if let TxnOutcome::Committed(at) = outcome {
                     cascade.committed(at);
                     self.pipelines.cancelled_with += jobs.len() as u64;
-                    self.with(node, life, |c| {
+                    self.with_controller(node, generation, |c| {
                         c.dependents_cancelled(&jobs, at);
                         Vec::new()
                     });
@@ -214,17 +218,17 @@
             }
             CascadeStep::Write(..) | CascadeStep::Wait => {}
         }
-        self.after(
+        self.schedule_in(
             POLL_INTERVAL,
-            SimulationEvent::CancellationCascade(node, life, job, cascade, until),
+            SimulationEvent::CancellationCascade(node, generation, job, cascade, until),
         );
     }
 
-    fn count_left(&mut self, told: &JobId) {
+    fn count_left_dependents(&mut self, told: &JobId) {
         let left = self.jobs.keys().filter(|id| {
             self.store.keys.contains_key(&keys::job(id)) && self.ancestors(id).contains(told)
         });
-        self.pipelines.left_when_told += left.count() as u64;
+        self.pipelines.left_at_confirmation += left.count() as u64;
     }
 
     /// All jobs that a job needs, directly or through others.
@@ -242,12 +246,12 @@
     }
 
     fn is_done(&self, id: &JobId) -> bool {
-        let done = self.done_runs.get(id).map_or(0, BTreeSet::len);
+        let done = self.completed_indices.get(id).map_or(0, BTreeSet::len);
         done >= self.jobs[id].tasks as usize
     }
 
     /// `too_early`.
-    pub(super) fn check_too_early(&mut self, spec: &JobSpec) {
+    pub(super) fn check_parents_done(&mut self, spec: &JobSpec) {
         let open = spec.dependencies.iter().find(|id| !self.is_done(id));
         if let Some(open) = open.cloned() {
             self.record_violation("too_early", format!("{} before {open}", spec.id));
@@ -255,10 +259,10 @@
     }
 
     /// `orphaned`: it would still be called queued or running.
-    pub(super) fn check_orphaned(&mut self) {
+    pub(super) fn check_no_orphans(&mut self) {
         let late = |id: &JobId| {
             let told = self.cancelled.get(id);
-            told.is_some_and(|at| self.now.since(*at).0 > CANCEL)
+            told.is_some_and(|at| self.now.since(*at).0 > CANCELLATION_LIMIT_MS)
         };
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.keys.contains_key(&keys::job(id)));
@@ -270,7 +274,7 @@
     }
 
     /// A job is only cancelled if its user has asked for it, or with one that it needs.
-    pub(super) fn check_reason(&mut self, id: &JobId) {
+    pub(super) fn check_cancellation_reason(&mut self, id: &JobId) {
         let asked = |id: &JobId| self.cancelling.contains(id) || self.cancelled.contains_key(id);
         let mut reasons = self.ancestors(id);
         reasons.insert(id.clone());
@@ -280,7 +284,7 @@
     }
 
     /// Whether something that a job needs is not done: it may wait however much room there is.
-    pub(super) fn waits_for_others(&self, spec: &JobSpec) -> bool {
+    pub(super) fn has_unfinished_dependencies(&self, spec: &JobSpec) -> bool {
         let mut needed = spec.dependencies.iter();
         needed.any(|id| self.final_state(id) != Some(JobState::Done))
     }
--- a/src/simulation/stand_ins.rs
+++ b/src/simulation/stand_ins.rs
@@ -191,9 +191,9 @@
     pub cut_until: MonotonicTime,
     pub hang_until: MonotonicTime,
     /// Its heartbeats get out, nothing gets in.
-    pub deaf_until: MonotonicTime,
+    pub inbound_cut_until: MonotonicTime,
     /// Direct commands get in and are answered, heartbeats reach nobody.
-    pub mute_until: MonotonicTime,
+    pub outbound_cut_until: MonotonicTime,
     pub dead: bool,
 }
 
@@ -227,7 +227,7 @@
     }
 
     /// Carries commands out; the runs that were launched are returned for the checks.
-    pub(super) fn obey(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
+    pub(super) fn execute(&mut self, now: MonotonicTime, commands: &[Command]) -> Vec<TaskAttempt> {
         let mut launched = Vec::new();
         for command in commands {
             let attempt = command.run().clone();
--- a/src/simulation/upgrade.rs
+++ b/src/simulation/upgrade.rs
@@ -18,11 +18,14 @@
 
 impl SimulatedCluster {
     pub(super) fn begin_upgrade(&mut self) {
-        let (upgrade, limits) = (self.faults.upgrade, self.faults.limits);
+        let (upgrade, limits) = (
+            self.faults.rolling_upgrade,
+            self.faults.lowered_store_limits,
+        );
         let mut at = FIRST;
         for node in 0..self.nodes.len() {
             if upgrade {
-                self.after(at, SimulationEvent::Upgrade(node));
+                self.schedule_in(at, SimulationEvent::Upgrade(node));
                 at += self.pick(APART.0, APART.1);
             } else {
                 self.know_limits(node);
@@ -30,13 +33,13 @@
         }
         if limits {
             let at = self.pick(LIMITS.0, LIMITS.1);
-            self.after(at, SimulationEvent::LowerLimits);
+            self.schedule_in(at, SimulationEvent::LowerLimits);
         }
     }
 
     /// This version keeps to the later limits from its start.
     fn know_limits(&mut self, node: usize) {
-        if self.faults.limits {
+        if self.faults.lowered_store_limits {
             let state = &mut self.nodes[node].config.state;
             state.value_bytes = VALUE_BYTES;
             state.txn_ops = TXN_OPS;
@@ -44,13 +47,13 @@
     }
 
     pub(super) fn upgrade(&mut self, node: usize) {
-        self.nodes[node].earlier = false;
+        self.nodes[node].earlier_version = false;
         self.know_limits(node);
-        self.fault_encounters += 1;
+        self.faults_met += 1;
         if self.nodes[node].controller.take().is_some() {
-            self.nodes[node].life += 1;
+            self.nodes[node].generation += 1;
             let ms = self.pick(AWAY.0, AWAY.1);
-            self.after(ms, SimulationEvent::Start(node));
+            self.schedule_in(ms, SimulationEvent::Start(node));
         }
     }
 
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -13,7 +13,7 @@
     /// Submits, and cancels now and then.
     pub(super) fn user(&mut self) {
         if self.scale.is_some() {
-            return self.many_users();
+            return self.submit_to_large_fleet();
         }
         if self.healed {
             // What never ends by itself is cancelled, so that the day can end.
@@ -28,7 +28,7 @@
         let n = self.jobs.len();
         let id = format!("job-{n:06}");
         let mut body = crate::protocol::tests::submission(&id);
-        let most = if self.faults.crowd { 24 } else { 9 };
+        let most = if self.faults.overload { 24 } else { 9 };
         body["sheets"] = json!(self.pick(1, most));
         body["crew"] = json!(if self.chance(50) { "red" } else { "blue" });
         body["ebb"] = json!(self.chance(50));
@@ -45,8 +45,8 @@
             body["sheets"] = json!(self.pick(2, 5));
         }
         let mut spec = JobSpec::parse(body.to_string().as_bytes()).expect("valid");
-        if self.faults.pipelines && spec.kind != JobKind::Service {
-            self.name_dependencies(&mut spec);
+        if self.faults.dependent_jobs && spec.kind != JobKind::Service {
+            self.add_dependencies(&mut spec);
         }
         if spec.dependencies.is_empty() {
             self.submit_alone(&spec);
@@ -56,7 +56,7 @@
             self.submit_dependent(spec);
         }
         // With a cancelled job goes all that needs it.
-        let cancelled = if self.faults.pipelines { 8 } else { 25 };
+        let cancelled = if self.faults.dependent_jobs { 8 } else { 25 };
         if n > 3 && self.chance(cancelled) {
             let at = self.pick(0, n as u64 - 1) as usize;
             if let Some(id) = self.jobs.keys().nth(at).cloned() {
@@ -64,11 +64,11 @@
             }
         }
         // The jobs of a pipeline come one right after another.
-        let ms = match self.faults.pipelines && !self.faults.crowd {
+        let ms = match self.faults.dependent_jobs && !self.faults.overload {
             true => self.pick(100, 2500),
             false => self.pick(1500, 6000),
         };
-        self.after(ms, SimulationEvent::User);
+        self.schedule_in(ms, SimulationEvent::User);
     }
 
     fn submit_alone(&mut self, spec: &JobSpec) {
@@ -80,14 +80,14 @@
             &JobRecord::new(spec.clone(), crate::ids::UnixTime(self.now.0)),
             None,
         );
-        self.ask(txn);
+        self.write_as_user(txn);
     }
 
     /// What a user asks, as the intake writes it; it may come once more.
-    pub(super) fn ask(&mut self, txn: Txn) -> TxnOutcome {
+    pub(super) fn write_as_user(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
-        if let Some(ms) = self.repeat() {
-            self.after(
+        if let Some(ms) = self.duplicate_delay() {
+            self.schedule_in(
                 ms,
                 SimulationEvent::Txn(0, u64::MAX, TxnRequester::Nobody, txn, false),
             );
