--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -24,70 +24,83 @@
 }
 
 /// The samples as lines, as they stand in the golden files.
-fn lines<T>(samples: Vec<(&str, T)>, encode: impl Fn(&T) -> String) -> String {
+fn golden_lines<T>(samples: Vec<(&str, T)>, encode: impl Fn(&T) -> String) -> String {
     let line = |(name, sample): &(&str, T)| format!("{name} {}\n", encode(sample));
     samples.iter().map(line).collect()
 }
 
 #[test]
-fn frames_are_byte_for_byte_those_of_the_version_in_production() {
-    let encoded = lines(messages(), |m| hex(&encode_frame(m).expect("frame")));
+fn peer_frames_match_the_golden_bytes() {
+    let encoded = golden_lines(messages(), |m| hex(&encode_frame(m).expect("frame")));
     assert_eq!(encoded, FRAMES);
 }
 
 #[test]
-fn records_are_written_as_the_version_in_production_writes_them() {
-    assert_eq!(lines(records(), ToString::to_string), RECORDS);
+fn stored_records_match_the_golden_json() {
+    assert_eq!(golden_lines(records(), ToString::to_string), RECORDS);
 }
 
-fn golden(name: &str) -> Value {
+/// The golden sample of a record.
+fn golden_record(name: &str) -> Value {
     let mut lines = RECORDS.lines().filter_map(|line| line.split_once(' '));
     let record = lines.find(|(n, _)| *n == name).expect("a sample").1;
     serde_json::from_str(record).expect("json")
 }
 
-fn read_by_old<T: DeserializeOwned>(value: Value) -> T {
+fn read_by_earlier_version<T: DeserializeOwned>(value: Value) -> T {
     serde_json::from_value(value).expect("readable for the version in production")
 }
 
 /// What production has written is read: fields that it does not know are absent.
 #[test]
-fn records_of_the_version_in_production_are_read() {
-    let job: JobRecord = serde_json::from_value(golden("job")).expect("job");
+fn records_of_the_earlier_version_are_readable() {
+    let job: JobRecord = serde_json::from_value(golden_record("job")).expect("job");
     assert!(!job.is_blocked() && job.spec.dependencies.is_empty());
     assert_eq!(job.spec.id.as_str(), JOB);
     let old = json!({"incarnation": 12, "grant": 7});
     let member: MemberRecord = serde_json::from_value(old).expect("member");
     assert!(member.version < ProgramVersion::DEPENDENCIES);
-    let machine = serde_json::from_value(golden("machine")).expect("machine");
+    let machine = serde_json::from_value(golden_record("machine")).expect("machine");
     assert_eq!(machine_record(), machine);
     let plans: crate::store::records::PlanBatch =
-        serde_json::from_value(golden("plans")).expect("plans");
+        serde_json::from_value(golden_record("plans")).expect("plans");
     assert_eq!(plans[&crate::ids::JobId::from(JOB)].joins, None);
 }
 
 /// What this version writes is read by production's types, new fields and all.
 #[test]
-fn records_of_this_version_are_read_by_the_version_in_production() {
+fn earlier_version_reads_records_of_this_version() {
     let member = MemberRecord::new(Incarnation(12), LeaseId(7));
-    let read: old_records::Member = read_by_old(json!(member));
+    let read: old_records::Member = read_by_earlier_version(json!(member));
     assert_eq!((read.incarnation, read.grant), (12, 7));
     let mut spec = crate::protocol::tests::spec(JOB);
-    let plain: old_records::Job = read_by_old(golden("job"));
+    let plain: old_records::Job = read_by_earlier_version(golden_record("job"));
     spec.dependencies = vec!["job-000001".into()];
     let mut record = JobRecord::new(spec, UnixTime(plain.accepted));
     record.released = Some(UnixTime(1_700_000_000_500));
-    assert_eq!(read_by_old::<old_records::Job>(json!(record)), plain);
+    assert_eq!(
+        read_by_earlier_version::<old_records::Job>(json!(record)),
+        plain
+    );
     let plan = PlanRecord {
         type_name: Some("t8".into()),
         machines: vec!["vm-000231".into()],
         predicted_s: 28.5,
         joins: Some("job-000001".into()),
     };
-    let read: old_records::Plans = read_by_old(json!({ JOB: plan }));
-    assert_eq!(read, read_by_old::<old_records::Plans>(golden("plans")));
-    let read: old_records::Machine = read_by_old(json!(machine_record()));
-    assert_eq!(read, read_by_old::<old_records::Machine>(golden("machine")));
-    let over: old_records::Over = read_by_old(golden("over-cancelled"));
-    assert_eq!((over.state.as_str(), over.tasks), ("withdrawn", 4));
+    let read: old_records::Plans = read_by_earlier_version(json!({ JOB: plan }));
+    assert_eq!(
+        read,
+        read_by_earlier_version::<old_records::Plans>(golden_record("plans"))
+    );
+    let read: old_records::Machine = read_by_earlier_version(json!(machine_record()));
+    assert_eq!(
+        read,
+        read_by_earlier_version::<old_records::Machine>(golden_record("machine"))
+    );
+    let final_state: old_records::Over = read_by_earlier_version(golden_record("over-cancelled"));
+    assert_eq!(
+        (final_state.state.as_str(), final_state.tasks),
+        ("withdrawn", 4)
+    );
 }
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -17,9 +17,10 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
+/// The job of all samples.
 pub(super) const JOB: &str = "job-000412";
 
-fn run(index: u32) -> TaskAttempt {
+fn attempt(index: u32) -> TaskAttempt {
     TaskAttempt {
         task: TaskId {
             job: JOB.into(),
@@ -29,6 +30,10 @@
     }
 }
 
+fn member() -> Member {
+    "mooring-1".into()
+}
+
 fn machine() -> MachineId {
     "vm-000231".into()
 }
@@ -37,15 +42,15 @@
 pub(super) fn machine_record() -> MachineRecord {
     let mut record = MachineRecord::new("10.1.0.232:9000", &"t8".into(), &"a".into(), true);
     let spec = crate::protocol::tests::spec(JOB);
-    record.add(&run(2), &spec);
-    record.add(&run(3), &spec);
+    record.add(&attempt(2), &spec);
+    record.add(&attempt(3), &spec);
     record.count(&JOB.into(), 0, 1);
     record
 }
 
 fn ended(end: AttemptOutcome) -> Message {
     Message::EndedAttempt(EndedAttempt {
-        attempt: run(2),
+        attempt: attempt(2),
         machine: machine(),
         revision: Revision(431),
         type_name: "t8".into(),
@@ -59,7 +64,7 @@
 fn freed() -> FreedAttempt {
     FreedAttempt {
         machine: machine(),
-        attempt: run(2),
+        attempt: attempt(2),
         done: true,
     }
 }
@@ -77,104 +82,100 @@
     }])
 }
 
-/// Every message, under the name of its variant.
+/// Every message, in the order of the golden file, under the name of its sample.
 pub(super) fn messages() -> Vec<(&'static str, Message)> {
-    let member = || Member::from("mooring-1");
-    let job = || JobId::from(JOB);
+    let mut samples = allotment_messages();
+    samples.extend(attempt_messages());
+    samples.extend(cancellation_messages());
+    samples.extend(forwarding_messages());
+    samples.extend(reachability_messages());
+    samples
+}
+
+fn allotment_messages() -> Vec<(&'static str, Message)> {
+    let hello = Message::Hello {
+        member: member(),
+        incarnation: Incarnation(u64::MAX >> 1),
+    };
+    let allot = Message::Allot(Allotment {
+        shard: ShardId(4),
+        fence: Revision(41),
+        job_revision: Revision(400),
+        attempts: vec![attempt(0), attempt(1)],
+        preferred: vec![machine()],
+    });
+    let refused = Message::Refused {
+        fence: Revision(41),
+        attempts: vec![attempt(0)],
+    };
+    vec![("Hello", hello), ("Allot", allot), ("Refused", refused)]
+}
+
+fn attempt_messages() -> Vec<(&'static str, Message)> {
+    let no_room = AttemptOutcome::Exited(ExitReason::NoRoom);
+    let stop = Message::Stop {
+        machine: machine(),
+        attempt: attempt(2),
+        grace: Millis(4000),
+    };
     vec![
-        (
-            "Hello",
-            Message::Hello {
-                member: member(),
-                incarnation: Incarnation(u64::MAX >> 1),
-            },
-        ),
-        (
-            "Allot",
-            Message::Allot(Allotment {
-                shard: ShardId(4),
-                fence: Revision(41),
-                job_revision: Revision(400),
-                attempts: vec![run(0), run(1)],
-                preferred: vec![machine()],
-            }),
-        ),
-        (
-            "Refused",
-            Message::Refused {
-                fence: Revision(41),
-                attempts: vec![run(0)],
-            },
-        ),
         ("EndedDone", ended(AttemptOutcome::Done)),
-        (
-            "EndedExited",
-            ended(AttemptOutcome::Exited(ExitReason::NoRoom)),
-        ),
+        ("EndedExited", ended(no_room)),
         ("EndedAbsent", ended(AttemptOutcome::Absent)),
         ("Freed", Message::Freed(vec![freed()])),
-        (
-            "Stop",
-            Message::Stop {
-                machine: machine(),
-                attempt: run(2),
-                grace: Millis(4000),
-            },
-        ),
-        (
-            "Cancelled",
-            Message::Cancelled {
-                round: RoundId(3),
-                job: job(),
-                revision: Revision(500),
-                age: Millis(20),
-            },
-        ),
-        (
-            "CancelledKnown",
-            Message::CancellationAcknowledged {
-                round: RoundId(3),
-                job: job(),
-                settled: vec![ShardFence {
-                    shard: ShardId(4),
-                    fence: Revision(41),
-                }],
-            },
-        ),
-        (
-            "Ask",
-            Message::ForwardedRequest {
-                id: 8,
-                post: true,
-                path: "/work".into(),
-                body: b"{}".to_vec(),
-            },
-        ),
-        (
-            "Reply",
-            Message::ForwardedResponse {
-                id: 8,
-                status: 201,
-                body: b"{}".to_vec(),
-            },
-        ),
-        (
-            "Word",
-            Message::PeerStatus {
-                store_reachable: true,
-                reachable_peers: vec![member()],
-                missing_machines: vec![machine()],
-            },
-        ),
-        (
-            "Relay",
-            Message::Relay {
-                to: member(),
-                from: "mooring-2".into(),
-                message: Box::new(Message::MisdirectedHeartbeats(vec![machine()])),
-            },
-        ),
-        ("Strays", Message::MisdirectedHeartbeats(vec![machine()])),
+        ("Stop", stop),
+    ]
+}
+
+fn cancellation_messages() -> Vec<(&'static str, Message)> {
+    let cancelled = Message::Cancelled {
+        round: RoundId(3),
+        job: JobId::from(JOB),
+        revision: Revision(500),
+        age: Millis(20),
+    };
+    let acknowledged = Message::CancellationAcknowledged {
+        round: RoundId(3),
+        job: JobId::from(JOB),
+        settled: vec![ShardFence {
+            shard: ShardId(4),
+            fence: Revision(41),
+        }],
+    };
+    vec![("Cancelled", cancelled), ("CancelledKnown", acknowledged)]
+}
+
+fn forwarding_messages() -> Vec<(&'static str, Message)> {
+    let request = Message::ForwardedRequest {
+        id: 8,
+        post: true,
+        path: "/work".into(),
+        body: b"{}".to_vec(),
+    };
+    let response = Message::ForwardedResponse {
+        id: 8,
+        status: 201,
+        body: b"{}".to_vec(),
+    };
+    vec![("Ask", request), ("Reply", response)]
+}
+
+fn reachability_messages() -> Vec<(&'static str, Message)> {
+    let status = Message::PeerStatus {
+        store_reachable: true,
+        reachable_peers: vec![member()],
+        missing_machines: vec![machine()],
+    };
+    let misdirected = Message::MisdirectedHeartbeats(vec![machine()]);
+    let relay = Message::Relay {
+        to: member(),
+        from: "mooring-2".into(),
+        message: Box::new(misdirected.clone()),
+    };
+    vec![
+        ("Word", status),
+        ("Relay", relay),
+        ("Strays", misdirected),
         ("Health", health()),
     ]
 }
@@ -207,7 +208,7 @@
     PlanBatch::from([(JOB.into(), plan)])
 }
 
-fn segment() -> Bitmap {
+fn bitmap_segment() -> Bitmap {
     let mut bits = Bitmap::default();
     for bit in [0, 1, 70] {
         bits.set(bit);
@@ -215,7 +216,7 @@
     bits
 }
 
-/// Every record but the controllers' own: that one names its version.
+/// Every record but the controllers' own, which names its version; in the order of the golden file.
 pub(super) fn records() -> Vec<(&'static str, Value)> {
     let leader = LeaderRecord {
         member: "mooring-1".into(),
@@ -230,14 +231,17 @@
         crate::protocol::tests::spec(JOB),
         UnixTime(1_700_000_000_000),
     );
-    let over = |state, tasks| FinalRecord { state, tasks };
+    let final_record = |state| FinalRecord { state, tasks: 4 };
     vec![
         ("leader", json_of(&leader)),
         ("block", json_of(&shard)),
         ("job", json_of(&job)),
-        ("segment", json_of(&segment())),
-        ("over-done", json_of(&over(JobState::Done, 4))),
-        ("over-cancelled", json_of(&over(JobState::Cancelled, 4))),
+        ("segment", json_of(&bitmap_segment())),
+        ("over-done", json_of(&final_record(JobState::Done))),
+        (
+            "over-cancelled",
+            json_of(&final_record(JobState::Cancelled)),
+        ),
         ("machine", json_of(&machine_record())),
         ("plans", json_of(&plans())),
         ("history", json_of(&history())),
--- a/src/simulation/active_faults.rs
+++ b/src/simulation/active_faults.rs
@@ -5,7 +5,9 @@
 /// Two zones that can't reach each other.
 #[derive(Default)]
 pub(super) struct ZonePartition {
+    /// The names of the two zones.
     pub zones: [&'static str; 2],
+    /// When the partition ends.
     pub until: MonotonicTime,
     /// What was sent meanwhile arrives afterwards; otherwise it is lost.
     pub delays_messages: bool,
@@ -27,9 +29,11 @@
 pub(super) struct ActiveFaults {
     /// One zone and the controller in it can't reach anything outside.
     pub zone_isolated_until: MonotonicTime,
+    /// The last partition between two zones.
     pub partition: ZonePartition,
     /// The key-value store is out for everybody.
     pub store_outage_until: MonotonicTime,
+    /// The key-value store is slow.
     pub slow_store_until: MonotonicTime,
     /// When the last pause of a controller ends or has ended.
     pub last_pause_until: MonotonicTime,
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -30,14 +30,23 @@
 
 /// Controllers and stand-ins for all that they deal with, in simulated time.
 pub(super) struct SimulatedCluster {
+    /// The simulated time.
     pub now: MonotonicTime,
+    /// What happens next.
     pub queue: EventQueue,
+    /// Draws all random numbers, in the order of events.
     rng: StdRng,
+    /// The kinds of fault that are injected.
     pub faults: Faults,
+    /// The faults that last at the moment.
     pub active: ActiveFaults,
+    /// The guard that is disabled.
     pub disabled_guard: DisabledGuard,
+    /// The key-value store.
     pub store: StoreModel,
+    /// The nodes that controllers run on.
     pub nodes: Vec<Node>,
+    /// The workers of all machines that were not deleted.
     pub workers: BTreeMap<MachineId, Worker>,
     /// The number of the machine that was rented last.
     pub last_machine: u64,
@@ -53,6 +62,7 @@
     pub cancelling: BTreeSet<JobId>,
     /// Set for a large fleet only.
     pub scale: Option<Scale>,
+    /// What tests assert.
     pub observed: Observations,
     /// Of all that left the controllers.
     pub digest: Digest,
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -4,6 +4,7 @@
 use super::events::{CascadeStepDue, ControllerProcess, SimulationEvent};
 use super::guards::DisabledGuard;
 use super::timing::USER_RETRY_MS;
+use super::violations::Rule;
 use crate::api::dependencies::{
     CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache,
 };
@@ -112,7 +113,10 @@
         };
         let (now, ops) = (UnixTime(self.now.0), self.nodes[0].config.state.txn_ops);
         let Some((txn, state)) = decided.accept(spec, now, ops) else {
-            self.record_violation("not_accepted", format!("{} {dependencies:?}", spec.id));
+            self.record_violation(
+                Rule::SubmissionNotAccepted,
+                format!("{} {dependencies:?}", spec.id),
+            );
             return;
         };
         match self.write_as_user(txn) {
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -13,6 +13,7 @@
 /// One process of a controller: responses to an earlier process of the same node are dropped.
 #[derive(Clone, Copy)]
 pub(super) struct ControllerProcess {
+    /// The index of the node.
     pub node: usize,
     /// Rises with each stop and start of the node.
     pub generation: u64,
@@ -30,8 +31,11 @@
 
 /// A transaction on its way to the key-value store.
 pub(super) struct TxnRequest {
+    /// The process that the outcome goes to.
     pub caller: ControllerProcess,
+    /// The part of the controller that asked for it.
     pub requester: TxnRequester,
+    /// The transaction itself.
     pub txn: Txn,
     /// The caller still waits for the outcome.
     pub answered: bool,
@@ -39,17 +43,25 @@
 
 /// The outcome of a transaction on its way back.
 pub(super) struct TxnResponse {
+    /// The process that the outcome goes to.
     pub caller: ControllerProcess,
+    /// The part of the controller that asked for it.
     pub requester: TxnRequester,
+    /// What became of the transaction.
     pub outcome: TxnOutcome,
 }
 
 /// Direct commands on their way to a worker.
 pub(super) struct DirectCall {
+    /// The process that the outcome goes to.
     pub caller: ControllerProcess,
+    /// The machine that the commands are for.
     pub machine: MachineId,
+    /// The shard owner's fencing token.
     pub token: FencingToken,
+    /// The worker's epoch that the commands are for.
     pub epoch: WorkerEpoch,
+    /// The commands, in their order.
     pub commands: Vec<Command>,
     /// How often the call was delayed or repeated: only the first delivery is answered.
     pub redeliveries: u32,
@@ -57,39 +69,55 @@
 
 /// The outcome of direct commands on its way back.
 pub(super) struct DirectCallResponse {
+    /// The process that the outcome goes to.
     pub caller: ControllerProcess,
+    /// The machine that the commands were for.
     pub machine: MachineId,
+    /// The fencing token of the call.
     pub token: FencingToken,
+    /// What became of the call.
     pub outcome: DirectCallOutcome,
 }
 
 /// A message between controllers.
 pub(super) struct PeerDelivery {
+    /// The receiving node.
     pub to: usize,
+    /// The sending node.
     pub from: usize,
+    /// The message as it arrives.
     pub message: Message,
 }
 
 /// A heartbeat on its way to a controller.
 pub(super) struct HeartbeatDelivery {
+    /// The receiving node.
     pub node: usize,
+    /// The machine that sent it.
     pub machine: MachineId,
     /// The worker drops responses that carry another ticket than its last heartbeat.
     pub ticket: u64,
+    /// The heartbeat itself.
     pub heartbeat: Heartbeat,
 }
 
 /// Commands on their way back to the worker that sent a heartbeat.
 pub(super) struct HeartbeatResponse {
+    /// The machine that sent the heartbeat.
     pub machine: MachineId,
+    /// The ticket of the heartbeat.
     pub ticket: u64,
+    /// The shard owner's fencing token.
     pub token: FencingToken,
+    /// The commands, in their order.
     pub commands: Vec<Command>,
 }
 
 /// The hint for a worker to turn to another controller.
 pub(super) struct HeartbeatRedirect {
+    /// The machine that sent the heartbeat.
     pub machine: MachineId,
+    /// The ticket of the heartbeat.
     pub ticket: u64,
     /// The controller to turn to, if it is known.
     pub to: Option<usize>,
@@ -97,8 +125,11 @@
 
 /// A controller waits until nothing of a cancelled job is left on machines.
 pub(super) struct CancellationPoll {
+    /// The process that the user has asked.
     pub process: ControllerProcess,
+    /// The cancelled job.
     pub job: JobId,
+    /// The round of acknowledgements that it waits for.
     pub round: RoundId,
     /// The controller gives up then, and the user asks again.
     pub deadline: MonotonicTime,
@@ -106,8 +137,11 @@
 
 /// A controller cancels the jobs that depend on a cancelled one.
 pub(super) struct CascadeStepDue {
+    /// The process that the user has asked.
     pub process: ControllerProcess,
+    /// The cancelled job.
     pub job: JobId,
+    /// How far the cancellation of dependents has come.
     pub cascade: CancellationCascade,
     /// The controller gives up then, and the user asks again.
     pub deadline: MonotonicTime,
@@ -115,21 +149,37 @@
 
 /// One event. Numbers of controllers are indices of nodes.
 pub(super) enum SimulationEvent {
+    /// A controller starts.
     ControllerStart(usize),
+    /// A controller has its regular turn.
     ControllerTick(usize),
+    /// The watch of a controller brings changes.
     WatchPoll(usize),
+    /// A controller renews its lease.
     LeaseRenewal(usize),
+    /// A transaction arrives at the key-value store.
     TxnRequest(TxnRequest),
+    /// The outcome of a transaction arrives.
     TxnResponse(TxnResponse),
+    /// Direct commands arrive at a worker.
     DirectCall(DirectCall),
+    /// The outcome of direct commands arrives.
     DirectCallResponse(DirectCallResponse),
+    /// A message between controllers arrives.
     Peer(PeerDelivery),
+    /// A call arrives at the cloud.
     CloudCall(ControllerProcess, Effect),
+    /// A machine has booted.
     MachineBoot(MachineId),
+    /// A worker has its regular turn.
     WorkerTurn(MachineId),
+    /// A heartbeat arrives.
     Heartbeat(HeartbeatDelivery),
+    /// A heartbeat arrives once more.
     DuplicateHeartbeat(usize, Heartbeat),
+    /// The response to a heartbeat arrives.
     HeartbeatResponse(HeartbeatResponse),
+    /// A redirect arrives in place of a response.
     HeartbeatRedirect(HeartbeatRedirect),
     /// Gangs start and end together.
     GangTurn,
@@ -139,9 +189,11 @@
     InjectFaults,
     /// Controllers stop and are back at once.
     RestartControllers,
+    /// The leader stops.
     StopLeader,
     /// The key-value store is out for everybody for so many ms.
     StoreOutage(u64),
+    /// An outage of the key-value store ends.
     StoreOutageEnds,
     /// The key-value store takes less from now on.
     LowerStoreLimits,
@@ -157,7 +209,9 @@
     CancelRunning,
     /// A job is cancelled as one of its tasks ends.
     CancelAtCompletion(JobId),
+    /// A controller looks whether a cancellation is acknowledged.
     CancellationPoll(CancellationPoll),
+    /// A controller goes on with the cancellation of dependents.
     CascadeStep(CascadeStepDue),
 }
 
--- a/src/simulation/guards.rs
+++ b/src/simulation/guards.rs
@@ -1,33 +1,34 @@
 //! Guards that a day disables, to show that the invariants notice.
 
-/// A guard that is deliberately missing.
+/// A guard that is deliberately disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DisabledGuard {
+    /// All guards are in place.
     None,
-    /// A command without an answer counts as never sent.
+    /// A command without a response counts as never sent.
     LostCallsCountAsUnsent,
-    /// The cloud's answer to a deletion is not waited for.
+    /// The cloud confirms deletions that it does not carry out.
     UnconfirmedDeletionsTrusted,
     /// The store does not check the fences of shards and machines.
     FencesIgnored,
-    /// Whoever is asked answers, machines that are long deleted too.
+    /// Deleted machines acknowledge direct commands.
     DeletedMachinesAnswer,
     /// Commands count as carried out by machines that nothing reaches.
     UnreachableMachinesAcknowledge,
     /// Users are told of a cancellation as soon as its record is written.
     CancellationConfirmedAtOnce,
-    /// Nothing goes around two zones that can't reach each other.
+    /// Nothing is relayed around a zone partition.
     RelayDisabled,
-    /// Once all is well, workers start nothing.
+    /// Once all faults are healed, workers ignore launches.
     LaunchesIgnoredAfterHeal,
-    /// Workers forget exited tasks once they have reported them, as if told to at once.
+    /// Workers forget exited tasks once they have reported them, without a command.
     ExitedTasksForgottenAtOnce,
-    /// Jobs are accepted as if nothing that they name had to be done first.
+    /// Jobs are accepted as if all their dependencies were done.
     DependenciesIgnored,
     /// A job that has left the watch cache counts as done.
     MissingParentCountsAsDone,
-    /// Jobs that need a cancelled one are left as they are.
+    /// The dependents of a cancelled job are not cancelled.
     DependentsNotCancelled,
-    /// Jobs that name others are accepted while an earlier version takes part.
+    /// Jobs with dependencies are accepted while an earlier version takes part.
     OldVersionsAcceptDependencies,
 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants, checked against what really runs. Violations are recorded under the rule's name.
+//! Invariants, checked against what really runs.
 
 mod cancellations;
 mod deleted_machines;
@@ -8,6 +8,7 @@
 mod starvation;
 
 use super::cluster::SimulatedCluster;
+use super::violations::{Rule, Violation};
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobSpec, TaskState};
 
@@ -38,8 +39,11 @@
     }
 
     /// Notes that a rule does not hold, and for what.
-    pub(super) fn record_violation(&mut self, rule: &str, what: impl std::fmt::Display) {
-        let violation = format!("{rule} at {}: {what}", self.now.0);
-        self.observed.violations.push(violation);
+    pub(super) fn record_violation(&mut self, rule: Rule, subject: impl std::fmt::Display) {
+        self.observed.violations.push(Violation {
+            rule,
+            at: self.now,
+            subject: subject.to_string(),
+        });
     }
 }
--- a/src/simulation/invariants/cancellations.rs
+++ b/src/simulation/invariants/cancellations.rs
@@ -3,6 +3,7 @@
 use crate::ids::JobId;
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::timing::CANCELLATION_LIMIT_MS;
+use crate::simulation::violations::Rule;
 
 impl SimulatedCluster {
     /// For how many ms a job's user has known that it is cancelled.
@@ -22,7 +23,7 @@
         self.cancelled_for(job).is_some_and(|ms| ms > transit_ms)
     }
 
-    /// `ran_cancelled` for what is on a machine, reachable or not.
+    /// `CancelledTaskRan` for what is on a machine, reachable or not.
     pub(in crate::simulation) fn check_cancelled_tasks_stopped(&mut self) {
         let kept = self.live_attempts();
         let kept = kept.filter(|live| self.is_cancelled_for_long(&live.attempt.task.job));
@@ -30,7 +31,7 @@
             .map(|live| format!("{} on {}", live.attempt, live.machine))
             .collect();
         for what in kept {
-            self.record_violation("ran_cancelled", what);
+            self.record_violation(Rule::CancelledTaskRan, what);
         }
     }
 
@@ -40,7 +41,7 @@
         let mut reasons = self.ancestors(id);
         reasons.insert(id.clone());
         if !reasons.iter().any(asked) {
-            self.record_violation("cancelled_without_reason", id);
+            self.record_violation(Rule::CancelledWithoutReason, id);
         }
     }
 }
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -4,6 +4,7 @@
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::SimulationEvent;
 use crate::simulation::timing::UNREACHABLE_LIMIT_MS;
+use crate::simulation::violations::Rule;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -12,7 +13,7 @@
 const DELETED_RECORD_LIMIT_MS: u64 = 45_000;
 
 impl SimulatedCluster {
-    /// `brought_back`: no record may come back for a machine that was deleted.
+    /// `DeletedRecordRecreated`: no record may come back for a machine that was deleted.
     pub(in crate::simulation) fn check_no_record_recreated(&mut self, at: Revision) {
         let recreated = |id: &&MachineId| self.store.was_recreated_at(&keys::machine(id), at);
         if let Some(machine) = self
@@ -22,11 +23,11 @@
             .find(recreated)
             .cloned()
         {
-            self.record_violation("brought_back", machine);
+            self.record_violation(Rule::DeletedRecordRecreated, machine);
         }
     }
 
-    /// `ghost_stays`: a record that a late request brought back for a deleted machine has to go
+    /// `DeletedRecordKept`: a record that a late request brought back for a deleted machine has to go
     /// again.
     pub(in crate::simulation) fn check_deleted_records_removed(&mut self) {
         if !self.active.healed || self.scale.is_some() {
@@ -50,12 +51,12 @@
                 .entry(id.clone())
                 .or_insert(self.now);
             if self.now.since(since).0 > DELETED_RECORD_LIMIT_MS {
-                self.record_violation("ghost_stays", id);
+                self.record_violation(Rule::DeletedRecordKept, id);
             }
         }
     }
 
-    /// `kept_deaf`: a machine that nothing has reached for long must have lost its record. Without
+    /// `UnreachableMachineKept`: a machine that nothing has reached for long must have lost its record. Without
     /// a leader, or a key-value store, no record of a machine goes.
     pub(in crate::simulation) fn check_unreachable_given_up(&mut self, id: &MachineId) {
         let up = self.workers.get(id).is_some_and(|w| !w.dead);
@@ -77,7 +78,7 @@
                 self.schedule_in(ms, SimulationEvent::CheckUnreachable(id.clone()));
             }
         } else if self.store.contains(&keys::machine(id)) {
-            self.record_violation("kept_deaf", id);
+            self.record_violation(Rule::UnreachableMachineKept, id);
         }
     }
 }
--- a/src/simulation/invariants/final_states.rs
+++ b/src/simulation/invariants/final_states.rs
@@ -3,12 +3,13 @@
 use crate::ids::JobId;
 use crate::protocol::JobState;
 use crate::simulation::cluster::SimulatedCluster;
+use crate::simulation::violations::Rule;
 use crate::store::keys;
 use crate::store::records::FinalRecord;
 use std::collections::BTreeSet;
 
 impl SimulatedCluster {
-    /// `not_done` and `went_back`.
+    /// `DoneTooEarly` and `FinalStateChanged`.
     pub(in crate::simulation) fn check_final_states(&mut self) {
         if self.scale.is_some() {
             return;
@@ -26,7 +27,7 @@
     fn check_final_state(&mut self, id: &JobId, state: JobState) {
         let before = self.observed.final_states.insert(id.clone(), state);
         if before.is_some_and(|s| s != state) {
-            self.record_violation("went_back", id);
+            self.record_violation(Rule::FinalStateChanged, id);
         }
         if before.is_none() && state == JobState::Cancelled {
             self.check_cancellation_reason(id);
@@ -37,7 +38,7 @@
         if state == JobState::Done && done < spec.tasks as usize {
             let (kind, tasks) = (spec.kind, spec.tasks);
             let what = format!("{id} {kind:?} {completed:?} of {tasks}");
-            self.record_violation("not_done", what);
+            self.record_violation(Rule::DoneTooEarly, what);
         }
     }
 }
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -3,6 +3,7 @@
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
+use crate::simulation::violations::Rule;
 
 /// The longest way of a command that is neither delayed nor lost, in ms.
 const COMMAND_TRANSIT_MS: u64 = 10;
@@ -47,24 +48,24 @@
         }
     }
 
-    /// `ran_twice`: no other attempt of the task is on another machine.
+    /// `RanTwice`: no other attempt of the task is on another machine.
     fn check_runs_once(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let mut live = self.live_attempts();
         if live.any(|other| other.attempt.task == attempt.task && other.machine != machine) {
             drop(live);
-            self.record_violation("ran_twice", attempt);
+            self.record_violation(Rule::RanTwice, attempt);
         }
     }
 
-    /// `quota`: the team is within its limit.
+    /// `QuotaExceeded`: the team is within its limit.
     fn check_quota(&mut self, spec: &JobSpec, attempt: &TaskAttempt) {
         let limit = self.nodes[0].config.teams[&spec.team].limit().cpus;
         if self.team_cpus(spec) > limit {
-            self.record_violation("quota", attempt);
+            self.record_violation(Rule::QuotaExceeded, attempt);
         }
     }
 
-    /// `wrong_place`: zone constraints hold, and only what may run on spot machines does.
+    /// `WrongPlacement`: zone constraints hold, and only what may run on spot machines does.
     fn check_placement(&mut self, spec: &JobSpec, machine: &MachineId, attempt: &TaskAttempt) {
         let here = &self.workers[machine];
         let live = self.live_attempts();
@@ -74,18 +75,18 @@
         let one_zone = !spec.one_zone || in_zone == zones.len();
         let spread = !spec.spread || in_zone <= spec.tasks.div_ceil(2) as usize;
         if !one_zone || !spread || (here.spot && !spec.spot) {
-            self.record_violation("wrong_place", attempt);
+            self.record_violation(Rule::WrongPlacement, attempt);
         }
     }
 
-    /// `ran_cancelled` and `started_cancelled`.
+    /// `CancelledTaskRan` and `CancelledTaskLaunched`.
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
         if self.is_cancelled_for_long(job) {
-            self.record_violation("ran_cancelled", attempt);
+            self.record_violation(Rule::CancelledTaskRan, attempt);
         }
         if just_sent && self.is_cancelled_for_more_than(job, COMMAND_TRANSIT_MS) {
-            self.record_violation("started_cancelled", attempt);
+            self.record_violation(Rule::CancelledTaskLaunched, attempt);
         }
     }
 }
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -4,6 +4,7 @@
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::stand_ins::Worker;
+use crate::simulation::violations::Rule;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -13,7 +14,7 @@
 const STARVATION_LIMIT_MS: u64 = 90_000;
 
 impl SimulatedCluster {
-    /// `left_waiting`: no job waits for long while a machine that fits has room for one of its
+    /// `Starved`: no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
         if !self.active.healed || self.scale.is_some() {
@@ -27,7 +28,7 @@
             let since = &mut self.observed.starving_since;
             let since = *since.entry(id.clone()).or_insert(now);
             if now.since(since).0 > STARVATION_LIMIT_MS {
-                self.record_violation("left_waiting", &id);
+                self.record_violation(Rule::Starved, &id);
             }
         }
     }
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -19,6 +19,7 @@
 const CHANGES_SHARE: f64 = 0.5;
 /// What the key-value store takes, in requests a second.
 const REQUESTS_PER_S: f64 = 200.0;
+/// The slots of each machine.
 const SLOTS: u64 = 16;
 /// Between two services, in ms.
 const SERVICE_INTERVAL_MS: u64 = 560;
@@ -29,7 +30,9 @@
 
 /// A large fleet: what exceeds the settings' rates is refused, and counted.
 pub(super) struct Scale {
+    /// Machines that are up from the start.
     pub min_machines: usize,
+    /// The most machines that the cloud provides.
     pub max_machines: usize,
     /// The slots of each machine.
     pub slots: u64,
@@ -41,14 +44,18 @@
     changes_per_s: f64,
     /// The rate limit of each controller.
     limiters: Vec<TokenBucket>,
+    /// What was asked of the key-value store so far.
     pub counts: RequestCounts,
 }
 
 /// What was asked of the key-value store, and what was done with it.
 #[derive(Debug, Default)]
 pub(super) struct RequestCounts {
+    /// Transactions that were asked for.
     pub transactions: u64,
+    /// Transactions that the rate limits refused.
     pub refused: u64,
+    /// Changes that were let through.
     pub changes: u64,
     /// Changes by the part of the controller that asked for them.
     pub by_requester: BTreeMap<&'static str, u64>,
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -24,4 +24,5 @@
 mod timing;
 mod topology;
 mod upgrades;
+mod violations;
 mod workload;
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -23,6 +23,7 @@
 
 /// A node and the controller that runs on it.
 pub(super) struct Node {
+    /// The settings that controllers start with.
     pub config: Config,
     /// None while the process is down.
     pub controller: Option<Controller>,
@@ -30,10 +31,13 @@
     pub generation: u64,
     /// The last change that the watch has brought.
     pub watched_revision: Revision,
+    /// The lease of the running process.
     pub lease: Option<LeaseId>,
     /// The lease of the process before, until the next one ends it.
     pub previous_lease: Option<LeaseId>,
+    /// The key-value store refuses the controller until then.
     pub store_cut_until: MonotonicTime,
+    /// Messages from and to other controllers are lost until then.
     pub peers_cut_until: MonotonicTime,
     /// The process is paused until then.
     pub frozen_until: MonotonicTime,
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -1,6 +1,7 @@
 //! What was observed on a simulated day, for the invariants and the tests.
 
 use super::dependencies::DependencyCounts;
+use super::violations::Violation;
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::JobState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +9,8 @@
 /// Observations since the day began.
 #[derive(Default)]
 pub(super) struct Observations {
-    /// Invariants that did not hold, each with the time and the object.
-    pub violations: Vec<String>,
+    /// Rules that did not hold.
+    pub violations: Vec<Violation>,
     /// How many task attempts were launched.
     pub launches: u64,
     /// How often faults met as the day's name says.
@@ -22,6 +23,7 @@
     pub completed_indices: BTreeMap<JobId, BTreeSet<u32>>,
     /// The final state in which each job was seen first.
     pub final_states: BTreeMap<JobId, JobState>,
+    /// Machines that the cloud has deleted.
     pub deleted_machines: BTreeSet<MachineId>,
     /// Since when records of deleted machines exist, once all faults are healed.
     pub deleted_records_since: BTreeMap<MachineId, MonotonicTime>,
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/stand_ins/cloud.rs
@@ -10,6 +10,7 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::ZONES;
+use crate::simulation::violations::Rule;
 use crate::store::keys;
 use crate::store::records::FinalRecord;
 use serde_json::json;
@@ -109,7 +110,7 @@
         self.with_controller(caller, |c| c.on_deleted(now, ids, ok));
     }
 
-    /// `deleted_healthy`: with pausing controllers alone no machine is at fault.
+    /// `HealthyMachineDeleted`: with pausing controllers alone no machine is at fault.
     fn check_deletion(&mut self, ids: &[MachineId]) {
         let pauses_only = Faults {
             controller_pauses: true,
@@ -123,7 +124,7 @@
         if self.faults == pauses_only
             && let Some(id) = ids.iter().find(healthy).cloned()
         {
-            self.record_violation("deleted_healthy", id);
+            self.record_violation(Rule::HealthyMachineDeleted, id);
         }
     }
 
--- a/src/simulation/stand_ins/worker.rs
+++ b/src/simulation/stand_ins/worker.rs
@@ -15,6 +15,7 @@
 /// One task on a machine.
 #[derive(Clone, Debug)]
 pub(in crate::simulation) struct WorkerTask {
+    /// What heartbeats report.
     pub state: TaskState,
     /// Set once the task has exited.
     pub exit_reason: Option<ExitReason>,
@@ -25,24 +26,33 @@
 /// A heartbeat without a response so far.
 #[derive(Clone, Copy)]
 pub(in crate::simulation) struct AwaitedResponse {
+    /// Responses with another ticket are dropped.
     pub ticket: u64,
+    /// When the heartbeat was sent.
     pub sent: MonotonicTime,
 }
 
 /// The state of a worker and the faults of its machine.
 pub(in crate::simulation) struct Worker {
+    /// The machine is a spot machine.
     pub spot: bool,
+    /// The zone that the machine is in.
     pub zone: &'static str,
+    /// Rises each time the worker drops all tasks.
     pub epoch: WorkerEpoch,
+    /// The number of the last heartbeat.
     pub sequence: HeartbeatSequence,
     /// The highest fencing token that it has seen.
     pub token: FencingToken,
+    /// Task attempts that no command has made it forget.
     pub tasks: BTreeMap<TaskAttempt, WorkerTask>,
     /// The controller that it sends heartbeats to.
     pub node: usize,
     /// When the last heartbeat that was answered was sent.
     pub answered: MonotonicTime,
+    /// When the next heartbeat is due.
     pub next_heartbeat: MonotonicTime,
+    /// The heartbeat that has no response yet.
     pub awaiting: Option<AwaitedResponse>,
     /// Nothing gets in or out until then.
     pub cut_until: MonotonicTime,
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -67,7 +67,8 @@
     Some(record.state)
 }
 
-fn commands(rest: &[Step]) -> Vec<Vec<Step>> {
+/// All different orders of the steps.
+fn distinct_orders(rest: &[Step]) -> Vec<Vec<Step>> {
     let mut all = Vec::new();
     for (at, first) in rest.iter().enumerate() {
         if rest[..at].contains(first) {
@@ -78,7 +79,7 @@
         if left.is_empty() {
             return vec![vec![*first]];
         }
-        for mut order in commands(&left) {
+        for mut order in distinct_orders(&left) {
             order.insert(0, *first);
             all.push(order);
         }
@@ -89,9 +90,9 @@
 #[test]
 fn final_state_is_permanent_in_every_order_of_end_cancel_and_resubmit() {
     let id = JobId::from("job-1");
-    let commands = commands(&ALL);
-    assert_eq!(commands.len(), 90);
-    for order in commands {
+    let orders = distinct_orders(&ALL);
+    assert_eq!(orders.len(), 90);
+    for order in orders {
         let mut store = StoreModel::default();
         let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
             panic!("not accepted");
--- a/src/simulation/tests/dependent_days.rs
+++ b/src/simulation/tests/dependent_days.rs
@@ -6,6 +6,7 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::{FIVE_CONTROLLERS, Shape, THREE_CONTROLLERS};
+use crate::simulation::violations::Rule;
 
 /// Users submit dependent jobs, without any fault.
 pub(super) const DEPENDENT_JOBS: Faults = Faults {
@@ -96,7 +97,7 @@
         ..Faults::ALL
     };
     let mut sum = play_days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
-    let parted = Faults {
+    let partitioned = Faults {
         zone_partition: true,
         ..all
     };
@@ -104,7 +105,7 @@
         "pipelines at five",
         FIVE_CONTROLLERS,
         606..610,
-        parted,
+        partitioned,
     ));
     assert_dependencies_exercised(&sum);
 }
@@ -128,29 +129,29 @@
     ));
 }
 
-/// The checks are worth something only if they see a guard that is missing.
+/// The invariants are worth something only if they notice a disabled guard.
 #[test]
 fn each_disabled_dependency_guard_is_detected() {
     for (disabled_guard, faults, rule) in [
         (
             DisabledGuard::DependenciesIgnored,
             DEPENDENT_JOBS,
-            "too_early",
+            Rule::ParentNotDone,
         ),
         (
             DisabledGuard::MissingParentCountsAsDone,
             DEPENDENT_JOBS,
-            "too_early",
+            Rule::ParentNotDone,
         ),
         (
             DisabledGuard::DependentsNotCancelled,
             DEPENDENT_JOBS,
-            "orphaned",
+            Rule::Orphaned,
         ),
         (
             DisabledGuard::OldVersionsAcceptDependencies,
             UPGRADE,
-            "too_early",
+            Rule::ParentNotDone,
         ),
     ] {
         let record_violation = |seed: &u64| {
@@ -160,7 +161,7 @@
                 .observed
                 .violations
                 .iter()
-                .any(|b| b.starts_with(rule))
+                .any(|violation| violation.rule == rule)
         };
         let caught = (680..700).find(record_violation);
         println!("{disabled_guard:?} seen with seed {caught:?}");
--- a/src/simulation/tests/digests.rs
+++ b/src/simulation/tests/digests.rs
@@ -70,7 +70,7 @@
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_all_faults_and_upgrades() {
-    let parted = Faults {
+    let partitioned = Faults {
         zone_partition: true,
         ..Faults::ALL
     };
@@ -82,7 +82,7 @@
     };
     for seed in 720..726 {
         play("all", THREE_CONTROLLERS, seed, Faults::ALL);
-        play("all at five", FIVE_CONTROLLERS, seed, parted);
+        play("all at five", FIVE_CONTROLLERS, seed, partitioned);
         play("upgrade and limits", THREE_CONTROLLERS, seed, upgraded);
         play("upgrade at five", FIVE_CONTROLLERS, seed, upgraded);
     }
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -4,10 +4,21 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
+/// Asserts that on some seed an invariant is violated.
+fn assert_detected(disabled_guard: DisabledGuard, faults: Faults) {
+    let is_violated = |seed: &u64| {
+        let cluster = play(*seed, faults, disabled_guard);
+        !cluster.observed.violations.is_empty()
+    };
+    let caught = (40..100).find(is_violated);
+    println!("{disabled_guard:?} seen with seed {caught:?}");
+    assert!(caught.is_some(), "{disabled_guard:?} went unseen");
+}
+
 #[test]
 fn each_disabled_guard_is_detected() {
     // Crashes raise the tokens, which hides what a late command would do.
-    let calm = Faults {
+    let lost_responses = Faults {
         lost_responses: true,
         ..Faults::default()
     };
@@ -18,41 +29,37 @@
         store_disconnects: true,
         ..Faults::default()
     };
-    let copies = Faults {
+    let duplicate_heartbeats = Faults {
         duplicate_heartbeats: true,
         machine_failures: true,
         ..Faults::default()
     };
-    let deaf = Faults {
+    let outbound_only = Faults {
         outbound_only_machines: true,
         ..Faults::default()
     };
-    let repeats = Faults {
+    let duplicate_requests = Faults {
         duplicate_requests: true,
         overload: true,
         ..Faults::default()
     };
-    let gap = Faults {
+    let refusal = Faults {
         refusal_then_outage: true,
         ..Faults::default()
     };
     for (disabled_guard, faults) in [
-        (DisabledGuard::ExitedTasksForgottenAtOnce, repeats),
-        (DisabledGuard::LostCallsCountAsUnsent, calm),
+        (
+            DisabledGuard::ExitedTasksForgottenAtOnce,
+            duplicate_requests,
+        ),
+        (DisabledGuard::LostCallsCountAsUnsent, lost_responses),
         (DisabledGuard::UnconfirmedDeletionsTrusted, all),
         (DisabledGuard::FencesIgnored, all),
-        (DisabledGuard::DeletedMachinesAnswer, copies),
-        (DisabledGuard::UnreachableMachinesAcknowledge, deaf),
-        (DisabledGuard::CancellationConfirmedAtOnce, gap),
-        (DisabledGuard::LaunchesIgnoredAfterHeal, calm),
+        (DisabledGuard::DeletedMachinesAnswer, duplicate_heartbeats),
+        (DisabledGuard::UnreachableMachinesAcknowledge, outbound_only),
+        (DisabledGuard::CancellationConfirmedAtOnce, refusal),
+        (DisabledGuard::LaunchesIgnoredAfterHeal, lost_responses),
     ] {
-        let caught = (40..100).find(|seed| {
-            !play(*seed, faults, disabled_guard)
-                .observed
-                .violations
-                .is_empty()
-        });
-        println!("{disabled_guard:?} seen with seed {caught:?}");
-        assert!(caught.is_some(), "{disabled_guard:?} went unseen");
+        assert_detected(disabled_guard, faults);
     }
 }
--- a/src/simulation/tests/fault_meetings.rs
+++ b/src/simulation/tests/fault_meetings.rs
@@ -8,13 +8,13 @@
 /// and then nobody is served for longer than a cancellation has (gap day).
 #[test]
 fn invariants_hold_for_cancellations_between_store_refusal_and_outage() {
-    let gap = Faults {
+    let refusal = Faults {
         refusal_then_outage: true,
         ..Faults::default()
     };
     let mut faults_met = 0;
     for seed in 140..150 {
-        let cluster = play(seed, gap, DisabledGuard::None);
+        let cluster = play(seed, refusal, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("gap, seed {seed}"));
         faults_met += cluster.observed.faults_met;
     }
@@ -27,7 +27,7 @@
         lost_responses: true,
         machine_failures: true,
         overload: true,
-        ..gap
+        ..refusal
     };
     play_days("gap and more", 150..156, more);
 }
@@ -57,45 +57,45 @@
 
 #[test]
 fn invariants_hold_with_inbound_only_machines() {
-    let mute = Faults {
+    let inbound_only = Faults {
         inbound_only_machines: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("mute machines", 160..164, mute, 20);
+    play_days_meeting_faults("mute machines", 160..164, inbound_only, 20);
 }
 
 #[test]
 fn invariants_hold_with_a_slow_store() {
-    let slow = Faults {
+    let slow_store = Faults {
         slow_store: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("slow state service", 170..174, slow, 20);
+    play_days_meeting_faults("slow state service", 170..174, slow_store, 20);
 }
 
 #[test]
 fn invariants_hold_under_frequent_leader_crashes() {
-    let leaders = Faults {
+    let leader_crashes = Faults {
         leader_crashes: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("leaders", 180..184, leaders, 20);
+    play_days_meeting_faults("leaders", 180..184, leader_crashes, 20);
 }
 
 #[test]
 fn invariants_hold_when_all_controllers_are_down_beyond_a_lease() {
-    let away = Faults {
+    let outage = Faults {
         control_plane_outage: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("all away", 190..194, away, 8);
+    play_days_meeting_faults("all away", 190..194, outage, 8);
 }
 
 #[test]
 fn invariants_hold_for_cancellations_at_task_completion() {
-    let ends = Faults {
+    let at_completion = Faults {
         cancel_at_completion: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("cancelled at the end", 200..204, ends, 40);
+    play_days_meeting_faults("cancelled at the end", 200..204, at_completion, 40);
 }
--- a/src/simulation/tests/single_faults.rs
+++ b/src/simulation/tests/single_faults.rs
@@ -38,61 +38,61 @@
 
 #[test]
 fn invariants_hold_with_outbound_only_machines() {
-    let deaf = Faults {
+    let outbound_only = Faults {
         outbound_only_machines: true,
         ..Faults::default()
     };
-    play_days("deaf machines", 50..54, deaf);
+    play_days("deaf machines", 50..54, outbound_only);
 }
 
 #[test]
 fn invariants_hold_under_late_duplicate_heartbeats() {
-    let copies = Faults {
+    let duplicates = Faults {
         duplicate_heartbeats: true,
         machine_failures: true,
         ..Faults::default()
     };
-    play_days("late copies", 60..64, copies);
+    play_days("late copies", 60..64, duplicates);
 }
 
 #[test]
 fn invariants_hold_with_isolated_controllers() {
-    let apart = Faults {
+    let isolated = Faults {
         isolated_controllers: true,
         ..Faults::default()
     };
-    play_days("controllers apart", 70..74, apart);
+    play_days("controllers apart", 70..74, isolated);
 }
 
 /// Covers what a controller decided before its pause and what comes out of full buffers after it.
 #[test]
 fn invariants_hold_under_controller_pauses() {
-    let freezes = Faults {
+    let pauses = Faults {
         controller_pauses: true,
         ..Faults::default()
     };
-    play_days("freezes", 120..126, freezes);
-    let crowd = Faults {
+    play_days("freezes", 120..126, pauses);
+    let overload = Faults {
         overload: true,
         machine_failures: true,
         controller_crashes: true,
-        ..freezes
+        ..pauses
     };
-    play_days("freezes and crowd", 126..130, crowd);
+    play_days("freezes and crowd", 126..130, overload);
 }
 
 #[test]
 fn invariants_hold_under_restarts_in_election() {
-    let flaps = Faults {
+    let restarts = Faults {
         restarts_in_election: true,
         ..Faults::default()
     };
-    play_days("back at once", 80..84, flaps);
+    play_days("back at once", 80..84, restarts);
 }
 
 #[test]
 fn quota_limits_hold_under_overload_and_lease_expiry() {
-    let crowd = Faults {
+    let overload = Faults {
         overload: true,
         machine_failures: true,
         controller_crashes: true,
@@ -100,23 +100,23 @@
     };
     // Those that once broke a limit, or started a task twice, and a few others.
     for seed in [122, 173, 261, 557] {
-        play_days("crowd", seed..seed + 1, crowd);
+        play_days("crowd", seed..seed + 1, overload);
     }
-    play_days("crowd", 90..95, crowd);
+    play_days("crowd", 90..95, overload);
 }
 
 #[test]
 fn invariants_hold_under_duplicate_requests() {
-    let repeats = Faults {
+    let duplicates = Faults {
         duplicate_requests: true,
         overload: true,
         ..Faults::default()
     };
-    play_days("repeats", 100..104, repeats);
+    play_days("repeats", 100..104, duplicates);
     let crashes = Faults {
         controller_crashes: true,
         machine_failures: true,
-        ..repeats
+        ..duplicates
     };
     play_days("repeats and crashes", 104..108, crashes);
 }
--- a/src/simulation/tests/upgrades.rs
+++ b/src/simulation/tests/upgrades.rs
@@ -28,12 +28,17 @@
 fn invariants_hold_during_rolling_upgrade_with_lowered_store_limits() {
     play_upgrade_days("upgrade", THREE_CONTROLLERS, 640..646, UPGRADE);
     play_upgrade_days("upgrade of five", FIVE_CONTROLLERS, 646..648, UPGRADE);
-    let leaders = Faults {
+    let leader_crashes = Faults {
         leader_crashes: true,
         restarts_in_election: true,
         ..UPGRADE
     };
-    play_upgrade_days("upgrade and leaders", THREE_CONTROLLERS, 650..654, leaders);
+    play_upgrade_days(
+        "upgrade and leaders",
+        THREE_CONTROLLERS,
+        650..654,
+        leader_crashes,
+    );
     let machines = Faults {
         controller_crashes: true,
         machine_failures: true,
@@ -58,24 +63,24 @@
         660..664,
         late,
     );
-    let gap = Faults {
+    let refusal = Faults {
         refusal_then_outage: true,
         cancel_at_completion: true,
         store_disconnects: true,
         ..UPGRADE
     };
-    play_upgrade_days("upgrade and gap", THREE_CONTROLLERS, 664..668, gap);
+    play_upgrade_days("upgrade and gap", THREE_CONTROLLERS, 664..668, refusal);
 }
 
 /// Once the limits have fallen nothing of this version is refused for its size again and again.
 #[test]
 fn few_transactions_are_too_large_after_store_limits_are_lowered() {
     for seed in 670..674 {
-        let crowd = Faults {
+        let overload = Faults {
             overload: true,
             ..UPGRADE
         };
-        let cluster = play_dependent_day(THREE_CONTROLLERS, seed, crowd, DisabledGuard::None);
+        let cluster = play_dependent_day(THREE_CONTROLLERS, seed, overload, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("limits, seed {seed}"));
         let refused = cluster.store.too_large;
         assert!(refused <= 20, "seed {seed}: refused {refused} times");
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -9,40 +9,40 @@
 /// until the machine is deleted (hunt 7f89873a).
 #[test]
 fn invariants_hold_while_a_zone_with_a_controller_is_isolated() {
-    let zone = Faults {
+    let zone_isolation = Faults {
         zone_isolation: true,
         overload: true,
         ..Faults::default()
     };
-    play_days("zone", 110..116, zone);
-    let crashes = Faults {
+    play_days("zone", 110..116, zone_isolation);
+    let with_crashes = Faults {
         controller_crashes: true,
-        ..zone
+        ..zone_isolation
     };
-    play_days("zone and crashes", 116..120, crashes);
+    play_days("zone and crashes", 116..120, with_crashes);
 }
 
 /// Other faults that days with a zone partition add to it.
-fn partition_combinations(parted: Faults) -> [Faults; 4] {
+fn partition_combinations(partitioned: Faults) -> [Faults; 4] {
     [
         Faults {
             leader_crashes: true,
-            ..parted
+            ..partitioned
         },
         Faults {
             refusal_then_outage: true,
-            ..parted
+            ..partitioned
         },
         Faults {
             restarts_in_election: true,
             overload: true,
             machine_failures: true,
-            ..parted
+            ..partitioned
         },
         Faults {
             control_plane_outage: true,
             cancel_at_completion: true,
-            ..parted
+            ..partitioned
         },
     ]
 }
@@ -51,13 +51,13 @@
 /// around through the third, and work goes on everywhere.
 #[test]
 fn invariants_hold_and_traffic_is_relayed_under_a_zone_partition() {
-    let parted = Faults {
+    let partitioned = Faults {
         zone_partition: true,
         ..Faults::default()
     };
     let (mut relayed, mut killed) = (0, [0, 0]);
     for seed in 400..406 {
-        let cluster = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::None);
+        let cluster = play_at(FIVE_CONTROLLERS, seed, partitioned, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("zones apart, seed {seed}"));
         assert!(
             cluster.observed.faults_met > 0,
@@ -65,7 +65,12 @@
         );
         relayed += cluster.observed.relayed;
         killed[0] += cluster.observed.tasks_lost;
-        let without = play_at(FIVE_CONTROLLERS, seed, parted, DisabledGuard::RelayDisabled);
+        let without = play_at(
+            FIVE_CONTROLLERS,
+            seed,
+            partitioned,
+            DisabledGuard::RelayDisabled,
+        );
         assert!(
             without.observed.violations.is_empty(),
             "{:?}",
@@ -76,7 +81,12 @@
     assert!(relayed > 500, "{relayed} went around");
     println!("lost {killed:?} with and without a way around");
     assert!(killed[0] * 3 <= killed[1], "lost {killed:?}");
-    for (seed, faults) in (406..).zip(partition_combinations(parted).into_iter().cycle().take(16)) {
+    for (seed, faults) in (406..).zip(
+        partition_combinations(partitioned)
+            .into_iter()
+            .cycle()
+            .take(16),
+    ) {
         let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
         assert_invariants_hold(
             &cluster,
--- a/src/simulation/topology.rs
+++ b/src/simulation/topology.rs
@@ -3,7 +3,9 @@
 /// How many controllers and zones there are.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Shape {
+    /// How many controllers there are.
     pub members: usize,
+    /// How many zones there are.
     pub zones: usize,
 }
 
