--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -25,37 +25,6 @@
 /// Percent of the cancelled jobs that users name as dependencies all the same.
 const CANCELLED_PARENT_PERCENT: u64 = 10;
 
-/// What became of dependent jobs; a day without any shows nothing.
-#[derive(Debug, Default)]
-pub(super) struct DependencyCounts {
-    /// Submissions that were accepted.
-    pub submitted: u64,
-    /// Accepted with dependencies that had not ended.
-    pub waited: u64,
-    /// Transactions that released dependent jobs.
-    pub released: u64,
-    /// Accepted as cancelled, since a dependency was.
-    pub cancelled_at_once: u64,
-    /// Cancelled later together with a dependency.
-    pub cancelled_with: u64,
-    /// Submissions postponed since a controller of an earlier version took part.
-    pub postponed: u64,
-    /// Still live when the user of a cancelled dependency was told.
-    pub left_at_confirmation: u64,
-}
-
-impl DependencyCounts {
-    pub(super) fn add(&mut self, other: &Self) {
-        self.submitted += other.submitted;
-        self.waited += other.waited;
-        self.released += other.released;
-        self.cancelled_at_once += other.cancelled_at_once;
-        self.cancelled_with += other.cancelled_with;
-        self.postponed += other.postponed;
-        self.left_at_confirmation += other.left_at_confirmation;
-    }
-}
-
 impl SimulatedCluster {
     /// Adds some recent jobs as dependencies, whatever has become of them. Users know only those
     /// that were accepted.
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -33,18 +33,18 @@
         if !self.active.healed || self.scale.is_some() {
             return;
         }
-        let stands = |id: &&MachineId| self.store.contains(&keys::machine(id));
-        let standing: BTreeSet<MachineId> = self
+        let recorded = |id: &&MachineId| self.store.contains(&keys::machine(id));
+        let remaining: BTreeSet<MachineId> = self
             .observed
             .deleted_machines
             .iter()
-            .filter(stands)
+            .filter(recorded)
             .cloned()
             .collect();
         self.observed
             .deleted_records_since
-            .retain(|id, _| standing.contains(id));
-        for id in standing {
+            .retain(|id, _| remaining.contains(id));
+        for id in remaining {
             let since = *self
                 .observed
                 .deleted_records_since
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -3,7 +3,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::stand_ins::Worker;
+use crate::simulation::models::Worker;
 use crate::simulation::violations::Rule;
 use crate::store::keys;
 use std::collections::BTreeSet;
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -4,6 +4,7 @@
 use super::events::SimulationEvent;
 use super::faults::Faults;
 use super::guards::DisabledGuard;
+use super::scale::{RequestCounts, Scale};
 use crate::config::Team;
 use crate::controller::TxnRequester;
 use crate::ids::{JobId, UnixTime};
@@ -13,7 +14,6 @@
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::JobRecord;
 use serde_json::json;
-use std::collections::BTreeMap;
 
 /// The part of the changes that each controller may use.
 const CHANGES_SHARE: f64 = 0.5;
@@ -28,41 +28,6 @@
 /// Beyond so many, each new service ends an old one.
 const MAX_SERVICES: u64 = 200;
 
-/// A large fleet: what exceeds the settings' rates is refused, and counted.
-pub(super) struct Scale {
-    /// Machines that are up from the start.
-    pub min_machines: usize,
-    /// The most machines that the cloud provides.
-    pub max_machines: usize,
-    /// The slots of each machine.
-    pub slots: u64,
-    /// Between two arrays, in ms.
-    array_interval_ms: u64,
-    /// Services submitted so far.
-    services: u64,
-    /// What the key-value store takes, in changes a second.
-    changes_per_s: f64,
-    /// The rate limit of each controller.
-    limiters: Vec<TokenBucket>,
-    /// What was asked of the key-value store so far.
-    pub counts: RequestCounts,
-}
-
-/// What was asked of the key-value store, and what was done with it.
-#[derive(Debug, Default)]
-pub(super) struct RequestCounts {
-    /// Transactions that were asked for.
-    pub transactions: u64,
-    /// Transactions that the rate limits refused.
-    pub refused: u64,
-    /// Changes that were let through.
-    pub changes: u64,
-    /// Changes by the part of the controller that asked for them.
-    pub by_requester: BTreeMap<&'static str, u64>,
-    /// Tasks of arrays that have ended.
-    pub ended: u64,
-}
-
 impl SimulatedCluster {
     /// Hundreds of machines, from so many to so many, and an array every so many ms.
     pub(super) fn grown(
--- /dev/null
+++ b/src/simulation/node.rs
@@ -0,0 +1,65 @@
+//! A node that a controller runs on.
+
+use super::topology::MEMBERS;
+use crate::config::Config;
+use crate::config::tests::sample_config;
+use crate::controller::Controller;
+use crate::ids::{JobId, LeaseId, Member, MonotonicTime, Revision};
+use std::collections::BTreeSet;
+
+/// A node and the controller that runs on it.
+pub(super) struct Node {
+    /// The settings that controllers start with.
+    pub config: Config,
+    /// None while the process is down.
+    pub controller: Option<Controller>,
+    /// Rises with each stop and start, so that responses to an earlier process are dropped.
+    pub generation: u64,
+    /// The last change that the watch has brought.
+    pub watched_revision: Revision,
+    /// The lease of the running process.
+    pub lease: Option<LeaseId>,
+    /// The lease of the process before, until the next one ends it.
+    pub previous_lease: Option<LeaseId>,
+    /// The key-value store refuses the controller until then.
+    pub store_cut_until: MonotonicTime,
+    /// Messages from and to other controllers are lost until then.
+    pub peers_cut_until: MonotonicTime,
+    /// The process is paused until then.
+    pub frozen_until: MonotonicTime,
+    /// Cancelled jobs whose record this process has written or read.
+    pub final_records_seen: BTreeSet<JobId>,
+    /// It runs the earlier version of the program.
+    pub earlier_version: bool,
+}
+
+impl Node {
+    /// A node of so many, before its controller starts.
+    pub(super) fn new(index: usize, members: usize, earlier_version: bool) -> Self {
+        let mut config = sample_config();
+        config.member = MEMBERS[index].into();
+        let addr = config.peer_listen;
+        let others = MEMBERS[..members].iter().filter(|m| **m != MEMBERS[index]);
+        config.controllers = members as u32;
+        config.peers = others.map(|m| (Member::from(*m), addr)).collect();
+        Self {
+            config,
+            controller: None,
+            generation: 0,
+            watched_revision: Revision(0),
+            lease: None,
+            previous_lease: None,
+            store_cut_until: MonotonicTime(0),
+            peers_cut_until: MonotonicTime(0),
+            frozen_until: MonotonicTime(0),
+            final_records_seen: BTreeSet::new(),
+            earlier_version,
+        }
+    }
+
+    /// The controller, if this process of it still runs.
+    pub(super) fn process(&mut self, generation: u64) -> Option<&mut Controller> {
+        let current = self.generation == generation;
+        self.controller.as_mut().filter(|_| current)
+    }
+}
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -1,17 +1,14 @@
-//! The nodes that controllers run on: start, tick, lease renewal and watch.
+//! The life of a controller process: start, tick, lease renewal and watch.
 
 use super::cluster::SimulatedCluster;
 use super::events::{ControllerProcess, SimulationEvent};
 use super::timing::MEMBER_LEASE_MS;
 use super::topology::MEMBERS;
-use crate::config::Config;
-use crate::config::tests::sample_config;
 use crate::controller::{Controller, Effect};
-use crate::ids::{Incarnation, JobId, LeaseId, Member, MonotonicTime, Revision, UnixTime};
+use crate::ids::{Incarnation, Member, Revision, UnixTime};
 use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ProgramVersion};
-use std::collections::BTreeSet;
 
 /// How often a controller ticks, in ms.
 const TICK_MS: u64 = 25;
@@ -21,63 +18,6 @@
 const WATCH_LAG_MS: (u64, u64) = (2, 12);
 const SLOW_WATCH_LAG_MS: (u64, u64) = (200, 3000);
 
-/// A node and the controller that runs on it.
-pub(super) struct Node {
-    /// The settings that controllers start with.
-    pub config: Config,
-    /// None while the process is down.
-    pub controller: Option<Controller>,
-    /// Rises with each stop and start, so that responses to an earlier process are dropped.
-    pub generation: u64,
-    /// The last change that the watch has brought.
-    pub watched_revision: Revision,
-    /// The lease of the running process.
-    pub lease: Option<LeaseId>,
-    /// The lease of the process before, until the next one ends it.
-    pub previous_lease: Option<LeaseId>,
-    /// The key-value store refuses the controller until then.
-    pub store_cut_until: MonotonicTime,
-    /// Messages from and to other controllers are lost until then.
-    pub peers_cut_until: MonotonicTime,
-    /// The process is paused until then.
-    pub frozen_until: MonotonicTime,
-    /// Cancelled jobs whose record this process has written or read.
-    pub final_records_seen: BTreeSet<JobId>,
-    /// It runs the earlier version of the program.
-    pub earlier_version: bool,
-}
-
-impl Node {
-    /// A node of so many, before its controller starts.
-    pub(super) fn new(index: usize, members: usize, earlier_version: bool) -> Self {
-        let mut config = sample_config();
-        config.member = MEMBERS[index].into();
-        let addr = config.peer_listen;
-        let others = MEMBERS[..members].iter().filter(|m| **m != MEMBERS[index]);
-        config.controllers = members as u32;
-        config.peers = others.map(|m| (Member::from(*m), addr)).collect();
-        Self {
-            config,
-            controller: None,
-            generation: 0,
-            watched_revision: Revision(0),
-            lease: None,
-            previous_lease: None,
-            store_cut_until: MonotonicTime(0),
-            peers_cut_until: MonotonicTime(0),
-            frozen_until: MonotonicTime(0),
-            final_records_seen: BTreeSet::new(),
-            earlier_version,
-        }
-    }
-
-    /// The controller, if this process of it still runs.
-    pub(super) fn process(&mut self, generation: u64) -> Option<&mut Controller> {
-        let current = self.generation == generation;
-        self.controller.as_mut().filter(|_| current)
-    }
-}
-
 impl SimulatedCluster {
     /// The process that runs on a node now.
     pub(super) fn process(&self, node: usize) -> ControllerProcess {
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/stand_ins/cloud.rs
@@ -1,6 +1,5 @@
 //! The cloud that machines are rented from.
 
-use super::{Worker, WorkerTask};
 use crate::cloud::RentOutcome;
 use crate::controller::Effect;
 use crate::ids::{JobId, MachineId};
@@ -9,6 +8,7 @@
 use crate::simulation::events::{ControllerProcess, SimulationEvent};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
+use crate::simulation::models::{Worker, WorkerTask};
 use crate::simulation::topology::ZONES;
 use crate::simulation::violations::Rule;
 use crate::store::keys;
--- a/src/simulation/stand_ins/gangs.rs
+++ b/src/simulation/stand_ins/gangs.rs
@@ -1,11 +1,11 @@
 //! Gangs on workers: they start together once all members are there, end together, and notice the
 //! loss of a member.
 
-use super::{Worker, WorkerTask};
 use crate::ids::{AttemptNumber, JobId, MonotonicTime};
 use crate::protocol::{ExitReason, JobKind, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::SimulationEvent;
+use crate::simulation::models::{Worker, WorkerTask};
 use std::collections::BTreeMap;
 
 /// How long a gang runs, in ms.
--- a/src/simulation/stand_ins/heartbeats.rs
+++ b/src/simulation/stand_ins/heartbeats.rs
@@ -1,6 +1,5 @@
 //! The turns of workers: tasks end, the lease runs out, heartbeats are sent and answered.
 
-use super::worker::AwaitedResponse;
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::{ExitReason, Heartbeat, JobKind, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
@@ -8,6 +7,7 @@
     HeartbeatDelivery, HeartbeatRedirect, HeartbeatResponse, SimulationEvent,
 };
 use crate::simulation::guards::DisabledGuard;
+use crate::simulation::models::AwaitedResponse;
 use crate::simulation::timing::{HEARTBEAT_TIMEOUT_MS, SHARD_LEASE_MS};
 use crate::simulation::topology::member_index;
 use crate::worker_control::HeartbeatAnswer;
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/stand_ins/network.rs
@@ -75,8 +75,8 @@
         let reachable_peers = |one: usize, other: usize| {
             let able = |n: usize| {
                 let node = &self.nodes[n];
-                let stands = node.frozen_until <= now && node.peers_cut_until <= now;
-                node.controller.is_some() && stands
+                let serving = node.frozen_until <= now && node.peers_cut_until <= now;
+                node.controller.is_some() && serving
             };
             let partitioned = self.is_partitioned(one, other);
             one != other && able(one) && able(other) && !partitioned
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -1,5 +1,5 @@
 //! The last task's end, a cancellation, repeated submissions and late copies of each, in every order:
-//! whatever comes first decides, for good, and each answer is one that the records allow.
+//! what is committed first decides permanently, and each outcome is one that the records allow.
 
 mod dependent;
 
@@ -8,7 +8,7 @@
 use crate::planning::counter::{self, Layout};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
-use crate::simulation::stand_ins::StoreModel;
+use crate::simulation::models::StoreModel;
 use crate::store::records::{FinalRecord, JobRecord, MachineRecord};
 use crate::store::{TxnOutcome, keys};
 
@@ -50,7 +50,7 @@
 }
 
 /// The end as the leader writes it, once a machine's record says that all tasks are done.
-fn end(store: &mut StoreModel, id: &JobId) -> Txn {
+fn completion(store: &mut StoreModel, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
     record.count(id, 0, 3);
@@ -62,7 +62,7 @@
     counter::release(id, &cache.jobs[id], &layout).expect("all tasks are done")
 }
 
-fn standing(store: &StoreModel, id: &JobId) -> Option<JobState> {
+fn final_state(store: &StoreModel, id: &JobId) -> Option<JobState> {
     let record = store.read::<FinalRecord>(&keys::final_state(id))?;
     Some(record.state)
 }
@@ -97,7 +97,7 @@
         let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
             panic!("not accepted");
         };
-        let ended = end(&mut store, &id);
+        let ended = completion(&mut store, &id);
         let first = order.iter().find(|s| **s != Step::Submitted);
         let expected = match first {
             Some(Step::Ended) => JobState::Done,
@@ -112,7 +112,7 @@
             };
             let outcome = store.txn(&txn);
             let done = matches!(outcome, TxnOutcome::Committed(_));
-            let now = standing(&store, &id);
+            let now = final_state(&store, &id);
             assert!(seen.is_none() || now == seen, "{order:?} went back");
             assert_eq!(done, seen.is_none() && now.is_some(), "{order:?} {step:?}");
             let live = store.contains(&keys::job(&id));
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -1,5 +1,5 @@
 //! A parent's end and its cancellation, and the submission of a child that names it, in every order:
-//! the submission looks first and writes later, so what it saw may be old by then.
+//! the submission reads first and writes later, so what it read may be old by then.
 
 use super::*;
 use crate::api::dependencies::{CancellationCascade, CascadeStep, Dependencies, DependencyState};
@@ -11,12 +11,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    Look,
-    Write,
+    ReadParent,
+    WriteSubmission,
     ParentEnds,
     ParentCancelled,
 }
 
+/// A parent and a child in one store.
 struct Scene {
     store: StoreModel,
     parent: Revision,
@@ -24,7 +25,7 @@
     /// What the submission has seen last.
     seen: Option<Dependencies>,
     /// The parent's user was told that it is cancelled.
-    told: bool,
+    confirmed: bool,
 }
 
 impl Scene {
@@ -34,19 +35,19 @@
         let TxnOutcome::Committed(revision) = store.txn(&submission(&parent)) else {
             panic!("not accepted");
         };
-        let ends = end(&mut store, &parent);
+        let ends = completion(&mut store, &parent);
         Self {
             store,
             parent: revision,
             ends,
             seen: None,
-            told: false,
+            confirmed: false,
         }
     }
 
-    fn look(&mut self) {
+    fn read_parent(&mut self) {
         let parent = JobId::from(PARENT);
-        let named = match standing(&self.store, &parent) {
+        let named = match final_state(&self.store, &parent) {
             Some(JobState::Done) => DependencyState::Done,
             Some(_) => DependencyState::Cancelled,
             None => DependencyState::Live {
@@ -63,7 +64,7 @@
         spec.dependencies = vec![PARENT.into()];
         for _ in 0..2 {
             if self.seen.is_none() {
-                self.look();
+                self.read_parent();
             }
             let seen = self.seen.take().expect("seen");
             let (txn, _) = seen.accept(&spec, UnixTime(9), OPS).expect("decided");
@@ -74,7 +75,7 @@
         panic!("not accepted");
     }
 
-    /// Cancels as the intake does: the job, then all that need it, and then its user is told.
+    /// Cancels as the API does: the job, then all its dependents, and then its user is told.
     fn cancel(&mut self) {
         let parent = JobId::from(PARENT);
         let outcome = self.store.txn(&cancellation(&parent, self.parent));
@@ -86,7 +87,7 @@
             let cache = self.store.snapshot(&sample_config(), false);
             match cascade.next(&cache, OPS) {
                 CascadeStep::Complete => break,
-                CascadeStep::Wait => panic!("the mirror is up to date"),
+                CascadeStep::Wait => panic!("the watch cache is up to date"),
                 CascadeStep::Write(txn, _) => {
                     if let TxnOutcome::Committed(at) = self.store.txn(&txn) {
                         cascade.committed(at);
@@ -94,24 +95,25 @@
                 }
             }
         }
-        self.told = true;
+        self.confirmed = true;
     }
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Look => self.look(),
-            Event::Write => self.write(),
+            Event::ReadParent => self.read_parent(),
+            Event::WriteSubmission => self.write(),
             Event::ParentEnds => drop(self.store.txn(&self.ends)),
             Event::ParentCancelled => self.cancel(),
         }
     }
 
-    /// The child's record, if it is accepted and not over.
+    /// The child's record, if it is accepted and has not ended.
     fn child(&self) -> Option<JobRecord> {
         self.store.read(&keys::job(&CHILD.into()))
     }
 }
 
+/// All orders of the events.
 fn orders_of(rest: &[Event]) -> Vec<Vec<Event>> {
     if rest.is_empty() {
         return vec![Vec::new()];
@@ -131,8 +133,8 @@
 #[test]
 fn child_follows_its_parent_in_every_order_of_events() {
     let events = [
-        Event::Look,
-        Event::Write,
+        Event::ReadParent,
+        Event::WriteSubmission,
         Event::ParentEnds,
         Event::ParentCancelled,
     ];
@@ -141,15 +143,18 @@
         let mut scene = Scene::new();
         for event in &order {
             scene.handle_event(*event);
-            let done = standing(&scene.store, &PARENT.into()) == Some(JobState::Done);
+            let done = final_state(&scene.store, &PARENT.into()) == Some(JobState::Done);
             if let Some(child) = scene.child() {
                 assert!(child.is_blocked() || done, "{order:?}: too early");
-                assert!(!scene.told, "{order:?}: left behind when the user was told");
+                assert!(
+                    !scene.confirmed,
+                    "{order:?}: left behind when the user was told"
+                );
                 waited += u64::from(child.is_blocked());
             }
         }
-        let child = standing(&scene.store, &CHILD.into());
-        match standing(&scene.store, &PARENT.into()) {
+        let child = final_state(&scene.store, &CHILD.into());
+        match final_state(&scene.store, &PARENT.into()) {
             Some(JobState::Done) => assert!(child.is_none() && scene.child().is_some()),
             Some(JobState::Cancelled) => {
                 assert_eq!(child, Some(JobState::Cancelled), "{order:?}");
--- a/src/simulation/tests/dependent_days.rs
+++ b/src/simulation/tests/dependent_days.rs
@@ -2,9 +2,9 @@
 
 use super::{SINGLE_FAULTS, assert_invariants_hold};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::dependencies::DependencyCounts;
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
+use crate::simulation::observations::DependencyCounts;
 use crate::simulation::topology::{FIVE_CONTROLLERS, Shape, THREE_CONTROLLERS};
 use crate::simulation::violations::Rule;
 
@@ -21,8 +21,8 @@
     ..DEPENDENT_JOBS
 };
 
-/// Jobs that need one another end one after the other: the longest chains on these days take some
-/// minutes once all is well.
+/// Dependent jobs end one after the other: the longest chains on these days take some minutes
+/// once all faults are healed.
 const DAY_END_MS: u64 = 340_000;
 
 /// Plays a day until dependent jobs have ended as well.
@@ -72,7 +72,7 @@
         DEPENDENT_JOBS,
     );
     assert_dependencies_exercised(&counts);
-    // Nobody is told of a cancellation while something that needs the job still waits.
+    // Nobody is told of a cancellation while a dependent of the job is still live.
     assert_eq!(counts.left_at_confirmation, 0);
 }
 
--- a/src/simulation/tests/growth.rs
+++ b/src/simulation/tests/growth.rs
@@ -2,7 +2,7 @@
 //! times, so that growing costs can't return unnoticed.
 
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::large_fleet::RequestCounts;
+use crate::simulation::scale::RequestCounts;
 
 /// Plays a day of a fleet; returns what was asked of the store, and how many tasks were launched.
 fn cost(mut cluster: SimulatedCluster, until: u64) -> (RequestCounts, u64) {
@@ -24,12 +24,12 @@
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
     // A batch a second, not a plan for each job.
     assert!(by["plans"] <= 120, "{by:?}");
-    // A refusal is not followed by the same again at once: it once went round and round.
+    // A refused transaction is not repeated at once, which used to go on without end.
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
 }
 
-/// Far more is asked than the fleet can do: changes go on being spent on the most tasks, and
-/// nothing is looked at again and again.
+/// Far more is asked than the fleet can do: changes are still spent on the most tasks, and
+/// nothing is scanned over and over.
 #[test]
 fn overloaded_fleet_writes_few_changes_per_task() {
     let (counts, starts) = cost(SimulatedCluster::grown(8, (120, 120), 50.0, 300), 90_000);
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -6,7 +6,7 @@
 use crate::simulation::topology::FIVE_CONTROLLERS;
 
 /// The controller inside keeps its machines' leases alive, so what was cancelled goes on there
-/// until the machine is deleted (hunt 7f89873a).
+/// until the machine is deleted.
 #[test]
 fn invariants_hold_while_a_zone_with_a_controller_is_isolated() {
     let zone_isolation = Faults {
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -5,7 +5,7 @@
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
-use super::stand_ins::StoreLimits;
+use super::models::StoreLimits;
 
 /// When the first controller is upgraded, and the time between two upgrades, in ms.
 const FIRST_UPGRADE_MS: u64 = 15_000;
--- a/src/simulation/violations.rs
+++ b/src/simulation/violations.rs
@@ -43,7 +43,9 @@
 #[derive(Debug)]
 #[expect(dead_code, reason = "time and subject are printed by failing tests")]
 pub(super) struct Violation {
+    /// The rule.
     pub rule: Rule,
+    /// When it was noticed.
     pub at: MonotonicTime,
     /// The job, task attempt or machine.
     pub subject: String,
