--- a/src/simulation/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -1,14 +1,14 @@
 //! The last task's end, a cancellation, repeated submissions and late copies of each, in every order:
-//! whatever comes first decides, for good, and each answer is one that the records allow.
+//! what is committed first decides permanently, and each outcome is one that the records allow.
 
 mod dependent;
 
-use super::stand_ins::StoreModel;
 use crate::config::tests::sample_config;
 use crate::ids::{JobId, MachineId, Revision, UnixTime};
 use crate::planning::counter::{self, Layout};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
+use crate::simulation::models::StoreModel;
 use crate::store::records::{FinalRecord, JobRecord, MachineRecord};
 use crate::store::{TxnOutcome, keys};
 
@@ -50,7 +50,7 @@
 }
 
 /// The end as the leader writes it, once a machine's record says that all tasks are done.
-fn end(store: &mut StoreModel, id: &JobId) -> Txn {
+fn completion(store: &mut StoreModel, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
     record.count(id, 0, 3);
@@ -62,13 +62,13 @@
     counter::release(id, &cache.jobs[id], &layout).expect("all tasks are done")
 }
 
-fn standing(store: &StoreModel, id: &JobId) -> Option<JobState> {
-    let (value, ..) = store.keys.get(&keys::final_state(id))?;
-    let record: FinalRecord = serde_json::from_value(value.clone()).expect("record");
+fn final_state(store: &StoreModel, id: &JobId) -> Option<JobState> {
+    let record = store.read::<FinalRecord>(&keys::final_state(id))?;
     Some(record.state)
 }
 
-fn commands(rest: &[Step]) -> Vec<Vec<Step>> {
+/// All different orders of the steps.
+fn distinct_orders(rest: &[Step]) -> Vec<Vec<Step>> {
     let mut all = Vec::new();
     for (at, first) in rest.iter().enumerate() {
         if rest[..at].contains(first) {
@@ -79,7 +79,7 @@
         if left.is_empty() {
             return vec![vec![*first]];
         }
-        for mut order in commands(&left) {
+        for mut order in distinct_orders(&left) {
             order.insert(0, *first);
             all.push(order);
         }
@@ -88,16 +88,16 @@
 }
 
 #[test]
-fn ends_cancellations_and_repeats_in_any_order_leave_one_answer_for_good() {
+fn final_state_is_permanent_in_every_order_of_end_cancel_and_resubmit() {
     let id = JobId::from("job-1");
-    let commands = commands(&ALL);
-    assert_eq!(commands.len(), 90);
-    for order in commands {
+    let orders = distinct_orders(&ALL);
+    assert_eq!(orders.len(), 90);
+    for order in orders {
         let mut store = StoreModel::default();
         let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
             panic!("not accepted");
         };
-        let ended = end(&mut store, &id);
+        let ended = completion(&mut store, &id);
         let first = order.iter().find(|s| **s != Step::Submitted);
         let expected = match first {
             Some(Step::Ended) => JobState::Done,
@@ -112,10 +112,10 @@
             };
             let outcome = store.txn(&txn);
             let done = matches!(outcome, TxnOutcome::Committed(_));
-            let now = standing(&store, &id);
+            let now = final_state(&store, &id);
             assert!(seen.is_none() || now == seen, "{order:?} went back");
             assert_eq!(done, seen.is_none() && now.is_some(), "{order:?} {step:?}");
-            let live = store.keys.contains_key(&keys::job(&id));
+            let live = store.contains(&keys::job(&id));
             assert!(live != now.is_some(), "{order:?}: neither or both");
             seen = now;
         }
