--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -124,7 +124,7 @@
             if self.ended.is_empty() || !silent(id) {
                 continue;
             }
-            for (attempt, _) in machine.record.runs() {
+            for (attempt, _) in machine.record.attempts() {
                 let Some(ended) = self.ended.get_mut(&attempt.task.job) else {
                     continue;
                 };
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -31,15 +31,15 @@
 #[derive(Debug)]
 pub(crate) enum Effect {
     /// Rent machines; the answer goes to `Autoscaler::on_rent`.
-    Rent(RentRequest),
+    RentMachines(RentRequest),
     /// Delete these machines; the answer goes to `Autoscaler::on_deleted`.
-    Delete(Vec<MachineId>),
+    DeleteMachines(Vec<MachineId>),
     /// Ask for the list of machines; the answer goes to `Autoscaler::on_list`.
-    List,
+    ListMachines,
     /// Ask for the catalog; the answer goes to `Autoscaler::on_catalog`.
-    Catalog,
+    FetchCatalog,
     /// The machine is proved gone: its record goes, with all placements on it.
-    DropRecord(MachineId),
+    DeleteRecord(MachineId),
 }
 
 /// Rents machines for unmet demand, drains and returns idle ones, and deletes those that failed,
@@ -148,7 +148,7 @@
                 self.deletions.confirm(now, id);
                 self.failed.remove(id);
                 self.boots.remove(id);
-                out.push(Effect::DropRecord(id.clone()));
+                out.push(Effect::DeleteRecord(id.clone()));
             } else {
                 self.deletions.retry(now, id);
             }
@@ -176,7 +176,12 @@
         self.decommission(now, drained);
         self.delete_machines(now, cache, scheduler, out);
         self.scale_out(now, cache, scheduler);
-        out.extend(self.rentals.take_due(now).into_iter().map(Effect::Rent));
+        out.extend(
+            self.rentals
+                .take_due(now)
+                .into_iter()
+                .map(Effect::RentMachines),
+        );
     }
 
     fn begin_term(&mut self, term: Revision, now: MonotonicTime) {
@@ -192,10 +197,10 @@
 
     fn poll_cloud(&mut self, now: MonotonicTime, out: &mut Vec<Effect>) {
         if self.machine_list.start_if_due(now) {
-            out.push(Effect::List);
+            out.push(Effect::ListMachines);
         }
         if self.catalog.start_if_due(now) {
-            out.push(Effect::Catalog);
+            out.push(Effect::FetchCatalog);
         }
     }
 
@@ -210,13 +215,13 @@
         // A record that came back with a late heartbeat, or whose removal failed, goes as well.
         for id in self.deletions.confirmed() {
             if cache.machines.contains_key(id) {
-                out.push(Effect::DropRecord(id.clone()));
+                out.push(Effect::DeleteRecord(id.clone()));
             }
         }
         let due = self.deletions.take_due(now);
         if !due.is_empty() {
             scheduler.leaving.extend(due.iter().cloned());
-            out.push(Effect::Delete(due));
+            out.push(Effect::DeleteMachines(due));
         }
     }
 
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -208,8 +208,8 @@
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
-        let mut together = scheduler.unmet_demands.iter().filter(|s| s.together);
-        together.any(|unmet_demand| {
+        let mut all_at_once = scheduler.unmet_demands.iter().filter(|s| s.all_at_once);
+        all_at_once.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
             };
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -33,7 +33,7 @@
         let mut incoming =
             IncomingMachines::collect(now, &self.boots, &self.rentals, &catalog, cache);
         let mut cpu_shortfall = self.cpu_shortfall(&catalog, &incoming);
-        if scheduler.unmet_demands.iter().any(|s| s.together) || cpu_shortfall > 0 {
+        if scheduler.unmet_demands.iter().any(|s| s.all_at_once) || cpu_shortfall > 0 {
             let mut wanted = cpu_shortfall.max(1);
             self.reclaim_leaving(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
@@ -70,10 +70,10 @@
         let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
         // The next replicas must not wait for a machine to boot.
-        if on_demand < wanted && !unmet_demands.iter().any(|s| s.together) {
+        if on_demand < wanted && !unmet_demands.iter().any(|s| s.all_at_once) {
             unmet_demands.extend(one_replica(cache));
         }
-        unmet_demands.sort_by_key(|s| !s.together);
+        unmet_demands.sort_by_key(|s| !s.all_at_once);
         merge_alike(unmet_demands, cache)
     }
 
@@ -123,9 +123,7 @@
         job: id.clone(),
         need: job.spec.need(),
         tasks: 1,
-        seconds: 0.0,
-        priority: job.spec.priority,
-        together: true,
+        all_at_once: true,
         cached_only: false,
     })
 }
@@ -143,7 +141,7 @@
         return 0;
     };
     let spec = &job.spec;
-    if unmet_demand.together || !is_served(unmet_demand, spec, incoming, cache) {
+    if unmet_demand.all_at_once || !is_served(unmet_demand, spec, incoming, cache) {
         return incoming.place(unmet_demand, spec);
     }
     let cpus = unmet_demand.need.cpus;
@@ -182,7 +180,10 @@
                 (Some(a), Some(b)) => (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot),
                 _ => false,
             };
-            alike && !unmet_demand.together && !other.together && other.need == unmet_demand.need
+            alike
+                && !unmet_demand.all_at_once
+                && !other.all_at_once
+                && other.need == unmet_demand.need
         };
         match merged.iter_mut().find(same) {
             Some(other) => other.tasks += unmet_demand.tasks,
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -93,7 +93,7 @@
         let mut out = Vec::new();
         autoscaler.step(now, Revision(1), &cache, &mut scheduler, &mut out);
         for effect in out {
-            if let Effect::Delete(ids) = effect {
+            if let Effect::DeleteMachines(ids) = effect {
                 deletions += 1;
                 autoscaler.on_deleted(now, &ids, true, &mut Vec::new());
             }
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -172,7 +172,7 @@
         if !ids.is_empty() {
             tracing::info!(machines = ?ids, "owned machines are deleted: tasks of a cancelled job did not stop in time");
             requested_deletions.extend(ids.iter().map(|id| (id.clone(), now)));
-            effects.push(Effect::Delete(ids));
+            effects.push(Effect::DeleteMachines(ids));
         }
     }
 }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,10 +1,11 @@
 //! What a controller's decisions ask its process to do, and whom the outcome concerns.
 
-use crate::ids::{FencingToken, JobId, MachineId, Member, WorkerEpoch};
+use crate::ids::{JobId, MachineId, Member};
 use crate::peers::Message;
+use crate::protocol::RentRequest;
 use crate::protocol::store::Txn;
-use crate::protocol::{Command, RentRequest};
 use crate::store::rate_limiter::RequestClass;
+use crate::worker_control::DirectCall;
 
 /// Whom a transaction's outcome concerns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,28 +41,17 @@
         txn: Txn,
     },
     /// Send direct commands to a worker.
-    Call {
-        /// The worker's machine.
-        machine: MachineId,
-        /// Its address and port.
-        addr: String,
-        /// The token under which the commands are sent.
-        token: FencingToken,
-        /// The worker's epoch that they are meant for.
-        epoch: WorkerEpoch,
-        /// None: the call raises the worker's token and brings its status.
-        commands: Vec<Command>,
-    },
+    Call(DirectCall),
     /// Send a message to another controller.
     Peer(Member, Message),
     /// Request machines from the cloud.
-    Rent(RentRequest),
+    RentMachines(RentRequest),
     /// Delete machines at the cloud.
-    Delete(Vec<MachineId>),
+    DeleteMachines(Vec<MachineId>),
     /// List the cloud's machines.
-    List,
+    ListMachines,
     /// Fetch the cloud's machine types.
-    Catalog,
+    FetchCatalog,
     /// Read how a job has ended.
     QueryOutcome(JobId),
 }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -140,19 +140,7 @@
                     class: RequestClass::Place,
                     txn,
                 }),
-                worker_control::Effect::Call {
-                    machine,
-                    addr,
-                    token,
-                    epoch,
-                    commands,
-                } => effects.push(Effect::Call {
-                    machine,
-                    addr,
-                    token,
-                    epoch,
-                    commands,
-                }),
+                worker_control::Effect::Call(call) => effects.push(Effect::Call(call)),
                 worker_control::Effect::ToLeader(message) => {
                     self.send_to_leader(now, message, effects);
                 }
@@ -220,11 +208,11 @@
         let mut effects = Vec::new();
         for effect in out {
             match effect {
-                cloud::Effect::Rent(request) => effects.push(Effect::Rent(request)),
-                cloud::Effect::Delete(ids) => effects.push(Effect::Delete(ids)),
-                cloud::Effect::List => effects.push(Effect::List),
-                cloud::Effect::Catalog => effects.push(Effect::Catalog),
-                cloud::Effect::DropRecord(id) => effects.extend(self.delete_record(now, &id)),
+                cloud::Effect::RentMachines(request) => effects.push(Effect::RentMachines(request)),
+                cloud::Effect::DeleteMachines(ids) => effects.push(Effect::DeleteMachines(ids)),
+                cloud::Effect::ListMachines => effects.push(Effect::ListMachines),
+                cloud::Effect::FetchCatalog => effects.push(Effect::FetchCatalog),
+                cloud::Effect::DeleteRecord(id) => effects.extend(self.delete_record(now, &id)),
             }
         }
         effects
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -72,7 +72,7 @@
 fn answering_machine_is_tracked_without_any_store_event() {
     let mut controller = alone();
     let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
-    let asked = effects.iter().any(|e| matches!(e, Effect::Call { .. }));
+    let asked = effects.iter().any(|e| matches!(e, Effect::Call(_)));
     assert!(asked && controller.shard_owner.tracked_count() == 0);
     let done = DirectCallOutcome::Done(heartbeat(5));
     controller.on_call(
@@ -90,7 +90,7 @@
 #[test]
 fn leader_without_a_valid_lease_makes_no_cloud_calls() {
     let mut controller = alone();
-    let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::List));
+    let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::ListMachines));
     controller.set_lease_deadline(MonotonicTime(2000));
     assert!(calls(
         controller.tick(MonotonicTime(1000), crate::ids::UnixTime(1000))
@@ -142,7 +142,7 @@
         let effects = controller.tick(MonotonicTime(now), crate::ids::UnixTime(now));
         deleted += effects
             .iter()
-            .filter(|e| matches!(e, Effect::Delete(_)))
+            .filter(|e| matches!(e, Effect::DeleteMachines(_)))
             .count();
     }
     deleted
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -3,12 +3,12 @@
 use super::node::Node;
 use crate::controller::{Effect, TxnRequester};
 use crate::http::{Failure, Method, Response};
-use crate::ids::{FencingToken, JobId, MachineId, WorkerEpoch};
+use crate::ids::{JobId, MachineId};
 use crate::protocol::store::Txn;
-use crate::protocol::{self, Command, Heartbeat, RentRequest, path};
+use crate::protocol::{self, Heartbeat, RentRequest, path};
 use crate::runtime;
 use crate::store::rate_limiter::RequestClass;
-use crate::worker_control::DirectCallOutcome;
+use crate::worker_control::{DirectCall, DirectCallOutcome};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,18 +27,12 @@
                     class,
                     txn,
                 } => runtime::spawn(node.run_transaction(requester, class, txn)),
-                Effect::Call {
-                    machine,
-                    addr,
-                    token,
-                    epoch,
-                    commands,
-                } => runtime::spawn(node.run_direct_call(machine, addr, token, epoch, commands)),
-                Effect::Rent(request) => runtime::spawn(node.rent_machines(request)),
-                Effect::Delete(ids) => runtime::spawn(node.delete_machines(ids)),
+                Effect::Call(call) => runtime::spawn(node.run_direct_call(call)),
+                Effect::RentMachines(request) => runtime::spawn(node.rent_machines(request)),
+                Effect::DeleteMachines(ids) => runtime::spawn(node.delete_machines(ids)),
                 Effect::QueryOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
-                Effect::List => runtime::spawn(node.list_machines()),
-                Effect::Catalog => runtime::spawn(node.fetch_catalog()),
+                Effect::ListMachines => runtime::spawn(node.list_machines()),
+                Effect::FetchCatalog => runtime::spawn(node.fetch_catalog()),
             }
         }
     }
@@ -54,22 +48,15 @@
         self.update(|controller, now| controller.on_txn(now, &requester, &outcome));
     }
 
-    async fn run_direct_call(
-        self: Rc<Self>,
-        machine: MachineId,
-        addr: String,
-        token: FencingToken,
-        epoch: WorkerEpoch,
-        commands: Vec<Command>,
-    ) {
-        let outcome = match addr.parse() {
+    async fn run_direct_call(self: Rc<Self>, call: DirectCall) {
+        let outcome = match call.addr.parse() {
             Err(_) => DirectCallOutcome::NotSent,
             Ok(addr) => {
-                let body = protocol::commands(token, Some(epoch), &commands);
+                let body = protocol::commands(call.token, Some(call.epoch), &call.commands);
                 self.call_worker(addr, &body).await
             }
         };
-        self.update(|controller, now| controller.on_call(now, &machine, token, outcome));
+        self.update(|controller, now| controller.on_call(now, &call.machine, call.token, outcome));
     }
 
     async fn call_worker(&self, addr: SocketAddr, body: &[u8]) -> DirectCallOutcome {
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -148,7 +148,7 @@
             type_name: &machine.record.type_name,
             zone: &machine.record.zone,
             spot: machine.record.spot,
-            tasks: machine.record.runs().count(),
+            tasks: machine.record.attempts().count(),
             used: machine.record.used(),
         })
         .collect()
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -40,7 +40,7 @@
         let Some(machine) = self.cache.machines.get(id) else {
             return;
         };
-        for (attempt, placed) in machine.record.runs() {
+        for (attempt, placed) in machine.record.attempts() {
             let Some(job) = self.cache.jobs.get(&attempt.task.job) else {
                 continue;
             };
@@ -89,7 +89,7 @@
             else {
                 continue;
             };
-            for (attempt, _) in machine.record.runs() {
+            for (attempt, _) in machine.record.attempts() {
                 let job = self.cache.jobs.get(&attempt.task.job);
                 let can_save = job.is_some_and(|j| {
                     j.spec.checkpoint_s > 0.0 && j.spec.save_s + SAVE_MARGIN_S < left.as_secs_f64()
--- a/src/placement/scheduler/pass.rs
+++ b/src/placement/scheduler/pass.rs
@@ -95,6 +95,6 @@
     // What waits for changes does not start sooner where something is stopped, and what is
     // stopped has to be placed again, with changes that are lacking.
     let unmet_demands = pass.unmet_demands.iter().cloned();
-    demands.extend(unmet_demands.filter(|demand| demand.together || !pass.changes_spent));
+    demands.extend(unmet_demands.filter(|demand| demand.all_at_once || !pass.changes_spent));
     demands
 }
--- a/src/placement/unmet_demand.rs
+++ b/src/placement/unmet_demand.rs
@@ -1,12 +1,11 @@
 //! Demand without free capacity: the input for scaling out and for preemption.
 
 use crate::ids::{JobId, Resources};
-use crate::planning::predicted_s;
-use crate::protocol::{JobKind, Priority};
+use crate::protocol::JobKind;
 use crate::store::watch_cache::LiveJob;
 
 /// Tasks of one job for which no machine has free capacity.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug)]
 pub(crate) struct UnmetDemand {
     /// The job that the tasks belong to.
     pub job: JobId,
@@ -14,12 +13,8 @@
     pub need: Resources,
     /// How many tasks there are.
     pub tasks: u64,
-    /// The predicted run time of one task.
-    pub seconds: f64,
-    /// The job's priority, or that of the most urgent job that depends on it.
-    pub priority: Priority,
     /// All tasks at the same time: a service or a gang.
-    pub together: bool,
+    pub all_at_once: bool,
     /// Only a machine that has the image will do.
     pub cached_only: bool,
 }
@@ -32,9 +27,7 @@
             job: id.clone(),
             need: spec.need(),
             tasks,
-            seconds: predicted_s(job),
-            priority: job.priority(),
-            together: spec.kind != JobKind::Array,
+            all_at_once: spec.kind != JobKind::Array,
             cached_only: false,
         }
     }
--- a/src/placement/victims.rs
+++ b/src/placement/victims.rs
@@ -36,7 +36,7 @@
     let machine = cache.machines.get(candidate.id)?;
     let mut running: Vec<(Priority, TaskAttempt, Resources)> = machine
         .record
-        .runs()
+        .attempts()
         .filter_map(|(attempt, placed)| {
             Some((preemptible(&attempt, placed)?, attempt, placed.need))
         })
--- a/src/simulation/digest_recorder.rs
+++ b/src/simulation/digest_recorder.rs
@@ -36,24 +36,19 @@
     pub(super) fn add_effect(&mut self, node: usize, effect: &Effect) {
         match effect {
             Effect::Txn { txn, .. } => self.add_json(node, 0, txn),
-            Effect::Call {
-                machine,
-                addr,
-                token,
-                epoch,
-                commands,
-            } => {
-                self.add_json(node, 1, &(machine, addr));
-                self.add(node, 1, &protocol::commands(*token, Some(*epoch), commands));
+            Effect::Call(call) => {
+                self.add_json(node, 1, &(&call.machine, &call.addr));
+                let body = protocol::commands(call.token, Some(call.epoch), &call.commands);
+                self.add(node, 1, &body);
             }
             Effect::Peer(to, message) => {
                 self.add_json(node, 2, to);
                 self.add(node, 2, &encode_frame(message).expect("frame"));
             }
-            Effect::Rent(request) => self.add_json(node, 3, request),
-            Effect::Delete(machines) => self.add_json(node, 4, machines),
-            Effect::List => self.add(node, 5, b""),
-            Effect::Catalog => self.add(node, 6, b""),
+            Effect::RentMachines(request) => self.add_json(node, 3, request),
+            Effect::DeleteMachines(machines) => self.add_json(node, 4, machines),
+            Effect::ListMachines => self.add(node, 5, b""),
+            Effect::FetchCatalog => self.add(node, 6, b""),
             Effect::QueryOutcome(job) => self.add_json(node, 7, job),
         }
     }
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -44,20 +44,14 @@
     fn execute_effect(&mut self, caller: ControllerProcess, effect: Effect) {
         match effect {
             Effect::Txn { requester, txn, .. } => self.send_txn(caller, requester, txn),
-            Effect::Call {
-                machine,
-                token,
-                epoch,
-                commands,
-                ..
-            } => {
+            Effect::Call(call) => {
                 let ms = self.pick(REQUEST_MS.0, REQUEST_MS.1);
                 let call = DirectCall {
                     caller,
-                    machine,
-                    token,
-                    epoch,
-                    commands,
+                    machine: call.machine,
+                    token: call.token,
+                    epoch: call.epoch,
+                    commands: call.commands,
                     redeliveries: 0,
                 };
                 self.schedule_in(ms, SimulationEvent::DirectCall(call));
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/stand_ins/cloud.rs
@@ -35,10 +35,10 @@
     ) {
         self.duplicate_cloud_call(caller.node, &effect);
         match effect {
-            Effect::Rent(request) => self.rent(caller, &request),
-            Effect::Delete(ids) => self.delete_machines(caller, &ids),
-            Effect::List => self.list_machines(caller),
-            Effect::Catalog => self.send_catalog(caller),
+            Effect::RentMachines(request) => self.rent(caller, &request),
+            Effect::DeleteMachines(ids) => self.delete_machines(caller, &ids),
+            Effect::ListMachines => self.list_machines(caller),
+            Effect::FetchCatalog => self.send_catalog(caller),
             Effect::QueryOutcome(job) => self.query_outcome(caller, &job),
             Effect::Txn { .. } | Effect::Call { .. } | Effect::Peer(..) => {}
         }
@@ -49,8 +49,8 @@
             return;
         };
         let again = match effect {
-            Effect::Rent(request) => Effect::Rent(request.clone()),
-            Effect::Delete(ids) => Effect::Delete(ids.clone()),
+            Effect::RentMachines(request) => Effect::RentMachines(request.clone()),
+            Effect::DeleteMachines(ids) => Effect::DeleteMachines(ids.clone()),
             _ => return,
         };
         let caller = ControllerProcess::gone(node);
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -113,7 +113,7 @@
     }
 
     /// The placed attempts, each with the entry of its job.
-    pub(crate) fn runs(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
+    pub(crate) fn attempts(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
         self.jobs.iter().flat_map(|placed| {
             placed.tasks.iter().map(move |(index, attempt_number)| {
                 let attempt = TaskAttempt {
--- a/src/worker_control/mod.rs
+++ b/src/worker_control/mod.rs
@@ -5,5 +5,5 @@
 mod shard_owner;
 
 pub(crate) use shard_owner::{
-    DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner,
+    DirectCall, DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner,
 };
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -14,7 +14,7 @@
 mod transactions;
 mod write_queue;
 
-pub(crate) use effects::{DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath};
+pub(crate) use effects::{DirectCall, DirectCallOutcome, Effect, HeartbeatAnswer, HeartbeatPath};
 
 use super::machine_tracker::{MachineTracker, RecordLimits};
 use crate::config::Config;
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -36,7 +36,10 @@
         let (Some(tracker), Some(machine)) = (self.trackers.get(id), cache.machines.get(id)) else {
             return false;
         };
-        let mut attempts = machine.record.runs().filter(|(r, _)| r.task.job == *job);
+        let mut attempts = machine
+            .record
+            .attempts()
+            .filter(|(r, _)| r.task.job == *job);
         (known && tracker.obeys_us()) || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
     }
 
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -1,7 +1,7 @@
 //! What a shard owner commands its workers to do, in answers and by direct command.
 
 use super::calls::CALL_RETRY_DELAY;
-use super::{Effect, ShardOwner};
+use super::{DirectCall, Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
 use crate::protocol::{Command, TaskState};
 use crate::store::watch_cache::{LiveMachine, WatchCache};
@@ -104,13 +104,13 @@
             return;
         };
         tracker.calls_mut().begin(commands.clone(), next_at);
-        out.push(Effect::Call {
+        out.push(Effect::Call(DirectCall {
             machine: id.clone(),
             addr: tracker.addr().to_owned(),
             token: tracker.token(),
             epoch: tracker.epoch(),
             commands,
-        });
+        }));
     }
 }
 
@@ -145,7 +145,7 @@
     route: CommandRoute,
 ) -> Vec<Command> {
     let mut commands = Vec::new();
-    for (attempt, _) in machine.record.runs() {
+    for (attempt, _) in machine.record.attempts() {
         let cancelled = !cache.jobs.contains_key(&attempt.task.job);
         let stop_grace = if cancelled {
             Some(Millis(0))
@@ -229,5 +229,9 @@
             && tracker.is_launch_unanswered(attempt)
             && tracker.presence(attempt) == TaskPresence::MayAppear
     };
-    burden || machine.record.runs().any(|(attempt, _)| is_stuck(&attempt))
+    burden
+        || machine
+            .record
+            .attempts()
+            .any(|(attempt, _)| is_stuck(&attempt))
 }
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -17,18 +17,7 @@
         txn: Txn,
     },
     /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_call`].
-    Call {
-        /// The machine.
-        machine: MachineId,
-        /// Where its worker takes direct commands.
-        addr: String,
-        /// The token that the commands carry.
-        token: FencingToken,
-        /// The worker's epoch for which they are meant.
-        epoch: WorkerEpoch,
-        /// The commands; none at all makes a probe.
-        commands: Vec<Command>,
-    },
+    Call(DirectCall),
     /// Send a message to the leader.
     ToLeader(Message),
     /// A machine that has no record answers. Its first placement writes one: until then it
@@ -40,6 +29,21 @@
     RenewShard(ShardId),
 }
 
+/// Commands that are sent to a worker directly, not in the answer to a heartbeat.
+#[derive(Clone, Debug)]
+pub(crate) struct DirectCall {
+    /// The worker's machine.
+    pub machine: MachineId,
+    /// Where the worker takes direct commands: address and port.
+    pub addr: String,
+    /// The token that the commands carry. It raises the worker's own.
+    pub token: FencingToken,
+    /// The worker's epoch for which they are meant.
+    pub epoch: WorkerEpoch,
+    /// The commands; none at all makes a probe, which the worker answers with its status.
+    pub commands: Vec<Command>,
+}
+
 /// What a worker's heartbeat is answered with.
 #[derive(Debug)]
 pub(crate) enum HeartbeatAnswer {
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers and their answers.
 
 use super::health::machine_health;
-use super::{Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner};
+use super::{DirectCall, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner};
 use crate::ids::{FencingToken, MachineId, Member, Millis, MonotonicTime, Revision};
 use crate::peers::Message;
 use crate::protocol::Heartbeat;
@@ -126,13 +126,13 @@
             return;
         }
         self.probed.insert(heartbeat.machine.clone(), now);
-        out.push(Effect::Call {
+        out.push(Effect::Call(DirectCall {
             machine: heartbeat.machine.clone(),
             addr: heartbeat.addr.clone(),
             token: token_at_least(fence, heartbeat),
             epoch: heartbeat.epoch,
             commands: Vec::new(),
-        });
+        }));
     }
 }
 
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -113,7 +113,7 @@
     let touch = needs_touch(tracker);
     let awaited = placements.pending().any(|p| is_awaited(p.spec.kind));
     unwritten.add_urgency(touch || awaited);
-    for (attempt, placed) in machine.record.runs() {
+    for (attempt, placed) in machine.record.attempts() {
         let Some(outcome) = attempt_outcome(tracker, &attempt, cache) else {
             continue;
         };
@@ -123,6 +123,6 @@
         }
         unwritten.add_ended(EndedPlacement { attempt, outcome }, placed.need);
     }
-    unwritten.detect_idle(machine.record.runs().count());
+    unwritten.detect_idle(machine.record.attempts().count());
     (touch || !unwritten.is_empty()).then_some(unwritten)
 }
