--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -18,12 +18,12 @@
             cache: WatchCache::new(&sample_config()),
             revision: 0,
         };
-        let hull = |name: &str, cores: u32| {
+        let machine_type = |name: &str, cores: u32| {
             json!({"name": name, "cores": cores, "cards": 0, "memory_gb": 64, "cache_gb": 50,
                    "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
                    "berths": ["a"]})
         };
-        let catalog = json!({"hulls": [hull("small", 4), hull("large", 16)]});
+        let catalog = json!({"hulls": [machine_type("small", 4), machine_type("large", 16)]});
         let catalog: Catalog = serde_json::from_value(catalog).expect("catalog");
         scene.put(keys::CATALOG.to_owned(), json!(catalog));
         scene
