--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -66,7 +66,7 @@
     /// The wall clock, set before each step.
     pub(crate) unix_time: UnixTime,
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) change_rate: f64,
+    pub(crate) store_write_rate: f64,
 }
 
 impl Autoscaler {
@@ -88,7 +88,7 @@
             machine_list: MachineListPoll::default(),
             catalog: CatalogPoll::default(),
             unix_time: UnixTime(0),
-            change_rate: config.state.rates.changes,
+            store_write_rate: config.state.rates.changes,
         }
     }
 
@@ -220,7 +220,7 @@
         }
         let due = self.deletions.take_due(now);
         if !due.is_empty() {
-            scheduler.leaving.extend(due.iter().cloned());
+            scheduler.draining.extend(due.iter().cloned());
             out.push(Effect::DeleteMachines(due));
         }
     }
--- a/src/cloud/autoscaler/cheapest_offer.rs
+++ b/src/cloud/autoscaler/cheapest_offer.rs
@@ -43,7 +43,7 @@
             continue;
         }
         // Others will join a replica; a batch leaves with its last task.
-        let tasks = if unmet_demand.all_at_once {
+        let tasks = if unmet_demand.must_run_concurrently {
             tasks_per_machine
         } else {
             tasks
--- a/src/cloud/autoscaler/load_history.rs
+++ b/src/cloud/autoscaler/load_history.rs
@@ -41,16 +41,16 @@
     }
 
     /// Takes the load as it is now, and forgets what is older than the time for which a machine
-    /// may be idle. `change_rate`: what the key-value store takes in a second.
+    /// may be idle. `store_write_rate`: what the key-value store takes in a second.
     pub(super) fn observe(
         &mut self,
         now: MonotonicTime,
         unix_time: UnixTime,
         cache: &WatchCache,
         config: &Config,
-        change_rate: f64,
+        store_write_rate: f64,
     ) {
-        let turnaround = turnaround_s(cache, change_rate);
+        let turnaround = turnaround_s(cache, store_write_rate);
         let Demand { mut load, batches } =
             demand::current_demand(unix_time, cache, config, turnaround);
         self.arrival_rate.observe(unix_time, cache, turnaround);
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -3,7 +3,7 @@
 use super::Autoscaler;
 use super::cheapest_offer::cheapest_offer;
 use crate::ids::{MachineId, Millis, MonotonicTime, TypeName};
-use crate::placement::{Scheduler, replicas, spare_replicas};
+use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
 /// At most one in so many machines begins to drain at a time.
@@ -73,11 +73,17 @@
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) -> Vec<MachineId> {
-        self.load_history
-            .observe(now, self.unix_time, cache, &self.config, self.change_rate);
-        self.service_reserve = spare_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
+        self.load_history.observe(
+            now,
+            self.unix_time,
+            cache,
+            &self.config,
+            self.store_write_rate,
+        );
+        self.service_reserve =
+            reserved_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
         scheduler
-            .leaving
+            .draining
             .retain(|id| cache.machines.contains_key(id));
         let candidates = self.measure_capacity(now, cache, scheduler);
         let drained = self.drained(now, cache, scheduler);
@@ -108,7 +114,7 @@
             let spot = machine.record.spot;
             let cpus = machine_cpus(&machine.record.type_name, cache);
             self.capacity.add(spot, cpus);
-            let (replicas, in_use) = replicas(machine, cache);
+            let (replicas, in_use) = machine_replica_usage(machine, cache);
             if REPLICA_SHARE_DIVISOR * in_use.cpus > cpus {
                 continue;
             }
@@ -131,8 +137,8 @@
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
         self.leaving_since
-            .retain(|id, _| scheduler.leaving.contains(id));
-        for id in &scheduler.leaving {
+            .retain(|id, _| scheduler.draining.contains(id));
+        for id in &scheduler.draining {
             self.leaving_since.entry(id.clone()).or_insert(now);
         }
         let empty = |id: &&MachineId| {
@@ -140,10 +146,11 @@
             let shard = id.shard(self.config.shards());
             let leaving_since = self.leaving_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && leaving_since.is_some_and(|at| !scheduler.allotted_before(shard, *at))
+                && leaving_since
+                    .is_some_and(|at| !scheduler.has_in_flight_allotment_before(shard, *at))
         };
         scheduler
-            .leaving
+            .draining
             .iter()
             .filter(|id| !self.deletions.is_pending(id))
             .filter(empty)
@@ -174,7 +181,7 @@
             most -= 1;
             remaining.subtract(machine.spot, cpus);
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.leaving.insert(machine.id);
+            scheduler.draining.insert(machine.id);
         }
     }
 
@@ -189,13 +196,13 @@
         let none_waits = scheduler.unmet_demands.is_empty();
         while *cpu_shortfall > 0 {
             let back = scheduler
-                .leaving
+                .draining
                 .iter()
                 .filter(|id| !self.deletions.is_pending(id) && cache.machines.contains_key(*id))
                 .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
                 .cloned();
             let Some(id) = back else { return };
-            scheduler.leaving.remove(&id);
+            scheduler.draining.remove(&id);
             let machine = cache.machines.get(&id);
             let cpus = machine.map_or(0, |m| machine_cpus(&m.record.type_name, cache));
             *cpu_shortfall = cpu_shortfall.saturating_sub(cpus.max(1));
@@ -208,7 +215,10 @@
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
-        let mut all_at_once = scheduler.unmet_demands.iter().filter(|s| s.all_at_once);
+        let mut all_at_once = scheduler
+            .unmet_demands
+            .iter()
+            .filter(|s| s.must_run_concurrently);
         all_at_once.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
@@ -243,7 +253,7 @@
             .collect();
         if !useless.is_empty() {
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.leaving.extend(useless);
+            scheduler.draining.extend(useless);
         }
     }
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -33,12 +33,17 @@
         let mut incoming =
             IncomingMachines::collect(now, &self.boots, &self.rentals, &catalog, cache);
         let mut cpu_shortfall = self.cpu_shortfall(&catalog, &incoming);
-        if scheduler.unmet_demands.iter().any(|s| s.all_at_once) || cpu_shortfall > 0 {
+        if scheduler
+            .unmet_demands
+            .iter()
+            .any(|s| s.must_run_concurrently)
+            || cpu_shortfall > 0
+        {
             let mut wanted = cpu_shortfall.max(1);
             self.reclaim_leaving(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "autoscaler step");
+        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "autoscaler step");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
             let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
             let rented =
@@ -70,10 +75,10 @@
         let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
         // The next replicas must not wait for a machine to boot.
-        if on_demand < wanted && !unmet_demands.iter().any(|s| s.all_at_once) {
+        if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
             unmet_demands.extend(one_replica(cache));
         }
-        unmet_demands.sort_by_key(|s| !s.all_at_once);
+        unmet_demands.sort_by_key(|s| !s.must_run_concurrently);
         merge_alike(unmet_demands, cache)
     }
 
@@ -123,8 +128,8 @@
         job: id.clone(),
         need: job.spec.need(),
         tasks: 1,
-        all_at_once: true,
-        cached_only: false,
+        must_run_concurrently: true,
+        requires_cached_image: false,
     })
 }
 
@@ -141,7 +146,7 @@
         return 0;
     };
     let spec = &job.spec;
-    if unmet_demand.all_at_once || !is_served(unmet_demand, spec, incoming, cache) {
+    if unmet_demand.must_run_concurrently || !is_served(unmet_demand, spec, incoming, cache) {
         return incoming.place(unmet_demand, spec);
     }
     let cpus = unmet_demand.need.cpus;
@@ -181,8 +186,8 @@
                 _ => false,
             };
             alike
-                && !unmet_demand.all_at_once
-                && !other.all_at_once
+                && !unmet_demand.must_run_concurrently
+                && !other.must_run_concurrently
                 && other.need == unmet_demand.need
         };
         match merged.iter_mut().find(same) {
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -19,7 +19,7 @@
 
 impl Autoscaler {
     /// How long a machine may be silent before it is given up.
-    pub(crate) fn patience(&self, cache: &WatchCache) -> Millis {
+    pub(crate) fn unresponsive_timeout(&self, cache: &WatchCache) -> Millis {
         Millis::from_secs(cache.settings().silent_s)
             .max(self.interval_with_margin(SILENCE_MARGIN_MS))
     }
@@ -52,7 +52,7 @@
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        let patience = self.patience(cache);
+        let patience = self.unresponsive_timeout(cache);
         let by_owner = self.silence_by_owner(now, cache, scheduler);
         let all = by_owner
             .values()
@@ -61,7 +61,7 @@
         for owner in by_owner.into_values() {
             let is_suspect = owner.is_owner_suspect(all - owner.counts);
             let given_up = owner.silent.into_iter().filter(|id| {
-                let silent = scheduler.health[*id].last.silent;
+                let silent = scheduler.health[*id].report.silent;
                 !is_suspect || silent >= Millis(SUSPECT_OWNER_FACTOR * patience.0)
             });
             list.extend(given_up.cloned());
@@ -76,19 +76,19 @@
         cache: &'a WatchCache,
         scheduler: &'a Scheduler,
     ) -> BTreeMap<&'a str, OwnerSilence<'a>> {
-        let patience = self.patience(cache);
+        let patience = self.unresponsive_timeout(cache);
         let missed_after = self.interval_with_margin(MISSED_HEARTBEAT_MARGIN_MS);
         let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
             let shard = cache.shards.get(&id.shard(self.config.shards()));
-            let Some(shard) = shard.filter(|s| s.revision == health.last.fence) else {
+            let Some(shard) = shard.filter(|s| s.revision == health.report.fence) else {
                 continue;
             };
             let owner = by_owner.entry(shard.value.owner.as_str()).or_default();
             owner.counts.machines += 1;
-            owner.counts.missed += usize::from(health.last.silent >= missed_after);
-            let is_recent = now.since(health.at) < HEALTH_REPORT_EXPIRY;
-            if health.last.silent >= patience && is_recent {
+            owner.counts.missed += usize::from(health.report.silent >= missed_after);
+            let is_recent = now.since(health.received_at) < HEALTH_REPORT_EXPIRY;
+            if health.report.silent >= patience && is_recent {
                 owner.silent.push(id);
             }
         }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::ids::UnixTime;
-use crate::placement::service_order;
+use crate::placement::jobs_in_queue_order;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::{LiveJob, WatchCache};
@@ -134,7 +134,7 @@
     let mut load = Load::default();
     let mut batches = Vec::new();
     let mut running_work = 0.0;
-    for (_, job) in service_order(config, cache) {
+    for (_, job) in jobs_in_queue_order(config, cache) {
         let spec = &job.spec;
         let need = spec.need();
         if spec.kind != JobKind::Array {
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -4,7 +4,7 @@
 //! tasks end faster than records can be changed, slots wait until their machine's record is written
 //! again: that is time for which capacity has to be there, too.
 
-use crate::placement::RECORD_WRITE_SHARE;
+use crate::placement::ARRAY_WRITE_SHARE;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::WatchCache;
@@ -12,9 +12,9 @@
 /// Seconds from a task's end to the start of the next one, where changes are plenty.
 const MIN_TURNAROUND_S: f64 = 3.0;
 
-/// The mean time in seconds for which a slot is empty. `change_rate`: the changes that the
+/// The mean time in seconds for which a slot is empty. `store_write_rate`: the changes that the
 /// key-value store takes in a second.
-pub(super) fn turnaround_s(cache: &WatchCache, change_rate: f64) -> f64 {
+pub(super) fn turnaround_s(cache: &WatchCache, store_write_rate: f64) -> f64 {
     let arrays = cache
         .jobs
         .values()
@@ -23,7 +23,7 @@
     let wait = wait_s(
         cache.machines.len() as f64,
         ends.sum(),
-        change_rate * RECORD_WRITE_SHARE,
+        store_write_rate * ARRAY_WRITE_SHARE,
     );
     wait.max(MIN_TURNAROUND_S)
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -139,7 +139,7 @@
     pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
         cache.keep_cancelled(&self.cache);
         self.cache = cache;
-        self.shard_owner.compare_all_trackers();
+        self.shard_owner.request_full_reconcile();
         self.timers.schedule.request();
         self.timers.reconcile.expedite(now);
         self.run_due_work(now)
@@ -160,7 +160,7 @@
         self.timers.schedule.request();
         let mut out = Vec::new();
         self.shard_owner
-            .on_changed(now, &touched, &self.cache, &mut out);
+            .on_machines_changed(now, &touched, &self.cache, &mut out);
         (self.finish(now, out), ended)
     }
 
@@ -170,7 +170,7 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
-        self.process_heartbeat(now, heartbeat, HeartbeatPath::FromWorker)
+        self.process_heartbeat(now, heartbeat, HeartbeatPath::Direct)
     }
 
     fn process_heartbeat(
@@ -192,7 +192,10 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (Option<HeartbeatAnswer>, Vec<Effect>) {
-        if !self.shard_owner.accepts_relayed(now, &heartbeat.machine) {
+        if !self
+            .shard_owner
+            .try_accept_relayed_heartbeat(now, &heartbeat.machine)
+        {
             return (None, Vec::new());
         }
         let (answer, effects) = self.process_heartbeat(now, heartbeat, HeartbeatPath::Relayed);
@@ -210,7 +213,7 @@
     }
 
     /// The outcome of direct commands that were sent under a token.
-    pub(crate) fn on_call(
+    pub(crate) fn on_direct_call_outcome(
         &mut self,
         now: MonotonicTime,
         machine: &MachineId,
@@ -218,13 +221,19 @@
         outcome: DirectCallOutcome,
     ) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.shard_owner
-            .on_call(now, machine, token, outcome, &self.cache, &mut out);
+        self.shard_owner.on_direct_call_outcome(
+            now,
+            machine,
+            token,
+            outcome,
+            &self.cache,
+            &mut out,
+        );
         self.finish(now, out)
     }
 
     /// The outcome of a transaction.
-    pub(crate) fn on_txn(
+    pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
         requester: &TxnRequester,
@@ -234,10 +243,10 @@
         match requester {
             TxnRequester::ShardOwner(machine) => {
                 self.shard_owner
-                    .on_txn(now, machine, outcome, &mut self.cache, &mut out);
+                    .on_txn_outcome(now, machine, outcome, &mut self.cache, &mut out);
                 self.timers.schedule.request();
             }
-            TxnRequester::Leadership => self.leadership.on_txn(now, outcome),
+            TxnRequester::Leadership => self.leadership.on_txn_outcome(now, outcome),
             TxnRequester::Plans(jobs) => self.plans.on_outcome(now, jobs, outcome, &self.cache),
             TxnRequester::JobCompletion(job) => self.on_completion(job, outcome),
             TxnRequester::DependentRelease(job) => self.on_release(now, job, outcome),
@@ -325,10 +334,10 @@
     }
 
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_change_rate(&mut self, changes: f64) {
-        self.shard_owner.set_change_rate(changes);
-        self.scheduler.set_change_rate(changes);
-        self.autoscaler.change_rate = changes;
+    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
+        self.shard_owner.set_store_write_rate(changes);
+        self.scheduler.set_store_write_rate(changes);
+        self.autoscaler.store_write_rate = changes;
     }
 
     /// When the next tick is due; inputs may make an earlier one due.
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -114,7 +114,7 @@
         self.cancellation.deadlines.cancelled(now, job, age);
         let mut out = Vec::new();
         self.shard_owner
-            .on_changed(now, &machines, &self.cache, &mut out);
+            .on_machines_changed(now, &machines, &self.cache, &mut out);
         self.apply_owner_effects(now, out, effects);
         self.timers.schedule.request();
     }
@@ -130,8 +130,11 @@
 
     /// As the leader, deletes machines on which a cancelled job's tasks did not stop in time.
     pub(super) fn decommission_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let patience = self.autoscaler.patience(&self.cache);
-        let silent = |id: &MachineId| self.scheduler.is_silent(now, id, patience, &self.cache);
+        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
+        let silent = |id: &MachineId| {
+            self.scheduler
+                .is_unresponsive(now, id, patience, &self.cache)
+        };
         let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let deadlines = &mut self.cancellation.deadlines;
         let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
@@ -154,10 +157,10 @@
         if !due {
             return;
         }
-        let patience = self.autoscaler.patience(&self.cache);
+        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
         let shard_owner = &self.shard_owner;
-        let silent = |id: &MachineId| shard_owner.is_silent(now, id, patience);
-        let freed = |attempt: &TaskAttempt| shard_owner.is_gone(attempt);
+        let silent = |id: &MachineId| shard_owner.is_unresponsive(now, id, patience);
+        let freed = |attempt: &TaskAttempt| shard_owner.is_freed(attempt);
         let CancellationDuty {
             deadlines,
             requested_deletions,
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -101,7 +101,7 @@
         counts_live_job
             && record.jobs.is_empty()
             && now.since(since) < MAX_COUNTED_WAIT
-            && scheduler.changes_are_scarce(now)
+            && scheduler.is_write_budget_low(now)
     }
 }
 
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -103,7 +103,7 @@
 
     /// Quarantines owners that miss machines whose heartbeats reach other controllers.
     pub(super) fn evaluate_reachability(&mut self, now: MonotonicTime) {
-        let health = self.scheduler.health.values().map(|h| &h.last);
+        let health = self.scheduler.health.values().map(|h| &h.report);
         let shards = self.config.shards();
         self.reachability.evaluate(now, shards, health, &self.cache);
         let quarantined = self.reachability.quarantined();
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -146,11 +146,13 @@
                 }
                 worker_control::Effect::MachineDiscovered(id, record) => {
                     self.cache.discover(id, record);
-                    self.shard_owner.compare_all_trackers();
+                    self.shard_owner.request_full_reconcile();
                     self.timers.reconcile.expedite(now);
                 }
-                worker_control::Effect::MachineLost(id) => self.cache.forget(&id),
-                worker_control::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+                worker_control::Effect::UnrecordedMachineLost(id) => self.cache.forget(&id),
+                worker_control::Effect::RaiseShardFence(shard) => {
+                    self.raise_shard_fence(shard, effects)
+                }
             }
         }
     }
@@ -176,8 +178,8 @@
         }
     }
 
-    fn renew_shard(&self, shard: ShardId, effects: &mut Vec<Effect>) {
-        if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
+    fn raise_shard_fence(&self, shard: ShardId, effects: &mut Vec<Effect>) {
+        if let Some(txn) = self.leadership.raise_shard_fence(shard, &self.cache) {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
         }
     }
@@ -194,7 +196,7 @@
                 placement::Effect::ToShardOwner(member, message) => {
                     self.send(now, member, *message, effects);
                 }
-                placement::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+                placement::Effect::RaiseShardFence(shard) => self.raise_shard_fence(shard, effects),
             }
         }
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -75,7 +75,7 @@
     let asked = effects.iter().any(|e| matches!(e, Effect::Call(_)));
     assert!(asked && controller.shard_owner.tracked_count() == 0);
     let done = DirectCallOutcome::Done(heartbeat(5));
-    controller.on_call(
+    controller.on_direct_call_outcome(
         MonotonicTime(1010),
         &"vm-1".into(),
         FencingToken::of(Revision(5), 0),
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -46,7 +46,7 @@
     ) {
         let outcome = self.store.txn(class, &txn).await;
         tracing::debug!(?requester, ?outcome, "transaction");
-        self.update(|controller, now| controller.on_txn(now, &requester, &outcome));
+        self.update(|controller, now| controller.on_txn_outcome(now, &requester, &outcome));
     }
 
     async fn run_direct_call(self: Rc<Self>, call: DirectCall) {
@@ -57,7 +57,9 @@
                 self.call_worker(addr, &body).await
             }
         };
-        self.update(|controller, now| controller.on_call(now, &call.machine, call.token, outcome));
+        self.update(|controller, now| {
+            controller.on_direct_call_outcome(now, &call.machine, call.token, outcome)
+        });
     }
 
     async fn call_worker(&self, addr: SocketAddr, body: &[u8]) -> DirectCallOutcome {
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -117,7 +117,7 @@
             jobs: cache.jobs.len(),
             waiting_jobs: cache.dependency_graph.len(),
             waiting_tasks: unmet_demands.iter().map(|demand| demand.tasks).sum(),
-            allotted: controller.scheduler.allotted_count(),
+            allotted: controller.scheduler.in_flight_task_count(),
             owned_machines: controller.shard_owner.tracked_count(),
             store: StoreReport::new(&node.store),
             responses: node.response_stats.report(),
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// Takes the outcome of the last transaction of [`Self::step`].
-    pub(crate) fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
+    pub(crate) fn on_txn_outcome(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
             TxnOutcome::Committed(revision) => {
@@ -177,7 +177,7 @@
 
     /// Rewrites a shard's record unchanged, to raise its fencing token. Its owner may, and the
     /// leader.
-    pub(crate) fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
+    pub(crate) fn raise_shard_fence(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
         let live = cache.members.get(&record.value.owner)?;
         if live.incarnation != record.value.incarnation {
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -50,7 +50,7 @@
         "one at a time"
     );
     commit(&mut cache, 10, &claim);
-    leadership.on_txn(MonotonicTime(2), &TxnOutcome::Committed(Revision(10)));
+    leadership.on_txn_outcome(MonotonicTime(2), &TxnOutcome::Committed(Revision(10)));
     assert_eq!(leadership.term(&cache), Some(Revision(10)));
     assert_eq!(leadership.settled_term(&cache), None);
     let lease = leadership.step(MonotonicTime(3), &cache).expect("lease");
@@ -81,7 +81,7 @@
     for at in [10, 11] {
         let txn = leadership.step(MonotonicTime(at), &cache).expect("txn");
         commit(&mut cache, at, &txn);
-        leadership.on_txn(MonotonicTime(at), &TxnOutcome::Committed(Revision(at)));
+        leadership.on_txn_outcome(MonotonicTime(at), &TxnOutcome::Committed(Revision(at)));
     }
     assert!(
         leadership.step(MonotonicTime(12), &cache).is_none(),
--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -170,14 +170,14 @@
     }
 
     /// Whether something that was allotted to a shard before a time is still under way.
-    pub(super) fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
+    pub(super) fn has_in_flight_allotment_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotted
             .values()
             .any(|task| task.shard == shard && task.at <= at)
     }
 
     /// How many tasks are allotted and not on record.
-    pub(super) fn allotted_count(&self) -> usize {
+    pub(super) fn in_flight_task_count(&self) -> usize {
         self.allotted.len()
     }
 }
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::pending_usage::PendingUsage;
 use super::record_capacity::RecordCapacity;
-use super::replicas::replicas;
+use super::replicas::machine_replica_usage;
 use crate::config::Config;
 use crate::ids::{MachineId, Member, Resources, Revision, ShardId, TypeName, Zone};
 use crate::protocol::JobSpec;
@@ -59,7 +59,7 @@
         let capacity = machine_type.room();
         let pending = pending.of_machine(id);
         let used = record.used() + pending.allotted.unwrap_or_default() - pending.freed;
-        let (replicas, replica_usage) = replicas(machine, cache);
+        let (replicas, replica_usage) = machine_replica_usage(machine, cache);
         Some(Self {
             id,
             shard,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -24,9 +24,9 @@
 mod victims;
 mod zone_constraint;
 
-pub(crate) use queue_order::service_order;
-pub(crate) use replicas::{replicas, spare_replicas};
-pub(crate) use scheduler::{Effect, RECORD_WRITE_SHARE, Scheduler};
+pub(crate) use queue_order::jobs_in_queue_order;
+pub(crate) use replicas::{machine_replica_usage, reserved_replicas};
+pub(crate) use scheduler::{ARRAY_WRITE_SHARE, Effect, Scheduler};
 pub(crate) use unmet_demand::UnmetDemand;
 
 #[cfg(test)]
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -212,7 +212,7 @@
         stopped: &BTreeSet<TaskAttempt>,
     ) -> Option<(&MachineId, Victims)> {
         let spec = &claimant.job.spec;
-        let needs_image = claimant.demand.cached_only || claimant.is_guaranteed;
+        let needs_image = claimant.demand.requires_cached_image || claimant.is_guaranteed;
         let preemptible = |attempt: &TaskAttempt, placed: &PlacedJob| {
             let priority = self.preemptible_priority(claimant, attempt, placed)?;
             (!stopped.contains(attempt)).then_some(priority)
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -24,7 +24,10 @@
             free: candidates.clone().map(|c| c.free).collect(),
             records: candidates.map(|c| c.record_capacity.clone()).collect(),
         };
-        let noticed = self.health.iter().filter(|(_, h)| h.last.notice.is_some());
+        let noticed = self
+            .health
+            .iter()
+            .filter(|(_, h)| h.report.notice.is_some());
         for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
             self.move_replicas_off(id, &mut targets, &mut stops);
         }
@@ -85,7 +88,7 @@
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
-            let (Some(left), Some(machine)) = (health.last.notice, self.cache.machines.get(id))
+            let (Some(left), Some(machine)) = (health.report.notice, self.cache.machines.get(id))
             else {
                 continue;
             };
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -43,7 +43,7 @@
 }
 
 /// All jobs in the order in which they are served.
-pub(crate) fn service_order<'a>(
+pub(crate) fn jobs_in_queue_order<'a>(
     config: &Config,
     cache: &'a WatchCache,
 ) -> Vec<(&'a JobId, &'a LiveJob)> {
--- a/src/placement/replica_reserve.rs
+++ b/src/placement/replica_reserve.rs
@@ -2,7 +2,7 @@
 
 use super::candidates::Candidate;
 use super::record_capacity::ESTIMATED_JOB_BYTES;
-use super::replicas::spare_replicas;
+use super::replicas::reserved_replicas;
 use crate::ids::Resources;
 use crate::store::watch_cache::WatchCache;
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
 /// are: there the next one starts at once, and nothing has to be preempted for it.
 pub(super) fn replica_reserve(cache: &WatchCache, candidates: &[Candidate<'_>]) -> Vec<Resources> {
     let mut reserve = vec![Resources::default(); candidates.len()];
-    let Some((need, mut count)) = spare_replicas(cache) else {
+    let Some((need, mut count)) = reserved_replicas(cache) else {
         return reserve;
     };
     let mut order: Vec<usize> = (0..candidates.len())
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -9,7 +9,10 @@
 const MIN_SPARE_REPLICAS: u64 = 2;
 
 /// How many replicas of services a machine has, and the resources that they use.
-pub(crate) fn replicas(machine: &LiveMachine, cache: &WatchCache) -> (usize, Resources) {
+pub(crate) fn machine_replica_usage(
+    machine: &LiveMachine,
+    cache: &WatchCache,
+) -> (usize, Resources) {
     let is_service = |placed: &&PlacedJob| {
         cache
             .jobs
@@ -27,7 +30,7 @@
 
 /// The replicas for which capacity is kept: the largest need among the services, and how many
 /// replicas of it. `None` without services.
-pub(crate) fn spare_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
+pub(crate) fn reserved_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
     let (mut total, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
         if job.spec.kind == JobKind::Service {
--- a/src/placement/reported_health.rs
+++ b/src/placement/reported_health.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedHealth {
     /// When the report was received.
-    pub at: MonotonicTime,
+    pub received_at: MonotonicTime,
     /// The report.
-    pub last: MachineHealth,
+    pub report: MachineHealth,
 }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -29,7 +29,7 @@
     /// Send a message to the owner of a shard.
     ToShardOwner(Member, Box<Message>),
     /// An allotment has gone without an answer: rewriting the shard voids it.
-    RenewShard(ShardId),
+    RaiseShardFence(ShardId),
 }
 
 /// A preemption that has freed nothing by then is forgotten.
@@ -39,7 +39,7 @@
 const IMAGE_WAIT_MEMORY: Millis = Millis(10 * IMAGE_WAIT_LIMIT.0);
 /// The part of the key-value store's changes that arrays are placed with: each machine that is
 /// given tasks has its record written for them, and others need changes as well.
-pub(crate) const RECORD_WRITE_SHARE: f64 = 0.65;
+pub(crate) const ARRAY_WRITE_SHARE: f64 = 0.65;
 /// Below this part of a second's worth changes are scarce.
 const SCARCE_FRACTION: f64 = 0.5;
 
@@ -59,13 +59,13 @@
     /// How many changes of machines' records may be spent on arrays.
     record_writes: TokenBucket,
     /// How many changes the key-value store takes in a second from all controllers.
-    change_rate: f64,
+    store_write_rate: f64,
     /// The tasks for which the last pass found no free capacity.
     pub unmet_demands: Vec<UnmetDemand>,
     /// The present time, for comparison with times on jobs' records. Set before each pass.
     pub unix_time: UnixTime,
     /// Machines on their way out: they get nothing new.
-    pub leaving: BTreeSet<MachineId>,
+    pub draining: BTreeSet<MachineId>,
 }
 
 impl Scheduler {
@@ -80,21 +80,21 @@
             gangs: Gangs::default(),
             preempted: BTreeMap::new(),
             awaiting_image: BTreeMap::new(),
-            record_writes: TokenBucket::new(config.state.rates.changes * RECORD_WRITE_SHARE),
-            change_rate: config.state.rates.changes,
+            record_writes: TokenBucket::new(config.state.rates.changes * ARRAY_WRITE_SHARE),
+            store_write_rate: config.state.rates.changes,
             unmet_demands: Vec::new(),
             unix_time: UnixTime(0),
-            leaving: BTreeSet::new(),
+            draining: BTreeSet::new(),
         }
     }
 
     /// Sets how many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_change_rate(&mut self, changes: f64) {
-        self.change_rate = changes;
+    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
+        self.store_write_rate = changes;
     }
 
     /// Whether the changes that arrays may be placed with are used up at present.
-    pub(crate) fn changes_are_scarce(&mut self, now: MonotonicTime) -> bool {
+    pub(crate) fn is_write_budget_low(&mut self, now: MonotonicTime) -> bool {
         self.record_writes.available_fraction(now) < SCARCE_FRACTION
     }
 
@@ -140,9 +140,9 @@
     ) {
         self.begin_term(term);
         self.record_writes
-            .set_rate(now, self.change_rate * RECORD_WRITE_SHARE);
+            .set_rate(now, self.store_write_rate * ARRAY_WRITE_SHARE);
         let unanswered = self.allotment_ledger.reconcile(now, cache);
-        out.extend(unanswered.into_iter().map(Effect::RenewShard));
+        out.extend(unanswered.into_iter().map(Effect::RaiseShardFence));
         self.forget_stale(now, cache);
         let decisions = self.run_pass(now, cache);
         self.send_stops(now, decisions.stops, cache, out);
@@ -157,7 +157,7 @@
             self.preempted.clear();
             self.faults.clear();
             self.gangs.clear();
-            self.leaving.clear();
+            self.draining.clear();
         }
     }
 
@@ -183,12 +183,13 @@
 
     /// Whether something that was allotted to a shard before a time is still under way: only
     /// that can come to a machine which has been leaving since.
-    pub(crate) fn allotted_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
-        self.allotment_ledger.allotted_before(shard, at)
+    pub(crate) fn has_in_flight_allotment_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
+        self.allotment_ledger
+            .has_in_flight_allotment_before(shard, at)
     }
 
     /// How many tasks are allotted and not on record.
-    pub(crate) fn allotted_count(&self) -> usize {
-        self.allotment_ledger.allotted_count()
+    pub(crate) fn in_flight_task_count(&self) -> usize {
+        self.allotment_ledger.in_flight_task_count()
     }
 }
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -28,20 +28,24 @@
                 continue;
             }
             self.gangs.on_health(&last);
-            let reported = ReportedHealth { at: now, last };
-            self.health.insert(reported.last.machine.clone(), reported);
+            let reported = ReportedHealth {
+                received_at: now,
+                report: last,
+            };
+            self.health
+                .insert(reported.report.machine.clone(), reported);
         }
     }
 
     /// Whether a shard owner has reported on a machine lately.
     pub(crate) fn has_recent_health(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
-        reported.is_some_and(|r| now.since(r.at) < MAX_REPORT_AGE)
+        reported.is_some_and(|r| now.since(r.received_at) < MAX_REPORT_AGE)
     }
 
     /// Whether a machine's present shard owner reports that no heartbeat has come from it for so
     /// long.
-    pub(crate) fn is_silent(
+    pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
         id: &MachineId,
@@ -50,9 +54,9 @@
     ) -> bool {
         let shard_record = cache.shards.get(&id.shard(self.config.shards()));
         self.health.get(id).is_some_and(|reported| {
-            shard_record.is_some_and(|shard| shard.revision == reported.last.fence)
-                && reported.last.silent >= for_long
-                && now.since(reported.at) < MAX_REPORT_AGE
+            shard_record.is_some_and(|shard| shard.revision == reported.report.fence)
+                && reported.report.silent >= for_long
+                && now.since(reported.received_at) < MAX_REPORT_AGE
         })
     }
 
@@ -62,10 +66,10 @@
         let shard = id.shard(self.config.shards());
         let fence = cache.shards.get(&shard).map(|record| record.revision);
         let is_healthy = self.health.get(id).is_some_and(|reported| {
-            Some(reported.last.fence) == fence
-                && reported.last.confirmed
-                && !self.is_lost(&reported.last)
-                && now.since(reported.at) < MAX_REPORT_AGE
+            Some(reported.report.fence) == fence
+                && reported.report.confirmed
+                && !self.is_lost(&reported.report)
+                && now.since(reported.received_at) < MAX_REPORT_AGE
         });
         is_healthy && !self.is_cordoned(now, id)
     }
@@ -74,7 +78,7 @@
     /// for a moment, but it is there: without it the autoscaler would rent another.
     pub(crate) fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
-        let is_lost = reported.is_some_and(|r| self.is_lost(&r.last));
+        let is_lost = reported.is_some_and(|r| self.is_lost(&r.report));
         !is_lost && !self.is_cordoned(now, id)
     }
 
@@ -86,6 +90,6 @@
 
     /// Whether the leader itself gives a machine nothing new.
     fn is_cordoned(&self, now: MonotonicTime, id: &MachineId) -> bool {
-        self.faults.is_quarantined(now, id) || self.leaving.contains(id)
+        self.faults.is_quarantined(now, id) || self.draining.contains(id)
     }
 }
--- a/src/placement/scheduler/pass.rs
+++ b/src/placement/scheduler/pass.rs
@@ -80,7 +80,7 @@
             guaranteed_jobs,
             preempted: &self.preempted,
             health: &self.health,
-            leaving: &self.leaving,
+            leaving: &self.draining,
         };
         let mut stops = preemption.for_unmet_demands(demands);
         stops.extend(preemption.replica_moves());
@@ -95,6 +95,7 @@
     // What waits for changes does not start sooner where something is stopped, and what is
     // stopped has to be placed again, with changes that are lacking.
     let unmet_demands = pass.unmet_demands.iter().cloned();
-    demands.extend(unmet_demands.filter(|demand| demand.all_at_once || !pass.changes_spent));
+    demands
+        .extend(unmet_demands.filter(|demand| demand.must_run_concurrently || !pass.changes_spent));
     demands
 }
--- a/src/placement/scheduling_pass/image_wait.rs
+++ b/src/placement/scheduling_pass/image_wait.rs
@@ -35,7 +35,7 @@
         if can_be_made {
             self.state.awaiting_image.insert(id.clone(), now);
             self.image_demands.push(UnmetDemand {
-                cached_only: true,
+                requires_cached_image: true,
                 ..UnmetDemand::for_job(id, job, request.indices.len() as u64)
             });
         }
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -200,7 +200,7 @@
 fn arrays_do_not_preempt_while_record_changes_are_scarce() {
     let stops_at = |changes: f64| {
         let mut scene = full_of_idle_work(20);
-        scene.scheduler.set_change_rate(changes);
+        scene.scheduler.set_store_write_rate(changes);
         for n in 100..103 {
             scene.machine(n, "a", false, &[]);
         }
@@ -213,7 +213,7 @@
     assert_eq!(stops_at(1.0), (4, 0));
     // What must run at once preempts all the same.
     let mut scene = full_of_idle_work(20);
-    scene.scheduler.set_change_rate(1.0);
+    scene.scheduler.set_store_write_rate(1.0);
     for n in 100..103 {
         scene.machine(n, "a", false, &[]);
     }
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/scene.rs
@@ -145,7 +145,7 @@
                     Message::Stop { attempt, .. } => stops.push(attempt),
                     other => panic!("{other:?}"),
                 },
-                Effect::RenewShard(_) => {}
+                Effect::RaiseShardFence(_) => {}
             }
         }
         StepOutcome { allotments, stops }
--- a/src/placement/unmet_demand.rs
+++ b/src/placement/unmet_demand.rs
@@ -14,9 +14,9 @@
     /// How many tasks there are.
     pub tasks: u64,
     /// All tasks at the same time: a service or a gang.
-    pub all_at_once: bool,
+    pub must_run_concurrently: bool,
     /// Only a machine that has the image will do.
-    pub cached_only: bool,
+    pub requires_cached_image: bool,
 }
 
 impl UnmetDemand {
@@ -27,8 +27,8 @@
             job: id.clone(),
             need: spec.need(),
             tasks,
-            all_at_once: spec.kind != JobKind::Array,
-            cached_only: false,
+            must_run_concurrently: spec.kind != JobKind::Array,
+            requires_cached_image: false,
         }
     }
 }
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -160,7 +160,9 @@
         let TxnResponse {
             requester, outcome, ..
         } = response;
-        self.with_controller(response.caller, |c| c.on_txn(now, requester, outcome));
+        self.with_controller(response.caller, |c| {
+            c.on_txn_outcome(now, requester, outcome)
+        });
     }
 
     /// The outcome of direct commands arrives at the controller that sent them.
@@ -172,7 +174,9 @@
             token,
             outcome,
         } = response;
-        self.with_controller(caller, |c| c.on_call(now, &machine, token, outcome));
+        self.with_controller(caller, |c| {
+            c.on_direct_call_outcome(now, &machine, token, outcome)
+        });
     }
 
     /// A message arrives at a controller.
--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -226,7 +226,7 @@
     ///
     /// Nothing else shows that answers arrive there: direct commands don't. So the token rises,
     /// and comes back with the next heartbeat.
-    pub(super) fn accepts_relayed(
+    pub(super) fn try_accept_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
         direct_heartbeat_timeout: Millis,
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -90,7 +90,7 @@
     }
 
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_change_rate(&mut self, changes: f64) {
+    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
         self.write_queue.set_store_rate(changes);
     }
 
--- a/src/worker_control/shard_owner/calls.rs
+++ b/src/worker_control/shard_owner/calls.rs
@@ -16,7 +16,7 @@
 
 impl ShardOwner {
     /// Takes in what became of a call that was sent under the given token.
-    pub(crate) fn on_call(
+    pub(crate) fn on_direct_call_outcome(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether a placement here is proved gone, though its machine's record may still show it.
-    pub(crate) fn is_gone(&self, attempt: &TaskAttempt) -> bool {
+    pub(crate) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         let mut trackers = self.trackers.values();
         trackers.any(|tracker| tracker.placements().is_reported(attempt))
     }
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -82,7 +82,7 @@
         let quiet = quiet_limits.exceeded(tracker, now);
         let may_raise = tracker.is_confirmed() && !quiet && !tracker.token_raised_recently(now);
         if may_raise && needs_token_raise(tracker, machine, cache) && !tracker.raise_token(now) {
-            out.push(Effect::RenewShard(id.shard(self.shards)));
+            out.push(Effect::RaiseShardFence(id.shard(self.shards)));
         }
         let take_over = !tracker.is_confirmed();
         let commands = if take_over {
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -9,14 +9,14 @@
 /// An action that the shard owner has decided on.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn`].
+    /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn_outcome`].
     Txn {
         /// The machine whose record it writes.
         machine: MachineId,
         /// The transaction.
         txn: Txn,
     },
-    /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_call`].
+    /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_direct_call_outcome`].
     Call(DirectCall),
     /// Send a message to the leader.
     ToLeader(Message),
@@ -24,9 +24,9 @@
     /// exists in the watch caches alone, and costs no change.
     MachineDiscovered(MachineId, MachineRecord),
     /// Such a machine has been silent for long.
-    MachineLost(MachineId),
+    UnrecordedMachineLost(MachineId),
     /// Rewrite the record of a shard that this controller owns, so that its token rises.
-    RenewShard(ShardId),
+    RaiseShardFence(ShardId),
 }
 
 /// Commands that are sent to a worker directly, not in the answer to a heartbeat.
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatPath {
     /// From the worker itself.
-    FromWorker,
+    Direct,
     /// Through another controller.
     Relayed,
 }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -17,7 +17,12 @@
 impl ShardOwner {
     /// Whether nothing has shown for so long that a machine owned here can be used. One that obeys
     /// a higher token is another shard owner's by now, and only seems silent from here.
-    pub(crate) fn is_silent(&self, now: MonotonicTime, id: &MachineId, for_long: Millis) -> bool {
+    pub(crate) fn is_unresponsive(
+        &self,
+        now: MonotonicTime,
+        id: &MachineId,
+        for_long: Millis,
+    ) -> bool {
         let tracker = self.trackers.get(id);
         tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
     }
@@ -77,7 +82,7 @@
                 && unrecorded(id)
                 && !tracker.writes().is_in_flight()
         });
-        out.extend(lost.map(|(id, _)| Effect::MachineLost(id.clone())));
+        out.extend(lost.map(|(id, _)| Effect::UnrecordedMachineLost(id.clone())));
     }
 
     /// Reports ends to the leader before they are written: the room can be given out again, so
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -26,11 +26,16 @@
 
     /// Whether a heartbeat that another controller relays is accepted: from machines that can't
     /// bring it here. Now and then they are made to try all the same.
-    pub(crate) fn accepts_relayed(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub(crate) fn try_accept_relayed_heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+    ) -> bool {
         let timeout = self.direct_heartbeat_timeout();
         let worker_lease = self.worker_lease;
         let tracker = self.trackers.get_mut(id);
-        tracker.is_some_and(|tracker| tracker.accepts_relayed(now, timeout, worker_lease))
+        tracker
+            .is_some_and(|tracker| tracker.try_accept_relayed_heartbeat(now, timeout, worker_lease))
     }
 
     /// Answers a worker's heartbeat.
@@ -95,7 +100,7 @@
             !tracker.is_confirmed() || heartbeat.notice_s.is_some() != tracker.notice().is_some();
         let newest = tracker.is_newer(heartbeat);
         tracker.apply_heartbeat(heartbeat, StatusSource::Heartbeat, now);
-        if newest && path == HeartbeatPath::FromWorker {
+        if newest && path == HeartbeatPath::Direct {
             tracker.on_direct_heartbeat(now);
         }
         let token = tracker.token();
--- a/src/worker_control/shard_owner/tracking.rs
+++ b/src/worker_control/shard_owner/tracking.rs
@@ -18,13 +18,13 @@
 
     /// All trackers are to be compared with the watch cache: it was read anew, or a machine was
     /// discovered. Without a change of the cache, no event would open that machine's tracker.
-    pub(crate) fn compare_all_trackers(&mut self) {
+    pub(crate) fn request_full_reconcile(&mut self) {
         self.compare_all = true;
     }
 
     /// After changes of the watch cache: only the machines they concern are looked at, the rest
     /// in their turn.
-    pub(crate) fn on_changed(
+    pub(crate) fn on_machines_changed(
         &mut self,
         now: MonotonicTime,
         machines: &BTreeSet<MachineId>,
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -9,7 +9,7 @@
 
 impl ShardOwner {
     /// Takes in what became of the transaction on a machine's record.
-    pub(crate) fn on_txn(
+    pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
