--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -6,8 +6,8 @@
 use super::retry_reason::RetryReason;
 use crate::http::Response;
 use crate::ids::JobId;
-use crate::protocol::store::{Item, Txn};
-use crate::protocol::{JobState, valid_job_id};
+use crate::protocol::store::{KeyValue, Txn};
+use crate::protocol::{JobState, is_valid_job_id};
 use crate::runtime;
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::{FinalRecord, JobRecord};
@@ -17,7 +17,7 @@
     /// Cancels a job, and answers once its tasks are proved gone. A job that has ended stays as it
     /// is.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
-        if !valid_job_id(id) {
+        if !is_valid_job_id(id) {
             return no_such_job();
         }
         let id = JobId::from(id);
@@ -55,7 +55,7 @@
         }
     }
 
-    async fn cancel_live(&self, id: &JobId, item: Item) -> Answer {
+    async fn cancel_live(&self, id: &JobId, item: KeyValue) -> Answer {
         let revision = item.revision;
         let tasks = serde_json::from_value::<JobRecord>(item.value).map_or(0, |r| r.spec.tasks);
         let record = FinalRecord {
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -133,7 +133,7 @@
                 TxnOutcome::Committed(at) => {
                     cascade.committed(at);
                     let mut controller = self.controller.borrow_mut();
-                    controller.dependents_cancelled(&jobs, at);
+                    controller.on_dependents_cancelled(&jobs, at);
                 }
                 // Released, cancelled by others, or the watch cache lags.
                 TxnOutcome::Failed(..) => runtime::sleep(POLL_INTERVAL).await,
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -3,7 +3,7 @@
 use crate::api::JobApi;
 use crate::api::tests::{Scene, body, job_state};
 use crate::http::Response;
-use crate::ids::{Incarnation, LeaseId, Member};
+use crate::ids::{Incarnation, LeaseId, MemberId};
 use crate::protocol::JobState;
 use crate::runtime;
 use crate::store::keys;
@@ -137,7 +137,7 @@
         let scene = Scene::new();
         let (api, _asked) = scene.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
-        let key = keys::member(&Member::from("c1"));
+        let key = keys::member(&MemberId::from("c1"));
         let write = |version| {
             let record = MemberRecord {
                 version,
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -60,8 +60,11 @@
     let need = spec.need();
     let allowed = |zone: &Zone| spec.zone.as_ref().is_none_or(|only| only == zone);
     let fitting = catalog.types.iter().filter(|t| {
-        let listed = spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-        listed && need.fits(t.room())
+        let listed = spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|l| l.contains(&t.name));
+        listed && need.fits(t.capacity())
     });
     fitting
         .flat_map(|t| t.zones.iter().filter(|z| allowed(z)))
--- a/src/api/feasibility/tests.rs
+++ b/src/api/feasibility/tests.rs
@@ -31,7 +31,7 @@
     assert!(check_changed(&|s| s.team = "green".into()).is_err());
     assert!(check_changed(&|s| s.cpus = 8.5).is_err());
     assert!(check_changed(&|s| s.zone = Some("b".into())).is_err());
-    assert!(check_changed(&|s| s.types = Some(vec!["t9".into()])).is_err());
+    assert!(check_changed(&|s| s.machine_types = Some(vec!["t9".into()])).is_err());
     assert!(check_changed(&|s| s.gpus = 1.0).is_err());
     // Two replicas of which at most one may be in a zone need two zones.
     let apart = |kind: JobKind| {
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -15,7 +15,7 @@
 use super::waiting_questions::{MAX_WAIT, ReadResult, WaitingQuestions};
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
 use crate::protocol::JobState;
-use crate::protocol::store::{Item, Page};
+use crate::protocol::store::{KeyValue, Page};
 use crate::runtime::{self, oneshot};
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::FinalRecord;
@@ -241,7 +241,7 @@
     }
 
     /// The result of a read of one record, which is kept if there is one.
-    fn decode_item(&self, id: &JobId, item: Option<Item>) -> ReadResult {
+    fn decode_item(&self, id: &JobId, item: Option<KeyValue>) -> ReadResult {
         let Some(item) = item else {
             return Ok(None);
         };
@@ -289,7 +289,7 @@
 
 impl PageEnd {
     fn of(page: &Page) -> Self {
-        match page.more {
+        match page.has_next {
             true => Self::Key(page.items.last().map(|item| item.key.clone())),
             false => Self::All,
         }
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -6,14 +6,14 @@
 use super::retry_reason::RetryReason;
 use crate::ids::{JobId, Revision};
 use crate::protocol::JobState;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::records::FinalRecord;
 use crate::store::{StoreError, keys};
 
 /// What the key-value store holds of a job.
 pub(super) enum JobLookup {
     /// Its record: it has not ended.
-    Live(Item),
+    Live(KeyValue),
     /// How it ended.
     Ended(FinalState),
     /// Nothing: it was never accepted.
@@ -37,7 +37,7 @@
     }
 
     /// Reads a live job's record.
-    pub(super) async fn read_live(&self, id: &JobId) -> Result<Option<Item>, StoreError> {
+    pub(super) async fn read_live(&self, id: &JobId) -> Result<Option<KeyValue>, StoreError> {
         let key = keys::job(id);
         retry_refused(
             &self.store,
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -7,7 +7,7 @@
 use super::revision_check::StoredJob;
 use crate::http::Response;
 use crate::ids::JobId;
-use crate::protocol::{JobState, valid_job_id};
+use crate::protocol::{JobState, is_valid_job_id};
 use crate::runtime::oneshot;
 use crate::store::keys;
 use std::time::Instant;
@@ -26,7 +26,7 @@
 impl JobApi {
     /// Answers a user's poll.
     pub(crate) async fn poll(&self, id: &str) -> Response {
-        if !valid_job_id(id) {
+        if !is_valid_job_id(id) {
             return no_such_job();
         }
         let id = JobId::from(id);
--- a/src/api/submit/tests/refused_writes.rs
+++ b/src/api/submit/tests/refused_writes.rs
@@ -17,7 +17,7 @@
     StandIn, Writes, api_in_memory, body, catch_up, in_virtual_time, job_state,
 };
 use crate::http::Response;
-use crate::ids::{Incarnation, LeaseId, Member};
+use crate::ids::{Incarnation, LeaseId, MemberId};
 use crate::protocol::JobState;
 use crate::runtime::{self, Scope};
 use crate::store::keys;
@@ -214,7 +214,7 @@
         };
         state
             .borrow_mut()
-            .put(keys::member(&Member::from("c0")), &earlier);
+            .put(keys::member(&MemberId::from("c0")), &earlier);
         let (api, _asked) = api_in_memory(&state);
         catch_up(&state.borrow(), &api);
         [
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::http::{Client, Method, Request, Response, serve};
 use crate::ids::{Incarnation, JobId, MonotonicTime, Revision};
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::protocol::{Catalog, JobState};
 use crate::runtime::{self, Receiver, Scope, TcpListener, channel, run_in_virtual_time};
 use crate::store::records::FinalRecord;
@@ -265,7 +265,7 @@
     let mut controller = Controller::new(config, Incarnation(1));
     let mut cache = WatchCache::new(config);
     if types {
-        cache.load(Item {
+        cache.load(KeyValue {
             key: keys::CATALOG.to_owned(),
             value: serde_json::to_value(catalog()).expect("json"),
             revision: Revision(1),
@@ -284,7 +284,7 @@
     let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
     let mut cache = WatchCache::new(&api.config);
     for (key, (value, revision)) in state.keys.iter().filter(live) {
-        cache.load(Item {
+        cache.load(KeyValue {
             key: key.clone(),
             value: value.clone(),
             revision: Revision(*revision),
--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -1,7 +1,7 @@
 //! Acknowledgement rounds: each asks the other controllers about one cancellation, and decides from
 //! their answers and the watch cache whether all of the job's tasks are gone.
 
-use crate::ids::{JobId, Member, Revision, RoundId, ShardFence, ShardId};
+use crate::ids::{CancellationRoundId, JobId, MemberId, Revision, ShardFence, ShardId};
 use std::collections::BTreeMap;
 
 /// What the watch cache of the asking controller shows.
@@ -22,7 +22,7 @@
     cancelled: Revision,
     /// The shards that each controller has said to be clear of the job, and the highest fence
     /// under which it said so.
-    answers: BTreeMap<Member, BTreeMap<ShardId, Revision>>,
+    answers: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
 }
 
 /// The rounds of one controller that are not closed yet.
@@ -30,14 +30,14 @@
 pub(crate) struct CancellationRounds {
     /// The number of the last round.
     last: u64,
-    open: BTreeMap<RoundId, CancellationRound>,
+    open: BTreeMap<CancellationRoundId, CancellationRound>,
 }
 
 impl CancellationRounds {
     /// Opens a round for a job that the change `cancelled` has cancelled.
-    pub(crate) fn open(&mut self, job: &JobId, cancelled: Revision) -> RoundId {
+    pub(crate) fn open(&mut self, job: &JobId, cancelled: Revision) -> CancellationRoundId {
         self.last += 1;
-        let id = RoundId(self.last);
+        let id = CancellationRoundId(self.last);
         let round = CancellationRound {
             job: job.clone(),
             cancelled,
@@ -48,12 +48,15 @@
     }
 
     /// Forgets a round; later answers to it count for nothing.
-    pub(crate) fn close(&mut self, id: RoundId) {
+    pub(crate) fn close(&mut self, id: CancellationRoundId) {
         self.open.remove(&id);
     }
 
     /// The job, and the change that cancelled it.
-    pub(crate) fn pending_cancellation(&self, id: RoundId) -> Option<(&JobId, Revision)> {
+    pub(crate) fn pending_cancellation(
+        &self,
+        id: CancellationRoundId,
+    ) -> Option<(&JobId, Revision)> {
         self.open.get(&id).map(|r| (&r.job, r.cancelled))
     }
 
@@ -63,9 +66,9 @@
     /// this controller may name another job under the same number, and is ignored.
     pub(crate) fn on_acknowledged(
         &mut self,
-        id: RoundId,
+        id: CancellationRoundId,
         job: &JobId,
-        from: &Member,
+        from: &MemberId,
         cleared: Vec<ShardFence>,
     ) {
         if let Some(round) = self.open.get_mut(&id).filter(|r| r.job == *job) {
@@ -80,7 +83,7 @@
     /// Whether all tasks are gone. After the cancellation nothing more of the job is committed, so
     /// a watch cache that has reached it shows every shard in which any task can be; and whoever
     /// owns such a shard under that record, or a later one, has seen all that was placed there.
-    pub(crate) fn is_settled(&self, id: RoundId, view: &CacheView) -> bool {
+    pub(crate) fn is_complete(&self, id: CancellationRoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
         };
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -2,7 +2,7 @@
 //! the watch cache's changes and a change of shard owner can come.
 
 use super::{CacheView, CancellationRounds};
-use crate::ids::{JobId, Member, Revision, ShardFence, ShardId};
+use crate::ids::{JobId, MemberId, Revision, ShardFence, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SHARD: ShardId = ShardId(1);
@@ -42,8 +42,8 @@
     }]
 }
 
-fn member(name: &str) -> Member {
-    Member::from(name)
+fn member(name: &str) -> MemberId {
+    MemberId::from(name)
 }
 
 fn interleavings(rest: &[Step]) -> Vec<Vec<Step>> {
@@ -113,7 +113,7 @@
         if done.contains(&Step::RecordRemoved) && view.revision >= cancelled {
             view.shards_with_job.clear();
         }
-        if rounds.is_settled(round, &view) {
+        if rounds.is_complete(round, &view) {
             assert!(
                 all_gone(&done, moved_before),
                 "{order:?} settled after {step:?}"
@@ -121,7 +121,7 @@
             settled += 1;
         }
     }
-    assert!(rounds.is_settled(round, &view), "{order:?} never settled");
+    assert!(rounds.is_complete(round, &view), "{order:?} never settled");
     settled
 }
 
@@ -149,11 +149,11 @@
     };
     let stale = JobId::from("job-1");
     rounds.on_acknowledged(round, &stale, &member("c1"), cleared_under(FIRST));
-    assert!(!rounds.is_settled(round, &view));
+    assert!(!rounds.is_complete(round, &view));
     rounds.on_acknowledged(round, &job, &member("c1"), cleared_under(FIRST));
-    assert!(rounds.is_settled(round, &view));
+    assert!(rounds.is_complete(round, &view));
     rounds.close(round);
-    assert!(!rounds.is_settled(round, &view));
+    assert!(!rounds.is_complete(round, &view));
 }
 
 /// A shard that nobody owns at present: whoever owned it may still answer its machines.
@@ -167,5 +167,5 @@
         revision: Revision(12),
         shards_with_job: BTreeMap::from([(SHARD, None)]),
     };
-    assert!(!rounds.is_settled(round, &view));
+    assert!(!rounds.is_complete(round, &view));
 }
--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -45,7 +45,7 @@
             {
                 continue;
             }
-            let cpus = spec.need().times(spec.tasks.into()).cpus as f64;
+            let cpus = spec.need().times(spec.tasks.into()).milli_cpus as f64;
             let work = cpus * task_time_s(job, cache, turnaround_s);
             let at = job.eligible;
             self.arrivals.insert(id.clone(), Arrival { at, work });
--- a/src/cloud/arrival_rate/tests.rs
+++ b/src/cloud/arrival_rate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::Revision;
-use crate::protocol::store::{Event, Item};
+use crate::protocol::store::{Event, KeyValue};
 use crate::store::keys;
 use crate::store::records::JobRecord;
 
@@ -19,7 +19,7 @@
             let mut spec = crate::protocol::tests::spec(&id);
             spec.tasks = 10;
             let record = JobRecord::new(spec, now);
-            cache.load(Item {
+            cache.load(KeyValue {
                 key: keys::job(&id.as_str().into()),
                 value: serde_json::to_value(&record).expect("json"),
                 revision: Revision(2 * second + 1),
@@ -37,7 +37,7 @@
         seen.push(arrival_rate.cpus(now));
     }
     let spec = crate::protocol::tests::spec("job-1");
-    let least = 10.0 * spec.need().cpus as f64 * spec.estimate_s;
+    let least = 10.0 * spec.need().milli_cpus as f64 * spec.estimate_s;
     assert_eq!(seen[30], 0, "too early to tell");
     assert!(seen[100] as f64 >= least, "{} of {least}", seen[100]);
     assert!((seen[100] as f64) < 3.0 * least);
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -30,11 +30,11 @@
 /// A call to the cloud, or a change of what is stored, that follows from a decision.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Rent machines; the answer goes to `Autoscaler::on_rent`.
+    /// Rent machines; the answer goes to `Autoscaler::on_rent_outcome`.
     RentMachines(RentRequest),
-    /// Delete these machines; the answer goes to `Autoscaler::on_deleted`.
+    /// Delete these machines; the answer goes to `Autoscaler::on_delete_outcome`.
     DeleteMachines(Vec<MachineId>),
-    /// Ask for the list of machines; the answer goes to `Autoscaler::on_list`.
+    /// Ask for the list of machines; the answer goes to `Autoscaler::on_machine_list`.
     ListMachines,
     /// Ask for the catalog; the answer goes to `Autoscaler::on_catalog`.
     FetchCatalog,
@@ -103,7 +103,7 @@
     }
 
     /// Takes the cloud's list of machines; `None`: the call failed.
-    pub(crate) fn on_list(
+    pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
@@ -123,7 +123,7 @@
     }
 
     /// Takes the cloud's answer to a rent request.
-    pub(crate) fn on_rent(
+    pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
         request: &RentRequest,
@@ -136,7 +136,7 @@
     }
 
     /// Takes the cloud's answer to a deletion. `ok`: the machines are deleted.
-    pub(crate) fn on_deleted(
+    pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
         ids: &[MachineId],
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -1,7 +1,7 @@
 //! Machines that were rented and have no record in the key-value store yet.
 
 use super::machine_offer::MachineOffer;
-use crate::ids::{MachineId, Millis, MonotonicTime, TypeName};
+use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime};
 use crate::protocol::ListedMachine;
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
 }
 
 /// Seconds that a machine of a type takes to boot, by the catalog.
-fn boot_s(type_name: &TypeName, cache: &WatchCache) -> f64 {
+fn boot_s(type_name: &MachineTypeName, cache: &WatchCache) -> f64 {
     cache
         .machine_type(type_name)
         .map_or(DEFAULT_BOOT_S, |t| t.boot_s)
--- a/src/cloud/autoscaler/cheapest_offer.rs
+++ b/src/cloud/autoscaler/cheapest_offer.rs
@@ -38,7 +38,7 @@
     let spec = &cache.jobs.get(&unmet_demand.job)?.spec;
     let mut best: Option<CheapestOffer<'a>> = None;
     for machine_type in &catalog.types {
-        let tasks_per_machine = unmet_demand.need.count_in(machine_type.room());
+        let tasks_per_machine = unmet_demand.need.fit_count(machine_type.capacity());
         if tasks_per_machine == 0 {
             continue;
         }
--- a/src/cloud/autoscaler/incoming.rs
+++ b/src/cloud/autoscaler/incoming.rs
@@ -3,7 +3,7 @@
 use super::boots::Boots;
 use super::machine_offer::MachineOffer;
 use super::rentals::Rentals;
-use crate::ids::{MonotonicTime, Resources, TypeName};
+use crate::ids::{MachineTypeName, MonotonicTime, Resources};
 use crate::placement::UnmetDemand;
 use crate::protocol::{Catalog, JobSpec, MachineType};
 use crate::store::watch_cache::WatchCache;
@@ -28,9 +28,9 @@
         catalog: &Catalog,
         cache: &WatchCache,
     ) -> Self {
-        let capacity = |name: &TypeName| {
+        let capacity = |name: &MachineTypeName| {
             let machine_type = catalog.types.iter().find(|t| t.name == *name);
-            machine_type.map(MachineType::room)
+            machine_type.map(MachineType::capacity)
         };
         let incoming = |offer: &MachineOffer| {
             Some(IncomingMachine {
@@ -52,13 +52,13 @@
 
     /// The CPUs (in thousandths) that are not counted on yet.
     pub(super) fn cpus(&self) -> u64 {
-        self.machines.iter().map(|m| m.free.cpus).sum()
+        self.machines.iter().map(|m| m.free.milli_cpus).sum()
     }
 
     /// Those of them on machines that the cloud does not take back.
     pub(super) fn on_demand_cpus(&self) -> u64 {
         let on_demand = self.machines.iter().filter(|m| !m.offer.spot);
-        on_demand.map(|m| m.free.cpus).sum()
+        on_demand.map(|m| m.free.milli_cpus).sum()
     }
 
     /// Adds a machine that was just asked for, with what is free on it.
@@ -71,7 +71,7 @@
         let mut left = unmet_demand.tasks;
         for machine in &mut self.machines {
             if left > 0 && machine.offer.is_allowed_by(spec) {
-                let tasks = unmet_demand.need.count_in(machine.free).min(left);
+                let tasks = unmet_demand.need.fit_count(machine.free).min(left);
                 machine.free = machine.free - unmet_demand.need.times(tasks);
                 left -= tasks;
             }
--- a/src/cloud/autoscaler/machine_offer.rs
+++ b/src/cloud/autoscaler/machine_offer.rs
@@ -1,6 +1,6 @@
 //! The smallest thing that the cloud rents out and may run out of.
 
-use crate::ids::{TypeName, Zone};
+use crate::ids::{MachineTypeName, Zone};
 use crate::protocol::{JobSpec, ListedMachine, MachineType, RentRequest};
 
 /// A machine type in one zone, as a spot or an on-demand machine. The cloud has or lacks capacity
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineOffer {
     /// The machine type, by its name in the catalog.
-    pub(super) type_name: TypeName,
+    pub(super) type_name: MachineTypeName,
     /// The zone in which the machine is placed.
     pub(super) zone: Zone,
     /// Whether it is a spot machine, which the cloud may take back.
--- a/src/cloud/autoscaler/polls/tests.rs
+++ b/src/cloud/autoscaler/polls/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::Revision;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use serde_json::{Value, json};
 
@@ -45,7 +45,7 @@
 fn catalog_is_stored_when_it_differs_in_more_than_prices() {
     let mut cache = WatchCache::new(&sample_config());
     assert!(poll_with(1.0, 8.0).to_store(&cache).is_some());
-    cache.load(Item {
+    cache.load(KeyValue {
         key: keys::CATALOG.to_owned(),
         value: catalog_json(1.0, 8.0),
         revision: Revision(1),
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -2,7 +2,7 @@
 
 use super::Autoscaler;
 use super::cheapest_offer::cheapest_offer;
-use crate::ids::{MachineId, Millis, MonotonicTime, TypeName};
+use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime};
 use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
@@ -47,8 +47,10 @@
 }
 
 /// The CPUs (in thousandths) of a machine, as far as its type is known.
-fn machine_cpus(type_name: &TypeName, cache: &WatchCache) -> u64 {
-    cache.machine_type(type_name).map_or(0, |t| t.room().cpus)
+fn machine_cpus(type_name: &MachineTypeName, cache: &WatchCache) -> u64 {
+    cache
+        .machine_type(type_name)
+        .map_or(0, |t| t.capacity().milli_cpus)
 }
 
 /// Whether something that waits for capacity may run on a machine.
@@ -81,7 +83,7 @@
             self.store_write_rate,
         );
         self.service_reserve =
-            reserved_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
+            reserved_replicas(cache).map_or(0, |(need, count)| need.milli_cpus * count);
         scheduler
             .draining
             .retain(|id| cache.machines.contains_key(id));
@@ -115,13 +117,13 @@
             let cpus = machine_cpus(&machine.record.type_name, cache);
             self.capacity.add(spot, cpus);
             let (replicas, in_use) = machine_replica_usage(machine, cache);
-            if REPLICA_SHARE_DIVISOR * in_use.cpus > cpus {
+            if REPLICA_SHARE_DIVISOR * in_use.milli_cpus > cpus {
                 continue;
             }
             candidates.push(DrainCandidate {
                 spot,
                 replicas,
-                used_cpus: machine.record.used().cpus,
+                used_cpus: machine.record.used().milli_cpus,
                 cpus,
                 id: id.clone(),
             });
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -3,7 +3,7 @@
 use super::Autoscaler;
 use super::cheapest_offer::{CheapestOffer, cheapest_offer};
 use super::incoming::IncomingMachines;
-use crate::ids::{Millis, MonotonicTime, TypeName, Zone};
+use crate::ids::{MachineTypeName, Millis, MonotonicTime, Zone};
 use crate::placement::{Scheduler, UnmetDemand};
 use crate::protocol::{Catalog, JobKind, JobSpec};
 use crate::store::watch_cache::WatchCache;
@@ -103,8 +103,8 @@
             else {
                 break;
             };
-            let capacity = machine_type.room();
-            let tasks_per_machine = unmet_demand.need.count_in(capacity).max(1);
+            let capacity = machine_type.capacity();
+            let tasks_per_machine = unmet_demand.need.fit_count(capacity).max(1);
             let machines = left.div_ceil(tasks_per_machine);
             let count = machines.min(MAX_MACHINES_PER_RENTAL.into()) as u32;
             let covered = left.min(tasks_per_machine * u64::from(count));
@@ -149,7 +149,7 @@
     if unmet_demand.must_run_concurrently || !is_served(unmet_demand, spec, incoming, cache) {
         return incoming.place(unmet_demand, spec);
     }
-    let cpus = unmet_demand.need.cpus;
+    let cpus = unmet_demand.need.milli_cpus;
     let tasks = cpu_shortfall.div_ceil(cpus.max(1)).min(unmet_demand.tasks);
     *cpu_shortfall = cpu_shortfall.saturating_sub(tasks * cpus);
     tasks
@@ -163,10 +163,10 @@
     incoming: &IncomingMachines,
     cache: &WatchCache,
 ) -> bool {
-    let fits = |type_name: &TypeName, zone: &Zone, spot: bool| {
+    let fits = |type_name: &MachineTypeName, zone: &Zone, spot: bool| {
         let machine_type = cache.machine_type(type_name);
         spec.allows(type_name, zone, spot)
-            && machine_type.is_some_and(|t| unmet_demand.need.fits(t.room()))
+            && machine_type.is_some_and(|t| unmet_demand.need.fits(t.capacity()))
     };
     let mut offers = incoming.offers();
     let mut machines = cache.machines.values().map(|m| &m.record);
@@ -182,7 +182,10 @@
         let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
         let same = |other: &&mut UnmetDemand| {
             let alike = match (spec(&unmet_demand), spec(other)) {
-                (Some(a), Some(b)) => (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot),
+                (Some(a), Some(b)) => {
+                    (&a.machine_types, &a.zone, a.allow_spot)
+                        == (&b.machine_types, &b.zone, b.allow_spot)
+                }
                 _ => false,
             };
             alike
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::sample_config;
 use crate::ids::{Incarnation, Millis};
 use crate::peers::MachineHealth;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{MachineRecord, ShardRecord};
 use unresponsive::{HeartbeatCounts, OwnerSilence};
@@ -53,7 +53,7 @@
     ];
     for (key, value) in values {
         let value = value.expect("json");
-        cache.load(Item {
+        cache.load(KeyValue {
             key,
             value,
             revision: Revision(5),
@@ -95,7 +95,7 @@
         for effect in out {
             if let Effect::DeleteMachines(ids) = effect {
                 deletions += 1;
-                autoscaler.on_deleted(now, &ids, true, &mut Vec::new());
+                autoscaler.on_delete_outcome(now, &ids, true, &mut Vec::new());
             }
         }
     }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -138,16 +138,19 @@
         let spec = &job.spec;
         let need = spec.need();
         if spec.kind != JobKind::Array {
-            load.services += need.cpus * u64::from(spec.tasks);
+            load.services += need.milli_cpus * u64::from(spec.tasks);
             continue;
         }
-        let limit = config.teams.get(&spec.team).map_or(0, |t| t.limit().cpus);
+        let limit = config
+            .teams
+            .get(&spec.team)
+            .map_or(0, |t| t.limit().milli_cpus);
         let left = spec.tasks.saturating_sub(job.done_count());
         let running = (job.placed.len() as u32).min(left);
         let task_s = task_time_s(job, cache, turnaround_s);
-        let width = need.cpus.saturating_mul(left.into()).min(limit) as f64;
+        let width = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
-        let cpus = need.cpus as f64;
+        let cpus = need.milli_cpus as f64;
         // Running tasks keep their slots whatever comes first; on average half of each is left.
         running_work += 0.5 * f64::from(running) * cpus * task_s;
         let work = f64::from(left - running) * cpus * task_s;
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::Millis;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::JobRecord;
 use proptest::prelude::*;
@@ -53,7 +53,7 @@
     let accepted = UnixTime(1_000_000);
     let record = JobRecord::new(spec, accepted);
     let mut cache = WatchCache::new(&config);
-    cache.load(Item {
+    cache.load(KeyValue {
         key: keys::job(&record.spec.id),
         value: serde_json::to_value(&record).expect("json"),
         revision: crate::ids::Revision(5),
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -2,8 +2,8 @@
 
 use crate::admin::Settings;
 use crate::ids::{
-    AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, RoundId,
-    ShardFence, ShardId, TaskAttempt, TaskId, UnixTime,
+    AttemptNumber, CancellationRoundId, Incarnation, JobId, LeaseId, MachineId, MemberId, Millis,
+    Revision, ShardFence, ShardId, TaskAttempt, TaskId, UnixTime,
 };
 use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::protocol::{Catalog, ExitReason, JobState};
@@ -27,7 +27,7 @@
     }
 }
 
-fn member() -> Member {
+fn member() -> MemberId {
     "mooring-1".into()
 }
 
@@ -109,7 +109,7 @@
 }
 
 fn attempt_messages() -> Vec<(&'static str, Message)> {
-    let no_room = AttemptOutcome::Exited(ExitReason::NoRoom);
+    let no_room = AttemptOutcome::Exited(ExitReason::NoCapacity);
     let stop = Message::Stop {
         machine: machine(),
         attempt: attempt(2),
@@ -126,13 +126,13 @@
 
 fn cancellation_messages() -> Vec<(&'static str, Message)> {
     let cancelled = Message::Cancelled {
-        round: RoundId(3),
+        round: CancellationRoundId(3),
         job: JobId::from(JOB),
         revision: Revision(500),
         age: Millis(20),
     };
     let acknowledged = Message::CancellationAcknowledged {
-        round: RoundId(3),
+        round: CancellationRoundId(3),
         job: JobId::from(JOB),
         settled: vec![ShardFence {
             shard: ShardId(4),
--- a/src/config.rs
+++ b/src/config.rs
@@ -10,7 +10,7 @@
 pub(crate) use store_limits::{StateLimits, StateRates};
 pub(crate) use team::Team;
 
-use crate::ids::{Member, Millis, Pipeline, Resources, TeamId, Zone};
+use crate::ids::{MemberId, Millis, Pipeline, Resources, TeamId, Zone};
 use settings_file::{ObjectiveEntry, PeerEntry, QuotaSection, SettingsFile, TeamEntry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Config {
     /// This controller's name.
-    pub(crate) member: Member,
+    pub(crate) member: MemberId,
     /// The zone that it runs in.
     pub(crate) zone: Zone,
     /// Where it serves HTTP.
@@ -39,7 +39,7 @@
     /// Where it accepts the links of its peers.
     pub(crate) peer_listen: SocketAddr,
     /// The other controllers, and where they accept links.
-    pub(crate) peers: BTreeMap<Member, SocketAddr>,
+    pub(crate) peers: BTreeMap<MemberId, SocketAddr>,
     /// The cloud's address.
     pub(crate) cloud_addr: SocketAddr,
     /// The key-value store's address.
@@ -145,13 +145,16 @@
 }
 
 /// `others`: the peers of `member`.
-fn peers(member: &str, entries: &[PeerEntry]) -> Result<BTreeMap<Member, SocketAddr>, ConfigError> {
+fn peers(
+    member: &str,
+    entries: &[PeerEntry],
+) -> Result<BTreeMap<MemberId, SocketAddr>, ConfigError> {
     let mut peers = BTreeMap::new();
     for (index, peer) in entries.iter().enumerate() {
         let name_field = format!("others[{index}].member");
         check_name(&name_field, &peer.member)?;
         let addr = address(&format!("others[{index}].addr"), &peer.addr)?;
-        let duplicate = peers.insert(Member::from(peer.member.as_str()), addr);
+        let duplicate = peers.insert(MemberId::from(peer.member.as_str()), addr);
         if duplicate.is_some() || peer.member == member {
             return invalid(&name_field, "names a controller twice");
         }
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -14,7 +14,7 @@
 
 /// The kinds that guarantees and limits are given in. Memory has neither.
 fn quota_kinds(amounts: Resources) -> [u64; 2] {
-    [amounts.cpus, amounts.gpus]
+    [amounts.milli_cpus, amounts.milli_gpus]
 }
 
 fn above_zero(amounts: Resources) -> [Option<u64>; 2] {
@@ -34,9 +34,9 @@
     pub(crate) fn limit(&self) -> Resources {
         let [cpus, gpus] = self.limit.map(|limit| limit.unwrap_or(u64::MAX));
         Resources {
-            cpus,
-            gpus,
-            memory: u64::MAX,
+            milli_cpus: cpus,
+            milli_gpus: gpus,
+            memory_mb: u64::MAX,
         }
     }
 
@@ -70,7 +70,7 @@
     /// A team with quotas of CPUs alone, in thousandths.
     pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
-            cpus,
+            milli_cpus: cpus,
             ..Resources::default()
         };
         Self::new(cpus(guarantee), cpus(limit))
--- a/src/config/team/tests.rs
+++ b/src/config/team/tests.rs
@@ -2,9 +2,9 @@
 
 fn amounts(cpus: u64, gpus: u64) -> Resources {
     Resources {
-        cpus,
-        gpus,
-        memory: 7,
+        milli_cpus: cpus,
+        milli_gpus: gpus,
+        memory_mb: 7,
     }
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -31,7 +31,10 @@
     let config = sample_config();
     assert_eq!(config.controllers, 3);
     assert_eq!(config.state.txn_ops, 12);
-    assert_eq!(config.teams[&TeamId::from("red")].limit().cpus, 24_000);
+    assert_eq!(
+        config.teams[&TeamId::from("red")].limit().milli_cpus,
+        24_000
+    );
 }
 
 #[test]
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -252,7 +252,7 @@
             TxnRequester::DependentRelease(job) => self.on_release(now, job, outcome),
             TxnRequester::CancelledDependents(jobs) => {
                 if let TxnOutcome::Committed(revision) = outcome {
-                    self.dependents_cancelled(jobs, *revision);
+                    self.on_dependents_cancelled(jobs, *revision);
                 }
             }
             TxnRequester::Catalog => self.catalog.on_outcome(now, outcome),
@@ -279,35 +279,35 @@
     }
 
     /// The cloud's list of machines. `None`: it did not answer.
-    pub(crate) fn on_list(
+    pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
     ) -> Vec<Effect> {
-        self.autoscaler.on_list(now, machines, &self.cache);
+        self.autoscaler.on_machine_list(now, machines, &self.cache);
         self.run_due_work(now)
     }
 
     /// The outcome of a request for machines.
-    pub(crate) fn on_rent(
+    pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
         request: &RentRequest,
         outcome: RentOutcome,
     ) -> Vec<Effect> {
-        self.autoscaler.on_rent(now, request, outcome);
+        self.autoscaler.on_rent_outcome(now, request, outcome);
         self.run_due_work(now)
     }
 
     /// Whether the cloud has deleted these machines.
-    pub(crate) fn on_deleted(
+    pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
         ids: &[MachineId],
         ok: bool,
     ) -> Vec<Effect> {
         let mut cloud = Vec::new();
-        self.autoscaler.on_deleted(now, ids, ok, &mut cloud);
+        self.autoscaler.on_delete_outcome(now, ids, ok, &mut cloud);
         let mut effects = self.apply_cloud_effects(now, cloud);
         effects.extend(self.run_due_work(now));
         effects
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -5,7 +5,7 @@
 use super::effects::Effect;
 use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds};
 use crate::ids::{
-    JobId, MachineId, Millis, MonotonicTime, Revision, RoundId, ShardFence, TaskAttempt,
+    CancellationRoundId, JobId, MachineId, Millis, MonotonicTime, Revision, ShardFence, TaskAttempt,
 };
 use crate::peers::Message;
 use std::collections::BTreeMap;
@@ -26,26 +26,30 @@
 }
 
 impl Controller {
-    /// Tells all controllers of a cancellation that is committed; [`Self::is_settled`] says when its
-    /// user may hear of it.
+    /// Tells all controllers of a cancellation that is committed;
+    /// [`Self::is_cancellation_complete`] says when its user may hear of it.
     pub(crate) fn announce_cancellation(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
         revision: Revision,
         age: Millis,
-    ) -> (RoundId, Vec<Effect>) {
+    ) -> (CancellationRoundId, Vec<Effect>) {
         let mut effects = Vec::new();
         self.learn_cancelled(now, job, revision, age, &mut effects);
         let round = self.cancellation.rounds.open(job, revision);
         effects.extend(self.run_due_work(now));
-        effects.extend(self.ask_round(now, round));
+        effects.extend(self.send_cancellation(now, round));
         (round, effects)
     }
 
     /// Asks the other controllers, once more if need be: what they answered first was perhaps not
     /// proved yet.
-    pub(crate) fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
+    pub(crate) fn send_cancellation(
+        &self,
+        now: MonotonicTime,
+        round: CancellationRoundId,
+    ) -> Vec<Effect> {
         let Some((job, revision)) = self.cancellation.rounds.pending_cancellation(round) else {
             return Vec::new();
         };
@@ -58,12 +62,16 @@
         };
         let peers = self.config.peers.keys();
         peers
-            .map(|peer| Effect::Peer(peer.clone(), message.clone()))
+            .map(|peer| Effect::SendToPeer(peer.clone(), message.clone()))
             .collect()
     }
 
     /// Whether all tasks of a round's job are proved gone.
-    pub(crate) fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
+    pub(crate) fn is_cancellation_complete(
+        &mut self,
+        now: MonotonicTime,
+        round: CancellationRoundId,
+    ) -> bool {
         let pending = self.cancellation.rounds.pending_cancellation(round);
         let Some(job) = pending.map(|(job, _)| job.clone()) else {
             return false;
@@ -81,7 +89,7 @@
             revision: self.cache.revision,
             shards_with_job: carriers.collect(),
         };
-        self.cancellation.rounds.is_settled(round, &view)
+        self.cancellation.rounds.is_complete(round, &view)
     }
 
     /// The owned shards in which a cancelled job's tasks are proved gone. Where neither a stop nor a
@@ -96,7 +104,7 @@
     }
 
     /// Ends a round, whatever has come of it.
-    pub(crate) fn close_round(&mut self, round: RoundId) {
+    pub(crate) fn close_cancellation_round(&mut self, round: CancellationRoundId) {
         self.cancellation.rounds.close(round);
     }
 
@@ -138,7 +146,11 @@
         let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let deadlines = &mut self.cancellation.deadlines;
         let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
-        effects.extend(due.unknown_outcomes.into_iter().map(Effect::QueryOutcome));
+        effects.extend(
+            due.unknown_outcomes
+                .into_iter()
+                .map(Effect::QueryJobOutcome),
+        );
         if !due.decommission.is_empty() {
             tracing::info!(machines = ?due.decommission, "machines are deleted: tasks of a cancelled job did not stop in time");
             self.autoscaler.decommission(now, due.decommission);
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime, Revision};
 use crate::placement::Scheduler;
-use crate::planning::counter::{self, Layout};
+use crate::planning::completion_counter::{self, CounterLayout};
 use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::rate_limiter::RequestClass;
@@ -77,7 +77,7 @@
             return None;
         }
         self.deletions.insert(id.clone(), now);
-        let txn = record_deletion(id, machine, cache, &Layout::new(config));
+        let txn = record_deletion(id, machine, cache, &CounterLayout::new(config));
         Some(Effect::unattended_txn(RequestClass::Place, txn))
     }
 
@@ -112,7 +112,7 @@
     id: &MachineId,
     machine: &LiveMachine,
     cache: &WatchCache,
-    layout: &Layout,
+    layout: &CounterLayout,
 ) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::machine(id), machine.revision);
@@ -120,7 +120,7 @@
     for done in &machine.record.done {
         let max_changes = layout.txn_ops - 1 - txn.changes.len();
         if let Some(job) = cache.jobs.get(&done.job) {
-            all_folded &= counter::fold(&mut txn, &done.job, job, layout, max_changes);
+            all_folded &= completion_counter::fold(&mut txn, &done.job, job, layout, max_changes);
         }
     }
     if all_folded {
@@ -136,11 +136,11 @@
     let records = cache.machines.values().map(|m| &m.record);
     let full = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
     let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
-    let layout = Layout::new(config);
+    let layout = CounterLayout::new(config);
     for id in jobs.into_iter().take(MAX_COUNTERS_FOLDED) {
         let mut txn = Txn::default();
         if let Some(job) = cache.jobs.get(id) {
-            counter::fold(&mut txn, id, job, &layout, config.state.txn_ops);
+            completion_counter::fold(&mut txn, id, job, &layout, config.state.txn_ops);
         }
         if !txn.changes.is_empty() {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
--- a/src/controller/completion.rs
+++ b/src/controller/completion.rs
@@ -3,7 +3,7 @@
 use super::effects::{Effect, TxnRequester};
 use crate::config::Config;
 use crate::ids::{JobId, Millis, MonotonicTime};
-use crate::planning::counter::{self, Layout};
+use crate::planning::completion_counter::{self, CounterLayout};
 use crate::store::TxnOutcome;
 use crate::store::rate_limiter::RequestClass;
 use crate::store::watch_cache::WatchCache;
@@ -34,10 +34,10 @@
     ) {
         self.in_flight
             .retain(|id, at| cache.jobs.contains_key(id) && now.since(*at) < RETRY_INTERVAL);
-        let layout = Layout::new(config);
+        let layout = CounterLayout::new(config);
         for (id, job) in &cache.jobs {
             if !self.in_flight.contains_key(id)
-                && let Some(txn) = counter::release(id, job, &layout)
+                && let Some(txn) = completion_counter::completion_txn(id, job, &layout)
             {
                 self.in_flight.insert(id.clone(), now);
                 effects.push(Effect::Txn {
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -73,7 +73,7 @@
             self.dependents
                 .queried
                 .insert(id.clone(), now + RETRY_INTERVAL);
-            effects.push(Effect::QueryOutcome(id));
+            effects.push(Effect::QueryJobOutcome(id));
         }
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// These jobs were cancelled because others that they need were.
-    pub(crate) fn dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
+    pub(crate) fn on_dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
         for job in jobs {
             self.cache.cancel(job, revision);
         }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,6 +1,6 @@
 //! What a controller's decisions ask its process to do, and whom the outcome concerns.
 
-use crate::ids::{JobId, MachineId, Member};
+use crate::ids::{JobId, MachineId, MemberId};
 use crate::peers::Message;
 use crate::protocol::RentRequest;
 use crate::protocol::store::Txn;
@@ -41,9 +41,9 @@
         txn: Txn,
     },
     /// Send direct commands to a worker.
-    Call(DirectCall),
+    CallWorker(DirectCall),
     /// Send a message to another controller.
-    Peer(Member, Message),
+    SendToPeer(MemberId, Message),
     /// Request machines from the cloud.
     RentMachines(RentRequest),
     /// Delete machines at the cloud.
@@ -53,7 +53,7 @@
     /// Fetch the cloud's machine types.
     FetchCatalog,
     /// Read how a job has ended.
-    QueryOutcome(JobId),
+    QueryJobOutcome(JobId),
 }
 
 impl Effect {
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::effects::{Effect, TxnRequester};
 use crate::cloud;
-use crate::ids::{MachineId, Member, MonotonicTime, ShardId};
+use crate::ids::{MachineId, MemberId, MonotonicTime, ShardId};
 use crate::peers::{AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::placement;
 use crate::store::rate_limiter::RequestClass;
@@ -12,10 +12,10 @@
 
 impl Controller {
     /// A message from another controller.
-    pub(crate) fn on_peer(
+    pub(crate) fn on_peer_message(
         &mut self,
         now: MonotonicTime,
-        from: &Member,
+        from: &MemberId,
         message: Message,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
@@ -33,7 +33,7 @@
                     job,
                     settled,
                 };
-                effects.push(Effect::Peer(from.clone(), acknowledgement));
+                effects.push(Effect::SendToPeer(from.clone(), acknowledgement));
             }
             Message::CancellationAcknowledged {
                 round,
@@ -78,7 +78,7 @@
                 self.reachability.on_misdirected_heartbeats(now, machines);
             }
             Message::Health(health) => self.on_health(now, health),
-            // Handled by the daemon, or by `on_peer`.
+            // Handled by the daemon, or by `on_peer_message`.
             Message::Hello { .. }
             | Message::PeerStatus { .. }
             | Message::Relay { .. }
@@ -140,7 +140,7 @@
                     class: RequestClass::Place,
                     txn,
                 }),
-                worker_control::Effect::Call(call) => effects.push(Effect::Call(call)),
+                worker_control::Effect::CallWorker(call) => effects.push(Effect::CallWorker(call)),
                 worker_control::Effect::ToLeader(message) => {
                     self.send_to_leader(now, message, effects);
                 }
@@ -167,14 +167,14 @@
     fn send(
         &mut self,
         now: MonotonicTime,
-        to: Member,
+        to: MemberId,
         message: Message,
         effects: &mut Vec<Effect>,
     ) {
         if to == self.config.member {
             self.dispatch(now, message, effects);
         } else {
-            effects.push(Effect::Peer(to, message));
+            effects.push(Effect::SendToPeer(to, message));
         }
     }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::{
-    AttemptNumber, HeartbeatSequence, RoundId, ShardId, TaskAttempt, TaskId, WorkerEpoch,
+    AttemptNumber, CancellationRoundId, HeartbeatSequence, ShardId, TaskAttempt, TaskId,
+    WorkerEpoch,
 };
 use crate::peers::Message;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
 
 /// A controller that leads and owns every shard, with a watch cache that never changes again.
@@ -13,7 +14,7 @@
     let (me, incarnation) = (config.member.clone(), Incarnation(1));
     let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: &dyn erased::Json| {
-        cache.load(Item {
+        cache.load(KeyValue {
             key,
             value: value.json(),
             revision: Revision(5),
@@ -62,7 +63,7 @@
         epoch: WorkerEpoch(1),
         sequence: HeartbeatSequence(1),
         token: FencingToken::of(Revision(token), 0),
-        notice_s: None,
+        until_interruption_s: None,
         tasks: Vec::new(),
     }
 }
@@ -72,7 +73,7 @@
 fn answering_machine_is_tracked_without_any_store_event() {
     let mut controller = alone();
     let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
-    let asked = effects.iter().any(|e| matches!(e, Effect::Call(_)));
+    let asked = effects.iter().any(|e| matches!(e, Effect::CallWorker(_)));
     assert!(asked && controller.shard_owner.tracked_count() == 0);
     let done = DirectCallOutcome::Done(heartbeat(5));
     controller.on_direct_call_outcome(
@@ -126,12 +127,12 @@
     };
     controller.on_events(MonotonicTime(1000), Revision(6), vec![event]);
     let cancelled = Message::Cancelled {
-        round: RoundId(1),
+        round: CancellationRoundId(1),
         job: spec.id,
         revision: Revision(7),
         age: Millis(0),
     };
-    controller.on_peer(MonotonicTime(1200), &"c1".into(), cancelled);
+    controller.on_peer_message(MonotonicTime(1200), &"c1".into(), cancelled);
     if let Some(token) = seen {
         controller.on_heartbeat(MonotonicTime(2000), &heartbeat(token));
     }
--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -2,7 +2,7 @@
 
 use super::node::Node;
 use crate::api::Cancellation;
-use crate::ids::{Millis, RoundId};
+use crate::ids::{CancellationRoundId, Millis};
 use crate::runtime::{self, Receiver};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -32,15 +32,19 @@
         controller.announce_cancellation(now, job, cancellation.revision, age)
     });
     let settled = wait_until_settled(&node, round, begun).await;
-    node.controller.borrow_mut().close_round(round);
+    node.controller.borrow_mut().close_cancellation_round(round);
     let took = begun.elapsed();
     tracing::debug!(%job, settled, ?took, "cancellation");
     cancellation.settled.send(settled);
 }
 
 /// Polls a round, and asks again whoever has not acknowledged it. `false`: the time is over.
-async fn wait_until_settled(node: &Rc<Node>, round: RoundId, begun: Instant) -> bool {
-    let is_settled = || node.controller.borrow_mut().is_settled(node.now(), round);
+async fn wait_until_settled(node: &Rc<Node>, round: CancellationRoundId, begun: Instant) -> bool {
+    let is_settled = || {
+        node.controller
+            .borrow_mut()
+            .is_cancellation_complete(node.now(), round)
+    };
     let mut last_asked = begun;
     let mut settled = is_settled();
     while !settled && begun.elapsed() < CONFIRMATION_TIMEOUT {
@@ -48,7 +52,7 @@
         settled = is_settled();
         if !settled && last_asked.elapsed() >= RETRY_INTERVAL {
             last_asked = Instant::now();
-            node.update(|controller, now| controller.ask_round(now, round));
+            node.update(|controller, now| controller.send_cancellation(now, round));
         }
     }
     settled
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -4,7 +4,7 @@
 use crate::http::{Client, Method, Response};
 use crate::ids::{MachineId, MonotonicTime};
 use crate::protocol::{
-    Catalog, ListedMachine, MachineList, MachineNames, RentRequest, machines_path, path,
+    Catalog, ListedMachine, MachineIds, MachineList, RentRequest, machines_path, path,
 };
 use crate::runtime;
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
@@ -109,7 +109,7 @@
         for _ in 0..MAX_LIST_PAGES {
             let path = machines_path(machines.last().map(|machine| &machine.id));
             let page = self.list_page(&path, !machines.is_empty(), begun).await?;
-            let more = page.more && !page.machines.is_empty();
+            let more = page.has_next && !page.machines.is_empty();
             machines.extend(page.machines);
             if !more {
                 break;
@@ -140,7 +140,7 @@
             .await;
         match response {
             Ok(response) if response.status == 200 => {
-                serde_json::from_slice::<MachineNames>(&response.body)
+                serde_json::from_slice::<MachineIds>(&response.body)
                     .map_or(RentOutcome::Again, |rented| {
                         RentOutcome::Rented(rented.machines)
                     })
@@ -156,7 +156,7 @@
 
     /// Returns machines to the cloud. `true`: they and everything on them are gone.
     pub(super) async fn delete(&self, ids: &[MachineId]) -> bool {
-        let names = MachineNames {
+        let names = MachineIds {
             machines: ids.to_vec(),
         };
         let response = self
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -22,16 +22,16 @@
         for effect in effects {
             let node = self.clone();
             match effect {
-                Effect::Peer(member, message) => self.send(&member, message),
+                Effect::SendToPeer(member, message) => self.send(&member, message),
                 Effect::Txn {
                     requester,
                     class,
                     txn,
                 } => runtime::spawn(node.run_transaction(requester, class, txn)),
-                Effect::Call(call) => runtime::spawn(node.run_direct_call(call)),
+                Effect::CallWorker(call) => runtime::spawn(node.run_direct_call(call)),
                 Effect::RentMachines(request) => runtime::spawn(node.rent_machines(request)),
                 Effect::DeleteMachines(ids) => runtime::spawn(node.delete_machines(ids)),
-                Effect::QueryOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
+                Effect::QueryJobOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
                 Effect::ListMachines => runtime::spawn(node.list_machines()),
                 Effect::FetchCatalog => runtime::spawn(node.fetch_catalog()),
             }
@@ -53,7 +53,7 @@
         let outcome = match call.addr.parse() {
             Err(_) => DirectCallOutcome::NotSent,
             Ok(addr) => {
-                let body = protocol::commands(call.token, Some(call.epoch), &call.commands);
+                let body = protocol::encode_commands(call.token, Some(call.epoch), &call.commands);
                 self.call_worker(addr, &body).await
             }
         };
@@ -83,7 +83,7 @@
     async fn rent_machines(self: Rc<Self>, request: RentRequest) {
         let outcome = self.cloud.rent(&request).await;
         self.log_rental(&request, &outcome);
-        self.update(|controller, now| controller.on_rent(now, &request, outcome));
+        self.update(|controller, now| controller.on_rent_outcome(now, &request, outcome));
     }
 
     /// One line for each answer, but of those that only ask to repeat the request the first alone.
@@ -102,7 +102,7 @@
     async fn delete_machines(self: Rc<Self>, ids: Vec<MachineId>) {
         let ok = self.cloud.delete(&ids).await;
         tracing::info!(?ids, ok, "machine deletion answered");
-        self.update(|controller, now| controller.on_deleted(now, &ids, ok));
+        self.update(|controller, now| controller.on_delete_outcome(now, &ids, ok));
     }
 
     async fn query_job_outcome(self: Rc<Self>, job: JobId) {
@@ -113,7 +113,7 @@
 
     async fn list_machines(self: Rc<Self>) {
         let machines = self.cloud.list().await;
-        self.update(|controller, now| controller.on_list(now, machines));
+        self.update(|controller, now| controller.on_machine_list(now, machines));
     }
 
     async fn fetch_catalog(self: Rc<Self>) {
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -4,7 +4,7 @@
 
 use super::node::Node;
 use crate::http::{Method, Request, Response};
-use crate::ids::{MachineId, Member};
+use crate::ids::{MachineId, MemberId};
 use crate::peers::Message;
 use crate::runtime;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 /// send it there itself.
 pub(super) async fn forward_heartbeat(
     node: &Node,
-    owner: &Member,
+    owner: &MemberId,
     machine: &MachineId,
     request: &Request,
 ) -> Option<Response> {
@@ -44,7 +44,7 @@
     response.filter(|response| response.status == 200)
 }
 
-async fn forward_to(node: &Node, peer: &Member, request: &Request) -> Option<Response> {
+async fn forward_to(node: &Node, peer: &MemberId, request: &Request) -> Option<Response> {
     let pending = node.pending_forwards.register()?;
     let message = Message::ForwardedRequest {
         id: pending.id,
--- a/src/daemon/heartbeat_endpoint.rs
+++ b/src/daemon/heartbeat_endpoint.rs
@@ -40,8 +40,10 @@
 fn to_response(answer: HeartbeatAnswer) -> Response {
     match answer {
         HeartbeatAnswer::Commands(token, commands) => {
-            Response::new(200, protocol::commands(token, None, &commands))
+            Response::new(200, protocol::encode_commands(token, None, &commands))
+        }
+        HeartbeatAnswer::Redirect(owner) => {
+            Response::new(421, protocol::encode_redirect(owner.as_ref()))
         }
-        HeartbeatAnswer::Redirect(owner) => Response::new(421, protocol::redirect(owner.as_ref())),
     }
 }
--- a/src/daemon/membership_log.rs
+++ b/src/daemon/membership_log.rs
@@ -1,7 +1,7 @@
 //! The log of what the watch cache shows of the cluster: who leads in which term, and who owns which
 //! shard under which fence.
 
-use crate::ids::{Member, Revision, ShardId};
+use crate::ids::{MemberId, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 
 #[derive(Clone, PartialEq)]
 struct Leader {
-    member: Member,
+    member: MemberId,
     term: Revision,
 }
 
 #[derive(Clone, PartialEq)]
 struct Owner {
-    member: Member,
+    member: MemberId,
     fence: Revision,
 }
 
@@ -39,7 +39,7 @@
 
 impl MembershipLog {
     /// Logs what has changed since the last call. `own`: this controller.
-    pub(super) fn update(&mut self, cache: &WatchCache, own: &Member) {
+    pub(super) fn update(&mut self, cache: &WatchCache, own: &MemberId) {
         let leader = cache.leader.as_ref().map(|record| Leader {
             member: record.value.member.clone(),
             term: record.revision,
@@ -67,7 +67,7 @@
             .map(|(shard, owner)| (shard, owner.fence)))
     }
 
-    fn log_leader(&self, leader: Option<&Leader>, revision: Revision, own: &Member) {
+    fn log_leader(&self, leader: Option<&Leader>, revision: Revision, own: &MemberId) {
         if let Some(last) = &self.leader
             && last.member == *own
         {
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -10,7 +10,7 @@
 use crate::controller::{Controller, Effect};
 use crate::episodes::Episodes;
 use crate::http::Client;
-use crate::ids::{Incarnation, Member, Millis, MonotonicTime};
+use crate::ids::{Incarnation, MemberId, Millis, MonotonicTime};
 use crate::peers::{Links, Message, RelayRoutes};
 use crate::runtime::{Scope, Sender};
 use crate::store::Store;
@@ -131,7 +131,7 @@
     }
 
     /// Sends a message to a peer: directly, or through one that reaches it when this node does not.
-    pub(super) fn send(&self, to: &Member, message: Message) {
+    pub(super) fn send(&self, to: &MemberId, message: Message) {
         let relay = self.routes.borrow().relay_for(self.now(), to).cloned();
         match relay {
             None => self.links.send(to, message),
--- a/src/daemon/peer_messages.rs
+++ b/src/daemon/peer_messages.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::{heartbeat_endpoint, user_endpoints};
 use crate::http::{Method, Request, Response};
-use crate::ids::{MachineId, Member};
+use crate::ids::{MachineId, MemberId};
 use crate::peers::Message;
 use crate::protocol::path;
 use crate::runtime;
@@ -12,7 +12,7 @@
 
 impl Node {
     /// Handles a message that was sent, directly or through a relay, by `from`.
-    pub(super) fn on_peer_message(self: &Rc<Self>, from: &Member, message: Message) {
+    pub(super) fn on_peer_message(self: &Rc<Self>, from: &MemberId, message: Message) {
         match message {
             Message::PeerStatus {
                 store_reachable,
@@ -34,15 +34,17 @@
                 self.pending_forwards
                     .complete(id, Response::new(status, body));
             }
-            message => self.update(|controller, now| controller.on_peer(now, from, message)),
+            message => {
+                self.update(|controller, now| controller.on_peer_message(now, from, message))
+            }
         }
     }
 
     fn on_peer_status(
         &self,
-        from: &Member,
+        from: &MemberId,
         store_reachable: bool,
-        reachable_peers: Vec<Member>,
+        reachable_peers: Vec<MemberId>,
         missing_machines: Vec<MachineId>,
     ) {
         self.routes.borrow_mut().on_peer_status(
@@ -56,7 +58,7 @@
 
     /// A message for another controller is sent on directly and never relayed again: whoever was
     /// asked to relay reaches the other side itself.
-    fn on_relay(self: &Rc<Self>, to: Member, from: Member, message: Box<Message>) {
+    fn on_relay(self: &Rc<Self>, to: MemberId, from: MemberId, message: Box<Message>) {
         if to == self.config.member {
             self.on_peer_message(&from, *message);
             return;
@@ -68,7 +70,7 @@
 }
 
 /// Decides a peer's request here; it is never forwarded again.
-async fn answer_forwarded(node: Rc<Node>, from: Member, id: u64, request: Request) {
+async fn answer_forwarded(node: Rc<Node>, from: MemberId, id: u64, request: Request) {
     let response = if request.method == Method::Post && request.path == path::HEARTBEAT {
         heartbeat_endpoint::relayed_heartbeat(&node, &request.body)
     } else {
--- a/src/daemon/served_peers.rs
+++ b/src/daemon/served_peers.rs
@@ -1,6 +1,6 @@
 //! Which peers the key-value store serves, as far as they say so.
 
-use crate::ids::Member;
+use crate::ids::MemberId;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 /// When each peer that the key-value store serves last said so.
 #[derive(Default)]
 pub(super) struct ServedPeers {
-    last_served: RefCell<BTreeMap<Member, Instant>>,
+    last_served: RefCell<BTreeMap<MemberId, Instant>>,
 }
 
 impl ServedPeers {
     /// Takes over what a peer's status says of the key-value store.
-    pub(super) fn record(&self, peer: &Member, store_reachable: bool) {
+    pub(super) fn record(&self, peer: &MemberId, store_reachable: bool) {
         let mut last_served = self.last_served.borrow_mut();
         if store_reachable {
             last_served.insert(peer.clone(), Instant::now());
@@ -28,7 +28,7 @@
     }
 
     /// The peer with the latest status, among those whose status is recent.
-    pub(super) fn latest(&self) -> Option<Member> {
+    pub(super) fn latest(&self) -> Option<MemberId> {
         let last_served = self.last_served.borrow();
         last_served
             .iter()
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -3,7 +3,9 @@
 use super::endpoint::EndpointReport;
 use super::node::Node;
 use crate::api::{FinalReadCounters, UnansweredReport};
-use crate::ids::{FencingToken, MachineId, Member, Resources, Revision, TeamId, TypeName, Zone};
+use crate::ids::{
+    FencingToken, MachineId, MachineTypeName, MemberId, Resources, Revision, TeamId, Zone,
+};
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::ProgramVersion;
 use crate::store::watch_cache::WatchCache;
@@ -14,16 +16,16 @@
 /// What a node knows of the cluster and of itself.
 #[derive(Serialize)]
 pub(super) struct StatusReport<'a> {
-    member: &'a Member,
+    member: &'a MemberId,
     zone: &'a Zone,
     /// Whether the load balancer should send users here.
     ready: bool,
     /// The leader, as far as the watch cache knows.
-    leader: Option<&'a Member>,
+    leader: Option<&'a MemberId>,
     /// All controllers that hold a lease.
-    members: Vec<&'a Member>,
+    members: Vec<&'a MemberId>,
     /// Their program versions.
-    versions: BTreeMap<&'a Member, ProgramVersion>,
+    versions: BTreeMap<&'a MemberId, ProgramVersion>,
     /// The revision of the watch cache.
     revision: Revision,
     /// By the shard's id.
@@ -60,7 +62,7 @@
 #[derive(Serialize)]
 struct ShardReport<'a> {
     #[serde(rename = "holder")]
-    owner: &'a Member,
+    owner: &'a MemberId,
     token: FencingToken,
 }
 
@@ -69,7 +71,7 @@
 struct MachineReport<'a> {
     id: &'a MachineId,
     #[serde(rename = "type")]
-    type_name: &'a TypeName,
+    type_name: &'a MachineTypeName,
     zone: &'a Zone,
     spot: bool,
     /// How many tasks are placed on it.
@@ -127,7 +129,7 @@
     }
 }
 
-fn versions_by_member(cache: &WatchCache) -> BTreeMap<&Member, ProgramVersion> {
+fn versions_by_member(cache: &WatchCache) -> BTreeMap<&MemberId, ProgramVersion> {
     let members = cache.members.iter();
     members
         .map(|(member, record)| (member, record.version))
--- a/src/daemon/store_watch.rs
+++ b/src/daemon/store_watch.rs
@@ -67,7 +67,7 @@
         first_revision.get_or_insert(page.revision);
         last_revision = page.revision;
         last_key = page.items.last().map(|item| item.key.clone());
-        let more = page.more && last_key.is_some();
+        let more = page.has_next && last_key.is_some();
         for item in page.items {
             cache.load(item);
         }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -6,10 +6,12 @@
 mod tasks;
 mod time;
 
-pub(crate) use names::{Image, JobId, MachineId, Member, Pipeline, TeamId, TypeName, Zone};
+pub(crate) use names::{
+    Image, JobId, MachineId, MachineTypeName, MemberId, Pipeline, TeamId, Zone,
+};
 pub(crate) use numbers::{
-    AttemptNumber, FencingToken, HeartbeatSequence, Incarnation, LeaseId, Revision, RoundId,
-    ShardFence, ShardId, WorkerEpoch,
+    AttemptNumber, CancellationRoundId, FencingToken, HeartbeatSequence, Incarnation, LeaseId,
+    Revision, ShardFence, ShardId, WorkerEpoch,
 };
 pub(crate) use resources::Resources;
 pub(crate) use tasks::{TaskAttempt, TaskId};
--- a/src/ids/names.rs
+++ b/src/ids/names.rs
@@ -118,13 +118,13 @@
     /// A machine, by the name that the cloud gave it.
     MachineId,
     /// A machine type of the cloud.
-    TypeName,
+    MachineTypeName,
     /// A zone of the cloud: what may fail as one.
     Zone,
     /// A container image.
     Image,
     /// A controller.
-    Member,
+    MemberId,
 }
 
 impl MachineId {
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -36,7 +36,7 @@
     Incarnation,
     /// A round of asking the other controllers about a cancellation, among those of one process of a
     /// controller.
-    RoundId,
+    CancellationRoundId,
 }
 
 /// Bits of an attempt's number that count the attempts of one leader's term.
@@ -66,7 +66,7 @@
     }
 
     /// The token after one more raise under the same record; none once all its bits are used.
-    pub(crate) fn next_raise(self) -> Option<Self> {
+    pub(crate) fn checked_increment(self) -> Option<Self> {
         let next = Self(self.0 + 1);
         (next.fence() == self.fence()).then_some(next)
     }
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -12,11 +12,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Resources {
     /// Thousandths of a processor.
-    pub cpus: u64,
+    #[serde(rename = "cpus")]
+    pub milli_cpus: u64,
     /// Thousandths of a graphics processor.
-    pub gpus: u64,
+    #[serde(rename = "gpus")]
+    pub milli_gpus: u64,
     /// Thousandths of a gigabyte.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_mb: u64,
 }
 
 impl Resources {
@@ -24,9 +27,9 @@
     pub(crate) fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |v: f64| (v.max(0.0) * PER_UNIT - TOLERANCE).ceil().max(0.0) as u64;
         Self {
-            cpus: up(cpus),
-            gpus: up(gpus),
-            memory: up(memory_gb),
+            milli_cpus: up(cpus),
+            milli_gpus: up(gpus),
+            memory_mb: up(memory_gb),
         }
     }
 
@@ -34,32 +37,34 @@
     pub(crate) fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |v: f64| (v.max(0.0) * PER_UNIT + TOLERANCE).floor() as u64;
         Self {
-            cpus: down(cpus),
-            gpus: down(gpus),
-            memory: down(memory_gb),
+            milli_cpus: down(cpus),
+            milli_gpus: down(gpus),
+            memory_mb: down(memory_gb),
         }
     }
 
     /// Whether this fits into what is free.
     pub(crate) fn fits(self, free: Self) -> bool {
-        self.cpus <= free.cpus && self.gpus <= free.gpus && self.memory <= free.memory
+        self.milli_cpus <= free.milli_cpus
+            && self.milli_gpus <= free.milli_gpus
+            && self.memory_mb <= free.memory_mb
     }
 
     /// So many times this.
     pub(crate) fn times(self, n: u64) -> Self {
         Self {
-            cpus: self.cpus.saturating_mul(n),
-            gpus: self.gpus.saturating_mul(n),
-            memory: self.memory.saturating_mul(n),
+            milli_cpus: self.milli_cpus.saturating_mul(n),
+            milli_gpus: self.milli_gpus.saturating_mul(n),
+            memory_mb: self.memory_mb.saturating_mul(n),
         }
     }
 
     /// How many times this fits into what is free.
-    pub(crate) fn count_in(self, free: Self) -> u64 {
+    pub(crate) fn fit_count(self, free: Self) -> u64 {
         let count = |need: u64, free: u64| free.checked_div(need).unwrap_or(u64::MAX);
-        count(self.cpus, free.cpus)
-            .min(count(self.gpus, free.gpus))
-            .min(count(self.memory, free.memory))
+        count(self.milli_cpus, free.milli_cpus)
+            .min(count(self.milli_gpus, free.milli_gpus))
+            .min(count(self.memory_mb, free.memory_mb))
     }
 }
 
@@ -67,9 +72,9 @@
     type Output = Self;
     fn add(self, other: Self) -> Self {
         Self {
-            cpus: self.cpus.saturating_add(other.cpus),
-            gpus: self.gpus.saturating_add(other.gpus),
-            memory: self.memory.saturating_add(other.memory),
+            milli_cpus: self.milli_cpus.saturating_add(other.milli_cpus),
+            milli_gpus: self.milli_gpus.saturating_add(other.milli_gpus),
+            memory_mb: self.memory_mb.saturating_add(other.memory_mb),
         }
     }
 }
@@ -78,9 +83,9 @@
     type Output = Self;
     fn sub(self, other: Self) -> Self {
         Self {
-            cpus: self.cpus.saturating_sub(other.cpus),
-            gpus: self.gpus.saturating_sub(other.gpus),
-            memory: self.memory.saturating_sub(other.memory),
+            milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
+            milli_gpus: self.milli_gpus.saturating_sub(other.milli_gpus),
+            memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
         }
     }
 }
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn needs_round_up_and_capacity_rounds_down() {
     let need = Resources::need(0.1, 0.0, 1.00001);
-    assert_eq!((need.cpus, need.memory), (100, 1001));
-    assert_eq!(Resources::capacity(4.0, 0.0, 15.9999).memory, 15_999);
-    assert_eq!(need.count_in(Resources::capacity(1.0, 0.0, 64.0)), 10);
+    assert_eq!((need.milli_cpus, need.memory_mb), (100, 1001));
+    assert_eq!(Resources::capacity(4.0, 0.0, 15.9999).memory_mb, 15_999);
+    assert_eq!(need.fit_count(Resources::capacity(1.0, 0.0, 64.0)), 10);
 }
 
 #[test]
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -1,6 +1,6 @@
 //! The routine that keeps this process's lease and its member record.
 
-use crate::ids::{Incarnation, LeaseId, Member, Revision};
+use crate::ids::{Incarnation, LeaseId, MemberId, Revision};
 use crate::protocol::store::Txn;
 use crate::runtime;
 use crate::store::rate_limiter::RequestClass;
@@ -18,7 +18,7 @@
 /// when it is gone; `on_valid_until` with the time until which it holds for certain.
 pub(crate) async fn keep_lease(
     store: Rc<Store>,
-    member: Member,
+    member: MemberId,
     incarnation: Incarnation,
     ttl: impl Fn() -> Duration,
     on_lease: impl Fn(Option<LeaseId>),
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use reachability::ReachabilityMonitor;
 
 use crate::config::Config;
-use crate::ids::{Incarnation, LeaseId, Member, Millis, MonotonicTime, Revision, ShardId};
+use crate::ids::{Incarnation, LeaseId, MemberId, Millis, MonotonicTime, Revision, ShardId};
 use crate::protocol::store::Txn;
 use crate::store::records::{LeaderRecord, ShardRecord};
 use crate::store::watch_cache::WatchCache;
@@ -25,7 +25,7 @@
 
 /// This controller's part in electing a leader and, where it leads, in assigning the shards.
 pub(crate) struct Leadership {
-    member: Member,
+    member: MemberId,
     incarnation: Incarnation,
     /// How many shards there are.
     shards: u32,
@@ -41,7 +41,7 @@
     /// The leader's record that was ours under a lease which has ended since.
     ended_term: Revision,
     /// Who is given no shards, while there is somebody else.
-    quarantined: BTreeSet<Member>,
+    quarantined: BTreeSet<MemberId>,
 }
 
 impl Leadership {
@@ -119,7 +119,7 @@
     }
 
     /// Sets who is given no shards, while there is somebody else.
-    pub(crate) fn set_quarantined(&mut self, members: BTreeSet<Member>) {
+    pub(crate) fn set_quarantined(&mut self, members: BTreeSet<MemberId>) {
         self.quarantined = members;
     }
 
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -6,7 +6,7 @@
 //! Silence alone says nothing of the sort: a zone may be cut off, and then nobody hears it.
 
 use crate::config::Config;
-use crate::ids::{MachineId, Member, Millis, MonotonicTime, ShardId};
+use crate::ids::{MachineId, MemberId, Millis, MonotonicTime, ShardId};
 use crate::peers::MachineHealth;
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
     /// When a machine last sent its heartbeat to a controller that does not own it.
     misdirected: BTreeMap<MachineId, MonotonicTime>,
     /// Until when each owner is quarantined.
-    quarantined: BTreeMap<Member, MonotonicTime>,
+    quarantined: BTreeMap<MemberId, MonotonicTime>,
 }
 
 /// What a shard owner has reported of its machines.
@@ -69,7 +69,7 @@
     }
 
     /// Owners that get no shards at present.
-    pub(crate) fn quarantined(&self) -> BTreeSet<Member> {
+    pub(crate) fn quarantined(&self) -> BTreeSet<MemberId> {
         self.quarantined.keys().cloned().collect()
     }
 
@@ -101,9 +101,9 @@
         shards: u32,
         health: impl Iterator<Item = &'a MachineHealth>,
         cache: &'b WatchCache,
-    ) -> BTreeMap<&'b Member, OwnedMachines> {
+    ) -> BTreeMap<&'b MemberId, OwnedMachines> {
         let patience = self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
-        let mut owners: BTreeMap<&Member, OwnedMachines> = BTreeMap::new();
+        let mut owners: BTreeMap<&MemberId, OwnedMachines> = BTreeMap::new();
         for last in health {
             let shard: ShardId = last.machine.shard(shards);
             let Some(shard_record) = cache.shards.get(&shard) else {
@@ -124,7 +124,7 @@
         owners
     }
 
-    fn quarantine(&mut self, now: MonotonicTime, member: &Member, machines: OwnedMachines) {
+    fn quarantine(&mut self, now: MonotonicTime, member: &MemberId, machines: OwnedMachines) {
         tracing::info!(
             %member,
             all = machines.all,
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::{Incarnation, LeaseId, Revision};
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ShardRecord};
 
@@ -9,7 +9,7 @@
     let config = sample_config();
     let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: serde_json::Value| {
-        cache.load(Item {
+        cache.load(KeyValue {
             key,
             value,
             revision: Revision(5),
@@ -62,7 +62,7 @@
     let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
     reachability.evaluate(MonotonicTime(1100), config.shards(), all.iter(), &cache);
-    let unreachable: Vec<Member> = reachability.quarantined().into_iter().collect();
+    let unreachable: Vec<MemberId> = reachability.quarantined().into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
 }
 
@@ -90,7 +90,7 @@
         "those are not silent"
     );
     reachability.on_misdirected_heartbeats(MonotonicTime(3000), named(1));
-    let unreachable: Vec<Member> = evaluate(&mut reachability, 3100).into_iter().collect();
+    let unreachable: Vec<MemberId> = evaluate(&mut reachability, 3100).into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
     let later = 3100 + 2 * config.worker_lease.0;
     reachability.evaluate(MonotonicTime(later), config.shards(), [].iter(), &cache);
--- a/src/leadership/shard_assignment.rs
+++ b/src/leadership/shard_assignment.rs
@@ -1,6 +1,6 @@
 //! Which controller should own which shard.
 
-use crate::ids::{Member, Revision, ShardId};
+use crate::ids::{MemberId, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,8 +13,8 @@
     shards: u32,
     term: Revision,
     cache: &'a WatchCache,
-    quarantined: &'a BTreeSet<Member>,
-) -> BTreeMap<ShardId, &'a Member> {
+    quarantined: &'a BTreeSet<MemberId>,
+) -> BTreeMap<ShardId, &'a MemberId> {
     let mut balance = ShardBalance::new(cache, quarantined);
     let all: Vec<ShardId> = (0..shards).map(ShardId).collect();
     balance.count_owned(&all);
@@ -35,12 +35,12 @@
 /// How many shards each eligible controller owns, updated with each choice.
 struct ShardBalance<'a> {
     cache: &'a WatchCache,
-    quarantined: &'a BTreeSet<Member>,
-    shard_counts: BTreeMap<&'a Member, usize>,
+    quarantined: &'a BTreeSet<MemberId>,
+    shard_counts: BTreeMap<&'a MemberId, usize>,
 }
 
 impl<'a> ShardBalance<'a> {
-    fn new(cache: &'a WatchCache, quarantined: &'a BTreeSet<Member>) -> Self {
+    fn new(cache: &'a WatchCache, quarantined: &'a BTreeSet<MemberId>) -> Self {
         let mut balance = Self {
             cache,
             quarantined,
@@ -52,12 +52,12 @@
     }
 
     /// A quarantined controller gets shards only when there is no other.
-    fn is_eligible(&self, member: &Member) -> bool {
+    fn is_eligible(&self, member: &MemberId) -> bool {
         self.cache.members.len() <= 1 || !self.quarantined.contains(member)
     }
 
     /// The shard's owner, if it may keep the shard: it lives, and has not restarted since.
-    fn current_owner(&self, shard: ShardId) -> Option<&'a Member> {
+    fn current_owner(&self, shard: ShardId) -> Option<&'a MemberId> {
         let record = &self.cache.shards.get(&shard)?.value;
         let (member, live) = self.cache.members.get_key_value(&record.owner)?;
         let same_process = live.incarnation == record.incarnation;
@@ -72,26 +72,26 @@
         }
     }
 
-    fn add_shard(&mut self, member: &'a Member) {
+    fn add_shard(&mut self, member: &'a MemberId) {
         *self.shard_counts.entry(member).or_default() += 1;
     }
 
-    fn remove_shard(&mut self, member: &'a Member) {
+    fn remove_shard(&mut self, member: &'a MemberId) {
         *self.shard_counts.entry(member).or_default() -= 1;
     }
 
-    fn shard_count(&self, member: &Member) -> usize {
+    fn shard_count(&self, member: &MemberId) -> usize {
         self.shard_counts.get(member).copied().unwrap_or(0)
     }
 
-    fn least_loaded(&self) -> Option<&'a Member> {
+    fn least_loaded(&self) -> Option<&'a MemberId> {
         let counts = self.shard_counts.iter();
         let least = counts.min_by_key(|(_, count)| **count);
         least.map(|(member, _)| *member)
     }
 
     /// The owner that the shard's record has to be rewritten with, if it has to be.
-    fn choose_owner(&mut self, shard: ShardId, term: Revision) -> Option<&'a Member> {
+    fn choose_owner(&mut self, shard: ShardId, term: Revision) -> Option<&'a MemberId> {
         let least_loaded = self.least_loaded()?;
         let Some(owner) = self.current_owner(shard) else {
             self.add_shard(least_loaded);
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -5,7 +5,7 @@
 
 use super::Message;
 use super::frame::{self, DecodedFrame, FrameError};
-use crate::ids::{Incarnation, Member};
+use crate::ids::{Incarnation, MemberId};
 use crate::runtime::{self, Receiver, Sender, TcpListener, TcpStream, channel};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,19 +25,19 @@
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Receives the messages of the peers, with their senders.
-type MessageHandler = Rc<dyn Fn(Member, Message)>;
+type MessageHandler = Rc<dyn Fn(MemberId, Message)>;
 
 /// The outbound links to all peers.
 pub(crate) struct Links {
-    queues: BTreeMap<Member, Sender<Message>>,
+    queues: BTreeMap<MemberId, Sender<Message>>,
 }
 
 impl Links {
     /// Starts a routine for each peer.
     pub(crate) fn start(
-        me: &Member,
+        me: &MemberId,
         incarnation: Incarnation,
-        peers: &BTreeMap<Member, SocketAddr>,
+        peers: &BTreeMap<MemberId, SocketAddr>,
         scope: &mut runtime::Scope,
     ) -> Self {
         let mut queues = BTreeMap::new();
@@ -54,7 +54,7 @@
     }
 
     /// Queues a message for a peer. It is dropped if too many are queued already.
-    pub(crate) fn send(&self, to: &Member, message: Message) {
+    pub(crate) fn send(&self, to: &MemberId, message: Message) {
         if let Some(queue) = self.queues.get(to)
             && queue.backlog() < MAX_QUEUED_MESSAGES
         {
@@ -155,7 +155,7 @@
     /// Bytes that are not decoded yet.
     buffer: Vec<u8>,
     /// Who has opened it, once its hello came.
-    sender: Option<Member>,
+    sender: Option<MemberId>,
     handler: MessageHandler,
 }
 
--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn peer_send_queue_is_bounded() {
     let (tx, mut rx) = channel();
-    let member = Member::from("c1");
+    let member = MemberId::from("c1");
     let links = Links {
         queues: BTreeMap::from([(member.clone(), tx)]),
     };
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -2,8 +2,8 @@
 //! their order, and a change of either needs another frame version.
 
 use crate::ids::{
-    AttemptNumber, Incarnation, JobId, MachineId, Member, Millis, Pipeline, Revision, RoundId,
-    ShardFence, ShardId, TaskAttempt, TypeName,
+    AttemptNumber, CancellationRoundId, Incarnation, JobId, MachineId, MachineTypeName, MemberId,
+    Millis, Pipeline, Revision, ShardFence, ShardId, TaskAttempt,
 };
 use crate::protocol::ExitReason;
 use crate::store::records::MachineRecord;
@@ -15,7 +15,7 @@
     /// First on every link.
     Hello {
         /// The controller that has opened the link.
-        member: Member,
+        member: MemberId,
         /// Its process.
         incarnation: Incarnation,
     },
@@ -46,7 +46,7 @@
     /// key-value store, since it is final.
     Cancelled {
         /// The sender's acknowledgement round, which the answer names.
-        round: RoundId,
+        round: CancellationRoundId,
         /// The job.
         job: JobId,
         /// Revision of the change that cancelled it.
@@ -57,7 +57,7 @@
     /// The sender knows of a cancellation.
     CancellationAcknowledged {
         /// The round of the controller that asked.
-        round: RoundId,
+        round: CancellationRoundId,
         /// The job.
         job: JobId,
         /// Shards that the sender owns and in which all of the job's tasks are proved gone.
@@ -89,16 +89,16 @@
         /// Whether the key-value store serves the sender.
         store_reachable: bool,
         /// The controllers that the sender hears itself.
-        reachable_peers: Vec<Member>,
+        reachable_peers: Vec<MemberId>,
         /// Machines that the sender owns and whose heartbeats don't come to it directly.
         missing_machines: Vec<MachineId>,
     },
     /// To be passed on to a controller that the sender can't reach itself.
     Relay {
         /// The receiver.
-        to: Member,
+        to: MemberId,
         /// The controller that the message comes from.
-        from: Member,
+        from: MemberId,
         /// The message.
         message: Box<Message>,
     },
@@ -155,7 +155,7 @@
     /// Revision of the machine's record without it.
     pub revision: Revision,
     /// Type of the machine.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Pipeline of the job; none if the job is not live any more.
     pub pipeline: Option<Pipeline>,
     /// How it ended.
--- a/src/peers/relay_routes.rs
+++ b/src/peers/relay_routes.rs
@@ -2,7 +2,7 @@
 //! zones that can't reach each other while a third reaches both cut the links between their
 //! controllers, and nothing else is wrong with them.
 
-use crate::ids::{MachineId, Member, Millis, MonotonicTime};
+use crate::ids::{MachineId, MemberId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a status counts. Each controller sends more than three to all others in this time.
@@ -13,7 +13,7 @@
 struct PeerStatus {
     received_at: MonotonicTime,
     /// The controllers that it hears itself.
-    reachable_peers: BTreeSet<Member>,
+    reachable_peers: BTreeSet<MemberId>,
     /// Machines that it owns and whose heartbeats don't come to it directly.
     missing_machines: BTreeSet<MachineId>,
 }
@@ -21,7 +21,7 @@
 /// What this controller knows of the links between all controllers.
 #[derive(Debug, Default)]
 pub(crate) struct RelayRoutes {
-    statuses: BTreeMap<Member, PeerStatus>,
+    statuses: BTreeMap<MemberId, PeerStatus>,
 }
 
 impl RelayRoutes {
@@ -29,8 +29,8 @@
     pub(crate) fn on_peer_status(
         &mut self,
         now: MonotonicTime,
-        from: &Member,
-        reachable_peers: Vec<Member>,
+        from: &MemberId,
+        reachable_peers: Vec<MemberId>,
         missing_machines: Vec<MachineId>,
     ) {
         let status = PeerStatus {
@@ -42,21 +42,21 @@
     }
 
     /// The controllers that are heard directly now, with their statuses.
-    fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = (&Member, &PeerStatus)> {
-        let is_recent = move |(_, status): &(&Member, &PeerStatus)| {
+    fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = (&MemberId, &PeerStatus)> {
+        let is_recent = move |(_, status): &(&MemberId, &PeerStatus)| {
             now.since(status.received_at) < STATUS_TIMEOUT
         };
         self.statuses.iter().filter(is_recent)
     }
 
     /// The controllers that this one hears itself.
-    pub(crate) fn reachable_peers(&self, now: MonotonicTime) -> Vec<Member> {
+    pub(crate) fn reachable_peers(&self, now: MonotonicTime) -> Vec<MemberId> {
         self.recent(now).map(|(member, _)| member.clone()).collect()
     }
 
     /// The controller that relays messages to one that is not heard directly. `None`: it is heard
     /// directly, or nobody hears it.
-    pub(crate) fn relay_for(&self, now: MonotonicTime, to: &Member) -> Option<&Member> {
+    pub(crate) fn relay_for(&self, now: MonotonicTime, to: &MemberId) -> Option<&MemberId> {
         if self.recent(now).any(|(member, _)| member == to) {
             return None;
         }
@@ -81,7 +81,7 @@
     pub(crate) fn may_be_missing(
         &self,
         now: MonotonicTime,
-        owner: &Member,
+        owner: &MemberId,
         machine: &MachineId,
     ) -> bool {
         let mut statuses = self.recent(now);
@@ -94,7 +94,7 @@
     }
 
     /// Whether a controller fails to hear some other that is heard here.
-    fn is_partitioned(&self, now: MonotonicTime, member: &Member, status: &PeerStatus) -> bool {
+    fn is_partitioned(&self, now: MonotonicTime, member: &MemberId, status: &PeerStatus) -> bool {
         let mut others = self.recent(now).filter(|(other, _)| *other != member);
         others.any(|(other, _)| !status.reachable_peers.contains(other))
     }
--- a/src/peers/relay_routes/tests.rs
+++ b/src/peers/relay_routes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn member(name: &str) -> Member {
-    Member::from(name)
+fn member(name: &str) -> MemberId {
+    MemberId::from(name)
 }
 
 fn receive_status(
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -4,7 +4,7 @@
 use super::record_capacity::RecordCapacity;
 use super::replicas::machine_replica_usage;
 use crate::config::Config;
-use crate::ids::{MachineId, Member, Resources, Revision, ShardId, TypeName, Zone};
+use crate::ids::{MachineId, MachineTypeName, MemberId, Resources, Revision, ShardId, Zone};
 use crate::protocol::JobSpec;
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
     /// The fencing token of the shard's owner.
     pub fence: Revision,
     /// The shard's owner.
-    pub owner: &'a Member,
+    pub owner: &'a MemberId,
     /// Its machine type.
-    pub type_name: &'a TypeName,
+    pub type_name: &'a MachineTypeName,
     /// Its zone.
     pub zone: &'a Zone,
     /// Whether it is a spot machine.
@@ -56,7 +56,7 @@
         let machine_type = cache.machine_type(&record.type_name)?;
         let shard = id.shard(config.shards());
         let shard_record = cache.shards.get(&shard)?;
-        let capacity = machine_type.room();
+        let capacity = machine_type.capacity();
         let pending = pending.of_machine(id);
         let used = record.used() + pending.allotted.unwrap_or_default() - pending.freed;
         let (replicas, replica_usage) = machine_replica_usage(machine, cache);
@@ -99,7 +99,7 @@
 
     /// How many tasks of a job fit beside the resources that are reserved for others.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec, reserved: Resources) -> u64 {
-        let by_resources = spec.need().count_in(self.free - reserved);
+        let by_resources = spec.need().fit_count(self.free - reserved);
         by_resources.min(self.record_capacity.tasks_that_fit(spec))
     }
 
@@ -127,7 +127,7 @@
     let mut cpus = BTreeMap::new();
     for candidate in candidates {
         for image in &candidate.images {
-            *cpus.entry(*image).or_default() += candidate.capacity.cpus;
+            *cpus.entry(*image).or_default() += candidate.capacity.milli_cpus;
         }
     }
     cpus
--- a/src/placement/pending_allotment.rs
+++ b/src/placement/pending_allotment.rs
@@ -1,12 +1,12 @@
 //! An allotment that a pass has decided on.
 
-use crate::ids::{MachineId, Member, Resources, TeamId};
+use crate::ids::{MachineId, MemberId, Resources, TeamId};
 use crate::peers::Allotment;
 
 /// An allotment that is to be sent to a shard owner, with what the ledger counts it under.
 pub(super) struct PendingAllotment {
     /// The owner of the shard: who it is sent to.
-    pub owner: Member,
+    pub owner: MemberId,
     /// The machine that its resources are counted on.
     pub machine: MachineId,
     /// The team whose quota it is charged to.
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -267,8 +267,8 @@
 
 /// How many tasks of a need fit into resources that come free; none if no CPU does.
 fn tasks_that_fit(need: Resources, coming: Resources) -> u64 {
-    if coming.cpus > 0 {
-        need.count_in(coming)
+    if coming.milli_cpus > 0 {
+        need.fit_count(coming)
     } else {
         0
     }
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -95,7 +95,8 @@
             for (attempt, _) in machine.record.attempts() {
                 let job = self.cache.jobs.get(&attempt.task.job);
                 let can_save = job.is_some_and(|j| {
-                    j.spec.checkpoint_s > 0.0 && j.spec.save_s + SAVE_MARGIN_S < left.as_secs_f64()
+                    j.spec.checkpoint_interval_s > 0.0
+                        && j.spec.checkpoint_duration_s + SAVE_MARGIN_S < left.as_secs_f64()
                 });
                 if can_save {
                     stops.add(&attempt, id);
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -31,7 +31,7 @@
         let sum = used.entry(&job.spec.team).or_default();
         let remaining = job.spec.tasks.saturating_sub(job.done_count());
         let need = Resources {
-            memory: 0,
+            memory_mb: 0,
             ..job.spec.need().times(remaining.into())
         };
         *sum = *sum + need;
--- a/src/placement/queue_turns.rs
+++ b/src/placement/queue_turns.rs
@@ -98,6 +98,6 @@
         && fetch_s >= MIN_FETCH_FRACTION * predicted_s(job)
         && !spec.one_zone
         && !spec.spread
-        && image_cpus >= IMAGE_CPU_FACTOR * spec.need().cpus * u64::from(remaining)
+        && image_cpus >= IMAGE_CPU_FACTOR * spec.need().milli_cpus * u64::from(remaining)
         && (is_started || age < IMAGE_PATIENCE)
 }
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -48,7 +48,11 @@
             return 0;
         };
         let free = limits.limit() - self.used(team);
-        Resources { memory: 0, ..need }.count_in(free)
+        Resources {
+            memory_mb: 0,
+            ..need
+        }
+        .fit_count(free)
     }
 
     /// Whether the team uses more of any resource than its guaranteed quota.
--- a/src/placement/quota_usage/tests.rs
+++ b/src/placement/quota_usage/tests.rs
@@ -14,12 +14,12 @@
         let mut log: Vec<(TeamId, Resources)> = Vec::new();
         for (team, cpus, memory) in steps {
             let team = &teams[team];
-            let need = Resources { cpus: cpus * 1000, gpus: 0, memory: memory * 50_000 };
+            let need = Resources { milli_cpus: cpus * 1000, milli_gpus: 0, memory_mb: memory * 50_000 };
             let used = |log: &[(TeamId, Resources)]| -> u64 {
-                log.iter().filter(|(t, _)| t == team).map(|(_, a)| a.cpus).sum()
+                log.iter().filter(|(t, _)| t == team).map(|(_, a)| a.milli_cpus).sum()
             };
             let mut model = 0;
-            while used(&log) + (model + 1) * need.cpus <= config.teams[team].limit().cpus {
+            while used(&log) + (model + 1) * need.milli_cpus <= config.teams[team].limit().milli_cpus {
                 model += 1;
             }
             prop_assert_eq!(quota_usage.tasks_within_limit(team, need), model);
@@ -27,7 +27,7 @@
                 quota_usage.charge(team, need);
                 log.push((team.clone(), need));
             }
-            prop_assert_eq!(quota_usage.used(team).cpus, used(&log));
+            prop_assert_eq!(quota_usage.used(team).milli_cpus, used(&log));
         }
     }
 }
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -114,7 +114,7 @@
     ) -> impl Ord + use<> {
         let spec = applicant.spec;
         // Machines with GPUs are few, and gangs wait for whole ones.
-        let wastes_gpus = applicant.need.gpus == 0 && candidate.capacity.gpus > 0;
+        let wastes_gpus = applicant.need.milli_gpus == 0 && candidate.capacity.milli_gpus > 0;
         let steps_at_once = self.tasks_at_once.map(|tasks| {
             let fitting = candidate.tasks_that_fit(spec, self.reserved(at));
             Reverse(fitting.min(tasks) / TASKS_PER_STEP)
@@ -130,7 +130,7 @@
         let is_on_demand = !candidate.spot;
         let is_outside_group = !applicant.group.contains(candidate.id);
         // Bin packing: the fullest first, so that others empty and can be returned.
-        let free_cpus = candidate.free.cpus;
+        let free_cpus = candidate.free.milli_cpus;
         (
             wastes_gpus,
             steps_at_once,
--- a/src/placement/replica_reserve.rs
+++ b/src/placement/replica_reserve.rs
@@ -22,7 +22,7 @@
         let candidate = &candidates[at];
         // Each is a job of its own on the machine's record.
         let here = need
-            .count_in(candidate.capacity - candidate.replica_usage)
+            .fit_count(candidate.capacity - candidate.replica_usage)
             .min(
                 candidate
                     .record_capacity
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -35,13 +35,15 @@
     for job in cache.jobs.values() {
         if job.spec.kind == JobKind::Service {
             let need = job.spec.need();
-            total += need.cpus * u64::from(job.spec.tasks);
-            if need.cpus > largest.cpus {
+            total += need.milli_cpus * u64::from(job.spec.tasks);
+            if need.milli_cpus > largest.milli_cpus {
                 largest = need;
             }
         }
     }
     let spare = (total as f64 * cache.settings().service_spare) as u64;
-    let count = spare.checked_div(largest.cpus)?.max(MIN_SPARE_REPLICAS);
+    let count = spare
+        .checked_div(largest.milli_cpus)?
+        .max(MIN_SPARE_REPLICAS);
     Some((largest, count))
 }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -14,7 +14,7 @@
 use super::unmet_demand::UnmetDemand;
 use crate::config::Config;
 use crate::ids::{
-    JobId, MachineId, Member, Millis, MonotonicTime, Revision, ShardId, TaskAttempt, UnixTime,
+    JobId, MachineId, MemberId, Millis, MonotonicTime, Revision, ShardId, TaskAttempt, UnixTime,
 };
 use crate::peers::{AttemptOutcome, EndedAttempt, FreedAttempt, Message};
 use crate::protocol::ExitReason;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) enum Effect {
     /// Send a message to the owner of a shard.
-    ToShardOwner(Member, Box<Message>),
+    ToShardOwner(MemberId, Box<Message>),
     /// An allotment has gone without an answer: rewriting the shard voids it.
     RaiseShardFence(ShardId),
 }
--- a/src/placement/scheduler/dispatch.rs
+++ b/src/placement/scheduler/dispatch.rs
@@ -23,7 +23,9 @@
                 continue;
             };
             let job = cache.jobs.get(&attempt.task.job);
-            let grace = job.map_or(Millis(0), |j| Millis::from_secs(j.spec.save_s));
+            let grace = job.map_or(Millis(0), |j| {
+                Millis::from_secs(j.spec.checkpoint_duration_s)
+            });
             self.preempted.insert(attempt.clone(), now);
             let message = Message::Stop {
                 machine,
--- a/src/placement/scheduling_pass.rs
+++ b/src/placement/scheduling_pass.rs
@@ -186,7 +186,9 @@
     /// Notes tasks for which there is no free capacity. What only waits for a machine's record to
     /// be written lacks no machine.
     fn report_unmet_demand(&mut self, turn: QueueTurn<'a>, tasks: u64) {
-        let waiting = self.array_capacity.take_unwritable(tasks, turn.need().cpus);
+        let waiting = self
+            .array_capacity
+            .take_unwritable(tasks, turn.need().milli_cpus);
         if tasks > waiting {
             let unmet_demand = UnmetDemand::for_job(turn.id, turn.job, tasks - waiting);
             self.unmet_demands.push(unmet_demand);
--- a/src/placement/scheduling_pass/array_capacity.rs
+++ b/src/placement/scheduling_pass/array_capacity.rs
@@ -68,5 +68,5 @@
 
 /// The CPUs of a machine that arrays may take.
 fn free_cpus(candidates: &[Candidate<'_>], replica_reserve: &[Resources], at: usize) -> u64 {
-    (candidates[at].free - replica_reserve[at]).cpus
+    (candidates[at].free - replica_reserve[at]).milli_cpus
 }
--- a/src/placement/tests/limits.rs
+++ b/src/placement/tests/limits.rs
@@ -29,12 +29,12 @@
 ) -> BTreeMap<MachineId, u64> {
     let mut used = BTreeMap::new();
     for (id, machine) in &scene.cache.machines {
-        used.insert(id.clone(), machine.record.used().cpus);
+        used.insert(id.clone(), machine.record.used().milli_cpus);
     }
     for allotment in allotments {
         let spec = specs[allotment.attempts[0].task.job.as_str()];
         *used.entry(allotment.preferred[0].clone()).or_default() +=
-            spec.need().cpus * allotment.attempts.len() as u64;
+            spec.need().milli_cpus * allotment.attempts.len() as u64;
     }
     used
 }
@@ -58,7 +58,7 @@
         }
         for attempt in &allotment.attempts {
             prop_assert!(tasks.insert(attempt.task.clone()));
-            *by_team.entry(spec.team.as_str()).or_default() += spec.need().cpus;
+            *by_team.entry(spec.team.as_str()).or_default() += spec.need().milli_cpus;
         }
     }
     Ok(Allotted {
@@ -71,7 +71,7 @@
 /// A job's team is within its limit; and no task of the job is left while some machine and its
 /// team could take it.
 fn check_job(scene: &Scene, spec: &JobSpec, allotted: &Allotted<'_>) -> Result<(), TestCaseError> {
-    let limit = scene.config.teams[&spec.team].limit().cpus;
+    let limit = scene.config.teams[&spec.team].limit().milli_cpus;
     let team_used = allotted
         .by_team
         .get(spec.team.as_str())
@@ -80,7 +80,7 @@
     prop_assert!(team_used <= limit);
     let placed = allotted.tasks.iter().filter(|t| t.job == spec.id).count();
     if placed < spec.tasks as usize {
-        let need = spec.need().cpus;
+        let need = spec.need().milli_cpus;
         let fits_somewhere = scene.cache.machines.iter().any(|(id, machine)| {
             let record = &machine.record;
             spec.allows(&record.type_name, &record.zone, record.spot)
@@ -109,7 +109,7 @@
             specs.push(scene.job(n as u32, |s| {
                 s.tasks = tasks;
                 s.cpus = f64::from(cpus);
-                s.spot = spot;
+                s.allow_spot = spot;
                 s.team = if red { "red" } else { "blue" }.into();
                 s.zone = [None, Some("a".into()), Some("b".into())][zone as usize].clone();
             }));
--- a/src/placement/tests/machine_choice.rs
+++ b/src/placement/tests/machine_choice.rs
@@ -17,7 +17,7 @@
     }
     scene.job(1, |j| {
         j.one_zone = true;
-        j.spot = false;
+        j.allow_spot = false;
         j.tasks = 3;
     });
     let allotments = scene.step().allotments;
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -13,8 +13,8 @@
     let mut scene = Scene::new();
     let saving = scene.job(1, |s| {
         s.tasks = 1;
-        s.checkpoint_s = 10.0;
-        s.save_s = 3.0;
+        s.checkpoint_interval_s = 10.0;
+        s.checkpoint_duration_s = 3.0;
     });
     let plain = scene.job(2, |s| s.tasks = 1);
     let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
@@ -174,8 +174,8 @@
     let saving = scene.job(2, |s| {
         s.priority = Priority::Low;
         s.tasks = 4;
-        s.checkpoint_s = 15.0;
-        s.save_s = 4.0;
+        s.checkpoint_interval_s = 15.0;
+        s.checkpoint_duration_s = 4.0;
     });
     let attempts: Vec<_> = (0..4).map(|i| (&saving, i, u64::from(100 + i))).collect();
     scene.machine(5, "a", false, &attempts);
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/scene.rs
@@ -9,7 +9,7 @@
 use crate::peers::{Allotment, MachineHealth, Message};
 use crate::placement::{Effect, Scheduler};
 use crate::protocol::JobSpec;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{JobRecord, MachineRecord, ShardRecord};
 use crate::store::watch_cache::WatchCache;
@@ -71,7 +71,7 @@
         self.revision += 1;
         let revision = Revision(self.revision);
         let value = serde_json::to_value(value).expect("json");
-        self.cache.load(Item {
+        self.cache.load(KeyValue {
             key,
             value,
             revision,
--- a/src/placement/victims.rs
+++ b/src/placement/victims.rs
@@ -44,23 +44,23 @@
     running.sort_by_key(|(priority, attempt, _)| (*priority, Reverse(attempt.number)));
     let (mut free, mut chosen) = (candidate.free, Vec::new());
     for (_, attempt, used) in running {
-        if need.count_in(free - reserved) >= tasks {
+        if need.fit_count(free - reserved) >= tasks {
             break;
         }
         free = free + used;
         chosen.push((attempt, used));
     }
-    let fitting = need.count_in(free - reserved).min(tasks);
+    let fitting = need.fit_count(free - reserved).min(tasks);
     // The last ones may have made room for nothing more.
     while let Some((_, used)) = chosen.last()
-        && need.count_in(free - *used - reserved) >= fitting
+        && need.fit_count(free - *used - reserved) >= fitting
         && fitting > 0
     {
         free = free - *used;
         chosen.pop();
     }
     let victims = Victims {
-        cpus: chosen.iter().map(|(_, used)| used.cpus).sum(),
+        cpus: chosen.iter().map(|(_, used)| used.milli_cpus).sum(),
         tasks: fitting,
         attempts: chosen.into_iter().map(|(attempt, _)| attempt).collect(),
     };
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -59,7 +59,7 @@
         for (at, candidate) in candidates.iter().enumerate() {
             if candidate.is_allowed(spec) {
                 let sum = tasks_that_fit.entry(candidate.zone).or_default();
-                *sum = sum.saturating_add(spec.need().count_in(free(at)));
+                *sum = sum.saturating_add(spec.need().fit_count(free(at)));
             }
         }
         let most = tasks_that_fit.into_iter().max_by_key(|(_, tasks)| *tasks);
--- a/src/planning/counter.rs
+++ b/src/planning/completion_counter.rs
@@ -18,7 +18,7 @@
 
 /// How counters are stored.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Layout {
+pub(crate) struct CounterLayout {
     /// Tasks in one segment: the same in all versions of the program.
     pub segment_tasks: u32,
     /// The largest size of a value, in bytes.
@@ -27,7 +27,7 @@
     pub txn_ops: usize,
 }
 
-impl Layout {
+impl CounterLayout {
     /// The layout that the settings give.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
@@ -44,7 +44,7 @@
     txn: &mut Txn,
     id: &JobId,
     job: &LiveJob,
-    layout: &Layout,
+    layout: &CounterLayout,
     max_changes: usize,
 ) -> bool {
     let mut changed: BTreeMap<u32, Bitmap> = BTreeMap::new();
@@ -83,7 +83,7 @@
 /// some are not. It is the counter's last update: ends that owners have seen and not written yet are
 /// in it. Done and cancelled exclude each other by the condition on the job's record. Segments that
 /// don't fit into the transaction are deleted later.
-pub(crate) fn release(id: &JobId, job: &LiveJob, layout: &Layout) -> Option<Txn> {
+pub(crate) fn completion_txn(id: &JobId, job: &LiveJob, layout: &CounterLayout) -> Option<Txn> {
     if !job.is_complete(layout.segment_tasks) {
         return None;
     }
--- a/src/planning/counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -88,7 +88,7 @@
 #[test]
 fn counter_of_the_largest_array_counts_each_task_once_and_releases_once() {
     let config = sample_config();
-    let layout = Layout::new(&config);
+    let layout = CounterLayout::new(&config);
     let ops = layout.txn_ops;
     let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
     let id = accept(&mut store, &mut cache, crate::protocol::MAX_TASKS);
@@ -125,7 +125,7 @@
             assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         }
         at += n;
-        let release = release(&id, &cache.jobs[&id], &layout);
+        let release = completion_txn(&id, &cache.jobs[&id], &layout);
         assert_eq!(release.is_some(), model.len() == order.len());
         if let Some(txn) = release {
             assert!(txn.changes.len() <= ops);
@@ -140,7 +140,7 @@
 #[test]
 fn update_from_a_lagging_watch_cache_fails_and_loses_no_task() {
     let config = sample_config();
-    let layout = Layout::new(&config);
+    let layout = CounterLayout::new(&config);
     let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
     let id = accept(&mut store, &mut cache, 4);
     let machine = MachineId::from("vm-1");
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -1,7 +1,7 @@
 //! Run times of a pipeline's earlier tasks, by machine type, and predictions from them.
 
 use crate::admin::Settings;
-use crate::ids::{Millis, Pipeline, TypeName};
+use crate::ids::{MachineTypeName, Millis, Pipeline};
 use crate::store::records::HistoryRecord;
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 /// pipeline differ in size, and the estimates say how much, even where they are wrong by a factor.
 pub(super) fn predict(
     history: Option<&HistoryRecord>,
-    type_name: &TypeName,
+    type_name: &MachineTypeName,
     settings: &Settings,
     estimate_s: f64,
 ) -> Predicted {
@@ -72,7 +72,7 @@
 /// costs nothing.
 #[derive(Debug, Default)]
 pub(crate) struct History {
-    fresh: BTreeMap<Pipeline, Vec<(TypeName, f32)>>,
+    fresh: BTreeMap<Pipeline, Vec<(MachineTypeName, f32)>>,
 }
 
 impl History {
@@ -81,7 +81,7 @@
     pub(crate) fn add(
         &mut self,
         pipeline: &Pipeline,
-        type_name: &TypeName,
+        type_name: &MachineTypeName,
         estimate_s: f64,
         ran: Millis,
     ) {
--- a/src/planning/history/tests.rs
+++ b/src/planning/history/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn prediction_uses_samples_of_the_type_then_of_all_types_then_the_estimate() {
     let settings = Settings::default();
-    let (a, b) = (TypeName::from("a"), TypeName::from("b"));
+    let (a, b) = (MachineTypeName::from("a"), MachineTypeName::from("b"));
     let mut history = History::default();
     for s in [10, 30, 20] {
         history.add(&"p".into(), &a, 10.0, Millis(s * 1000));
@@ -61,5 +61,5 @@
     let (_, record) = history
         .next(&WatchCache::new(&sample_config()), 8192)
         .expect("record");
-    assert_eq!(record.types[&TypeName::from("a")].len(), MAX_SAMPLES);
+    assert_eq!(record.types[&MachineTypeName::from("a")].len(), MAX_SAMPLES);
 }
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -2,7 +2,7 @@
 //! completion counters, and the cancellation of dependents.
 
 mod cancel_dependents;
-pub(crate) mod counter;
+pub(crate) mod completion_counter;
 mod graph;
 mod history;
 mod pipeline;
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -134,8 +134,12 @@
         .catalog
         .iter()
         .flat_map(|c| &c.value.types)
-        .filter(|t| spec.types.as_ref().is_none_or(|l| l.contains(&t.name)))
-        .filter(|t| spec.need().fits(t.room()))
+        .filter(|t| {
+            spec.machine_types
+                .as_ref()
+                .is_none_or(|l| l.contains(&t.name))
+        })
+        .filter(|t| spec.need().fits(t.capacity()))
         .collect();
     allowed.sort_by(|a, b| {
         (b.cpus, b.gpus, b.memory_gb)
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::sample_config;
 use crate::ids::{Revision, UnixTime};
 use crate::protocol::Catalog;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{HistoryRecord, JobRecord};
 use serde_json::json;
@@ -31,7 +31,7 @@
 
     fn put(&mut self, key: String, value: serde_json::Value) {
         self.revision += 1;
-        self.cache.load(Item {
+        self.cache.load(KeyValue {
             key,
             value,
             revision: Revision(self.revision),
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -9,15 +9,19 @@
 mod worker;
 
 pub(crate) use cloud::{
-    Catalog, ListedMachine, MachineList, MachineNames, MachineState, MachineType, RentRequest,
+    Catalog, ListedMachine, MachineIds, MachineList, MachineState, MachineType, RentRequest,
     machines_path,
 };
 #[cfg(test)]
 pub(crate) use job::MAX_TASKS;
-pub(crate) use job::{JobKind, JobSpec, JobState, JobStatus, Priority, submitted_id, valid_job_id};
+pub(crate) use job::{
+    JobKind, JobSpec, JobState, JobStatus, Priority, is_valid_job_id, submitted_id,
+};
 #[cfg(test)]
 pub(crate) use worker::TaskStatus;
-pub(crate) use worker::{Command, ExitReason, Heartbeat, TaskState, commands, redirect};
+pub(crate) use worker::{
+    Command, ExitReason, Heartbeat, TaskState, encode_commands, encode_redirect,
+};
 
 /// Paths and parts of paths of HTTP requests.
 pub(crate) mod path {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,14 +1,14 @@
 //! The cloud's messages.
 
 use super::path;
-use crate::ids::{MachineId, Resources, TypeName, Zone};
+use crate::ids::{MachineId, MachineTypeName, Resources, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type of the cloud's catalog; also kept in the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MachineType {
     /// Its name, unique in the catalog.
-    pub name: TypeName,
+    pub name: MachineTypeName,
     /// CPUs of a machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
@@ -36,7 +36,7 @@
 
 impl MachineType {
     /// What an empty machine can hold.
-    pub(crate) fn room(&self) -> Resources {
+    pub(crate) fn capacity(&self) -> Resources {
         Resources::capacity(self.cpus, self.gpus, self.memory_gb)
     }
 }
@@ -57,7 +57,7 @@
     pub request: String,
     /// The machine type to rent.
     #[serde(rename = "hull")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Where to rent.
     #[serde(rename = "berth")]
     pub zone: Zone,
@@ -71,7 +71,7 @@
 
 /// Ids of machines: those that a request has rented, or those to delete.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct MachineNames {
+pub(crate) struct MachineIds {
     /// The ids.
     #[serde(rename = "moorings")]
     pub machines: Vec<MachineId>,
@@ -98,7 +98,7 @@
     pub id: MachineId,
     /// Its machine type.
     #[serde(rename = "hull")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Where it is.
     #[serde(rename = "berth")]
     pub zone: Zone,
@@ -120,8 +120,7 @@
     #[serde(rename = "moorings")]
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
-    #[serde(rename = "has_next")]
-    pub more: bool,
+    pub has_next: bool,
 }
 
 /// The path of the page of machines that follows a machine; `None`: the first page.
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -1,6 +1,6 @@
 //! The jobs that have to be done before a submitted job's tasks start.
 
-use super::valid_job_id;
+use super::is_valid_job_id;
 use crate::ids::JobId;
 use serde::{Deserialize, Deserializer, de::Error};
 use serde_json::Value;
@@ -25,7 +25,7 @@
     let mut seen = BTreeSet::new();
     let mut ids = Vec::new();
     for entry in value.as_array()? {
-        let text = entry.as_str().filter(|text| valid_job_id(text))?;
+        let text = entry.as_str().filter(|text| is_valid_job_id(text))?;
         let id = JobId::from(text);
         if seen.insert(id.clone()) {
             ids.push(id);
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,7 +1,7 @@
 //! Jobs as users submit them, and the states that users see.
 
 use super::dependencies;
-use crate::ids::{Image, JobId, Pipeline, Resources, TeamId, TypeName, Zone};
+use crate::ids::{Image, JobId, MachineTypeName, Pipeline, Resources, TeamId, Zone};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -80,7 +80,7 @@
     pub image_gb: f64,
     /// The allowed machine types; `None`: any.
     #[serde(rename = "hulls", default)]
-    pub types: Option<Vec<TypeName>>,
+    pub machine_types: Option<Vec<MachineTypeName>>,
     /// The only allowed zone; `None`: any.
     #[serde(rename = "berth", default)]
     pub zone: Option<Zone>,
@@ -92,16 +92,16 @@
     pub spread: bool,
     /// The job may use spot machines.
     #[serde(rename = "ebb")]
-    pub spot: bool,
+    pub allow_spot: bool,
     /// The user's estimate of a task's run time, without the image's fetch.
     #[serde(rename = "reckon_s")]
     pub estimate_s: f64,
     /// The checkpoint interval, in seconds of progress; 0: tasks never save.
     #[serde(rename = "fix_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Seconds that a task needs to save when it is stopped.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// Seconds from its submission until it should be done; `None`: no deadline.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
@@ -114,7 +114,7 @@
 }
 
 /// Whether a text has the form of a job's id.
-pub(crate) fn valid_job_id(text: &str) -> bool {
+pub(crate) fn is_valid_job_id(text: &str) -> bool {
     text.strip_prefix("job-").is_some_and(|digits| {
         (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
@@ -127,7 +127,7 @@
         id: String,
     }
     let submitted: Submitted = serde_json::from_slice(body).ok()?;
-    valid_job_id(&submitted.id).then(|| submitted.id.as_str().into())
+    is_valid_job_id(&submitted.id).then(|| submitted.id.as_str().into())
 }
 
 /// Why a submission is malformed. The texts are shown to users.
@@ -162,7 +162,7 @@
     }
 
     fn check(&self) -> Result<(), MalformedSubmission> {
-        if !valid_job_id(self.id.as_str()) {
+        if !is_valid_job_id(self.id.as_str()) {
             return Err(MalformedSubmission::Id);
         }
         self.check_names()?;
@@ -194,8 +194,8 @@
             ("memory_gb", self.memory_gb),
             ("image_gb", self.image_gb),
             ("reckon_s", self.estimate_s),
-            ("fix_s", self.checkpoint_s),
-            ("stow_s", self.save_s),
+            ("fix_s", self.checkpoint_interval_s),
+            ("stow_s", self.checkpoint_duration_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
@@ -215,10 +215,13 @@
     }
 
     /// Whether its tasks may run on such machines, whatever their size.
-    pub(crate) fn allows(&self, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
-        (self.spot || !spot)
+    pub(crate) fn allows(&self, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> bool {
+        (self.allow_spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
-            && self.types.as_ref().is_none_or(|t| t.contains(type_name))
+            && self
+                .machine_types
+                .as_ref()
+                .is_none_or(|t| t.contains(type_name))
     }
 }
 
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -83,7 +83,7 @@
 
 /// The store's answer to a transaction.
 #[derive(Debug, Default, Deserialize)]
-pub(crate) struct TxnAnswer {
+pub(crate) struct TxnResponseBody {
     /// The keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -94,7 +94,7 @@
 
 /// A key and its value.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Item {
+pub(crate) struct KeyValue {
     /// The key.
     pub key: String,
     /// Its value.
@@ -112,10 +112,9 @@
 #[derive(Debug, Deserialize)]
 pub(crate) struct Page {
     /// The items of this page, by key.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether another page follows.
-    #[serde(rename = "has_next")]
-    pub more: bool,
+    pub has_next: bool,
     /// The store's revision when the page was read.
     #[serde(rename = "edition")]
     pub revision: Revision,
@@ -140,7 +139,7 @@
 
 /// A watch's answer.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Events {
+pub(crate) struct WatchResponseBody {
     /// The revision up to which these are all changes.
     #[serde(rename = "edition")]
     pub revision: Revision,
@@ -150,7 +149,7 @@
 
 /// The answer to a new lease.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Lease {
+pub(crate) struct LeaseResponseBody {
     /// Its id.
     #[serde(rename = "permit")]
     pub id: LeaseId,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -116,9 +116,12 @@
         Command::Stop(attempt.clone(), Millis(1500)),
         Command::Forget(attempt),
     ];
-    let body: serde_json::Value =
-        serde_json::from_slice(&commands(FencingToken(9), Some(WorkerEpoch(2)), &list))
-            .expect("json");
+    let body: serde_json::Value = serde_json::from_slice(&encode_commands(
+        FencingToken(9),
+        Some(WorkerEpoch(2)),
+        &list,
+    ))
+    .expect("json");
     assert_eq!(
         body,
         json!({"helm": 9, "watch": 2, "orders": [
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of workers, and commands to them.
 
 use crate::ids::{
-    AttemptNumber, FencingToken, HeartbeatSequence, MachineId, Member, Millis, TaskAttempt,
-    TypeName, WorkerEpoch, Zone,
+    AttemptNumber, FencingToken, HeartbeatSequence, MachineId, MachineTypeName, MemberId, Millis,
+    TaskAttempt, WorkerEpoch, Zone,
 };
 use serde::{Deserialize, Serialize};
 
@@ -37,16 +37,16 @@
     Stopped,
     /// Another task of its gang is gone.
     #[serde(rename = "mates_gone")]
-    Peers,
+    GangMemberGone,
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     /// Launch refused: the machine has no free capacity for it.
     #[serde(rename = "full")]
-    NoRoom,
+    NoCapacity,
     /// Launch refused: the machine has this task with another attempt.
     #[serde(rename = "busy")]
-    Busy,
+    OtherAttemptPresent,
     /// Launch refused: there is no such job or task.
     #[serde(rename = "unknown")]
     Unknown,
@@ -85,7 +85,7 @@
     pub addr: String,
     /// The machine's type.
     #[serde(rename = "hull")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The machine's zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
@@ -103,7 +103,7 @@
     pub token: FencingToken,
     /// Seconds until the cloud takes the machine back, after a spot interruption notice.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub until_interruption_s: Option<f64>,
     /// All task attempts on the machine, and those that exited until they are forgotten.
     #[serde(rename = "sheets")]
     pub tasks: Vec<TaskStatus>,
@@ -178,7 +178,7 @@
 }
 
 /// The body of a heartbeat's answer, or, with an epoch, of direct commands.
-pub(crate) fn commands(
+pub(crate) fn encode_commands(
     token: FencingToken,
     epoch: Option<WorkerEpoch>,
     commands: &[Command],
@@ -192,7 +192,7 @@
 }
 
 /// The body that redirects a worker to the owner of its machine's shard, as far as it is known.
-pub(crate) fn redirect(owner: Option<&Member>) -> Vec<u8> {
+pub(crate) fn encode_redirect(owner: Option<&MemberId>) -> Vec<u8> {
     let body = match owner {
         Some(member) => serde_json::json!({ "harbormaster": member }),
         None => serde_json::json!({}),
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -106,15 +106,15 @@
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(poll.job);
         };
-        if controller.is_settled(now, poll.round) {
-            controller.close_round(poll.round);
+        if controller.is_cancellation_complete(now, poll.round) {
+            controller.close_cancellation_round(poll.round);
             self.begin_cascade(poll.process, poll.job);
         } else if now < poll.deadline {
-            let effects = controller.ask_round(now, poll.round);
+            let effects = controller.send_cancellation(now, poll.round);
             self.execute(node, effects);
             self.schedule_in(POLL_INTERVAL_MS, SimulationEvent::CancellationPoll(poll));
         } else {
-            controller.close_round(poll.round);
+            controller.close_cancellation_round(poll.round);
             self.retry_cancellation(poll.job);
         }
     }
--- a/src/simulation/controller_processes.rs
+++ b/src/simulation/controller_processes.rs
@@ -5,7 +5,7 @@
 use super::timing::MEMBER_LEASE_MS;
 use super::topology::MEMBERS;
 use crate::controller::{Controller, Effect};
-use crate::ids::{Incarnation, Member, Revision, UnixTime};
+use crate::ids::{Incarnation, MemberId, Revision, UnixTime};
 use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ProgramVersion};
@@ -98,7 +98,7 @@
         if self.nodes[node].earlier_version {
             record.version = ProgramVersion::default();
         }
-        let member = Member::from(MEMBERS[node]);
+        let member = MemberId::from(MEMBERS[node]);
         let mut txn = Txn::default();
         txn.put(keys::member(&member), &record, Some(lease));
         self.store.txn(&txn);
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -187,7 +187,7 @@
             cascade.committed(at);
             self.observed.dependencies.cancelled_with += jobs.len() as u64;
             self.with_controller(process, |c| {
-                c.dependents_cancelled(jobs, at);
+                c.on_dependents_cancelled(jobs, at);
                 Vec::new()
             });
         }
--- a/src/simulation/digest_recorder.rs
+++ b/src/simulation/digest_recorder.rs
@@ -36,12 +36,12 @@
     pub(super) fn add_effect(&mut self, node: usize, effect: &Effect) {
         match effect {
             Effect::Txn { txn, .. } => self.add_json(node, 0, txn),
-            Effect::Call(call) => {
+            Effect::CallWorker(call) => {
                 self.add_json(node, 1, &(&call.machine, &call.addr));
-                let body = protocol::commands(call.token, Some(call.epoch), &call.commands);
+                let body = protocol::encode_commands(call.token, Some(call.epoch), &call.commands);
                 self.add(node, 1, &body);
             }
-            Effect::Peer(to, message) => {
+            Effect::SendToPeer(to, message) => {
                 self.add_json(node, 2, to);
                 self.add(node, 2, &encode_frame(message).expect("frame"));
             }
@@ -49,7 +49,7 @@
             Effect::DeleteMachines(machines) => self.add_json(node, 4, machines),
             Effect::ListMachines => self.add(node, 5, b""),
             Effect::FetchCatalog => self.add(node, 6, b""),
-            Effect::QueryOutcome(job) => self.add_json(node, 7, job),
+            Effect::QueryJobOutcome(job) => self.add_json(node, 7, job),
         }
     }
 
@@ -57,10 +57,10 @@
     pub(super) fn add_answer(&mut self, node: usize, answer: &HeartbeatAnswer) {
         match answer {
             HeartbeatAnswer::Commands(token, commands) => {
-                self.add(node, 8, &protocol::commands(*token, None, commands));
+                self.add(node, 8, &protocol::encode_commands(*token, None, commands));
             }
             HeartbeatAnswer::Redirect(owner) => {
-                self.add(node, 9, &protocol::redirect(owner.as_ref()));
+                self.add(node, 9, &protocol::encode_redirect(owner.as_ref()));
             }
         }
     }
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -10,7 +10,7 @@
 use super::timing::{CALL_TIMEOUT_MS, SHARD_LEASE_MS};
 use super::topology::MEMBERS;
 use crate::controller::{Effect, TxnRequester};
-use crate::ids::Member;
+use crate::ids::MemberId;
 use crate::protocol::store::Txn;
 use crate::store::{Refusal, TxnOutcome};
 
@@ -44,7 +44,7 @@
     fn execute_effect(&mut self, caller: ControllerProcess, effect: Effect) {
         match effect {
             Effect::Txn { requester, txn, .. } => self.send_txn(caller, requester, txn),
-            Effect::Call(call) => {
+            Effect::CallWorker(call) => {
                 let ms = self.pick(REQUEST_MS.0, REQUEST_MS.1);
                 let call = DirectCall {
                     caller,
@@ -56,7 +56,9 @@
                 };
                 self.schedule_in(ms, SimulationEvent::DirectCall(call));
             }
-            Effect::Peer(member, message) => self.send_to_peer(caller.node, &member, &message),
+            Effect::SendToPeer(member, message) => {
+                self.send_to_peer(caller.node, &member, &message)
+            }
             effect => self.send_to_cloud(caller, effect),
         }
     }
@@ -182,9 +184,9 @@
     /// A message arrives at a controller.
     pub(super) fn receive_peer_message(&mut self, delivery: PeerDelivery) {
         let now = self.now;
-        let from = Member::from(MEMBERS[delivery.from]);
+        let from = MemberId::from(MEMBERS[delivery.from]);
         let process = self.process(delivery.to);
-        self.with_controller(process, |c| c.on_peer(now, &from, delivery.message));
+        self.with_controller(process, |c| c.on_peer_message(now, &from, delivery.message));
     }
 
     /// When what was just carried out arrives once more, if it does.
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -2,7 +2,7 @@
 
 use crate::api::dependencies::CancellationCascade;
 use crate::controller::{Effect, TxnRequester};
-use crate::ids::{FencingToken, JobId, MachineId, MonotonicTime, RoundId, WorkerEpoch};
+use crate::ids::{CancellationRoundId, FencingToken, JobId, MachineId, MonotonicTime, WorkerEpoch};
 use crate::peers::Message;
 use crate::protocol::store::Txn;
 use crate::protocol::{Command, Heartbeat, JobSpec};
@@ -129,7 +129,7 @@
     /// The cancelled job.
     pub job: JobId,
     /// The round of acknowledgements that it waits for.
-    pub round: RoundId,
+    pub round: CancellationRoundId,
     /// The controller gives up then, and the user asks again.
     pub deadline: MonotonicTime,
 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -35,7 +35,7 @@
             .live_attempts()
             .filter_map(|live| self.jobs.get(&live.attempt.task.job));
         let ours = jobs.filter(|spec| spec.team == job.team);
-        ours.map(|spec| spec.need().cpus).sum()
+        ours.map(|spec| spec.need().milli_cpus).sum()
     }
 
     /// Notes that a rule does not hold, and for what.
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -59,7 +59,7 @@
 
     /// `QuotaExceeded`: the team is within its limit.
     fn check_quota(&mut self, spec: &JobSpec, attempt: &TaskAttempt) {
-        let limit = self.nodes[0].config.teams[&spec.team].limit().cpus;
+        let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         if self.team_cpus(spec) > limit {
             self.record_violation(Rule::QuotaExceeded, attempt);
         }
@@ -74,7 +74,7 @@
         let in_zone = zones.iter().filter(|zone| **zone == here.zone).count();
         let one_zone = !spec.one_zone || in_zone == zones.len();
         let spread = !spec.spread || in_zone <= spec.tasks.div_ceil(2) as usize;
-        if !one_zone || !spread || (here.spot && !spec.spot) {
+        if !one_zone || !spread || (here.spot && !spec.allow_spot) {
             self.record_violation(Rule::WrongPlacement, attempt);
         }
     }
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -57,8 +57,8 @@
             JobKind::Array => 1,
             _ => spec.tasks,
         };
-        let need = spec.need().cpus * u64::from(tasks);
-        let limit = self.nodes[0].config.teams[&spec.team].limit().cpus;
+        let need = spec.need().milli_cpus * u64::from(tasks);
+        let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         let mut up = self.workers.iter().filter(|(_, w)| !w.dead);
         self.team_cpus(spec) + need <= limit && up.any(|(id, w)| self.fits(spec, need, id, w))
     }
@@ -67,8 +67,8 @@
         let alive = worker.tasks.iter();
         let alive = alive.filter(|(_, task)| task.state != TaskState::Exited);
         let jobs = alive.filter_map(|(attempt, _)| self.jobs.get(&attempt.task.job));
-        let taken: u64 = jobs.map(|other| other.need().cpus).sum();
+        let taken: u64 = jobs.map(|other| other.need().milli_cpus).sum();
         let recorded = self.store.contains(&keys::machine(id));
-        recorded && taken + need <= MACHINE_CPUS && (spec.spot || !worker.spot)
+        recorded && taken + need <= MACHINE_CPUS && (spec.allow_spot || !worker.spot)
     }
 }
--- a/src/simulation/models/store.rs
+++ b/src/simulation/models/store.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::ids::{LeaseId, MonotonicTime, Revision};
-use crate::protocol::store::{Change, Event, Item, Txn};
+use crate::protocol::store::{Change, Event, KeyValue, Txn};
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Refusal, TxnOutcome};
 use serde::de::DeserializeOwned;
@@ -246,7 +246,7 @@
     ) -> WatchCache {
         let mut cache = WatchCache::new(config);
         for (key, stored) in &self.keys {
-            cache.load(Item {
+            cache.load(KeyValue {
                 key: key.clone(),
                 value: read_by(stored.value.clone(), earlier_version),
                 revision: stored.revision,
--- a/src/simulation/models/worker.rs
+++ b/src/simulation/models/worker.rs
@@ -131,7 +131,7 @@
             epoch: self.epoch,
             sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            until_interruption_s: None,
             tasks: tasks.collect(),
         }
     }
@@ -169,7 +169,7 @@
         if self.is_alive(&attempt.task) {
             let busy = WorkerTask {
                 state: TaskState::Exited,
-                exit_reason: Some(ExitReason::Busy),
+                exit_reason: Some(ExitReason::OtherAttemptPresent),
                 until: now,
             };
             self.tasks.insert(attempt, busy);
--- a/src/simulation/node.rs
+++ b/src/simulation/node.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::config::tests::sample_config;
 use crate::controller::Controller;
-use crate::ids::{JobId, LeaseId, Member, MonotonicTime, Revision};
+use crate::ids::{JobId, LeaseId, MemberId, MonotonicTime, Revision};
 use std::collections::BTreeSet;
 
 /// A node and the controller that runs on it.
@@ -41,7 +41,7 @@
         let addr = config.peer_listen;
         let others = MEMBERS[..members].iter().filter(|m| **m != MEMBERS[index]);
         config.controllers = members as u32;
-        config.peers = others.map(|m| (Member::from(*m), addr)).collect();
+        config.peers = others.map(|m| (MemberId::from(*m), addr)).collect();
         Self {
             config,
             controller: None,
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/stand_ins/cloud.rs
@@ -39,8 +39,8 @@
             Effect::DeleteMachines(ids) => self.delete_machines(caller, &ids),
             Effect::ListMachines => self.list_machines(caller),
             Effect::FetchCatalog => self.send_catalog(caller),
-            Effect::QueryOutcome(job) => self.query_outcome(caller, &job),
-            Effect::Txn { .. } | Effect::Call { .. } | Effect::Peer(..) => {}
+            Effect::QueryJobOutcome(job) => self.query_outcome(caller, &job),
+            Effect::Txn { .. } | Effect::CallWorker { .. } | Effect::SendToPeer(..) => {}
         }
     }
 
@@ -68,7 +68,7 @@
             }
             false => RentOutcome::Rented(ids),
         };
-        self.with_controller(caller, |c| c.on_rent(now, request, outcome));
+        self.with_controller(caller, |c| c.on_rent_outcome(now, request, outcome));
     }
 
     fn provide_machines(&mut self, request: &RentRequest) -> Vec<MachineId> {
@@ -107,7 +107,7 @@
             }
         }
         let ok = !(self.faults.lost_responses && self.chance(LOST_RESPONSE_PERCENT));
-        self.with_controller(caller, |c| c.on_deleted(now, ids, ok));
+        self.with_controller(caller, |c| c.on_delete_outcome(now, ids, ok));
     }
 
     /// `HealthyMachineDeleted`: with pausing controllers alone no machine is at fault.
@@ -142,7 +142,7 @@
             age_s: 5.0,
         });
         let list = list.collect();
-        self.with_controller(caller, |c| c.on_list(now, Some(list)));
+        self.with_controller(caller, |c| c.on_machine_list(now, Some(list)));
     }
 
     fn send_catalog(&mut self, caller: ControllerProcess) {
--- a/src/simulation/stand_ins/gangs.rs
+++ b/src/simulation/stand_ins/gangs.rs
@@ -95,8 +95,8 @@
             state: TaskState::Running,
             exit_reason: None,
         }),
-        TaskState::Waiting if now >= task.until => Some(exit(ExitReason::Alone)),
-        TaskState::Running if !complete => Some(exit(ExitReason::Peers)),
+        TaskState::Waiting if now >= task.until => Some(exit(ExitReason::GangIncomplete)),
+        TaskState::Running if !complete => Some(exit(ExitReason::GangMemberGone)),
         TaskState::Running if now >= task.until => Some(exit(ExitReason::Done)),
         _ => None,
     }
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/stand_ins/network.rs
@@ -1,6 +1,6 @@
 //! The network: isolated zones, zones that can't reach each other, and relays between them.
 
-use crate::ids::{Member, MonotonicTime};
+use crate::ids::{MemberId, MonotonicTime};
 use crate::peers::{Message, RelayRoutes, over_link};
 use crate::protocol::Heartbeat;
 use crate::simulation::cluster::SimulatedCluster;
@@ -42,7 +42,7 @@
     pub(in crate::simulation) fn send_to_peer(
         &mut self,
         from: usize,
-        to: &Member,
+        to: &MemberId,
         message: &Message,
     ) {
         let to = member_index(to.as_str()).unwrap_or(0);
@@ -84,10 +84,15 @@
         let mut routes = RelayRoutes::default();
         for other in (0..members).filter(|other| reachable_peers(node, *other)) {
             let heard = (0..members).filter(|n| reachable_peers(other, *n));
-            let heard = heard.map(|n| Member::from(MEMBERS[n])).collect();
+            let heard = heard.map(|n| MemberId::from(MEMBERS[n])).collect();
             let controller = self.nodes[other].controller.as_ref();
             let missing_machines = controller.map_or_else(Vec::new, |c| c.missing_machines(now));
-            routes.on_peer_status(now, &Member::from(MEMBERS[other]), heard, missing_machines);
+            routes.on_peer_status(
+                now,
+                &MemberId::from(MEMBERS[other]),
+                heard,
+                missing_machines,
+            );
         }
         routes
     }
@@ -98,7 +103,7 @@
             return None;
         }
         let routes = self.routes(node);
-        let relay_for = routes.relay_for(self.now, &Member::from(MEMBERS[to]))?;
+        let relay_for = routes.relay_for(self.now, &MemberId::from(MEMBERS[to]))?;
         member_index(relay_for.as_str())
     }
 
@@ -106,7 +111,7 @@
     pub(in crate::simulation) fn relay_heartbeat(
         &mut self,
         node: usize,
-        owner: Member,
+        owner: MemberId,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatAnswer> {
         if !self.faults.zone_partition || self.disabled_guard == DisabledGuard::RelayDisabled {
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -5,7 +5,7 @@
 
 use crate::config::tests::sample_config;
 use crate::ids::{JobId, MachineId, Revision, UnixTime};
-use crate::planning::counter::{self, Layout};
+use crate::planning::completion_counter::{self, CounterLayout};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
 use crate::simulation::models::StoreModel;
@@ -58,8 +58,8 @@
     txn.put(keys::machine(&MachineId::from("vm-1")), &record, None);
     store.txn(&txn);
     let cache = store.snapshot(&config, false);
-    let layout = Layout::new(&config);
-    counter::release(id, &cache.jobs[id], &layout).expect("all tasks are done")
+    let layout = CounterLayout::new(&config);
+    completion_counter::completion_txn(id, &cache.jobs[id], &layout).expect("all tasks are done")
 }
 
 fn final_state(store: &StoreModel, id: &JobId) -> Option<JobState> {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -13,8 +13,8 @@
 use crate::ids::{LeaseId, MonotonicTime, Revision};
 use crate::protocol::path;
 use crate::protocol::store::{
-    Events, Item, Lease, MAX_PAGE_ITEMS, Page, Txn, key_path, lease_path, lease_request, page_path,
-    renewal_path, watch_path,
+    KeyValue, LeaseResponseBody, MAX_PAGE_ITEMS, Page, Txn, WatchResponseBody, key_path,
+    lease_path, lease_request, page_path, renewal_path, watch_path,
 };
 use crate::runtime;
 use std::cell::{Cell, Ref, RefCell};
@@ -200,7 +200,7 @@
         &self,
         class: RequestClass,
         key: &str,
-    ) -> Result<Option<Item>, StoreError> {
+    ) -> Result<Option<KeyValue>, StoreError> {
         let admitted = self.admit_read(class).ok_or(StoreError::HeldBack)?;
         self.get_admitted(admitted, key).await
     }
@@ -215,7 +215,7 @@
         &self,
         _admitted: AdmittedRead,
         key: &str,
-    ) -> Result<Option<Item>, StoreError> {
+    ) -> Result<Option<KeyValue>, StoreError> {
         let path = key_path(key);
         match self.call(Method::Get, &path, b"", CALL_TIMEOUT).await {
             Ok(answer) if answer.status == 200 => decode(&answer).map(Some),
@@ -257,7 +257,7 @@
         prefix: &str,
         after: Revision,
         wait_up_to: Duration,
-    ) -> Result<Events, StoreError> {
+    ) -> Result<WatchResponseBody, StoreError> {
         self.admit_lease_request();
         let path = watch_path(prefix, after, wait_up_to.as_millis() as u64);
         let timeout = wait_up_to + CALL_TIMEOUT;
@@ -277,7 +277,9 @@
         let body = lease_request(ttl.as_millis() as u64);
         let result = self.call(Method::Post, path::LEASES, &body, CALL_TIMEOUT);
         match result.await {
-            Ok(answer) if answer.status == 200 => decode::<Lease>(&answer).map(|lease| lease.id),
+            Ok(answer) if answer.status == 200 => {
+                decode::<LeaseResponseBody>(&answer).map(|lease| lease.id)
+            }
             result => Err(failed_call(&result)),
         }
     }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,6 +1,6 @@
 //! The keys of the records. Everything under `live/` is cached by every controller.
 
-use crate::ids::{JobId, MachineId, Member, Pipeline, ShardId};
+use crate::ids::{JobId, MachineId, MemberId, Pipeline, ShardId};
 
 /// The prefix of all records that are cached.
 pub(crate) const LIVE: &str = "live/";
@@ -24,7 +24,7 @@
 const HISTORY: &str = "live/history/";
 
 /// A controller's record.
-pub(crate) fn member(member: &Member) -> String {
+pub(crate) fn member(member: &MemberId) -> String {
     format!("{MEMBER}{member}")
 }
 
@@ -98,7 +98,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum LiveKey {
     Leader,
-    Member(Member),
+    Member(MemberId),
     Shard(ShardId),
     Catalog,
     Settings,
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -3,7 +3,7 @@
 pub(crate) mod size;
 
 use crate::ids::{
-    AttemptNumber, Image, JobId, Resources, TaskAttempt, TaskId, TeamId, TypeName, Zone,
+    AttemptNumber, Image, JobId, MachineTypeName, Resources, TaskAttempt, TaskId, TeamId, Zone,
 };
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// The address of its worker, as host and port.
     pub addr: String,
     /// Its machine type.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The zone that it is in.
     pub zone: Zone,
     /// Whether the cloud may take it back at short notice.
@@ -78,7 +78,7 @@
 
 impl MachineRecord {
     /// A machine on which nothing was placed yet.
-    pub(crate) fn new(addr: &str, type_name: &TypeName, zone: &Zone, spot: bool) -> Self {
+    pub(crate) fn new(addr: &str, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> Self {
         Self {
             addr: addr.to_owned(),
             type_name: type_name.clone(),
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -33,7 +33,7 @@
 }
 
 fn need(need: Resources) -> usize {
-    NEED + number(need.cpus) + number(need.gpus) + number(need.memory)
+    NEED + number(need.milli_cpus) + number(need.milli_gpus) + number(need.memory_mb)
 }
 
 /// A record without jobs.
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Failure, Response};
 use crate::ids::Revision;
-use crate::protocol::store::TxnAnswer;
+use crate::protocol::store::TxnResponseBody;
 use serde::de::DeserializeOwned;
 
 /// The status of a request beyond the rates.
@@ -72,12 +72,12 @@
 pub(super) fn txn_outcome(answer: &Response) -> TxnOutcome {
     let text = || String::from_utf8_lossy(&answer.body);
     match answer.status {
-        200 => match decode::<TxnAnswer>(answer) {
+        200 => match decode::<TxnResponseBody>(answer) {
             Ok(committed) => TxnOutcome::Committed(committed.revision),
             Err(_) => TxnOutcome::Unknown,
         },
         409 => {
-            let failed: TxnAnswer = decode(answer).unwrap_or_default();
+            let failed: TxnResponseBody = decode(answer).unwrap_or_default();
             TxnOutcome::Failed(failed.failed, failed.revision)
         }
         400 => {
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -3,7 +3,9 @@
 pub(crate) use super::bitmap::Bitmap;
 pub(crate) use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
 
-use crate::ids::{Incarnation, JobId, LeaseId, MachineId, Member, Revision, TypeName, UnixTime};
+use crate::ids::{
+    Incarnation, JobId, LeaseId, MachineId, MachineTypeName, MemberId, Revision, UnixTime,
+};
 use crate::protocol::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -12,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaderRecord {
     /// The controller.
-    pub member: Member,
+    pub member: MemberId,
     /// Its process: the leadership is not that of a restarted one.
     pub incarnation: Incarnation,
 }
@@ -59,7 +61,7 @@
 pub(crate) struct ShardRecord {
     #[serde(rename = "holder")]
     /// The controller that owns it.
-    pub owner: Member,
+    pub owner: MemberId,
     /// The owner's process: a restarted one has to be assigned the shard anew.
     pub incarnation: Incarnation,
     /// The leader's term in which it was assigned.
@@ -111,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanRecord {
     /// The preferred machine type.
-    pub type_name: Option<TypeName>,
+    pub type_name: Option<MachineTypeName>,
     /// The preferred machines; at most [`Self::MACHINES`].
     pub machines: Vec<MachineId>,
     /// How long each of its tasks is predicted to run, in seconds.
@@ -130,5 +132,5 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HistoryRecord {
     /// The run times on each machine type, as fractions of the estimates, oldest first.
-    pub types: BTreeMap<TypeName, Vec<f32>>,
+    pub types: BTreeMap<MachineTypeName, Vec<f32>>,
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -19,7 +19,7 @@
 use crate::admin::Settings;
 use crate::config::Config;
 use crate::ids::{
-    JobId, MachineId, Member, Pipeline, Resources, Revision, ShardId, TeamId, TypeName,
+    JobId, MachineId, MachineTypeName, MemberId, Pipeline, Resources, Revision, ShardId, TeamId,
 };
 use crate::protocol::{Catalog, MachineType};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     /// The leader's record; none while nobody leads.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The controllers whose leases hold.
-    pub members: BTreeMap<Member, MemberRecord>,
+    pub members: BTreeMap<MemberId, MemberRecord>,
     /// The shards that are leased to an owner.
     pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     /// The cloud's machine types and zones, as last written.
@@ -89,7 +89,7 @@
     }
 
     /// The catalog's entry for a machine type.
-    pub(crate) fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
+    pub(crate) fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         let catalog = self.catalog.as_ref()?;
         catalog.value.types.iter().find(|t| t.name == *name)
     }
--- a/src/store/watch_cache/changes.rs
+++ b/src/store/watch_cache/changes.rs
@@ -2,7 +2,7 @@
 
 use super::WatchCache;
 use crate::ids::{JobId, Revision, ShardId};
-use crate::protocol::store::{Event, Item};
+use crate::protocol::store::{Event, KeyValue};
 use crate::store::keys::LiveKey;
 use crate::store::records::JobRecord;
 use crate::store::versioned::Versioned;
@@ -48,7 +48,7 @@
 
 impl WatchCache {
     /// Takes a record that a page of the whole list brings.
-    pub(crate) fn load(&mut self, item: Item) {
+    pub(crate) fn load(&mut self, item: KeyValue) {
         self.put(StoredRecord {
             key: &item.key,
             value: item.value,
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -58,7 +58,7 @@
         vec![put(keys::machine(&machine), empty.clone(), 4)],
     );
     assert!(cache.jobs[&id].placed.contains_key(&2));
-    assert_eq!(cache.team_usage()[&TeamId::from("red")].cpus, 2000);
+    assert_eq!(cache.team_usage()[&TeamId::from("red")].milli_cpus, 2000);
     cache.apply(Revision(6), vec![put(keys::machine(&machine), empty, 6)]);
     assert!(cache.jobs[&id].placed.is_empty());
     assert_eq!(cache.machines[&machine].images.len(), 1);
--- a/src/worker_control/machine_tracker/observed_state.rs
+++ b/src/worker_control/machine_tracker/observed_state.rs
@@ -77,7 +77,9 @@
             self.heartbeat_sequence = heartbeat.sequence;
         }
         self.addr.clone_from(&heartbeat.addr);
-        self.notice = heartbeat.notice_s.map(|s| now + Millis::from_secs(s));
+        self.notice = heartbeat
+            .until_interruption_s
+            .map(|s| now + Millis::from_secs(s));
         self.listed = listed_tasks(heartbeat);
     }
 
--- a/src/worker_control/machine_tracker/tests.rs
+++ b/src/worker_control/machine_tracker/tests.rs
@@ -28,7 +28,7 @@
         epoch: WorkerEpoch(epoch),
         sequence: HeartbeatSequence(sequence),
         token: FencingToken::of(Revision(fence), 0),
-        notice_s: None,
+        until_interruption_s: None,
         tasks: tasks.collect(),
     }
 }
@@ -167,7 +167,7 @@
 #[test]
 fn later_fence_outranks_all_raises_and_new_tracker_raises_above_the_reported_token() {
     let mut last = FencingToken::of(FENCE, 0);
-    while let Some(next) = last.next_raise() {
+    while let Some(next) = last.checked_increment() {
         assert!(next > last && next.fence() == FENCE);
         last = next;
     }
--- a/src/worker_control/machine_tracker/token.rs
+++ b/src/worker_control/machine_tracker/token.rs
@@ -44,7 +44,7 @@
     /// Raises the token within its fence. `false`: the fence has no higher one left.
     pub(super) fn raise(&mut self, now: MonotonicTime) -> bool {
         self.raised_at = now;
-        let Some(next) = self.current.next_raise() else {
+        let Some(next) = self.current.checked_increment() else {
             return false;
         };
         self.current = next;
@@ -68,7 +68,7 @@
         self.seen = reported;
         let raised_before = reported.fence() == self.fence && reported > self.current;
         if raised_before {
-            self.current = reported.next_raise().unwrap_or(reported);
+            self.current = reported.checked_increment().unwrap_or(reported);
         }
         self.superseded = reported > self.current;
         self.confirmed = reported == self.current;
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -18,7 +18,7 @@
 
 use super::machine_tracker::{MachineTracker, RecordLimits};
 use crate::config::Config;
-use crate::ids::{Incarnation, MachineId, Member, Millis, MonotonicTime, Revision, ShardId};
+use crate::ids::{Incarnation, MachineId, MemberId, Millis, MonotonicTime, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use allotments::WaitingAllotment;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
 /// The duty of owning shards: the trackers of their machines, and what is to be reported and
 /// written for them.
 pub(crate) struct ShardOwner {
-    member: Member,
+    member: MemberId,
     incarnation: Incarnation,
     /// The number of shards in the cluster.
     shards: u32,
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -136,7 +136,7 @@
         let allowed = job
             .spec
             .allows(&record.type_name, &record.zone, record.spot);
-        let room = cache.machine_type(&record.type_name)?.room();
+        let room = cache.machine_type(&record.type_name)?.capacity();
         let pending = tracker.placements().pending_need();
         let free = room + tracker.writes().freed() - record.used() - pending;
         let stored = self.stored_size(tracker, record, attempt, &job.spec);
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -109,7 +109,7 @@
             return;
         };
         tracker.calls_mut().begin(commands.clone(), next_at);
-        out.push(Effect::Call(DirectCall {
+        out.push(Effect::CallWorker(DirectCall {
             machine: id.clone(),
             addr: tracker.addr().to_owned(),
             token: tracker.token(),
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -1,6 +1,6 @@
 //! What a shard owner asks to be done, and the forms of what it hears back.
 
-use crate::ids::{FencingToken, MachineId, Member, ShardId, WorkerEpoch};
+use crate::ids::{FencingToken, MachineId, MemberId, ShardId, WorkerEpoch};
 use crate::peers::Message;
 use crate::protocol::store::Txn;
 use crate::protocol::{Command, Heartbeat};
@@ -17,7 +17,7 @@
         txn: Txn,
     },
     /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_direct_call_outcome`].
-    Call(DirectCall),
+    CallWorker(DirectCall),
     /// Send a message to the leader.
     ToLeader(Message),
     /// A machine that has no record answers. Its first placement writes one: until then it
@@ -50,7 +50,7 @@
     /// Commands under the machine's token.
     Commands(FencingToken, Vec<Command>),
     /// Another controller owns the machine, or may. The worker is sent to it, if it is known.
-    Redirect(Option<Member>),
+    Redirect(Option<MemberId>),
 }
 
 /// How a heartbeat came here.
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::health::machine_health;
 use super::{DirectCall, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner};
-use crate::ids::{FencingToken, MachineId, Member, Millis, MonotonicTime, Revision};
+use crate::ids::{FencingToken, MachineId, MemberId, Millis, MonotonicTime, Revision};
 use crate::peers::Message;
 use crate::protocol::Heartbeat;
 use crate::store::watch_cache::WatchCache;
@@ -68,7 +68,7 @@
         &mut self,
         heartbeat: &Heartbeat,
         cache: &WatchCache,
-    ) -> Result<Revision, Option<Member>> {
+    ) -> Result<Revision, Option<MemberId>> {
         let shard = heartbeat.machine.shard(self.shards);
         let Some(fence) = self.fence(cache, shard) else {
             let owner = cache.shards.get(&shard).map(|b| b.value.owner.clone());
@@ -96,8 +96,8 @@
     ) -> Option<HeartbeatAnswer> {
         let id = &heartbeat.machine;
         let tracker = self.trackers.get_mut(id)?;
-        let health_changes =
-            !tracker.is_confirmed() || heartbeat.notice_s.is_some() != tracker.notice().is_some();
+        let health_changes = !tracker.is_confirmed()
+            || heartbeat.until_interruption_s.is_some() != tracker.notice().is_some();
         let newest = tracker.is_newer(heartbeat);
         tracker.apply_heartbeat(heartbeat, StatusSource::Heartbeat, now);
         if newest && path == HeartbeatPath::Direct {
@@ -131,7 +131,7 @@
             return;
         }
         self.probed.insert(heartbeat.machine.clone(), now);
-        out.push(Effect::Call(DirectCall {
+        out.push(Effect::CallWorker(DirectCall {
             machine: heartbeat.machine.clone(),
             addr: heartbeat.addr.clone(),
             token: token_at_least(fence, heartbeat),
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -1,7 +1,7 @@
 //! Outcomes of the transactions that write machines' records.
 
 use super::{Effect, ShardOwner};
-use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TypeName};
+use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime, Revision};
 use crate::peers::{EndedAttempt, Message};
 use crate::store::TxnOutcome;
 use crate::store::watch_cache::WatchCache;
@@ -79,7 +79,7 @@
 /// A machine's record that was written.
 struct WrittenRecord<'a> {
     machine: &'a MachineId,
-    type_name: TypeName,
+    type_name: MachineTypeName,
     revision: Revision,
 }
 
