--- a/src/admin/settings.rs
+++ b/src/admin/settings.rs
@@ -108,7 +108,7 @@
 
 impl Settings {
     /// These settings with a change applied. The error of a bad change names its field.
-    pub(crate) fn change(&self, change: &Value) -> Result<Self, InvalidChange> {
+    pub(crate) fn with_changes(&self, change: &Value) -> Result<Self, InvalidChange> {
         let Value::Object(change) = change else {
             return Err(InvalidChange::NotAnObject);
         };
@@ -145,7 +145,7 @@
     }
 
     /// The time until a controller's lease expires.
-    pub(crate) fn lease(&self) -> Millis {
+    pub(crate) fn lease_duration(&self) -> Millis {
         Millis::from_secs(self.lease_s)
     }
 }
--- a/src/admin/settings/tests.rs
+++ b/src/admin/settings/tests.rs
@@ -21,11 +21,11 @@
         (json!({"lease_s": "long"}), "lease_s"),
         (json!({"idle_s": 10.0, "colour": 1}), "colour"),
     ] {
-        let error = old.change(&change).expect_err(field).to_string();
+        let error = old.with_changes(&change).expect_err(field).to_string();
         assert!(error.contains(field), "{error}");
     }
     let new = old
-        .change(&json!({"group_cap": 6, "percentile": 0.8}))
+        .with_changes(&json!({"group_cap": 6, "percentile": 0.8}))
         .expect("good");
     assert_eq!((new.group_cap, new.percentile), (6, 0.8));
     assert_eq!(new.lease_s, old.lease_s);
@@ -55,7 +55,7 @@
         ),
     ];
     for (change, text) in cases {
-        let error = Settings::default().change(&change).expect_err(text);
+        let error = Settings::default().with_changes(&change).expect_err(text);
         assert_eq!(error.to_string(), text);
     }
 }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -35,7 +35,12 @@
     pub(super) async fn submit_dependent(&self, spec: JobSpec) -> Submitted {
         let id = spec.id.clone();
         // An earlier version would start the job at once.
-        if !self.controller.borrow().cache.all_know_dependencies() {
+        if !self
+            .controller
+            .borrow()
+            .cache
+            .all_members_support_dependencies()
+        {
             return Err(SubmissionError::NotWritten(RetryReason::EarlierVersion));
         }
         let mut changed = BTreeSet::new();
@@ -47,7 +52,7 @@
             if let Dependencies::Refused(reason) = &dependencies {
                 return Ok(self.refuse(&id, &reason.to_string()).await?);
             }
-            let ops = self.config.state.txn_ops;
+            let ops = self.config.store_limits.txn_ops;
             let Some((txn, state)) = dependencies.accept(&spec, UnixTime::now(), ops) else {
                 return Err(self.dependencies_unread());
             };
@@ -74,7 +79,7 @@
     /// answer is not asked once more.
     fn dependencies_unread(&self) -> SubmissionError {
         let reason = RetryReason::DependenciesUnread;
-        match self.store.is_answering() {
+        match self.store.last_call_answered() {
             true => SubmissionError::NotWritten(reason),
             false => SubmissionError::Unanswered(reason),
         }
@@ -118,7 +123,7 @@
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
         let until = runtime::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
-        let ops = self.config.state.txn_ops;
+        let ops = self.config.store_limits.txn_ops;
         while runtime::now() < until {
             let step = cascade.next(&self.controller.borrow().cache, ops);
             let (txn, jobs) = match step {
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -127,7 +127,7 @@
             txn.require(keys::job(job), *revision);
         }
         let mut record = JobRecord::new(spec.clone(), now);
-        record.released = open.is_empty().then_some(now);
+        record.released_at = open.is_empty().then_some(now);
         txn.put(keys::job(&spec.id), &record, None);
         Some((txn, JobState::Queued))
     }
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -49,7 +49,7 @@
     if !spec.need().times(at_once).fits(team.limit()) {
         return Err(Infeasible::OverTeamLimit);
     }
-    if record_size(spec) > config.state.value_bytes {
+    if record_size(spec) > config.store_limits.value_bytes {
         return Err(Infeasible::RecordTooLarge);
     }
     Ok(())
@@ -74,7 +74,7 @@
 /// The size in bytes of a job's record once it is stored, with the time of its release.
 fn record_size(spec: &JobSpec) -> usize {
     let record = JobRecord {
-        released: Some(UnixTime(u64::MAX)),
+        released_at: Some(UnixTime(u64::MAX)),
         ..JobRecord::new(spec.clone(), UnixTime(u64::MAX))
     };
     serde_json::to_vec(&record).map_or(usize::MAX, |bytes| bytes.len())
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -19,7 +19,7 @@
 use crate::runtime::{self, oneshot};
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::FinalRecord;
-use crate::store::{AdmittedRead, Store, StoreError, keys};
+use crate::store::{ReadPermit, StoreClient, StoreError, keys};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
 /// Final states by job: those that were read before, and reads of the others.
 #[derive(Clone)]
 pub(super) struct FinalStateReader {
-    store: Rc<Store>,
+    store: Rc<StoreClient>,
     cache: Rc<RefCell<FinalStateCache>>,
     waiting: Rc<RefCell<WaitingQuestions>>,
     reserve: Rc<RefCell<TokenBucket>>,
@@ -70,7 +70,7 @@
 
 impl FinalStateReader {
     /// Nothing was read yet.
-    pub(super) fn new(store: Rc<Store>) -> Self {
+    pub(super) fn new(store: Rc<StoreClient>) -> Self {
         Self {
             reserve: Rc::new(RefCell::new(TokenBucket::new(
                 store.own_request_rate() * RESERVED_PART,
@@ -162,7 +162,7 @@
     }
 
     /// Takes a token for a job that has waited so long.
-    fn admit(&self, now: MonotonicTime, waited: Millis) -> Option<AdmittedRead> {
+    fn admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
         if let Some(admitted) = self.store.admit_read(RequestClass::Poll) {
             return Some(admitted);
         }
@@ -181,7 +181,7 @@
     }
 
     /// Starts the read of a job, or of the page that begins with it.
-    fn begin_read(&self, now: MonotonicTime, admitted: AdmittedRead, first: JobId) {
+    fn begin_read(&self, now: MonotonicTime, admitted: ReadPermit, first: JobId) {
         let mut waiting = self.waiting.borrow_mut();
         let jobs = waiting.awaited_from(now, &first, PAGE_ITEMS);
         if jobs.len() < PAGE_FROM_JOBS {
@@ -197,7 +197,7 @@
         runtime::spawn(self.clone().read_page(admitted, first, jobs));
     }
 
-    async fn read_record(self, admitted: AdmittedRead, id: JobId) {
+    async fn read_record(self, admitted: ReadPermit, id: JobId) {
         let key = keys::final_state(&id);
         match self.store.get_admitted(admitted, &key).await {
             Ok(item) => self.answer(&id, self.decode_item(&id, item)),
@@ -207,11 +207,11 @@
     }
 
     /// Reads the page that begins with the first of these jobs, which are in the order of their ids.
-    async fn read_page(self, admitted: AdmittedRead, first: JobId, jobs: Vec<JobId>) {
-        let after = keys::before_final_state(&first);
+    async fn read_page(self, admitted: ReadPermit, first: JobId, jobs: Vec<JobId>) {
+        let after = keys::final_state_predecessor(&first);
         let page = self
             .store
-            .page_admitted(admitted, keys::FINAL_STATES, &after, PAGE_ITEMS);
+            .page_admitted(admitted, keys::FINAL_STATE_PREFIX, &after, PAGE_ITEMS);
         match page.await {
             Ok(page) => self.on_page(&jobs, page),
             Err(error) => self.on_failed_read(&jobs, error),
@@ -224,7 +224,7 @@
         let end = PageEnd::of(&page);
         let mut results: BTreeMap<JobId, ReadResult> = BTreeMap::new();
         for item in page.items {
-            if let Some(id) = keys::job_of_final_state(&item.key) {
+            if let Some(id) = keys::job_from_final_state_key(&item.key) {
                 let result = self.decode_item(&id, Some(item));
                 results.insert(id, result);
             }
--- a/src/api/final_state_reader/tests.rs
+++ b/src/api/final_state_reader/tests.rs
@@ -8,7 +8,7 @@
 use crate::protocol::JobState;
 use crate::runtime::{self, Scope, run_in_virtual_time};
 use crate::store::records::FinalRecord;
-use crate::store::{Store, keys};
+use crate::store::{StoreClient, keys};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -57,8 +57,8 @@
     let shown = result.clone();
     run_in_virtual_time(async move {
         let mut config = sample_config();
-        config.state.rates.requests = requests_per_s;
-        config.state.least_rates = config.state.rates;
+        config.store_limits.rates.requests = requests_per_s;
+        config.store_limits.min_rates = config.store_limits.rates;
         let state = RefCell::new(StandIn::default());
         let record = json!(FinalRecord {
             state: JobState::Done,
@@ -71,8 +71,8 @@
             let answer = state.borrow_mut().answer(&request);
             Box::pin(std::future::ready(answer))
         }));
-        let (addr, limits) = (config.state_addr, config.state);
-        let store = Store::with_client(client, addr, &limits, 1.0, runtime::now());
+        let (addr, limits) = (config.store_addr, config.store_limits);
+        let store = StoreClient::with_client(client, addr, &limits, 1.0, runtime::now());
         let (api, _cancellations) = controller_api(&config, store, true);
         let response = api.poll("job-1").await;
         let counted = json!(api.unanswered_report());
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -11,7 +11,7 @@
 use crate::ids::{JobId, Revision};
 use crate::protocol::store::Txn;
 use crate::runtime::Sender;
-use crate::store::Store;
+use crate::store::StoreClient;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -36,7 +36,7 @@
     /// This controller's configuration.
     pub(super) config: Config,
     /// The key-value store, which decides.
-    pub(super) store: Rc<Store>,
+    pub(super) store: Rc<StoreClient>,
     /// The controller, whose watch cache answers what need not be decided.
     pub(super) controller: Rc<RefCell<Controller>>,
     /// Validates what the watch cache shows of a job.
@@ -53,11 +53,11 @@
     /// `cancellations`: takes what has to be announced to the other controllers, and answered.
     pub(crate) fn new(
         config: &Config,
-        store: Rc<Store>,
+        store: Rc<StoreClient>,
         controller: Rc<RefCell<Controller>>,
         cancellations: Sender<Cancellation>,
     ) -> Self {
-        let max_conditions = Txn::CONDITIONS_PER_CHANGE * config.state.txn_ops;
+        let max_conditions = Txn::CONDITIONS_PER_CHANGE * config.store_limits.txn_ops;
         let revision_checker = RevisionChecker::start(store.clone(), max_conditions);
         let final_states = FinalStateReader::new(store.clone());
         Self {
--- a/src/api/retries.rs
+++ b/src/api/retries.rs
@@ -1,7 +1,7 @@
 //! Retries of requests that the rate limiter or the store has refused, while a user waits.
 
 use crate::runtime;
-use crate::store::Store;
+use crate::store::StoreClient;
 use crate::store::rate_limiter::RequestClass;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 
 /// Makes a request of the store, and makes it again while it is refused and the store serves.
 pub(super) async fn retry_refused<T>(
-    store: &Store,
+    store: &StoreClient,
     request: impl AsyncFn(RequestClass) -> T,
     is_refused: impl Fn(&T) -> bool,
 ) -> T {
--- a/src/api/retry_reason.rs
+++ b/src/api/retry_reason.rs
@@ -76,7 +76,7 @@
         match error {
             StoreError::HeldBack => Self::HeldBack,
             StoreError::Refused | StoreError::Gone => Self::StoreRefused,
-            StoreError::Unanswered => Self::StoreSilent,
+            StoreError::Unavailable => Self::StoreSilent,
             StoreError::Unreadable => Self::Unreadable,
         }
     }
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, Revision};
 use crate::protocol::store::Txn;
 use crate::runtime::{self, Sender, channel, oneshot};
-use crate::store::{Store, TxnOutcome, keys};
+use crate::store::{StoreClient, TxnOutcome, keys};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -84,7 +84,7 @@
 
 impl RevisionChecker {
     /// Starts the task that serves queries. `max_conditions`: those that a transaction may have.
-    pub(super) fn start(store: Rc<Store>, max_conditions: usize) -> Self {
+    pub(super) fn start(store: Rc<StoreClient>, max_conditions: usize) -> Self {
         let (queue, mut queries) = channel::<JobQuery>();
         runtime::spawn(async move {
             while let Some(first) = queries.recv().await {
@@ -124,7 +124,7 @@
 }
 
 /// Makes all comparisons of a batch in one transaction and answers its queries.
-async fn check_batch(store: Rc<Store>, txn: Txn, batch: Vec<JobQuery>) {
+async fn check_batch(store: Rc<StoreClient>, txn: Txn, batch: Vec<JobQuery>) {
     let outcome = retry_refused(
         &store,
         async |class| store.txn(class, &txn).await,
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{Cancellation, JobApi};
 use crate::config::tests::sample_config;
-use crate::config::{Config, StateLimits};
+use crate::config::{Config, StoreLimits};
 use crate::controller::Controller;
 use crate::http::{Client, Method, Request, Response, serve};
 use crate::ids::{Incarnation, JobId, MonotonicTime, Revision};
@@ -14,7 +14,7 @@
 use crate::runtime::{self, Receiver, Scope, TcpListener, channel, run_in_virtual_time};
 use crate::store::records::FinalRecord;
 use crate::store::watch_cache::WatchCache;
-use crate::store::{Store, keys};
+use crate::store::{StoreClient, keys};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -211,7 +211,7 @@
     pub(super) fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let limits = generous_limits(&config);
-        let store = Store::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
+        let store = StoreClient::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
         controller_api(&config, store, types)
     }
 
@@ -231,16 +231,16 @@
         Box::pin(std::future::ready(answer))
     }));
     let limits = generous_limits(&config);
-    let store = Store::with_client(client, config.state_addr, &limits, 1.0, runtime::now());
+    let store = StoreClient::with_client(client, config.store_addr, &limits, 1.0, runtime::now());
     controller_api(&config, store, true)
 }
 
 /// Limits that no test reaches.
-fn generous_limits(config: &Config) -> StateLimits {
-    let mut limits = config.state;
+fn generous_limits(config: &Config) -> StoreLimits {
+    let mut limits = config.store_limits;
     limits.rates.requests = 1e4;
-    limits.rates.changes = 1e4;
-    limits.least_rates = limits.rates;
+    limits.rates.writes = 1e4;
+    limits.min_rates = limits.rates;
     limits
 }
 
@@ -259,7 +259,7 @@
 /// The API of a controller that has just started with a client of the key-value store.
 pub(super) fn controller_api(
     config: &Config,
-    store: Store,
+    store: StoreClient,
     types: bool,
 ) -> (JobApi, Receiver<Cancellation>) {
     let mut controller = Controller::new(config, Incarnation(1));
@@ -281,7 +281,7 @@
 
 /// Brings a controller's watch cache up to what a key-value store holds.
 pub(super) fn catch_up(state: &StandIn, api: &JobApi) {
-    let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
+    let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE_PREFIX);
     let mut cache = WatchCache::new(&api.config);
     for (key, (value, revision)) in state.keys.iter().filter(live) {
         cache.load(KeyValue {
--- a/src/api/tests/busy_cluster.rs
+++ b/src/api/tests/busy_cluster.rs
@@ -12,7 +12,7 @@
 use crate::runtime::{self, Scope};
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use crate::store::records::JobRecord;
-use crate::store::{Store, TxnOutcome, keys};
+use crate::store::{StoreClient, TxnOutcome, keys};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -79,9 +79,9 @@
     /// final state was read yet. Both kinds of jobs are stored first.
     pub(crate) fn start(load: Load, live: &[JobId], ended: &[JobId]) -> Self {
         let mut config = sample_config();
-        config.state.rates.requests = REQUESTS_PER_S;
-        config.state.rates.changes = CHANGES_PER_S;
-        config.state.least_rates = config.state.rates;
+        config.store_limits.rates.requests = REQUESTS_PER_S;
+        config.store_limits.rates.writes = CHANGES_PER_S;
+        config.store_limits.min_rates = config.store_limits.rates;
         let state = Rc::new(RefCell::new(StandIn::default()));
         store_jobs(&mut state.borrow_mut(), live, ended);
         let started = runtime::now();
@@ -121,8 +121,8 @@
             false => self.answers.clone(),
         };
         let client = Client::answered_by(answers);
-        let (addr, limits) = (self.config.state_addr, &self.config.state);
-        let store = Store::with_client(client, addr, limits, RATE_SHARE, self.started);
+        let (addr, limits) = (self.config.store_addr, &self.config.store_limits);
+        let store = StoreClient::with_client(client, addr, limits, RATE_SHARE, self.started);
         let (api, mut cancellations) = controller_api(&self.config, store, true);
         catch_up(&self.state.borrow(), &api);
         let api = Rc::new(api);
@@ -192,15 +192,17 @@
 }
 
 /// Follows the changes, as often as the daemon does.
-async fn watch(store: Rc<Store>) {
+async fn watch(store: Rc<StoreClient>) {
     loop {
         // The answer is not used here, but its request counts.
-        let _ = store.watch(keys::LIVE, Revision(0), Duration::ZERO).await;
+        let _ = store
+            .watch(keys::LIVE_PREFIX, Revision(0), Duration::ZERO)
+            .await;
         runtime::sleep(store.watch_delay(MAX_WATCH_DELAY)).await;
     }
 }
 
-async fn renew_lease(store: Rc<Store>) {
+async fn renew_lease(store: Rc<StoreClient>) {
     loop {
         let _ = store.renew_lease(crate::ids::LeaseId(1)).await;
         runtime::sleep(Duration::from_secs(1)).await;
@@ -208,7 +210,7 @@
 }
 
 /// Asks for placements. Each one that is refused is dropped.
-async fn place(store: Rc<Store>, interval: Duration) {
+async fn place(store: Rc<StoreClient>, interval: Duration) {
     let mut txn = Txn::default();
     txn.require(keys::LEADER.to_owned(), Revision(0));
     loop {
@@ -221,7 +223,7 @@
 }
 
 /// Writes ends of jobs, and counts those that the store has taken.
-async fn end_jobs(store: Rc<Store>, written: Rc<Cell<u64>>) {
+async fn end_jobs(store: Rc<StoreClient>, written: Rc<Cell<u64>>) {
     let mut txn = Txn::default();
     txn.put("over/job-900000".to_owned(), &1, None);
     loop {
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -57,14 +57,14 @@
 
     /// Stops following the jobs that nobody has asked about for long.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
-        for (job, episode) in self.jobs.take_quiet(now) {
+        for (job, episode) in self.jobs.take_ended(now) {
             tracing::info!(%job, count = episode.count, lasted_ms = episode.duration().0, "nobody asks about a job any more that was not answered");
         }
     }
 
     /// What the status shows.
     pub(super) fn report(&self, now: MonotonicTime) -> UnansweredReport {
-        let oldest = self.jobs.oldest();
+        let oldest = self.jobs.oldest_start();
         UnansweredReport {
             by_reason: self.counts.clone(),
             oldest_s: oldest.map_or(0.0, |since| now.since(since).as_secs_f64()),
--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -37,17 +37,17 @@
         self.arrivals.retain(|_, arrival| !old(arrival.at));
         for (id, job) in &cache.jobs {
             let spec = &job.spec;
-            let before = job.eligible < since;
+            let before = job.eligible_at < since;
             if spec.kind != JobKind::Array
                 || before
-                || old(job.eligible)
+                || old(job.eligible_at)
                 || self.arrivals.contains_key(id)
             {
                 continue;
             }
             let cpus = spec.need().times(spec.tasks.into()).milli_cpus as f64;
             let work = cpus * task_time_s(job, cache, turnaround_s);
-            let at = job.eligible;
+            let at = job.eligible_at;
             self.arrivals.insert(id.clone(), Arrival { at, work });
         }
     }
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -88,7 +88,7 @@
             machine_list: MachineListPoll::default(),
             catalog: CatalogPoll::default(),
             unix_time: UnixTime(0),
-            store_write_rate: config.state.rates.changes,
+            store_write_rate: config.store_limits.rates.writes,
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// How many machines boot.
-    pub(crate) fn booting(&self) -> usize {
+    pub(crate) fn booting_count(&self) -> usize {
         self.boots.len()
     }
 }
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -145,7 +145,7 @@
         }
         let empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
-            let shard = id.shard(self.config.shards());
+            let shard = id.shard(self.config.shard_count());
             let leaving_since = self.leaving_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
                 && leaving_since
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -40,7 +40,7 @@
 /// A watch cache with one machine, whose shard has an owner.
 fn cache_with_machine(config: &Config, id: &MachineId) -> WatchCache {
     let mut cache = WatchCache::new(config);
-    let shard = id.shard(config.shards());
+    let shard = id.shard(config.shard_count());
     let shard_record = ShardRecord {
         owner: "c0".into(),
         incarnation: Incarnation(1),
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -80,7 +80,7 @@
         let missed_after = self.interval_with_margin(MISSED_HEARTBEAT_MARGIN_MS);
         let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
-            let shard = cache.shards.get(&id.shard(self.config.shards()));
+            let shard = cache.shards.get(&id.shard(self.config.shard_count()));
             let Some(shard) = shard.filter(|s| s.revision == health.report.fence) else {
                 continue;
             };
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -118,7 +118,7 @@
     if let Some(finish_by) = job.urgency.finish_by {
         return (finish_by.0 as f64 - unix_time.0 as f64) / 1000.0;
     }
-    let age_s = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
+    let age_s = unix_time.0.saturating_sub(job.eligible_at.0) as f64 / 1000.0;
     let objective = config.finish_within.get(&job.spec.pipeline);
     let default_s = DEFAULT_DUE_TASKS * task_s + DEFAULT_DUE_MARGIN_S;
     objective.map_or(default_s, |within| within.as_secs_f64()) - age_s
--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -64,7 +64,10 @@
     assert_eq!(machine_record(), machine);
     let plans: crate::store::records::PlanBatch =
         serde_json::from_value(golden_record("plans")).expect("plans");
-    assert_eq!(plans[&crate::ids::JobId::from(JOB)].joins, None);
+    assert_eq!(
+        plans[&crate::ids::JobId::from(JOB)].placement_group_job,
+        None
+    );
 }
 
 /// What this version writes is read by production's types, new fields and all.
@@ -77,7 +80,7 @@
     let plain: old_records::Job = read_by_earlier_version(golden_record("job"));
     spec.dependencies = vec!["job-000001".into()];
     let mut record = JobRecord::new(spec, UnixTime(plain.accepted));
-    record.released = Some(UnixTime(1_700_000_000_500));
+    record.released_at = Some(UnixTime(1_700_000_000_500));
     assert_eq!(
         read_by_earlier_version::<old_records::Job>(json!(record)),
         plain
@@ -86,7 +89,7 @@
         type_name: Some("t8".into()),
         machines: vec!["vm-000231".into()],
         predicted_s: 28.5,
-        joins: Some("job-000001".into()),
+        placement_group_job: Some("job-000001".into()),
     };
     let read: old_records::Plans = read_by_earlier_version(json!({ JOB: plan }));
     assert_eq!(
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -41,7 +41,7 @@
     let spec = crate::protocol::tests::spec(JOB);
     record.add(&attempt(2), &spec);
     record.add(&attempt(3), &spec);
-    record.count(&JOB.into(), 0, 1);
+    record.add_done(&JOB.into(), 0, 1);
     record
 }
 
@@ -191,7 +191,7 @@
 
 fn history() -> HistoryRecord {
     let mut history = HistoryRecord::default();
-    history.types.insert("t8".into(), vec![0.5, 1.25]);
+    history.run_time_ratios.insert("t8".into(), vec![0.5, 1.25]);
     history
 }
 
@@ -200,7 +200,7 @@
         type_name: Some("t8".into()),
         machines: vec![machine()],
         predicted_s: 28.5,
-        joins: None,
+        placement_group_job: None,
     };
     PlanBatch::from([(JOB.into(), plan)])
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,8 +7,8 @@
 mod validation;
 
 pub use error::ConfigError;
-pub(crate) use store_limits::{StateLimits, StateRates};
-pub(crate) use team::Team;
+pub(crate) use store_limits::{StoreLimits, StoreRates};
+pub(crate) use team::TeamQuota;
 
 use crate::ids::{MemberId, Millis, Pipeline, Resources, TeamId, Zone};
 use settings_file::{ObjectiveEntry, PeerEntry, QuotaSection, SettingsFile, TeamEntry};
@@ -43,35 +43,35 @@
     /// The cloud's address.
     pub(crate) cloud_addr: SocketAddr,
     /// The key-value store's address.
-    pub(crate) state_addr: SocketAddr,
+    pub(crate) store_addr: SocketAddr,
     /// All controllers, this one included.
-    pub(crate) controllers: u32,
+    pub(crate) controller_count: u32,
     /// The teams with their quotas.
-    pub(crate) teams: BTreeMap<TeamId, Team>,
+    pub(crate) teams: BTreeMap<TeamId, TeamQuota>,
     /// Time between two heartbeats of a worker.
     pub(crate) heartbeat_interval: Millis,
     /// Without an answer for so long a worker drops its tasks.
     pub(crate) worker_lease: Millis,
     /// How long a gang's tasks wait for each other.
-    pub(crate) gang_wait: Millis,
+    pub(crate) gang_start_timeout: Millis,
     /// Within this time all tasks of a cancelled job must be gone.
-    pub(crate) cancel: Millis,
+    pub(crate) cancellation_timeout: Millis,
     /// How long work within a guarantee waits before room is made for it: half of what the
     /// operators are held to.
-    pub(crate) guarantee_patience: Millis,
+    pub(crate) guarantee_preemption_delay: Millis,
     /// Within this time the operators want the jobs of a pipeline done: the shortest of their
     /// objectives for it.
     pub(crate) finish_within: BTreeMap<Pipeline, Millis>,
     /// The limits of the key-value store.
-    pub(crate) state: StateLimits,
+    pub(crate) store_limits: StoreLimits,
     /// Requests that the cloud takes in a second.
     pub(crate) cloud_rps: f64,
     /// How old the cloud's list of machines may be.
     pub(crate) list_lag: Millis,
     /// Sockets that the process may have open.
-    pub(crate) sockets: usize,
+    pub(crate) max_sockets: usize,
     /// The largest answer of the key-value store that is read at once, in bytes.
-    pub(crate) answer_bytes: usize,
+    pub(crate) max_response_bytes: usize,
 }
 
 impl Config {
@@ -111,36 +111,36 @@
             zone: file.area.as_str().into(),
             listen: address("bind", &file.bind)?,
             peer_listen: address("peer_bind", &file.peer_bind)?,
-            controllers: peers.len() as u32 + 1,
+            controller_count: peers.len() as u32 + 1,
             peers,
             cloud_addr: address("services.cloud", &file.services.cloud)?,
-            state_addr: address("services.state", &file.services.state)?,
+            store_addr: address("services.state", &file.services.state)?,
             teams,
             worker_lease: duration("params.workers.lease_s", workers.lease_s)?,
             heartbeat_interval: duration("params.workers.report_s", workers.report_s)?,
             finish_within: finish_within(&params.objectives),
-            guarantee_patience: guarantee_patience(&params.objectives),
-            cancel: duration("params.workers.cancel_s", workers.cancel_s)?,
-            gang_wait: duration("params.workers.gang_wait_s", workers.gang_wait_s)?,
-            state: StateLimits::from_section(&params.state)?,
+            guarantee_preemption_delay: guarantee_preemption_delay(&params.objectives),
+            cancellation_timeout: duration("params.workers.cancel_s", workers.cancel_s)?,
+            gang_start_timeout: duration("params.workers.gang_wait_s", workers.gang_wait_s)?,
+            store_limits: StoreLimits::from_section(&params.state)?,
             cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
             list_lag: list_lag(params.cloud.list_lag_s)?,
-            sockets: params.quota.sockets,
-            answer_bytes: answer_bytes(&params.quota)?,
+            max_sockets: params.quota.sockets,
+            max_response_bytes: max_response_bytes(&params.quota)?,
         })
     }
 
     /// How many shards the machines are divided into: two for each controller, so that the machines
     /// of one that ends spread over the others.
-    pub(crate) fn shards(&self) -> u32 {
-        self.controllers * SHARDS_PER_CONTROLLER
+    pub(crate) fn shard_count(&self) -> u32 {
+        self.controller_count * SHARDS_PER_CONTROLLER
     }
 
     /// Tasks in one record of a completion counter: four fit into a byte of it, and the rest
     /// of the value is left free. The same for all versions of the program, whatever limits come
     /// later: the numbering of what is stored rests on it.
-    pub(crate) fn segment_tasks(&self) -> u32 {
-        (self.state.present_value_bytes as u32).clamp(1024, 65_536)
+    pub(crate) fn tasks_per_segment(&self) -> u32 {
+        (self.store_limits.present_value_bytes as u32).clamp(1024, 65_536)
     }
 }
 
@@ -163,12 +163,12 @@
 }
 
 /// `params.teams`.
-fn teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, Team>, ConfigError> {
+fn teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, TeamQuota>, ConfigError> {
     let mut teams = BTreeMap::new();
     for (index, entry) in entries.iter().enumerate() {
         let field = |name: &str| format!("params.teams[{index}].{name}");
         check_team(entry, &field)?;
-        let team = Team::new(
+        let team = TeamQuota::new(
             Resources::capacity(entry.cpus, entry.gpus, 0.0),
             Resources::capacity(entry.cpus_max, entry.gpus_max, 0.0),
         );
@@ -214,7 +214,7 @@
 }
 
 /// `params.objectives`: half of the time within which guarantees are to be met.
-fn guarantee_patience(objectives: &[ObjectiveEntry]) -> Millis {
+fn guarantee_preemption_delay(objectives: &[ObjectiveEntry]) -> Millis {
     let within_s = objectives
         .iter()
         .filter(|objective| objective.kind == "guarantee")
@@ -242,7 +242,7 @@
 }
 
 /// `params.quota.ram_mb`: how much of it an answer of the key-value store may take, in bytes.
-fn answer_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
+fn max_response_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
     let memory_bytes = positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
     Ok((memory_bytes * ANSWER_MEMORY_PART).max(STORE_PAGE_BYTES) as usize)
 }
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -13,19 +13,19 @@
 
 /// What the key-value store takes in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct StateRates {
+pub(crate) struct StoreRates {
     /// Requests in a second, whatever they hold.
     pub requests: f64,
     /// Changes of keys in a second.
-    pub changes: f64,
+    pub writes: f64,
 }
 
-impl StateRates {
+impl StoreRates {
     /// Chooses between the two sets' rates, kind by kind.
     fn combine(self, other: Self, choose: fn(f64, f64) -> f64) -> Self {
         Self {
             requests: choose(self.requests, other.requests),
-            changes: choose(self.changes, other.changes),
+            writes: choose(self.writes, other.writes),
         }
     }
 }
@@ -34,26 +34,26 @@
 /// announced: sizes keep to the smaller limits from the start, while rates follow the larger ones
 /// until the service refuses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct StateLimits {
+pub(crate) struct StoreLimits {
     /// The largest value that both the present and the later limits take, in bytes.
     pub value_bytes: usize,
     /// The most operations in a transaction that both take.
     pub txn_ops: usize,
     /// The larger of the rates, used until the service refuses.
-    pub rates: StateRates,
+    pub rates: StoreRates,
     /// The smaller of them, used from then on.
-    pub least_rates: StateRates,
+    pub min_rates: StoreRates,
     /// The largest value at present, in bytes. Layouts of stored records follow from it, so that
     /// all versions of the program agree on them.
     pub present_value_bytes: usize,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// Checks `params.state`.
     pub(super) fn from_section(section: &StateSection) -> Result<Self, ConfigError> {
-        let rates = StateRates {
+        let rates = StoreRates {
             requests: positive("params.state.rps", section.rps)?,
-            changes: positive("params.state.write_rps", section.write_rps)?,
+            writes: positive("params.state.write_rps", section.write_rps)?,
         };
         let value_bytes = value_bytes("params.state.value_kb", section.value_kb)?;
         let txn_ops = operations("params.state.txn_ops", section.txn_ops)?;
@@ -61,7 +61,7 @@
             value_bytes,
             txn_ops,
             rates,
-            least_rates: rates,
+            min_rates: rates,
             present_value_bytes: value_bytes,
         };
         match &section.next {
@@ -72,9 +72,9 @@
 
     /// Takes the later limits into account: checks `params.state.next`.
     fn with_next(self, now: &StateSection, next: &NextStateSection) -> Result<Self, ConfigError> {
-        let later_rates = StateRates {
+        let later_rates = StoreRates {
             requests: positive("params.state.next.rps", next.rps.unwrap_or(now.rps))?,
-            changes: positive(
+            writes: positive(
                 "params.state.next.write_rps",
                 next.write_rps.unwrap_or(now.write_rps),
             )?,
@@ -89,7 +89,7 @@
             value_bytes: later_value_bytes.min(self.value_bytes),
             txn_ops: later_txn_ops.min(self.txn_ops),
             rates: self.rates.combine(later_rates, f64::max),
-            least_rates: self.rates.combine(later_rates, f64::min),
+            min_rates: self.rates.combine(later_rates, f64::min),
             present_value_bytes: self.present_value_bytes,
         })
     }
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -7,7 +7,7 @@
 /// of that kind does not count: a guarantee of GPUs is not broken by the CPUs that tasks with GPUs
 /// need as well.
 #[derive(Debug, Clone)]
-pub(crate) struct Team {
+pub(crate) struct TeamQuota {
     guarantee: [Option<u64>; 2],
     limit: [Option<u64>; 2],
 }
@@ -21,7 +21,7 @@
     quota_kinds(amounts).map(|amount| (amount > 0).then_some(amount))
 }
 
-impl Team {
+impl TeamQuota {
     /// A team with these quotas. An amount of 0 means none.
     pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
@@ -41,7 +41,7 @@
     }
 
     /// Whether the guarantee covers any kind that a task needs.
-    pub(crate) fn guarantees(&self, need: Resources) -> bool {
+    pub(crate) fn has_guarantee_for(&self, need: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(need))
@@ -49,7 +49,7 @@
     }
 
     /// Whether a use goes beyond the guarantee in any kind, those without a guarantee included.
-    pub(crate) fn is_exceeded(&self, used: Resources) -> bool {
+    pub(crate) fn is_guarantee_exceeded(&self, used: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(used))
@@ -57,7 +57,7 @@
     }
 
     /// Whether a sum of needs stays within the guarantee, of the kinds that have one.
-    pub(crate) fn covers(&self, sum: Resources) -> bool {
+    pub(crate) fn is_within_guarantee(&self, sum: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(sum))
@@ -66,7 +66,7 @@
 }
 
 #[cfg(test)]
-impl Team {
+impl TeamQuota {
     /// A team with quotas of CPUs alone, in thousandths.
     pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
--- a/src/config/team/tests.rs
+++ b/src/config/team/tests.rs
@@ -11,10 +11,10 @@
 /// A limit of 0 CPUs once refused every job of teams that have limits of GPUs alone.
 #[test]
 fn limit_of_gpus_alone_leaves_cpus_unlimited() {
-    let team = Team::new(amounts(0, 60), amounts(0, 250));
+    let team = TeamQuota::new(amounts(0, 60), amounts(0, 250));
     assert!(amounts(1_000_000, 250).fits(team.limit()));
     assert!(!amounts(1, 251).fits(team.limit()));
-    let both = Team::new(amounts(10, 60), amounts(100, 250));
+    let both = TeamQuota::new(amounts(10, 60), amounts(100, 250));
     assert!(amounts(100, 250).fits(both.limit()));
     assert!(!amounts(101, 0).fits(both.limit()));
     assert!(!amounts(0, 251).fits(both.limit()));
@@ -22,14 +22,14 @@
 
 #[test]
 fn guarantee_of_gpus_alone_ignores_cpus() {
-    let team = Team::new(amounts(0, 60), amounts(0, 250));
-    assert!(team.covers(amounts(1_000_000, 60)));
-    assert!(!team.covers(amounts(1, 61)));
-    assert!(team.guarantees(amounts(5, 1)));
-    assert!(!team.guarantees(amounts(5, 0)));
-    let both = Team::new(amounts(10, 60), amounts(0, 0));
-    assert!(both.covers(amounts(10, 60)) && !both.covers(amounts(11, 1)));
-    assert!(both.guarantees(amounts(5, 0)));
-    let none = Team::new(amounts(0, 0), amounts(0, 0));
-    assert!(!none.guarantees(amounts(5, 5)));
+    let team = TeamQuota::new(amounts(0, 60), amounts(0, 250));
+    assert!(team.is_within_guarantee(amounts(1_000_000, 60)));
+    assert!(!team.is_within_guarantee(amounts(1, 61)));
+    assert!(team.has_guarantee_for(amounts(5, 1)));
+    assert!(!team.has_guarantee_for(amounts(5, 0)));
+    let both = TeamQuota::new(amounts(10, 60), amounts(0, 0));
+    assert!(both.is_within_guarantee(amounts(10, 60)) && !both.is_within_guarantee(amounts(11, 1)));
+    assert!(both.has_guarantee_for(amounts(5, 0)));
+    let none = TeamQuota::new(amounts(0, 0), amounts(0, 0));
+    assert!(!none.has_guarantee_for(amounts(5, 5)));
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -29,8 +29,8 @@
 #[test]
 fn unknown_fields_are_ignored_and_limits_are_read() {
     let config = sample_config();
-    assert_eq!(config.controllers, 3);
-    assert_eq!(config.state.txn_ops, 12);
+    assert_eq!(config.controller_count, 3);
+    assert_eq!(config.store_limits.txn_ops, 12);
     assert_eq!(
         config.teams[&TeamId::from("red")].limit().milli_cpus,
         24_000
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -137,7 +137,7 @@
 
     /// A watch cache that was read anew takes the old one's place.
     pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
-        cache.keep_cancelled(&self.cache);
+        cache.copy_cancelled_from(&self.cache);
         self.cache = cache;
         self.shard_owner.request_full_reconcile();
         self.timers.schedule.request();
@@ -154,7 +154,7 @@
     ) -> (Vec<Effect>, Vec<JobId>) {
         let touched: BTreeSet<MachineId> = events
             .iter()
-            .filter_map(|e| keys::machine_of(e.put.as_deref().or(e.delete.as_deref())?))
+            .filter_map(|e| keys::machine_from_key(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
         let ended = self.cache.apply(revision, events);
         self.timers.schedule.request();
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -81,7 +81,7 @@
         let rounds = &mut self.cancellation.rounds;
         rounds.on_acknowledged(round, &job, member, cleared);
         let carriers = self.cache.machines_with_job(&job).map(|id| {
-            let shard = id.shard(self.config.shards());
+            let shard = id.shard(self.config.shard_count());
             let record = self.cache.shards.get(&shard);
             (shard, record.map(|record| record.revision))
         });
@@ -97,7 +97,7 @@
     /// cancellation: a user is not left without an answer for longer.
     pub(super) fn cleared_shards(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation.deadlines.age(now, job);
-        let late = age.is_some_and(|age| age >= self.config.cancel);
+        let late = age.is_some_and(|age| age >= self.config.cancellation_timeout);
         let deleted = |id: &MachineId| self.autoscaler.is_deleted(id);
         self.shard_owner
             .cleared_shards(job, late, deleted, &self.cache)
@@ -117,7 +117,7 @@
         age: Millis,
         effects: &mut Vec<Effect>,
     ) {
-        self.cache.cancel(job, revision);
+        self.cache.apply_cancellation(job, revision);
         let machines = self.cache.machines_with_job(job).cloned().collect();
         self.cancellation.deadlines.cancelled(now, job, age);
         let mut out = Vec::new();
@@ -145,7 +145,13 @@
         };
         let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let deadlines = &mut self.cancellation.deadlines;
-        let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
+        let due = deadlines.due(
+            now,
+            self.config.cancellation_timeout,
+            &self.cache,
+            silent,
+            freed,
+        );
         effects.extend(
             due.unknown_outcomes
                 .into_iter()
@@ -178,7 +184,13 @@
             requested_deletions,
             ..
         } = &mut self.cancellation;
-        let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
+        let due = deadlines.due(
+            now,
+            self.config.cancellation_timeout,
+            &self.cache,
+            silent,
+            freed,
+        );
         requested_deletions.retain(|_, at| now.since(*at) < DELETION_RETRY_INTERVAL);
         let autoscaler = &self.autoscaler;
         let is_new =
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -52,7 +52,7 @@
         for id in unreported {
             let since = *self.unreported_since.entry(id.clone()).or_insert(now);
             if now.since(since) >= UNREPORTED_MACHINE_TIMEOUT {
-                cache.forget(&id);
+                cache.remove_unrecorded_machine(&id);
             }
         }
     }
@@ -73,7 +73,7 @@
         }
         let machine = cache.machines.get(id)?;
         if machine.revision == Revision(0) {
-            cache.forget(id);
+            cache.remove_unrecorded_machine(id);
             return None;
         }
         self.deletions.insert(id.clone(), now);
@@ -132,7 +132,7 @@
 /// Moves what machines' records count into the jobs' own counters where a record grows long.
 /// Elsewhere the counts cost nothing, and go when their jobs end.
 pub(super) fn fold_counters(cache: &WatchCache, config: &Config, effects: &mut Vec<Effect>) {
-    let value_bytes = config.state.value_bytes;
+    let value_bytes = config.store_limits.value_bytes;
     let records = cache.machines.values().map(|m| &m.record);
     let full = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
     let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
@@ -140,7 +140,7 @@
     for id in jobs.into_iter().take(MAX_COUNTERS_FOLDED) {
         let mut txn = Txn::default();
         if let Some(job) = cache.jobs.get(id) {
-            completion_counter::fold(&mut txn, id, job, &layout, config.state.txn_ops);
+            completion_counter::fold(&mut txn, id, job, &layout, config.store_limits.txn_ops);
         }
         if !txn.changes.is_empty() {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
@@ -151,7 +151,7 @@
 /// Deletes records that ended jobs left behind.
 pub(super) fn delete_orphans(cache: &WatchCache, config: &Config) -> Option<Effect> {
     let mut txn = Txn::default();
-    for key in cache.orphaned_keys(config.state.txn_ops) {
+    for key in cache.orphaned_keys(config.store_limits.txn_ops) {
         txn.delete(key);
     }
     let found = !txn.changes.is_empty();
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -66,7 +66,7 @@
     /// Has the final records read of dependencies that have left the watch cache.
     fn query_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let room = MAX_IN_FLIGHT.saturating_sub(self.dependents.queried.len());
-        let unqueried = self.cache.dependency_graph.with_unknown_outcome();
+        let unqueried = self.cache.dependency_graph.jobs_with_unknown_outcome();
         let unqueried = unqueried.filter(|id| !self.dependents.queried.contains_key(*id));
         let ids: Vec<JobId> = unqueried.take(room).cloned().collect();
         for id in ids {
@@ -114,9 +114,9 @@
     /// A blocked job's revision, and its record as released now.
     fn released(&self, id: &JobId) -> Option<(Revision, JobRecord)> {
         let job = self.cache.dependency_graph.get(id)?;
-        let now = self.scheduler.unix_time.max(job.accepted);
-        let mut record = JobRecord::new((*job.spec).clone(), job.accepted);
-        record.released = Some(now);
+        let now = self.scheduler.unix_time.max(job.accepted_at);
+        let mut record = JobRecord::new((*job.spec).clone(), job.accepted_at);
+        record.released_at = Some(now);
         Some((job.revision, record))
     }
 
@@ -141,7 +141,11 @@
         let Some((_, record)) = self.released(id) else {
             return;
         };
-        let group = self.cache.dependency_graph.group_machines(id).to_vec();
+        let group = self
+            .cache
+            .dependency_graph
+            .placement_group_machines(id)
+            .to_vec();
         self.cache.put_job(id.clone(), record, revision);
         self.prefer(id, group);
         self.timers.schedule.request_now();
@@ -155,7 +159,7 @@
             let more = own.into_iter().filter(|m| !plan.machines.contains(m));
             let more: Vec<MachineId> = more.collect();
             plan.machines.extend(more);
-            plan.machines.truncate(PlanRecord::MACHINES);
+            plan.machines.truncate(PlanRecord::MAX_MACHINES);
         }
     }
 
@@ -185,7 +189,7 @@
             return;
         }
         self.dependents.cancel_at = Some(now + REFUSED_RETRY_INTERVAL);
-        let ops = self.config.state.txn_ops;
+        let ops = self.config.store_limits.txn_ops;
         if let Some((txn, jobs)) = cancel_dependents(cancelled, &self.cache, ops) {
             effects.push(Effect::Txn {
                 requester: TxnRequester::CancelledDependents(jobs),
@@ -198,7 +202,7 @@
     /// These jobs were cancelled because others that they need were.
     pub(crate) fn on_dependents_cancelled(&mut self, jobs: &[JobId], revision: Revision) {
         for job in jobs {
-            self.cache.cancel(job, revision);
+            self.cache.apply_cancellation(job, revision);
         }
         self.timers.schedule.request();
     }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -62,7 +62,7 @@
     }
 
     fn write_plans(&mut self, now: MonotonicTime, term: Revision, effects: &mut Vec<Effect>) {
-        let value_bytes = self.config.state.value_bytes;
+        let value_bytes = self.config.store_limits.value_bytes;
         let batch = self.plans.next_batch(now, term, &self.cache, value_bytes);
         effects.extend(batch);
     }
@@ -82,7 +82,7 @@
         if !self.timers.history.take_due(now) {
             return;
         }
-        let value_bytes = self.config.state.value_bytes;
+        let value_bytes = self.config.store_limits.value_bytes;
         if let Some((pipeline, record)) = self.history.next(&self.cache, value_bytes) {
             let mut txn = Txn::default();
             txn.require(keys::LEADER, term);
@@ -104,7 +104,7 @@
     /// Quarantines owners that miss machines whose heartbeats reach other controllers.
     pub(super) fn evaluate_reachability(&mut self, now: MonotonicTime) {
         let health = self.scheduler.health.values().map(|h| &h.report);
-        let shards = self.config.shards();
+        let shards = self.config.shard_count();
         self.reachability.evaluate(now, shards, health, &self.cache);
         let quarantined = self.reachability.quarantined();
         self.leadership.set_quarantined(quarantined);
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -116,7 +116,8 @@
         let urgent = health.len() == 1;
         for machine in &health {
             if let Some(record) = &machine.unrecorded {
-                self.cache.discover(machine.machine.clone(), record.clone());
+                self.cache
+                    .insert_unrecorded_machine(machine.machine.clone(), record.clone());
             }
         }
         self.scheduler.on_health(now, health, &self.cache);
@@ -145,11 +146,13 @@
                     self.send_to_leader(now, message, effects);
                 }
                 worker_control::Effect::MachineDiscovered(id, record) => {
-                    self.cache.discover(id, record);
+                    self.cache.insert_unrecorded_machine(id, record);
                     self.shard_owner.request_full_reconcile();
                     self.timers.reconcile.expedite(now);
                 }
-                worker_control::Effect::UnrecordedMachineLost(id) => self.cache.forget(&id),
+                worker_control::Effect::UnrecordedMachineLost(id) => {
+                    self.cache.remove_unrecorded_machine(&id)
+                }
                 worker_control::Effect::RaiseShardFence(shard) => {
                     self.raise_shard_fence(shard, effects)
                 }
--- a/src/controller/plans.rs
+++ b/src/controller/plans.rs
@@ -121,7 +121,7 @@
 fn stored_size(job: &JobId, plan: &PlanRecord) -> usize {
     let machines = plan.machines.iter();
     let machines: usize = machines.map(|m| MACHINE_BYTES + m.as_str().len()).sum();
-    let joined = plan.joins.as_ref();
+    let joined = plan.placement_group_job.as_ref();
     let joined = joined.map_or(0, |job| JOINED_JOB_BYTES + job.as_str().len());
     PLAN_BYTES + job.as_str().len() + machines + joined
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -28,7 +28,7 @@
         incarnation,
     };
     put(keys::LEADER.to_owned(), &leader);
-    for shard in 0..config.shards() {
+    for shard in 0..config.shard_count() {
         let record = ShardRecord {
             owner: me.clone(),
             incarnation,
@@ -136,7 +136,7 @@
     if let Some(token) = seen {
         controller.on_heartbeat(MonotonicTime(2000), &heartbeat(token));
     }
-    let cancel = sample_config().cancel.0;
+    let cancel = sample_config().cancellation_timeout.0;
     let mut deleted = 0;
     for second in 3..cancel / 1000 {
         let now = 1000 * second;
--- a/src/daemon/admin_endpoints.rs
+++ b/src/daemon/admin_endpoints.rs
@@ -27,7 +27,7 @@
         let revision = stored.map_or(Revision(0), |stored| stored.revision);
         (controller.cache.settings(), revision)
     };
-    let changed: Settings = match settings.change(&change) {
+    let changed: Settings = match settings.with_changes(&change) {
         Ok(changed) => changed,
         Err(error) => return Response::error(400, &error.to_string()),
     };
--- a/src/daemon/episode_log.rs
+++ b/src/daemon/episode_log.rs
@@ -13,7 +13,7 @@
         runtime::sleep(SCAN_INTERVAL).await;
         node.store.log_ended_refusals();
         node.api.log_ended_episodes();
-        let given_up = node.refused_rentals.borrow_mut().take_quiet(node.now());
+        let given_up = node.refused_rentals.borrow_mut().take_ended(node.now());
         for (request, episode) in given_up {
             let refusals = episode.count;
             tracing::info!(request, refusals, "scale-out request given up");
--- a/src/daemon/lease_maintenance.rs
+++ b/src/daemon/lease_maintenance.rs
@@ -25,7 +25,7 @@
                 .borrow()
                 .cache
                 .settings()
-                .lease()
+                .lease_duration()
                 .to_duration()
         },
         |lease| {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -92,7 +92,7 @@
 
 async fn serve_http(node: Rc<Node>, listener: TcpListener) {
     // The rest of the sockets is left for peers, workers, the cloud and the key-value store.
-    let connection_limit = node.config.sockets * 6 / 10;
+    let connection_limit = node.config.max_sockets * 6 / 10;
     http::serve(listener, connection_limit, move |request| {
         http_routes::route(node.clone(), request)
     })
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -13,7 +13,7 @@
 use crate::ids::{Incarnation, MemberId, Millis, MonotonicTime};
 use crate::peers::{Links, Message, RelayRoutes};
 use crate::runtime::{Scope, Sender};
-use crate::store::Store;
+use crate::store::StoreClient;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -39,7 +39,7 @@
     /// All decisions; never borrowed across an await point.
     pub(super) controller: Rc<RefCell<Controller>>,
     /// The client of the key-value store.
-    pub(super) store: Rc<Store>,
+    pub(super) store: Rc<StoreClient>,
     /// The client for direct commands to workers.
     pub(super) workers: Client,
     /// The client of the cloud.
@@ -74,11 +74,11 @@
     ) -> Self {
         let started = Instant::now();
         let incarnation = Incarnation(rand::random::<u64>() >> 1);
-        let store = Rc::new(Store::new(
-            config.state_addr,
-            &config.state,
-            STORE_RATE_SHARES / f64::from(config.controllers.max(2)),
-            config.answer_bytes,
+        let store = Rc::new(StoreClient::new(
+            config.store_addr,
+            &config.store_limits,
+            STORE_RATE_SHARES / f64::from(config.controller_count.max(2)),
+            config.max_response_bytes,
             started,
         ));
         let controller = Rc::new(RefCell::new(Controller::new(&config, incarnation)));
@@ -86,7 +86,7 @@
         Self {
             api: JobApi::new(&config, store.clone(), controller.clone(), cancellations),
             cloud: CloudCalls::new(config.cloud_addr, config.cloud_rps, started),
-            workers: Client::new(HEARTBEAT_BODY_LIMIT, config.sockets / 5),
+            workers: Client::new(HEARTBEAT_BODY_LIMIT, config.max_sockets / 5),
             loaded: Cell::new(false),
             served_peers: ServedPeers::default(),
             pending_forwards: PendingForwards::default(),
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -9,7 +9,7 @@
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::ProgramVersion;
 use crate::store::watch_cache::WatchCache;
-use crate::store::{ClassCounters, Store};
+use crate::store::{ClassCounters, StoreClient};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -114,7 +114,7 @@
             revision: cache.revision,
             shards: shard_reports(cache),
             machines: machine_reports(cache),
-            booting: controller.autoscaler.booting(),
+            booting: controller.autoscaler.booting_count(),
             teams: cache.team_usage(),
             jobs: cache.jobs.len(),
             waiting_jobs: cache.dependency_graph.len(),
@@ -164,8 +164,8 @@
 }
 
 impl StoreReport {
-    fn new(store: &Store) -> Self {
-        let levels = store.levels();
+    fn new(store: &StoreClient) -> Self {
+        let levels = store.token_levels();
         let counters = store.counters();
         Self {
             up: store.is_up(),
--- a/src/daemon/store_watch.rs
+++ b/src/daemon/store_watch.rs
@@ -5,7 +5,7 @@
 use crate::ids::Revision;
 use crate::runtime;
 use crate::store::watch_cache::WatchCache;
-use crate::store::{Store, StoreError, keys};
+use crate::store::{StoreClient, StoreError, keys};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,11 @@
 /// Applies all changes after `revision`, until the store no longer has the next ones.
 async fn apply_changes(node: &Rc<Node>, mut revision: Revision) {
     loop {
-        match node.store.watch(keys::LIVE, revision, WATCH_TIMEOUT).await {
+        match node
+            .store
+            .watch(keys::LIVE_PREFIX, revision, WATCH_TIMEOUT)
+            .await
+        {
             Ok(events) => {
                 revision = revision.max(events.revision);
                 node.update(|controller, now| {
@@ -56,14 +60,14 @@
 
 /// Reads all live records. Pages may be of different revisions: watching from the first one's
 /// brings whatever changed in between.
-async fn load_snapshot(store: &Store, config: &Config) -> Result<WatchCache, StoreError> {
+async fn load_snapshot(store: &StoreClient, config: &Config) -> Result<WatchCache, StoreError> {
     let mut cache = WatchCache::new(config);
     let begun = Instant::now();
     let mut first_revision = None;
     let mut last_revision;
     let mut last_key: Option<String> = None;
     loop {
-        let page = store.page(keys::LIVE, last_key.as_deref()).await?;
+        let page = store.page(keys::LIVE_PREFIX, last_key.as_deref()).await?;
         first_revision.get_or_insert(page.revision);
         last_revision = page.revision;
         last_key = page.items.last().map(|item| item.key.clone());
--- a/src/daemon/tick_loop.rs
+++ b/src/daemon/tick_loop.rs
@@ -20,7 +20,7 @@
             .clamp(MIN_TICK_INTERVAL_MS, MAX_TICK_INTERVAL_MS);
         runtime::sleep(Duration::from_millis(wait)).await;
         node.update(|controller, now| {
-            controller.set_store_write_rate(node.store.rates().changes);
+            controller.set_store_write_rate(node.store.rates().writes);
             controller.tick(now, UnixTime::now())
         });
     }
--- a/src/episodes.rs
+++ b/src/episodes.rs
@@ -73,7 +73,7 @@
     }
 
     /// Ends the episodes that are over. Returns those whose beginning was logged.
-    pub(crate) fn take_quiet(&mut self, now: MonotonicTime) -> Vec<(K, Episode)> {
+    pub(crate) fn take_ended(&mut self, now: MonotonicTime) -> Vec<(K, Episode)> {
         let is_over = |episode: &Episode| now.since(episode.last) >= self.quiet_after;
         let over = self.open.iter().filter(|(_, episode)| is_over(episode));
         let over: Vec<(K, Episode)> = over.map(|(key, e)| (key.clone(), *e)).collect();
@@ -84,7 +84,7 @@
     }
 
     /// When the oldest open episode began.
-    pub(crate) fn oldest(&self) -> Option<MonotonicTime> {
+    pub(crate) fn oldest_start(&self) -> Option<MonotonicTime> {
         self.open.values().map(|episode| episode.since).min()
     }
 }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -5,7 +5,7 @@
 use crate::runtime;
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::MemberRecord;
-use crate::store::{Store, StoreError, TxnOutcome, keys};
+use crate::store::{StoreClient, StoreError, TxnOutcome, keys};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
 /// long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None`
 /// when it is gone; `on_valid_until` with the time until which it holds for certain.
 pub(crate) async fn keep_lease(
-    store: Rc<Store>,
+    store: Rc<StoreClient>,
     member: MemberId,
     incarnation: Incarnation,
     ttl: impl Fn() -> Duration,
@@ -43,7 +43,7 @@
 
 /// Creates a lease and writes the member record under it.
 async fn acquire(
-    store: &Store,
+    store: &StoreClient,
     key: &str,
     incarnation: Incarnation,
     ttl: Duration,
@@ -58,13 +58,13 @@
         TxnOutcome::Committed(_) => Ok(lease),
         _ => {
             store.revoke_lease(lease).await.ok();
-            Err(StoreError::Unanswered)
+            Err(StoreError::Unavailable)
         }
     }
 }
 
 /// Ends the lease of an earlier process. Returns the revision that the member record has after it.
-async fn end_previous_lease(store: &Store, key: &str) -> Result<Revision, StoreError> {
+async fn end_previous_lease(store: &StoreClient, key: &str) -> Result<Revision, StoreError> {
     let Some(item) = store.get(RequestClass::Lease, key).await? else {
         return Ok(Revision(0));
     };
@@ -81,7 +81,7 @@
 
 /// Renews a lease; returns once it is gone.
 async fn renew_until_gone(
-    store: &Store,
+    store: &StoreClient,
     lease: LeaseId,
     ttl: Duration,
     mut renewed_at: Instant,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -50,8 +50,8 @@
         Self {
             member: config.member.clone(),
             incarnation,
-            shards: config.shards(),
-            txn_ops: config.state.txn_ops,
+            shards: config.shard_count(),
+            txn_ops: config.store_limits.txn_ops,
             lease: None,
             in_flight: false,
             retry_at: MonotonicTime::default(),
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -21,7 +21,7 @@
         let value = serde_json::to_value(&record).expect("json");
         put(keys::member(&member.into()), value);
     }
-    for shard in 0..config.shards() {
+    for shard in 0..config.shard_count() {
         let record = ShardRecord {
             owner: format!("c{}", shard % 3).as_str().into(),
             incarnation: Incarnation(u64::from(shard % 3)),
@@ -61,7 +61,12 @@
     let of_c1 = (0..60).filter(|n| n % 3 == 1);
     let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
-    reachability.evaluate(MonotonicTime(1100), config.shards(), all.iter(), &cache);
+    reachability.evaluate(
+        MonotonicTime(1100),
+        config.shard_count(),
+        all.iter(),
+        &cache,
+    );
     let unreachable: Vec<MemberId> = reachability.quarantined().into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
 }
@@ -75,7 +80,7 @@
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
         .collect();
     let evaluate = |reachability: &mut ReachabilityMonitor, now: u64| {
-        reachability.evaluate(MonotonicTime(now), config.shards(), all.iter(), &cache);
+        reachability.evaluate(MonotonicTime(now), config.shard_count(), all.iter(), &cache);
         reachability.quarantined()
     };
     assert!(
@@ -93,7 +98,12 @@
     let unreachable: Vec<MemberId> = evaluate(&mut reachability, 3100).into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
     let later = 3100 + 2 * config.worker_lease.0;
-    reachability.evaluate(MonotonicTime(later), config.shards(), [].iter(), &cache);
+    reachability.evaluate(
+        MonotonicTime(later),
+        config.shard_count(),
+        [].iter(),
+        &cache,
+    );
     assert!(
         reachability.quarantined().is_empty(),
         "and tried again later"
--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -153,7 +153,7 @@
             let job = &attempt.task.job;
             let same_job = last_jobs.insert(&task.machine, job) == Some(job);
             let job_bytes = if same_job { 0 } else { ESTIMATED_JOB_BYTES };
-            pending.add_allotted(&task.machine, task.need, size::LARGEST_TASK + job_bytes);
+            pending.add_allotted(&task.machine, task.need, size::MAX_TASK_BYTES + job_bytes);
         }
         for (attempt, machine) in &self.freed {
             if let Some(placed) = placed_job(attempt, machine, cache) {
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -54,7 +54,7 @@
     ) -> Option<Self> {
         let record = &machine.record;
         let machine_type = cache.machine_type(&record.type_name)?;
-        let shard = id.shard(config.shards());
+        let shard = id.shard(config.shard_count());
         let shard_record = cache.shards.get(&shard)?;
         let capacity = machine_type.capacity();
         let pending = pending.of_machine(id);
@@ -73,7 +73,7 @@
             free: capacity - used,
             record_capacity: RecordCapacity::new(
                 record,
-                config.state.value_bytes,
+                config.store_limits.value_bytes,
                 pending.allotted_bytes,
                 pending.freed_bytes,
             ),
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -151,7 +151,7 @@
         let job = self.cache.jobs.get(&demand.job)?;
         // Tasks end all the time, and those of a guarantee are next in line: work is only
         // thrown away for them once waiting won't do.
-        let age = Millis(self.unix_time.0.saturating_sub(job.eligible.0));
+        let age = Millis(self.unix_time.0.saturating_sub(job.eligible_at.0));
         let is_guaranteed =
             self.guaranteed_jobs.contains(&demand.job) && self.is_worth_preempting(age);
         let mut others = self.config.teams.keys().filter(|t| **t != job.spec.team);
@@ -260,7 +260,7 @@
     /// capacity doesn't come free by itself. In between the job is first in line for whatever
     /// does: on a fleet with a queue too much would be thrown away for jobs that are late already.
     fn is_worth_preempting(&self, age: Millis) -> bool {
-        let patience = self.config.guarantee_patience.0;
+        let patience = self.config.guarantee_preemption_delay.0;
         (patience..2 * patience).contains(&age.0) || age >= STALLED_AGE
     }
 }
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -1,6 +1,6 @@
 //! The order in which waiting jobs are served.
 
-use crate::config::{Config, Team};
+use crate::config::{Config, TeamQuota};
 use crate::ids::{JobId, Resources, TeamId, UnixTime};
 use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::cmp::Reverse;
@@ -17,11 +17,11 @@
 /// The jobs that fit into their team's guaranteed quota along with the team's earlier unfinished
 /// jobs.
 pub(super) fn guaranteed_jobs<'a>(
-    teams: &BTreeMap<TeamId, Team>,
+    teams: &BTreeMap<TeamId, TeamQuota>,
     jobs: impl Iterator<Item = (&'a JobId, &'a LiveJob)>,
 ) -> BTreeSet<JobId> {
     let mut by_age: Vec<_> = jobs.collect();
-    by_age.sort_by_key(|(id, job)| (job.eligible, (*id).clone()));
+    by_age.sort_by_key(|(id, job)| (job.eligible_at, (*id).clone()));
     let mut used: BTreeMap<&TeamId, Resources> = BTreeMap::new();
     let mut guaranteed = BTreeSet::new();
     for (id, job) in by_age {
@@ -35,7 +35,7 @@
             ..job.spec.need().times(remaining.into())
         };
         *sum = *sum + need;
-        if team.guarantees(need) && team.covers(*sum) {
+        if team.has_guarantee_for(need) && team.is_within_guarantee(*sum) {
             guaranteed.insert(id.clone());
         }
     }
@@ -60,9 +60,9 @@
         .iter()
         .enumerate()
         .filter(|(_, (_, job))| {
-            is_unstarted(job) && now.0.saturating_sub(job.eligible.0) > STARVATION_AGE_MS
+            is_unstarted(job) && now.0.saturating_sub(job.eligible_at.0) > STARVATION_AGE_MS
         })
-        .min_by_key(|(_, (id, job))| (job.eligible, *id));
+        .min_by_key(|(_, (id, job))| (job.eligible_at, *id));
     if let Some((at, _)) = starving {
         waiting[..=at].rotate_right(1);
     }
@@ -72,13 +72,13 @@
 /// guarantee; then the time when it is due; then its age. Priority and due time are those of the
 /// most urgent job that depends on it.
 pub(super) fn queue_rank(id: &JobId, job: &LiveJob, is_guaranteed: bool) -> impl Ord + use<> {
-    let latest = UnixTime(job.eligible.0.saturating_add(MAX_DUE_AFTER_ELIGIBLE_MS));
+    let latest = UnixTime(job.eligible_at.0.saturating_add(MAX_DUE_AFTER_ELIGIBLE_MS));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
     (
         Reverse(job.priority()),
         !is_guaranteed,
         due,
-        job.eligible,
+        job.eligible_at,
         id.clone(),
     )
 }
--- a/src/placement/queue_turns.rs
+++ b/src/placement/queue_turns.rs
@@ -93,7 +93,7 @@
     let remaining = spec.tasks.saturating_sub(job.done_count());
     let image_cpus = cpus_by_image.get(spec.image.as_str()).copied().unwrap_or(0);
     let is_started = !job.placed.is_empty() || job.done_count() > 0;
-    let age = Millis(unix_time.0.saturating_sub(job.eligible.0));
+    let age = Millis(unix_time.0.saturating_sub(job.eligible_at.0));
     spec.kind == JobKind::Array
         && fetch_s >= MIN_FETCH_FRACTION * predicted_s(job)
         && !spec.one_zone
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -1,20 +1,20 @@
 //! Quota usage of teams: the resources of every placement that is not known to be gone, and of
 //! every allotment of this term that is not on record.
 
-use crate::config::Team;
+use crate::config::TeamQuota;
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
 /// What each team uses, against its guaranteed quota and its limit.
 pub(super) struct QuotaUsage<'a> {
-    teams: &'a BTreeMap<TeamId, Team>,
+    teams: &'a BTreeMap<TeamId, TeamQuota>,
     used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> QuotaUsage<'a> {
     /// Usage against the quotas of `teams`, with what is on record as used.
     pub(super) fn new(
-        teams: &'a BTreeMap<TeamId, Team>,
+        teams: &'a BTreeMap<TeamId, TeamQuota>,
         used: BTreeMap<TeamId, Resources>,
     ) -> Self {
         Self { teams, used }
@@ -58,7 +58,9 @@
     /// Whether the team uses more of any resource than its guaranteed quota.
     pub(super) fn exceeds_guarantee(&self, team: &TeamId) -> bool {
         let used = self.used(team);
-        self.teams.get(team).is_none_or(|t| t.is_exceeded(used))
+        self.teams
+            .get(team)
+            .is_none_or(|t| t.is_guarantee_exceeded(used))
     }
 
     /// Whether the team's tasks of such a need may be preempted for other teams' guarantees: it
@@ -67,7 +69,7 @@
         let used = self.used(team);
         self.teams
             .get(team)
-            .is_none_or(|t| !t.guarantees(need) || !t.covers(used))
+            .is_none_or(|t| !t.has_guarantee_for(need) || !t.is_within_guarantee(used))
     }
 }
 
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -26,7 +26,7 @@
         freed_bytes: usize,
     ) -> Self {
         let used = record.size() - record.done_size() + allotted_bytes;
-        let capacity = MachineRecord::placement_capacity(value_bytes);
+        let capacity = MachineRecord::max_placement_bytes(value_bytes);
         Self {
             free_bytes: (capacity + freed_bytes).saturating_sub(used),
             last_job: None,
@@ -44,19 +44,19 @@
     /// How many tasks of a job fit.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec) -> u64 {
         let left = self.free_bytes.saturating_sub(self.job_bytes(spec));
-        (left / size::LARGEST_TASK) as u64
+        (left / size::MAX_TASK_BYTES) as u64
     }
 
     /// How many jobs of `job_bytes` with one task each fit.
     pub(super) fn single_task_jobs(&self, job_bytes: usize) -> u64 {
-        (self.free_bytes / (job_bytes + size::LARGEST_TASK)) as u64
+        (self.free_bytes / (job_bytes + size::MAX_TASK_BYTES)) as u64
     }
 
     /// Reserves the bytes of one more task. `false` if it does not fit.
     pub(super) fn try_reserve(&mut self, spec: &JobSpec) -> bool {
         let fits = self.tasks_that_fit(spec) > 0;
         if fits {
-            self.free_bytes -= self.job_bytes(spec) + size::LARGEST_TASK;
+            self.free_bytes -= self.job_bytes(spec) + size::MAX_TASK_BYTES;
             self.last_job = Some(spec.id.clone());
         }
         fits
@@ -64,7 +64,7 @@
 
     /// Releases what was reserved for so many tasks.
     pub(super) fn release(&mut self, tasks: u64) {
-        self.free_bytes += tasks as usize * size::LARGEST_TASK;
+        self.free_bytes += tasks as usize * size::MAX_TASK_BYTES;
     }
 }
 
--- a/src/placement/record_capacity/tests.rs
+++ b/src/placement/record_capacity/tests.rs
@@ -29,7 +29,7 @@
             );
             placed += 1;
         }
-        let most = MachineRecord::placement_capacity(value_bytes);
+        let most = MachineRecord::max_placement_bytes(value_bytes);
         let size = serde_json::to_vec(&record).expect("json").len();
         assert!(placed >= 3 && size <= most, "{placed} tasks, {size} bytes");
         assert!(2 * size > most, "{size} of {most} bytes used");
--- a/src/placement/scheduler/dispatch.rs
+++ b/src/placement/scheduler/dispatch.rs
@@ -18,7 +18,7 @@
         out: &mut Vec<Effect>,
     ) {
         for TaskStop { machine, attempt } in stops {
-            let shard = machine.shard(self.config.shards());
+            let shard = machine.shard(self.config.shard_count());
             let Some(record) = cache.shards.get(&shard) else {
                 continue;
             };
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -21,7 +21,7 @@
         health: Vec<MachineHealth>,
         cache: &WatchCache,
     ) {
-        let shards = self.config.shards();
+        let shards = self.config.shard_count();
         for last in health {
             let shard_record = cache.shards.get(&last.machine.shard(shards));
             if shard_record.is_some_and(|shard| shard.revision > last.fence) {
@@ -52,7 +52,7 @@
         for_long: Millis,
         cache: &WatchCache,
     ) -> bool {
-        let shard_record = cache.shards.get(&id.shard(self.config.shards()));
+        let shard_record = cache.shards.get(&id.shard(self.config.shard_count()));
         self.health.get(id).is_some_and(|reported| {
             shard_record.is_some_and(|shard| shard.revision == reported.report.fence)
                 && reported.report.silent >= for_long
@@ -63,7 +63,7 @@
     /// Whether a machine can take work: its shard owner tracks it, under the present fencing
     /// token, and there is no interruption notice, quarantine or drain.
     pub(crate) fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
-        let shard = id.shard(self.config.shards());
+        let shard = id.shard(self.config.shard_count());
         let fence = cache.shards.get(&shard).map(|record| record.revision);
         let is_healthy = self.health.get(id).is_some_and(|reported| {
             Some(reported.report.fence) == fence
--- a/src/placement/scheduling_pass/assignment.rs
+++ b/src/placement/scheduling_pass/assignment.rs
@@ -136,7 +136,7 @@
         let QueueTurn { id, job, .. } = turn;
         let spec = &job.spec;
         let candidate = &self.candidates[at];
-        let age_ms = self.input.unix_time.0.saturating_sub(job.eligible.0);
+        let age_ms = self.input.unix_time.0.saturating_sub(job.eligible_at.0);
         tracing::debug!(job = %id, kind = ?spec.kind, machine = %candidate.id, tasks = attempts.len(), image = %spec.image, cached = candidate.has_image(spec), age_ms, "allotted");
         PendingAllotment {
             owner: candidate.owner.clone(),
--- a/src/placement/scheduling_pass/request.rs
+++ b/src/placement/scheduling_pass/request.rs
@@ -44,7 +44,7 @@
             .quota_usage
             .tasks_within_limit(&turn.job.spec.team, turn.need());
         let indices = missing_tasks(turn.job, self.input.allotted.get(turn.id));
-        let (now, wait) = (self.input.now, self.input.config.gang_wait);
+        let (now, wait) = (self.input.now, self.input.config.gang_start_timeout);
         let allotted = self.allotted_count(turn);
         let action = self
             .state
@@ -82,7 +82,7 @@
         }
         let allotted_before = self.input.allotted.get(id);
         let indices = job
-            .open_tasks(self.input.config.segment_tasks())
+            .unplaced_tasks(self.input.config.tasks_per_segment())
             .filter(|index| allotted_before.is_none_or(|a| !a.contains_key(index)))
             .skip(self.allotted_cached_count(turn))
             .take(allowed);
--- a/src/placement/tests/limits.rs
+++ b/src/placement/tests/limits.rs
@@ -54,7 +54,7 @@
         for id in &allotment.preferred {
             let record = &scene.cache.machines[id].record;
             prop_assert!(spec.allows(&record.type_name, &record.zone, record.spot));
-            prop_assert_eq!(id.shard(scene.config.shards()), allotment.shard);
+            prop_assert_eq!(id.shard(scene.config.shard_count()), allotment.shard);
         }
         for attempt in &allotment.attempts {
             prop_assert!(tasks.insert(attempt.task.clone()));
--- a/src/placement/tests/machine_health.rs
+++ b/src/placement/tests/machine_health.rs
@@ -12,7 +12,7 @@
     let mut scene = Scene::new();
     let id = scene.machine(1, "a", false, &[]);
     assert!(scene.scheduler.is_usable(NOW, &id, &scene.cache));
-    let shard = id.shard(scene.config.shards());
+    let shard = id.shard(scene.config.shard_count());
     let record = scene.cache.shards[&shard].value.clone();
     scene.put(keys::shard(shard), &record);
     assert!(!scene.scheduler.is_usable(NOW, &id, &scene.cache));
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -1,7 +1,7 @@
 //! What is stopped for others, and before interruptions.
 
 use super::scene::{NOW, Scene, StepOutcome, TERM};
-use crate::config::Team;
+use crate::config::TeamQuota;
 use crate::ids::{JobId, Millis, Resources, UnixTime};
 use crate::peers::Message;
 use crate::placement::{Effect, Scheduler};
@@ -94,7 +94,7 @@
 fn full_of_idle_work(machines: u32) -> Scene {
     let mut scene = Scene::new();
     for team in scene.config.teams.values_mut() {
-        *team = Team::new(Resources::default(), Resources::default());
+        *team = TeamQuota::new(Resources::default(), Resources::default());
     }
     scene.scheduler = Scheduler::new(&scene.config);
     scene.scheduler.unix_time = UnixTime(901_000);
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/scene.rs
@@ -55,7 +55,7 @@
             {"name": "t8", "cores": 8, "cards": 0, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 1.0,
              "price": 1.0, "low_price": 0.5, "startup_s": 20, "berths": ["a", "b"]}]});
         scene.put(keys::CATALOG.to_owned(), &catalog);
-        for shard in 0..scene.config.shards() {
+        for shard in 0..scene.config.shard_count() {
             let record = ShardRecord {
                 owner: "c0".into(),
                 incarnation: Incarnation(1),
@@ -82,7 +82,7 @@
 
     /// A report that a machine is healthy.
     pub(super) fn health(&self, id: &MachineId) -> MachineHealth {
-        let shard = id.shard(self.config.shards());
+        let shard = id.shard(self.config.shard_count());
         MachineHealth {
             machine: id.clone(),
             fence: self.cache.shards[&shard].revision,
--- a/src/planning/completion_counter.rs
+++ b/src/planning/completion_counter.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterLayout {
     /// Tasks in one segment: the same in all versions of the program.
-    pub segment_tasks: u32,
+    pub tasks_per_segment: u32,
     /// The largest size of a value, in bytes.
     pub value_bytes: usize,
     /// The largest number of operations in a transaction.
@@ -31,9 +31,9 @@
     /// The layout that the settings give.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
-            segment_tasks: config.segment_tasks(),
-            value_bytes: config.state.value_bytes,
-            txn_ops: config.state.txn_ops,
+            tasks_per_segment: config.tasks_per_segment(),
+            value_bytes: config.store_limits.value_bytes,
+            txn_ops: config.store_limits.txn_ops,
         }
     }
 }
@@ -48,20 +48,20 @@
     max_changes: usize,
 ) -> bool {
     let mut changed: BTreeMap<u32, Bitmap> = BTreeMap::new();
-    for index in &job.counted {
-        let segment = index / layout.segment_tasks;
+    for index in &job.done_outside_segments {
+        let segment = index / layout.tasks_per_segment;
         let bits = changed.entry(segment).or_insert_with(|| {
             let old = job.segments.get(&segment);
             old.map(|s| s.value.clone()).unwrap_or_default()
         });
-        bits.set(index % layout.segment_tasks);
+        bits.set(index % layout.tasks_per_segment);
     }
     let mut is_complete = changed.len() <= max_changes;
     let stored = changed
         .into_iter()
         .take(max_changes)
         .filter_map(|(segment, bits)| {
-            let value = bits.stored(layout.value_bytes);
+            let value = bits.encode(layout.value_bytes);
             is_complete &= value.is_some();
             Some((segment, value?))
         });
@@ -84,7 +84,7 @@
 /// in it. Done and cancelled exclude each other by the condition on the job's record. Segments that
 /// don't fit into the transaction are deleted later.
 pub(crate) fn completion_txn(id: &JobId, job: &LiveJob, layout: &CounterLayout) -> Option<Txn> {
-    if !job.is_complete(layout.segment_tasks) {
+    if !job.is_complete(layout.tasks_per_segment) {
         return None;
     }
     let mut txn = Txn::default();
--- a/src/planning/completion_counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -68,15 +68,18 @@
     id: &JobId,
     tasks: &[u32],
 ) {
-    let size = sample_config().segment_tasks();
+    let size = sample_config().tasks_per_segment();
     let old = cache.machines.get(machine).map(|m| m.record.clone());
     let mut record =
         old.unwrap_or_else(|| MachineRecord::new("1.1.1.1:1", &"t".into(), &"z".into(), false));
-    record
-        .done
-        .retain(|d| cache.jobs.get(&d.job).is_some_and(|j| j.needs(d, size)));
+    record.done.retain(|d| {
+        cache
+            .jobs
+            .get(&d.job)
+            .is_some_and(|j| j.has_tasks_outside_segments(d, size))
+    });
     for task in tasks {
-        record.count(id, *task, *task);
+        record.add_done(id, *task, *task);
     }
     let mut txn = Txn::default();
     txn.put(keys::machine(machine), &record, None);
@@ -105,7 +108,8 @@
         end(&mut store, &mut cache, &machine, &id, &batch);
         model.extend(batch.iter().copied());
         assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
-        let long = cache.machines[&machine].record.done_size() > config.state.value_bytes / 4;
+        let long =
+            cache.machines[&machine].record.done_size() > config.store_limits.value_bytes / 4;
         if long || rng.random_range(0..50) == 0 {
             loop {
                 let mut txn = Txn::default();
@@ -117,7 +121,7 @@
                     break;
                 }
             }
-            assert!(cache.jobs[&id].counted.is_empty());
+            assert!(cache.jobs[&id].done_outside_segments.is_empty());
             // Folded, its record may go: nothing of the count goes with it.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
@@ -133,7 +137,7 @@
             assert!(!store.run(&txn, &mut cache), "released once");
         }
     }
-    assert!(!cache.jobs.contains_key(&id) && store.largest <= config.state.value_bytes);
+    assert!(!cache.jobs.contains_key(&id) && store.largest <= config.store_limits.value_bytes);
     assert!(folds > 20 && store.revisions.contains_key(&keys::final_state(&id)));
 }
 
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -33,7 +33,7 @@
 ) -> Predicted {
     let scale = sample_scale(estimate_s);
     let enough = settings.sample_count as usize;
-    let own_type = history.and_then(|h| h.types.get(type_name));
+    let own_type = history.and_then(|h| h.run_time_ratios.get(type_name));
     if let Some(samples) = own_type.filter(|s| s.len() >= enough) {
         return Predicted {
             seconds: scale * percentile(samples.clone(), settings.percentile),
@@ -42,7 +42,7 @@
     }
     let all: Vec<f32> = history
         .iter()
-        .flat_map(|h| h.types.values().flatten().copied())
+        .flat_map(|h| h.run_time_ratios.values().flatten().copied())
         .collect();
     let seconds = if all.len() >= enough {
         scale * percentile(all, settings.percentile)
@@ -108,7 +108,7 @@
             .map(|h| h.value.clone())
             .unwrap_or_default();
         for (type_name, sample) in fresh {
-            let samples = record.types.entry(type_name).or_default();
+            let samples = record.run_time_ratios.entry(type_name).or_default();
             samples.push(sample);
             let excess = samples.len().saturating_sub(MAX_SAMPLES);
             samples.drain(..excess);
@@ -127,13 +127,16 @@
 fn shrink(record: &mut HistoryRecord, value_bytes: usize) {
     let size = |record: &HistoryRecord| serde_json::to_vec(record).map_or(0, |json| json.len());
     while size(record) > value_bytes {
-        let most = record.types.iter().max_by_key(|(_, samples)| samples.len());
+        let most = record
+            .run_time_ratios
+            .iter()
+            .max_by_key(|(_, samples)| samples.len());
         let Some(name) = most.map(|(name, _)| name.clone()) else {
             return;
         };
-        match record.types.get_mut(&name) {
+        match record.run_time_ratios.get_mut(&name) {
             Some(samples) if samples.len() > 1 => drop(samples.remove(0)),
-            _ => drop(record.types.remove(&name)),
+            _ => drop(record.run_time_ratios.remove(&name)),
         }
     }
 }
--- a/src/planning/history/tests.rs
+++ b/src/planning/history/tests.rs
@@ -43,7 +43,9 @@
     for n in 0..40 {
         let samples = (0..MAX_SAMPLES).map(|s| 1.0 / (n + s + 3) as f32);
         let name = format!("type-{n:02}");
-        record.types.insert(name.as_str().into(), samples.collect());
+        record
+            .run_time_ratios
+            .insert(name.as_str().into(), samples.collect());
     }
     for value_bytes in [8192, 2048, 1024, 200] {
         shrink(&mut record, value_bytes);
@@ -61,5 +63,8 @@
     let (_, record) = history
         .next(&WatchCache::new(&sample_config()), 8192)
         .expect("record");
-    assert_eq!(record.types[&MachineTypeName::from("a")].len(), MAX_SAMPLES);
+    assert_eq!(
+        record.run_time_ratios[&MachineTypeName::from("a")].len(),
+        MAX_SAMPLES
+    );
 }
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -33,11 +33,13 @@
         }
         let joined = joined_parent(at, &graph, &plan.groups);
         let record = PlanRecord {
-            joins: joined.map(|parent| members[parent].clone()),
+            placement_group_job: joined.map(|parent| members[parent].clone()),
             ..plan_record(spec, &graph.nodes[at], plan.types[at], cache)
         };
-        let is_changed =
-            |old: &PlanRecord| (&old.type_name, &old.joins) != (&record.type_name, &record.joins);
+        let is_changed = |old: &PlanRecord| {
+            (&old.type_name, &old.placement_group_job)
+                != (&record.type_name, &record.placement_group_job)
+        };
         if member == id || cache.plan(member).is_some_and(is_changed) {
             plans.push((member.clone(), record));
         }
@@ -53,7 +55,7 @@
         type_name: allowed.get(type_index).map(|t| t.name.clone()),
         machines: machines_with_image(spec, cache),
         predicted_s: predicted.map_or(spec.estimate_s, |t| t.seconds),
-        joins: None,
+        placement_group_job: None,
     }
 }
 
@@ -169,7 +171,7 @@
         })
         .collect();
     machines.sort();
-    let first = machines.into_iter().take(PlanRecord::MACHINES);
+    let first = machines.into_iter().take(PlanRecord::MAX_MACHINES);
     first.map(|(_, id)| id.clone()).collect()
 }
 
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -57,8 +57,12 @@
     /// Writes the history of a job's pipeline: run times as fractions of the estimate on each type.
     fn history(&mut self, id: &str, small: f32, large: f32) {
         let mut record = HistoryRecord::default();
-        record.types.insert("small".into(), vec![small; 3]);
-        record.types.insert("large".into(), vec![large; 3]);
+        record
+            .run_time_ratios
+            .insert("small".into(), vec![small; 3]);
+        record
+            .run_time_ratios
+            .insert("large".into(), vec![large; 3]);
         let pipeline = format!("p-{id}").as_str().into();
         self.put(keys::history(&pipeline), json!(record));
     }
@@ -66,7 +70,7 @@
 
 fn joins(plans: &[(JobId, PlanRecord)], id: &str) -> Option<String> {
     let plan = plans.iter().find(|(planned, _)| planned.as_str() == id);
-    let joined = plan.and_then(|(_, p)| p.joins.as_ref());
+    let joined = plan.and_then(|(_, p)| p.placement_group_job.as_ref());
     joined.map(|parent| parent.as_str().to_owned())
 }
 
@@ -134,5 +138,8 @@
     }
     assert_eq!(members(&"job-299".into(), &scene.cache).len(), MAX_MEMBERS);
     let plan = scene.cache.plan(&"job-299".into()).expect("plan");
-    assert_eq!(plan.joins.as_ref().map(|j| j.as_str()), Some("job-298"));
+    assert_eq!(
+        plan.placement_group_job.as_ref().map(|j| j.as_str()),
+        Some("job-298")
+    );
 }
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -64,7 +64,7 @@
             return;
         };
         let guarded = self.disabled_guard != DisabledGuard::OldVersionsAcceptDependencies;
-        if guarded && !controller.cache.all_know_dependencies() {
+        if guarded && !controller.cache.all_members_support_dependencies() {
             self.observed.dependencies.postponed += 1;
             self.schedule_in(USER_RETRY_MS, SimulationEvent::SubmitDependent(spec));
             return;
@@ -80,7 +80,10 @@
             DisabledGuard::DependenciesIgnored => &Dependencies::Done,
             _ => dependencies,
         };
-        let (now, ops) = (UnixTime(self.now.0), self.nodes[0].config.state.txn_ops);
+        let (now, ops) = (
+            UnixTime(self.now.0),
+            self.nodes[0].config.store_limits.txn_ops,
+        );
         let Some((txn, state)) = decided.accept(spec, now, ops) else {
             self.record_violation(
                 Rule::SubmissionNotAccepted,
@@ -154,7 +157,7 @@
             return;
         }
         let ControllerProcess { node, generation } = due.process;
-        let ops = self.nodes[node].config.state.txn_ops;
+        let ops = self.nodes[node].config.store_limits.txn_ops;
         let served = self.nodes[node].store_cut_until <= self.now;
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(due.job);
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -5,7 +5,7 @@
 use super::faults::Faults;
 use super::guards::DisabledGuard;
 use super::scale::{RequestCounts, Scale};
-use crate::config::Team;
+use crate::config::TeamQuota;
 use crate::controller::TxnRequester;
 use crate::ids::{JobId, UnixTime};
 use crate::protocol::store::Txn;
@@ -62,11 +62,11 @@
             self.schedule_in(0, SimulationEvent::MachineBoot(id));
         }
         for node in &mut self.nodes {
-            node.config.state.rates.changes = changes;
-            node.config.state.rates.requests = REQUESTS_PER_S;
-            node.config.state.least_rates = node.config.state.rates;
+            node.config.store_limits.rates.writes = changes;
+            node.config.store_limits.rates.requests = REQUESTS_PER_S;
+            node.config.store_limits.min_rates = node.config.store_limits.rates;
             for team in node.config.teams.values_mut() {
-                *team = Team::of_cpus(10_000_000, 30_000_000);
+                *team = TeamQuota::of_cpus(10_000_000, 30_000_000);
             }
         }
     }
--- a/src/simulation/models/store.rs
+++ b/src/simulation/models/store.rs
@@ -28,7 +28,7 @@
 
 /// What the store takes at most.
 #[derive(Clone, Copy)]
-pub(in crate::simulation) struct StoreLimits {
+pub(in crate::simulation) struct FakeStoreLimits {
     /// The largest value, in bytes.
     pub value_bytes: usize,
     /// The most changes in a transaction.
@@ -47,7 +47,7 @@
     /// Conditions on the fences of shards and machines are taken as met.
     pub ignore_fences: bool,
     /// None at first.
-    pub limits: Option<StoreLimits>,
+    pub limits: Option<FakeStoreLimits>,
     /// How many transactions were refused for their size.
     pub too_large: u64,
 }
--- a/src/simulation/node.rs
+++ b/src/simulation/node.rs
@@ -40,7 +40,7 @@
         config.member = MEMBERS[index].into();
         let addr = config.peer_listen;
         let others = MEMBERS[..members].iter().filter(|m| **m != MEMBERS[index]);
-        config.controllers = members as u32;
+        config.controller_count = members as u32;
         config.peers = others.map(|m| (MemberId::from(*m), addr)).collect();
         Self {
             config,
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -53,7 +53,7 @@
 fn completion(store: &mut StoreModel, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
-    record.count(id, 0, 3);
+    record.add_done(id, 0, 3);
     let mut txn = Txn::default();
     txn.put(keys::machine(&MachineId::from("vm-1")), &record, None);
     store.txn(&txn);
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -5,7 +5,7 @@
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
-use super::models::StoreLimits;
+use super::models::FakeStoreLimits;
 
 /// When the first controller is upgraded, and the time between two upgrades, in ms.
 const FIRST_UPGRADE_MS: u64 = 15_000;
@@ -43,7 +43,7 @@
     /// This version keeps to the later limits from its start.
     fn configure_limits(&mut self, node: usize) {
         if self.faults.lowered_store_limits {
-            let state = &mut self.nodes[node].config.state;
+            let state = &mut self.nodes[node].config.store_limits;
             state.value_bytes = VALUE_BYTES;
             state.txn_ops = TXN_OPS;
         }
@@ -62,7 +62,7 @@
 
     /// The key-value store takes less from now on.
     pub(super) fn lower_store_limits(&mut self) {
-        self.store.limits = Some(StoreLimits {
+        self.store.limits = Some(FakeStoreLimits {
             value_bytes: VALUE_BYTES,
             changes: TXN_OPS,
         });
--- a/src/store/admission.rs
+++ b/src/store/admission.rs
@@ -2,7 +2,7 @@
 
 use super::rate_limiter::{RequestClass, TokenBucket};
 use super::rate_selector::RateSelector;
-use crate::config::{StateLimits, StateRates};
+use crate::config::{StoreLimits, StoreRates};
 use crate::ids::MonotonicTime;
 
 /// The tokens in the buckets.
@@ -25,12 +25,12 @@
 
 impl Admission {
     /// `share`: this controller's part of the rates, at most 1.
-    pub(super) fn new(limits: &StateLimits, share: f64) -> Self {
+    pub(super) fn new(limits: &StoreLimits, share: f64) -> Self {
         Self {
             share,
             requests: TokenBucket::new(limits.rates.requests * share),
-            writes: TokenBucket::new(limits.rates.changes * share),
-            rate_selector: RateSelector::new(limits.rates, limits.least_rates),
+            writes: TokenBucket::new(limits.rates.writes * share),
+            rate_selector: RateSelector::new(limits.rates, limits.min_rates),
         }
     }
 
@@ -55,7 +55,7 @@
     fn apply_current_rates(&mut self, now: MonotonicTime) {
         let rates = self.rates(now);
         self.requests.set_rate(now, rates.requests * self.share);
-        self.writes.set_rate(now, rates.changes * self.share);
+        self.writes.set_rate(now, rates.writes * self.share);
     }
 
     /// The service has refused a request because of its rates.
@@ -66,7 +66,7 @@
     }
 
     /// What the service takes in a second from all controllers, as far as it is known.
-    pub(super) fn rates(&self, now: MonotonicTime) -> StateRates {
+    pub(super) fn rates(&self, now: MonotonicTime) -> StoreRates {
         self.rate_selector.current(now)
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// The tokens that are left.
-    pub(super) fn levels(&mut self, now: MonotonicTime) -> TokenLevels {
+    pub(super) fn token_levels(&mut self, now: MonotonicTime) -> TokenLevels {
         TokenLevels {
             requests: self.requests.level(now),
             writes: self.writes.level(now),
--- a/src/store/bitmap.rs
+++ b/src/store/bitmap.rs
@@ -41,7 +41,7 @@
 
     /// The stored form, in a value of so many bytes: hexadecimal digits, as all versions read them,
     /// or base64 where these don't fit. `None`: neither fits.
-    pub(crate) fn stored(&self, value_bytes: usize) -> Option<Value> {
+    pub(crate) fn encode(&self, value_bytes: usize) -> Option<Value> {
         let fits = |text: &String| text.len() + QUOTES <= value_bytes;
         let text = Some(self.digits()).filter(fits);
         let text = text.or_else(|| Some(self.base64()).filter(fits));
--- a/src/store/bitmap/tests.rs
+++ b/src/store/bitmap/tests.rs
@@ -19,11 +19,11 @@
         prop_assert!(text.len() <= 8192 / 4 + 2);
         // Where the digits don't fit, it is stored in a shorter form and read the same.
         for value_bytes in [8192, 2048, 1400] {
-            let stored = bitmap.stored(value_bytes).expect("a form that fits");
+            let stored = bitmap.encode(value_bytes).expect("a form that fits");
             prop_assert!(stored.to_string().len() <= value_bytes);
             let back: Bitmap = serde_json::from_value(stored).expect("bitmap");
             prop_assert_eq!(&back, &bitmap);
         }
-        prop_assert!(bitmap.stored(5).is_none() || bits.is_empty());
+        prop_assert!(bitmap.encode(5).is_none() || bits.is_empty());
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -8,7 +8,7 @@
 };
 use super::rate_limiter::RequestClass;
 use super::refusals::{Refusals, RefusedBy};
-use crate::config::{StateLimits, StateRates};
+use crate::config::{StoreLimits, StoreRates};
 use crate::http::{Client, Failure, Method, Response};
 use crate::ids::{LeaseId, MonotonicTime, Revision};
 use crate::protocol::path;
@@ -32,10 +32,10 @@
 
 /// A token for one read: of a record, or of a page of them.
 #[derive(Debug)]
-pub(crate) struct AdmittedRead(());
+pub(crate) struct ReadPermit(());
 
 /// The client of the service at one address.
-pub(crate) struct Store {
+pub(crate) struct StoreClient {
     client: Client,
     addr: SocketAddr,
     started: Instant,
@@ -46,17 +46,17 @@
     refusals: RefCell<Refusals>,
 }
 
-impl Store {
-    /// `share`: this controller's part of the service's rates. `answer_bytes`: the largest answer
-    /// that is read. Pages of a list are bounded by the service, an answer of changes is not.
+impl StoreClient {
+    /// `share`: this controller's part of the service's rates. `max_response_bytes`: the largest
+    /// answer that is read. Pages of a list are bounded by the service, an answer of changes is not.
     pub(crate) fn new(
         addr: SocketAddr,
-        limits: &StateLimits,
+        limits: &StoreLimits,
         share: f64,
-        answer_bytes: usize,
+        max_response_bytes: usize,
         started: Instant,
     ) -> Self {
-        let client = Client::new(answer_bytes, 1);
+        let client = Client::new(max_response_bytes, 1);
         Self::with_client(client, addr, limits, share, started)
     }
 
@@ -64,7 +64,7 @@
     pub(crate) fn with_client(
         client: Client,
         addr: SocketAddr,
-        limits: &StateLimits,
+        limits: &StoreLimits,
         share: f64,
         started: Instant,
     ) -> Self {
@@ -91,7 +91,7 @@
     }
 
     /// Whether the last call was answered.
-    pub(crate) fn is_answering(&self) -> bool {
+    pub(crate) fn last_call_answered(&self) -> bool {
         self.failures.get() == 0
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// The tokens that are left of this controller's rates.
-    pub(crate) fn levels(&self) -> TokenLevels {
-        self.admission.borrow_mut().levels(self.now())
+    pub(crate) fn token_levels(&self) -> TokenLevels {
+        self.admission.borrow_mut().token_levels(self.now())
     }
 
     /// Logs the episodes of refused requests that are over.
@@ -118,7 +118,7 @@
     }
 
     /// What the service takes in a second from all controllers, as far as it is known.
-    pub(crate) fn rates(&self) -> StateRates {
+    pub(crate) fn rates(&self) -> StoreRates {
         self.admission.borrow().rates(self.now())
     }
 
@@ -134,7 +134,7 @@
         counters.count_request(class, changes, admitted);
         if !admitted {
             let by = RefusedBy::RateLimiter(class);
-            let levels = admission.levels(self.now());
+            let levels = admission.token_levels(self.now());
             self.refusals.borrow_mut().record(self.now(), by, levels);
         }
         admitted
@@ -167,7 +167,7 @@
             Ok(response) if response.status == TOO_MANY_REQUESTS => {
                 self.counters.borrow_mut().refused += 1;
                 self.admission.borrow_mut().on_refused(self.now());
-                let levels = self.levels();
+                let levels = self.token_levels();
                 self.refusals
                     .borrow_mut()
                     .record(self.now(), RefusedBy::Store, levels);
@@ -206,14 +206,14 @@
     }
 
     /// Takes a token for one read, if its class has one.
-    pub(crate) fn admit_read(&self, class: RequestClass) -> Option<AdmittedRead> {
-        self.try_admit(class, 0).then_some(AdmittedRead(()))
+    pub(crate) fn admit_read(&self, class: RequestClass) -> Option<ReadPermit> {
+        self.try_admit(class, 0).then_some(ReadPermit(()))
     }
 
     /// Reads one record, if there is one, for a token that was taken.
     pub(crate) async fn get_admitted(
         &self,
-        _admitted: AdmittedRead,
+        _admitted: ReadPermit,
         key: &str,
     ) -> Result<Option<KeyValue>, StoreError> {
         let path = key_path(key);
@@ -228,7 +228,7 @@
     /// was taken.
     pub(crate) async fn page_admitted(
         &self,
-        _admitted: AdmittedRead,
+        _admitted: ReadPermit,
         prefix: &str,
         after: &str,
         max_items: usize,
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -23,8 +23,8 @@
             )
         }));
         let config = crate::config::tests::sample_config();
-        let store = Store::new(addr, &config.state, 1.0, 2000, Instant::now());
-        let watch = |after| store.watch(keys::LIVE, Revision(after), Duration::ZERO);
+        let store = StoreClient::new(addr, &config.store_limits, 1.0, 2000, Instant::now());
+        let watch = |after| store.watch(keys::LIVE_PREFIX, Revision(after), Duration::ZERO);
         assert_eq!(watch(1).await.err(), Some(StoreError::Gone));
         assert_eq!(watch(2).await.map(|e| e.revision).ok(), Some(Revision(9)));
         drop(scope);
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -29,7 +29,7 @@
     /// What the job's owner asked for.
     pub spec: Rc<JobSpec>,
     /// When the job was accepted.
-    pub accepted: UnixTime,
+    pub accepted_at: UnixTime,
     /// The change that wrote its record.
     pub revision: Revision,
     /// How it is to run; none until a controller has planned it.
@@ -49,7 +49,7 @@
         Self {
             unfinished: spec.dependencies.iter().cloned().collect(),
             spec: Rc::new(spec),
-            accepted,
+            accepted_at: accepted,
             revision,
             plan,
         }
@@ -126,7 +126,7 @@
     }
 
     /// Jobs with dependents that have ended, and whose final record has to be read.
-    pub(crate) fn with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
+    pub(crate) fn jobs_with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
         self.with_unknown_outcome.iter()
     }
 
@@ -146,9 +146,9 @@
     }
 
     /// Where the job ran whose placement group a blocked job shares.
-    pub(crate) fn group_machines(&self, id: &JobId) -> &[MachineId] {
+    pub(crate) fn placement_group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
-        let parent = plan.and_then(|p| p.joins.as_ref());
+        let parent = plan.and_then(|p| p.placement_group_job.as_ref());
         let ran_on = parent.and_then(|p| self.ran_on.get(p));
         ran_on.map_or(&[], Vec::as_slice)
     }
--- a/src/store/dependency_graph/inherited_urgency.rs
+++ b/src/store/dependency_graph/inherited_urgency.rs
@@ -19,7 +19,7 @@
     /// How urgent a blocked job is, by itself and by its own dependents.
     pub(crate) fn urgency(&self, id: &JobId) -> Option<Urgency> {
         let job = self.jobs.get(id)?;
-        let own = Urgency::of(&job.spec, job.accepted);
+        let own = Urgency::of(&job.spec, job.accepted_at);
         Some(self.merge_inherited(id, own))
     }
 
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -204,7 +204,8 @@
 }
 
 fn read(model: &Model, real: &mut Real) {
-    let with_unknown_outcome: Vec<JobId> = real.graph.with_unknown_outcome().cloned().collect();
+    let with_unknown_outcome: Vec<JobId> =
+        real.graph.jobs_with_unknown_outcome().cloned().collect();
     for asked in with_unknown_outcome {
         let job: usize = asked.as_str()[4..].parse().expect("a number");
         match model.jobs[job].state {
@@ -306,7 +307,7 @@
                             type_name: None,
                             machines: Vec::new(),
                             predicted_s: f64::from(*seconds),
-                            joins: None,
+                            placement_group_job: None,
                         };
                         real.graph.set_plan(&id(job), plan);
                     }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -3,7 +3,7 @@
 use crate::ids::{JobId, MachineId, MemberId, Pipeline, ShardId};
 
 /// The prefix of all records that are cached.
-pub(crate) const LIVE: &str = "live/";
+pub(crate) const LIVE_PREFIX: &str = "live/";
 /// The leader's record.
 pub(crate) const LEADER: &str = "live/cluster/leader";
 /// The cloud's machine types and zones.
@@ -12,70 +12,70 @@
 pub(crate) const SETTINGS: &str = "live/settings";
 
 /// The prefix of all final states.
-pub(crate) const FINAL_STATES: &str = "over/";
+pub(crate) const FINAL_STATE_PREFIX: &str = "over/";
 
 /// A mark that follows all digits in the order of keys.
 const AFTER_DIGITS: char = ':';
-const MEMBER: &str = "live/cluster/member/";
-const SHARD: &str = "live/cluster/block/";
-const JOB: &str = "live/job/";
-const PLANS: &str = "live/plans/";
-const MACHINE: &str = "live/machine/";
-const HISTORY: &str = "live/history/";
+const MEMBER_PREFIX: &str = "live/cluster/member/";
+const SHARD_PREFIX: &str = "live/cluster/block/";
+const JOB_PREFIX: &str = "live/job/";
+const PLANS_PREFIX: &str = "live/plans/";
+const MACHINE_PREFIX: &str = "live/machine/";
+const HISTORY_PREFIX: &str = "live/history/";
 
 /// A controller's record.
 pub(crate) fn member(member: &MemberId) -> String {
-    format!("{MEMBER}{member}")
+    format!("{MEMBER_PREFIX}{member}")
 }
 
 /// A shard's record.
 pub(crate) fn shard(shard: ShardId) -> String {
-    format!("{SHARD}{shard}")
+    format!("{SHARD_PREFIX}{shard}")
 }
 
 /// A live job's record.
 pub(crate) fn job(job: &JobId) -> String {
-    format!("{JOB}{job}")
+    format!("{JOB_PREFIX}{job}")
 }
 
 /// A segment of a job's completion counter.
 pub(crate) fn segment(job: &JobId, segment: u32) -> String {
-    format!("{JOB}{job}/{segment}")
+    format!("{JOB_PREFIX}{job}/{segment}")
 }
 
 /// A batch of plans.
 pub(crate) fn plans(batch: &str) -> String {
-    format!("{PLANS}{batch}")
+    format!("{PLANS_PREFIX}{batch}")
 }
 
 /// A machine's record.
 pub(crate) fn machine(machine: &MachineId) -> String {
-    format!("{MACHINE}{machine}")
+    format!("{MACHINE_PREFIX}{machine}")
 }
 
 /// The machine whose record a key names.
-pub(crate) fn machine_of(key: &str) -> Option<MachineId> {
-    key.strip_prefix(MACHINE).map(MachineId::from)
+pub(crate) fn machine_from_key(key: &str) -> Option<MachineId> {
+    key.strip_prefix(MACHINE_PREFIX).map(MachineId::from)
 }
 
 /// The run times of a pipeline.
 pub(crate) fn history(pipeline: &Pipeline) -> String {
-    format!("{HISTORY}{pipeline}")
+    format!("{HISTORY_PREFIX}{pipeline}")
 }
 
 /// Where a finished or cancelled job's final state is kept for good.
 pub(crate) fn final_state(job: &JobId) -> String {
-    format!("{FINAL_STATES}{job}")
+    format!("{FINAL_STATE_PREFIX}{job}")
 }
 
 /// The job whose final state a key names.
-pub(crate) fn job_of_final_state(key: &str) -> Option<JobId> {
-    key.strip_prefix(FINAL_STATES).map(JobId::from)
+pub(crate) fn job_from_final_state_key(key: &str) -> Option<JobId> {
+    key.strip_prefix(FINAL_STATE_PREFIX).map(JobId::from)
 }
 
 /// A text after which no key of a final state comes before that of the job: ids end with a digit, and
 /// the mark follows all digits.
-pub(crate) fn before_final_state(job: &JobId) -> String {
+pub(crate) fn final_state_predecessor(job: &JobId) -> String {
     let mut key = final_state(job);
     if let Some(last) = key.pop() {
         let previous = char::from_u32(u32::from(last).saturating_sub(1));
@@ -120,7 +120,7 @@
             SETTINGS => return Some(Self::Settings),
             _ => {}
         }
-        if let Some(rest) = key.strip_prefix(JOB) {
+        if let Some(rest) = key.strip_prefix(JOB_PREFIX) {
             return match rest.split_once('/') {
                 None => Some(Self::Job(rest.into())),
                 Some((job, segment)) => Some(Self::Segment(SegmentKey {
@@ -130,12 +130,17 @@
             };
         }
         let named = |prefix| key.strip_prefix(prefix);
-        named(MACHINE)
+        named(MACHINE_PREFIX)
             .map(|m| Self::Machine(m.into()))
-            .or_else(|| named(PLANS).map(|b| Self::Plans(b.to_owned())))
-            .or_else(|| named(HISTORY).map(|p| Self::History(p.into())))
-            .or_else(|| named(MEMBER).map(|m| Self::Member(m.into())))
-            .or_else(|| named(SHARD)?.parse().ok().map(|n| Self::Shard(ShardId(n))))
+            .or_else(|| named(PLANS_PREFIX).map(|b| Self::Plans(b.to_owned())))
+            .or_else(|| named(HISTORY_PREFIX).map(|p| Self::History(p.into())))
+            .or_else(|| named(MEMBER_PREFIX).map(|m| Self::Member(m.into())))
+            .or_else(|| {
+                named(SHARD_PREFIX)?
+                    .parse()
+                    .ok()
+                    .map(|n| Self::Shard(ShardId(n)))
+            })
     }
 }
 
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -31,10 +31,13 @@
     keys.sort();
     for id in ids {
         let id = JobId::from(id);
-        let after = before_final_state(&id);
+        let after = final_state_predecessor(&id);
         let first = keys.iter().find(|key| **key > after);
         assert_eq!(first, Some(&final_state(&id)), "{after}");
     }
-    assert_eq!(job_of_final_state("over/job-11"), Some("job-11".into()));
-    assert_eq!(job_of_final_state("live/job/job-11"), None);
+    assert_eq!(
+        job_from_final_state_key("over/job-11"),
+        Some("job-11".into())
+    );
+    assert_eq!(job_from_final_state_key("live/job/job-11"), None);
 }
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -30,10 +30,10 @@
     /// What the job's owner asked for.
     pub spec: Rc<JobSpec>,
     /// When the job was accepted.
-    pub accepted: UnixTime,
+    pub accepted_at: UnixTime,
     /// Since when its tasks may run: its acceptance, or the end of the last job that it needed.
     /// All times but the deadline count from here.
-    pub eligible: UnixTime,
+    pub eligible_at: UnixTime,
     /// By itself and by the jobs that depend on it.
     pub urgency: Urgency,
     /// The change that wrote its record.
@@ -42,7 +42,7 @@
     pub segments: BTreeMap<u32, Versioned<Bitmap>>,
     /// Finished tasks that machines' records show and no segment yet. A task that was once done
     /// stays done: none is ever taken out but by its segment.
-    pub counted: BTreeSet<u32>,
+    pub done_outside_segments: BTreeSet<u32>,
     /// Finished tasks that a shard owner has reported and no record shows yet.
     reported_done: BTreeSet<u32>,
     /// Where each task's latest attempt is placed, by the task's index.
@@ -60,13 +60,13 @@
     /// A job of which nothing is known but its record and its plan.
     pub(super) fn new(record: JobRecord, revision: Revision, plan: Option<PlanRecord>) -> Self {
         Self {
-            urgency: Urgency::of(&record.spec, record.accepted),
+            urgency: Urgency::of(&record.spec, record.accepted_at),
             spec: Rc::new(record.spec),
-            accepted: record.accepted,
-            eligible: record.released.unwrap_or(record.accepted),
+            accepted_at: record.accepted_at,
+            eligible_at: record.released_at.unwrap_or(record.accepted_at),
             revision,
             segments: BTreeMap::new(),
-            counted: BTreeSet::new(),
+            done_outside_segments: BTreeSet::new(),
             reported_done: BTreeSet::new(),
             placed: BTreeMap::new(),
             shadowed: Vec::new(),
@@ -82,13 +82,13 @@
 
     /// How urgent the job is by itself, without the jobs that depend on it.
     pub(super) fn own_urgency(&self) -> Urgency {
-        Urgency::of(&self.spec, self.accepted)
+        Urgency::of(&self.spec, self.accepted_at)
     }
 
     /// How many of its tasks the records show as done.
     pub(crate) fn done_count(&self) -> u32 {
         let folded: u32 = self.segments.values().map(|s| s.value.count()).sum();
-        folded + self.counted.len() as u32
+        folded + self.done_outside_segments.len() as u32
     }
 
     /// Notes the tasks that a machine's record places there.
@@ -106,7 +106,7 @@
     }
 
     fn place(&mut self, index: u32, machine: &MachineId, attempt: AttemptNumber) {
-        if self.ran_on.len() < PlanRecord::MACHINES && !self.ran_on.contains(machine) {
+        if self.ran_on.len() < PlanRecord::MAX_MACHINES && !self.ran_on.contains(machine) {
             self.ran_on.push(machine.clone());
         }
         let new = Placement {
@@ -145,10 +145,10 @@
         &mut self,
         segment: u32,
         bits: Versioned<Bitmap>,
-        segment_tasks: u32,
+        tasks_per_segment: u32,
     ) {
-        self.counted
-            .retain(|i| i / segment_tasks != segment || !bits.value.get(i % segment_tasks));
+        self.done_outside_segments
+            .retain(|i| i / tasks_per_segment != segment || !bits.value.get(i % tasks_per_segment));
         self.segments.insert(segment, bits);
     }
 
@@ -161,41 +161,45 @@
     }
 
     /// Whether all tasks are done, by the counter and by what shard owners have reported.
-    pub(crate) fn is_complete(&self, segment_tasks: u32) -> bool {
+    pub(crate) fn is_complete(&self, tasks_per_segment: u32) -> bool {
         let reported_done = self.reported_done.iter();
-        let more =
-            reported_done.filter(|i| **i < self.spec.tasks && !self.is_done(**i, segment_tasks));
+        let more = reported_done
+            .filter(|i| **i < self.spec.tasks && !self.is_done(**i, tasks_per_segment));
         self.done_count() + more.count() as u32 >= self.spec.tasks
     }
 
-    fn is_folded(&self, index: u32, segment_tasks: u32) -> bool {
+    fn is_folded(&self, index: u32, tasks_per_segment: u32) -> bool {
         self.segments
-            .get(&(index / segment_tasks))
-            .is_some_and(|s| s.value.get(index % segment_tasks))
+            .get(&(index / tasks_per_segment))
+            .is_some_and(|s| s.value.get(index % tasks_per_segment))
     }
 
     /// Whether the records show a task as done.
-    pub(crate) fn is_done(&self, index: u32, segment_tasks: u32) -> bool {
-        self.counted.contains(&index) || self.is_folded(index, segment_tasks)
+    pub(crate) fn is_done(&self, index: u32, tasks_per_segment: u32) -> bool {
+        self.done_outside_segments.contains(&index) || self.is_folded(index, tasks_per_segment)
     }
 
     /// Whether a machine's record has to go on saying that these tasks are done.
-    pub(crate) fn needs(&self, done: &DoneTasks, segment_tasks: u32) -> bool {
-        done.tasks().any(|i| !self.is_folded(i, segment_tasks))
+    pub(crate) fn has_tasks_outside_segments(
+        &self,
+        done: &DoneTasks,
+        tasks_per_segment: u32,
+    ) -> bool {
+        done.tasks().any(|i| !self.is_folded(i, tasks_per_segment))
     }
 
     /// Counts the tasks that a machine's record shows as done.
-    pub(super) fn count(&mut self, done: &DoneTasks, segment_tasks: u32) {
+    pub(super) fn add_done(&mut self, done: &DoneTasks, tasks_per_segment: u32) {
         for index in done.tasks().take_while(|i| *i < self.spec.tasks) {
-            if !self.is_folded(index, segment_tasks) {
-                self.counted.insert(index);
+            if !self.is_folded(index, tasks_per_segment) {
+                self.done_outside_segments.insert(index);
             }
         }
     }
 
     /// Tasks that are neither done nor placed, in their order.
-    pub(crate) fn open_tasks(&self, segment_tasks: u32) -> impl Iterator<Item = u32> {
+    pub(crate) fn unplaced_tasks(&self, tasks_per_segment: u32) -> impl Iterator<Item = u32> {
         (0..self.spec.tasks)
-            .filter(move |i| !self.placed.contains_key(i) && !self.is_done(*i, segment_tasks))
+            .filter(move |i| !self.placed.contains_key(i) && !self.is_done(*i, tasks_per_segment))
     }
 }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -90,7 +90,7 @@
     }
 
     /// Counts finished tasks; those that are counted already change nothing.
-    pub(crate) fn count(&mut self, job: &JobId, first: u32, last: u32) {
+    pub(crate) fn add_done(&mut self, job: &JobId, first: u32, last: u32) {
         match self.done.iter_mut().find(|d| d.job == *job) {
             Some(done) => done.add(first, last),
             None => self.done.push(DoneTasks {
@@ -169,7 +169,7 @@
     }
 
     /// What a placement adds to the stored size.
-    pub(crate) fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
+    pub(crate) fn added_size(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
         let task = size::task(attempt.task.index, attempt.number);
         let has_job = self.jobs.iter().any(|p| p.job == attempt.task.job);
         task + if has_job { 0 } else { size::job(spec) }
@@ -177,7 +177,7 @@
 
     /// The stored size up to which placements may be added to a record that may have so many bytes:
     /// their completions need space as well.
-    pub(crate) fn placement_capacity(value_bytes: usize) -> usize {
+    pub(crate) fn max_placement_bytes(value_bytes: usize) -> usize {
         value_bytes - value_bytes / COMPLETIONS_DIVISOR
     }
 }
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -17,7 +17,7 @@
 /// A placed task whose attempt number has up to sixteen digits. Attempt numbers begin with a revision
 /// of the key-value store, so they get there after billions of changes; the shard owner counts
 /// exactly.
-pub(crate) const LARGEST_TASK: usize = PAIR + "99999".len() + "9999999999999999".len();
+pub(crate) const MAX_TASK_BYTES: usize = PAIR + "99999".len() + "9999999999999999".len();
 
 fn number(value: u64) -> usize {
     value.checked_ilog10().unwrap_or(0) as usize + 1
--- a/src/store/machine_record/tests.rs
+++ b/src/store/machine_record/tests.rs
@@ -23,7 +23,7 @@
     let spec = crate::protocol::tests::spec("job-00000000000000000001");
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
     for index in 0..200 {
-        record.count(&spec.id, 90_000 + 2 * index, 90_000 + 2 * index);
+        record.add_done(&spec.id, 90_000 + 2 * index, 90_000 + 2 * index);
         let attempt = TaskAttempt {
             task: TaskId {
                 job: spec.id.clone(),
@@ -52,7 +52,7 @@
             },
             number: AttemptNumber(u64::MAX >> (index % 60)),
         };
-        let announced = record.size() + record.size_of_adding(&attempt, &spec);
+        let announced = record.size() + record.added_size(&attempt, &spec);
         record.add(&attempt, &spec);
         let size = serde_json::to_vec(&record).expect("json").len();
         assert_eq!(record.size(), announced);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -18,6 +18,6 @@
 mod versioned;
 pub(crate) mod watch_cache;
 
-pub(crate) use client::{AdmittedRead, Store};
+pub(crate) use client::{ReadPermit, StoreClient};
 pub(crate) use counters::ClassCounters;
 pub(crate) use outcomes::{Refusal, StoreError, TxnOutcome};
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -46,7 +46,7 @@
     Refused,
     /// No answer, or one that the store does not serve this controller, as in an outage.
     #[error("the key-value store did not answer, or does not serve")]
-    Unanswered,
+    Unavailable,
     /// An answer that this program can't read.
     #[error("the answer of the key-value store can't be read")]
     Unreadable,
@@ -59,7 +59,7 @@
 pub(super) fn failed_call(result: &Result<Response, Failure>) -> StoreError {
     match result {
         Ok(response) if response.status == TOO_MANY_REQUESTS => StoreError::Refused,
-        _ => StoreError::Unanswered,
+        _ => StoreError::Unavailable,
     }
 }
 
--- a/src/store/rate_selector.rs
+++ b/src/store/rate_selector.rs
@@ -4,7 +4,7 @@
 //! A refusal can have other causes, since controllers share the rates without asking one another.
 //! So the larger rates are tried again after a while, and after a longer one each time.
 
-use crate::config::StateRates;
+use crate::config::StoreRates;
 use crate::ids::{Millis, MonotonicTime};
 
 /// The larger rates are tried again after this at first.
@@ -22,14 +22,14 @@
 /// Chooses between the larger and the least of the rates that the service has announced.
 #[derive(Debug)]
 pub(super) struct RateSelector {
-    larger: StateRates,
-    least: StateRates,
+    larger: StoreRates,
+    least: StoreRates,
     lowered: Option<Lowered>,
 }
 
 impl RateSelector {
     /// Starts with the larger rates; nothing is chosen where both are the same.
-    pub(super) fn new(larger: StateRates, least: StateRates) -> Self {
+    pub(super) fn new(larger: StoreRates, least: StoreRates) -> Self {
         Self {
             larger,
             least,
@@ -42,7 +42,7 @@
     }
 
     /// The rates that apply now.
-    pub(super) fn current(&self, now: MonotonicTime) -> StateRates {
+    pub(super) fn current(&self, now: MonotonicTime) -> StoreRates {
         match self.is_lowered(now) {
             true => self.least,
             false => self.larger,
--- a/src/store/rate_selector/tests.rs
+++ b/src/store/rate_selector/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn rates(changes: f64) -> StateRates {
-    StateRates {
+fn rates(changes: f64) -> StoreRates {
+    StoreRates {
         requests: 100.0,
-        changes,
+        writes: changes,
     }
 }
 
@@ -14,12 +14,12 @@
     for second in 0..3600 {
         let now = MonotonicTime(second * 1000);
         let limited = second >= 100;
-        if limited && choice.current(now).changes > 35.0 {
+        if limited && choice.current(now).writes > 35.0 {
             choice.refused(now);
             refusals += 1;
         }
         let expected = if limited { 35.0 } else { 50.0 };
-        assert_eq!(choice.current(now).changes, expected, "at {second}");
+        assert_eq!(choice.current(now).writes, expected, "at {second}");
     }
     assert!((2..12).contains(&refusals), "{refusals}");
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -74,11 +74,12 @@
     /// What the job's owner asked for.
     pub spec: JobSpec,
     /// When it was accepted.
-    pub accepted: UnixTime,
+    #[serde(rename = "accepted")]
+    pub accepted_at: UnixTime,
     /// When the last job that this one depends on was done. `None` while it is blocked, and
     /// for jobs that depend on nothing.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub released: Option<UnixTime>,
+    #[serde(rename = "released", default, skip_serializing_if = "Option::is_none")]
+    pub released_at: Option<UnixTime>,
 }
 
 impl JobRecord {
@@ -86,14 +87,14 @@
     pub(crate) fn new(spec: JobSpec, accepted: UnixTime) -> Self {
         Self {
             spec,
-            accepted,
-            released: None,
+            accepted_at: accepted,
+            released_at: None,
         }
     }
 
     /// Whether jobs that it depends on may not be done yet: none of its tasks may start.
     pub(crate) fn is_blocked(&self) -> bool {
-        !self.spec.dependencies.is_empty() && self.released.is_none()
+        !self.spec.dependencies.is_empty() && self.released_at.is_none()
     }
 }
 
@@ -114,23 +115,24 @@
 pub(crate) struct PlanRecord {
     /// The preferred machine type.
     pub type_name: Option<MachineTypeName>,
-    /// The preferred machines; at most [`Self::MACHINES`].
+    /// The preferred machines; at most [`Self::MAX_MACHINES`].
     pub machines: Vec<MachineId>,
     /// How long each of its tasks is predicted to run, in seconds.
     pub predicted_s: f64,
     /// The job whose placement group this one shares, among those that it needs.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub joins: Option<JobId>,
+    #[serde(rename = "joins", default, skip_serializing_if = "Option::is_none")]
+    pub placement_group_job: Option<JobId>,
 }
 
 impl PlanRecord {
     /// Machines named in a plan; more would only make its record larger.
-    pub(crate) const MACHINES: usize = 12;
+    pub(crate) const MAX_MACHINES: usize = 12;
 }
 
 /// How long tasks of a pipeline's earlier jobs ran.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HistoryRecord {
     /// The run times on each machine type, as fractions of the estimates, oldest first.
-    pub types: BTreeMap<MachineTypeName, Vec<f32>>,
+    #[serde(rename = "types")]
+    pub run_time_ratios: BTreeMap<MachineTypeName, Vec<f32>>,
 }
--- a/src/store/refusals.rs
+++ b/src/store/refusals.rs
@@ -47,7 +47,7 @@
 
     /// Logs the episodes that are over.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
-        for (by, episode) in self.0.take_quiet(now) {
+        for (by, episode) in self.0.take_ended(now) {
             tracing::info!(
                 ?by,
                 count = episode.count,
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -30,7 +30,7 @@
     /// The last revision whose changes are all applied.
     pub revision: Revision,
     /// Tasks in one segment of a completion counter.
-    segment_tasks: u32,
+    tasks_per_segment: u32,
     /// The leader's record; none while nobody leads.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The controllers whose leases hold.
@@ -64,7 +64,7 @@
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             revision: Revision(0),
-            segment_tasks: config.segment_tasks(),
+            tasks_per_segment: config.tasks_per_segment(),
             leader: None,
             members: BTreeMap::new(),
             shards: BTreeMap::new(),
@@ -83,7 +83,7 @@
 
     /// Whether every controller that takes part understands jobs that depend on others. One that
     /// does not would start them at once.
-    pub(crate) fn all_know_dependencies(&self) -> bool {
+    pub(crate) fn all_members_support_dependencies(&self) -> bool {
         let mut members = self.members.values();
         members.all(|m| m.version >= ProgramVersion::DEPENDENCIES)
     }
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -13,7 +13,7 @@
 impl WatchCache {
     /// Removes a job whose cancellation is committed, before the stream brings that change. Earlier
     /// versions of its record that the stream still brings are ignored.
-    pub(crate) fn cancel(&mut self, job: &JobId, revision: Revision) {
+    pub(crate) fn apply_cancellation(&mut self, job: &JobId, revision: Revision) {
         if revision > self.revision {
             self.cancelled.insert(job.clone(), revision);
         }
@@ -43,9 +43,9 @@
     }
 
     /// Takes over from the cache that this one replaces which jobs are known to be cancelled.
-    pub(crate) fn keep_cancelled(&mut self, old: &Self) {
+    pub(crate) fn copy_cancelled_from(&mut self, old: &Self) {
         for (job, revision) in &old.cancelled {
-            self.cancel(job, *revision);
+            self.apply_cancellation(job, *revision);
         }
     }
 
@@ -102,7 +102,7 @@
     /// counted from machines' records.
     pub(super) fn put_segment(&mut self, key: SegmentKey, bits: Versioned<Bitmap>) {
         match self.jobs.get_mut(&key.job) {
-            Some(job) => job.put_segment(key.segment, bits, self.segment_tasks),
+            Some(job) => job.put_segment(key.segment, bits, self.tasks_per_segment),
             None => {
                 self.early_segments.insert(key, bits);
             }
@@ -139,7 +139,7 @@
     pub(crate) fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
         if record.is_blocked() {
             let plan = self.early_plans.remove(&id);
-            let job = BlockedJob::new(record.spec, record.accepted, revision, plan);
+            let job = BlockedJob::new(record.spec, record.accepted_at, revision, plan);
             let jobs = &self.jobs;
             let is_live = |id: &JobId| jobs.contains_key(id);
             let raised = self.dependency_graph.insert(id, job, is_live);
@@ -171,7 +171,7 @@
         }
         let records = self.machines.values().flat_map(|m| &m.record.done);
         for done in records.filter(|d| d.job == id) {
-            job.count(done, self.segment_tasks);
+            job.add_done(done, self.tasks_per_segment);
         }
         self.dependency_graph.mark_live(&id);
         self.jobs.insert(id, job);
--- a/src/store/watch_cache/machines.rs
+++ b/src/store/watch_cache/machines.rs
@@ -52,14 +52,14 @@
     }
 
     /// Adds a machine that answers and has no record yet.
-    pub(crate) fn discover(&mut self, id: MachineId, record: MachineRecord) {
+    pub(crate) fn insert_unrecorded_machine(&mut self, id: MachineId, record: MachineRecord) {
         if !self.machines.contains_key(&id) {
             self.place(id, record, Revision(0), Vec::new());
         }
     }
 
     /// Forgets a machine that has no record.
-    pub(crate) fn forget(&mut self, id: &MachineId) {
+    pub(crate) fn remove_unrecorded_machine(&mut self, id: &MachineId) {
         let current = self.machines.get(id);
         if current.is_some_and(|m| m.revision == Revision(0)) {
             self.machines.remove(id);
@@ -82,7 +82,7 @@
         }
         for done in &record.done {
             if let Some(job) = self.jobs.get_mut(&done.job) {
-                job.count(done, self.segment_tasks);
+                job.add_done(done, self.tasks_per_segment);
             }
         }
         let excess = images.len().saturating_sub(MAX_REMEMBERED_IMAGES);
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -137,7 +137,7 @@
         ],
     );
     let job = &cache.jobs[&id];
-    assert_eq!(job.open_tasks(1024).collect::<Vec<_>>(), vec![0, 1, 2]);
+    assert_eq!(job.unplaced_tasks(1024).collect::<Vec<_>>(), vec![0, 1, 2]);
     assert!(job.plan.is_some() && cache.orphaned_keys(4).is_empty());
     let gone = deletion(keys::job(&id), 4);
     assert_eq!(cache.apply(Revision(4), vec![gone]), vec![id]);
@@ -151,7 +151,7 @@
     let id = JobId::from("job-1");
     let machine = MachineId::from("vm-1");
     let mut record = empty_machine();
-    record.count(&id, 1, 2);
+    record.add_done(&id, 1, 2);
     let value = serde_json::to_value(&record).expect("json");
     let job = put(keys::job(&id), job_value("job-1"), 2);
     cache.apply(
@@ -164,7 +164,7 @@
     let bits = serde_json::to_value(&bits).expect("json");
     cache.apply(Revision(3), vec![put(keys::segment(&id, 0), bits, 3)]);
     assert_eq!(cache.jobs[&id].done_count(), 2);
-    assert!(cache.jobs[&id].needs(&record.done[0], 8192));
+    assert!(cache.jobs[&id].has_tasks_outside_segments(&record.done[0], 8192));
     let gone = deletion(keys::machine(&machine), 4);
     cache.apply(Revision(4), vec![gone]);
     let job = &cache.jobs[&id];
--- a/src/worker_control/machine_tracker/placements.rs
+++ b/src/worker_control/machine_tracker/placements.rs
@@ -131,7 +131,7 @@
             if !jobs_added.contains(job) && txn.conditions.len() + 1 > 4 * limits.txn_ops {
                 break;
             }
-            let added = record.size_of_adding(&placement.attempt, &placement.spec);
+            let added = record.added_size(&placement.attempt, &placement.spec);
             if record.size() + added > limits.value_bytes {
                 too_large.insert(placement.attempt.clone());
                 continue;
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -154,7 +154,7 @@
         spec: &JobSpec,
     ) -> usize {
         let value_bytes = self.limits.value_bytes;
-        let ends = value_bytes - MachineRecord::placement_capacity(value_bytes);
+        let ends = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
         let mut jobs = BTreeSet::new();
         let pending = tracker
             .placements()
@@ -162,7 +162,7 @@
             .map(|p| (&p.attempt, &*p.spec));
         let added = pending.chain([(attempt, spec)]).map(|(attempt, spec)| {
             if jobs.insert(&attempt.task.job) {
-                record.size_of_adding(attempt, spec)
+                record.added_size(attempt, spec)
             } else {
                 size::task(attempt.task.index, attempt.number)
             }
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -93,7 +93,7 @@
         txn.require(keys::shard(id.shard(self.shards)), tracker.fence());
         txn.require(keys::machine(id), machine.revision);
         let mut record = machine.record.clone();
-        drop_counted(&mut record, self.segment_tasks, cache);
+        drop_counted(&mut record, self.tasks_per_segment, cache);
         let ended = unwritten.ended().iter().map(|ended| &ended.attempt);
         let ended = write_ends(&mut record, tracker, ended, cache);
         let placements = tracker.placements_mut();
@@ -123,10 +123,10 @@
 }
 
 /// Drops counted tasks that their jobs' own records show by now.
-fn drop_counted(record: &mut MachineRecord, segment_tasks: u32, cache: &WatchCache) {
+fn drop_counted(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
     record.done.retain(|done| {
         let job = cache.jobs.get(&done.job);
-        job.is_some_and(|job| job.needs(done, segment_tasks))
+        job.is_some_and(|job| job.has_tasks_outside_segments(done, tasks_per_segment))
     });
 }
 
@@ -148,8 +148,8 @@
             // The tasks of a gang complete together: when one is done, all are. So the loss
             // of a machine just then does not leave the rest to be run again.
             match job.spec.kind {
-                JobKind::Gang => record.count(&attempt.task.job, 0, job.spec.tasks - 1),
-                _ => record.count(&attempt.task.job, attempt.task.index, attempt.task.index),
+                JobKind::Gang => record.add_done(&attempt.task.job, 0, job.spec.tasks - 1),
+                _ => record.add_done(&attempt.task.job, attempt.task.index, attempt.task.index),
             }
         }
         record.remove(attempt);
