--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -4,7 +4,9 @@
 mod decision;
 
 pub(crate) use cascade::{CancellationCascade, CascadeStep};
-pub(crate) use decision::{Dependencies, DependencyState, named_in_cache, new_job};
+pub(crate) use decision::{
+    CombinedDependencyState, DependencyState, cached_dependency_state, new_job,
+};
 
 use super::job_api::JobApi;
 use super::job_lookup::JobLookup;
@@ -49,11 +51,12 @@
             let Some(dependencies) = runtime::timeout(LOOKUP_TIMEOUT, looked_up).await else {
                 return Err(self.dependencies_unread());
             };
-            if let Dependencies::Refused(reason) = &dependencies {
+            if let CombinedDependencyState::Refused(reason) = &dependencies {
                 return Ok(self.refuse(&id, &reason.to_string()).await?);
             }
             let ops = self.config.store_limits.txn_ops;
-            let Some((txn, state)) = dependencies.accept(&spec, UnixTime::now(), ops) else {
+            let Some((txn, state)) = dependencies.acceptance_txn(&spec, UnixTime::now(), ops)
+            else {
                 return Err(self.dependencies_unread());
             };
             match self.store.txn(RequestClass::Accept, &txn).await {
@@ -87,17 +90,17 @@
 
     /// Looks all dependencies up. What the watch cache shows of those that have `changed` is known
     /// to be stale.
-    async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> Dependencies {
+    async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> CombinedDependencyState {
         let mut states = Vec::new();
         for id in &spec.dependencies {
             let state = self.dependency_state(id, changed.contains(id)).await;
             states.push((id.clone(), state));
         }
-        Dependencies::of(&spec.id, states)
+        CombinedDependencyState::of(&spec.id, states)
     }
 
     async fn dependency_state(&self, id: &JobId, changed: bool) -> DependencyState {
-        let shown = named_in_cache(id, &self.controller.borrow().cache);
+        let shown = cached_dependency_state(id, &self.controller.borrow().cache);
         if let Some(live) = shown.filter(|_| !changed) {
             return live;
         }
@@ -113,7 +116,7 @@
                 JobState::Cancelled => DependencyState::Cancelled,
                 _ => DependencyState::Done,
             },
-            Ok(JobLookup::NeverAccepted) => DependencyState::Never,
+            Ok(JobLookup::NeverAccepted) => DependencyState::NeverAccepted,
             Err(_) => DependencyState::Unknown,
         }
     }
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -27,7 +27,7 @@
     /// Ended as cancelled.
     Cancelled,
     /// It was never accepted.
-    Never,
+    NeverAccepted,
     /// It could not be read.
     Unknown,
 }
@@ -48,9 +48,9 @@
 
 /// The dependencies of a submission, taken together.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Dependencies {
+pub(crate) enum CombinedDependencyState {
     /// These have not ended, at these revisions.
-    Open(Vec<(JobId, Revision)>),
+    Live(Vec<(JobId, Revision)>),
     /// All are done.
     Done,
     /// At least one is cancelled.
@@ -61,7 +61,7 @@
     Unknown,
 }
 
-impl Dependencies {
+impl CombinedDependencyState {
     /// Sums up the states of a job's dependencies. What is refused for good comes first, then what
     /// is not known.
     pub(crate) fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
@@ -76,7 +76,7 @@
                     kind: JobKind::Service,
                     ..
                 } => return Self::Refused(InvalidDependency::OnService(id)),
-                DependencyState::Never => {
+                DependencyState::NeverAccepted => {
                     return Self::Refused(InvalidDependency::NeverAccepted(id));
                 }
                 DependencyState::Live { revision, .. } => open.push((id, revision)),
@@ -92,7 +92,7 @@
         } else if open.is_empty() {
             Self::Done
         } else {
-            Self::Open(open)
+            Self::Live(open)
         }
     }
 
@@ -102,7 +102,7 @@
     /// the condition that its open dependencies are still as they were read, so whoever cancels one
     /// of these finds every dependent once the watch cache has caught up with that change. Of a
     /// very long list only the first are checked there; the leader finds out about the others.
-    pub(crate) fn accept(
+    pub(crate) fn acceptance_txn(
         &self,
         spec: &JobSpec,
         now: UnixTime,
@@ -120,7 +120,7 @@
                 return Some((txn, JobState::Cancelled));
             }
             Self::Done => &[][..],
-            Self::Open(open) => open.as_slice(),
+            Self::Live(open) => open.as_slice(),
         };
         let max_checked = Txn::CONDITIONS_PER_CHANGE * max_ops - OWN_CONDITIONS;
         for (job, revision) in open.iter().take(max_checked) {
@@ -142,7 +142,7 @@
 }
 
 /// The state of a job that the watch cache shows. That one is missing there proves nothing.
-pub(crate) fn named_in_cache(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
+pub(crate) fn cached_dependency_state(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
     Some(DependencyState::Live {
         kind: cache.job_spec(id)?.kind,
         revision: cache.job_revision(id)?,
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -8,22 +8,22 @@
     DependencyState::Live { kind, revision }
 }
 
-fn decide(named: &[(&str, DependencyState)]) -> Dependencies {
+fn decide(named: &[(&str, DependencyState)]) -> CombinedDependencyState {
     let named = named.iter().map(|(id, state)| (JobId::from(*id), *state));
-    Dependencies::of(&"job-9".into(), named.collect())
+    CombinedDependencyState::of(&"job-9".into(), named.collect())
 }
 
 /// What a decision is, without its details; what these must hold is checked.
-fn outcome_of(decided: &Dependencies) -> &'static str {
+fn outcome_of(decided: &CombinedDependencyState) -> &'static str {
     match decided {
-        Dependencies::Open(open) => {
+        CombinedDependencyState::Live(open) => {
             assert_eq!(open.len(), 1);
             "open"
         }
-        Dependencies::Done => "done",
-        Dependencies::Cancelled => "cancelled",
-        Dependencies::Unknown => "unknown",
-        Dependencies::Refused(reason) => {
+        CombinedDependencyState::Done => "done",
+        CombinedDependencyState::Cancelled => "cancelled",
+        CombinedDependencyState::Unknown => "unknown",
+        CombinedDependencyState::Refused(reason) => {
             let reason = reason.to_string();
             assert!(reason.contains("job-"), "{reason}");
             "refused"
@@ -34,7 +34,7 @@
 /// What is final outweighs what is not known, and what can be waited for comes last.
 #[test]
 fn dependencies_are_summed_up_by_the_worst_of_them() {
-    use DependencyState::{Cancelled, Done, Never, Unknown};
+    use DependencyState::{Cancelled, Done, NeverAccepted, Unknown};
     let array = live(JobKind::Array);
     let service = live(JobKind::Service);
     let cases = [
@@ -42,7 +42,7 @@
         ([("job-1", array), ("job-2", Done)], "open"),
         ([("job-1", array), ("job-2", Cancelled)], "cancelled"),
         ([("job-1", Cancelled), ("job-2", Unknown)], "unknown"),
-        ([("job-1", Unknown), ("job-2", Never)], "refused"),
+        ([("job-1", Unknown), ("job-2", NeverAccepted)], "refused"),
         ([("job-1", array), ("job-2", service)], "refused"),
         ([("job-1", Cancelled), ("job-9", array)], "refused"),
     ];
@@ -55,7 +55,7 @@
 #[test]
 fn refusals_keep_their_texts() {
     let reason = |named: &[(&str, DependencyState)]| match decide(named) {
-        Dependencies::Refused(reason) => reason.to_string(),
+        CombinedDependencyState::Refused(reason) => reason.to_string(),
         other => panic!("{other:?}"),
     };
     let service = live(JobKind::Service);
@@ -68,7 +68,7 @@
         "job-1 is a service: it is never done"
     );
     assert_eq!(
-        reason(&[("job-1", DependencyState::Never)]),
+        reason(&[("job-1", DependencyState::NeverAccepted)]),
         "job-1 was never accepted"
     );
 }
@@ -85,7 +85,9 @@
         serde_json::from_value(value.clone()).expect("record")
     };
     let open = decide(&[("job-1", live(JobKind::Gang))]);
-    let (txn, state) = open.accept(&job, UnixTime(5), OPS).expect("accepted");
+    let (txn, state) = open
+        .acceptance_txn(&job, UnixTime(5), OPS)
+        .expect("accepted");
     assert_eq!(state, JobState::Queued);
     assert!(record(&txn).is_blocked());
     let parent = txn
@@ -93,17 +95,17 @@
         .iter()
         .find(|c| c.key == keys::job(&"job-1".into()));
     assert_eq!(parent.map(|c| c.revision), Some(Revision(7)));
-    let (txn, _) = Dependencies::Done
-        .accept(&job, UnixTime(5), OPS)
+    let (txn, _) = CombinedDependencyState::Done
+        .acceptance_txn(&job, UnixTime(5), OPS)
         .expect("accepted");
     assert!(!record(&txn).is_blocked());
-    let (txn, state) = Dependencies::Cancelled
-        .accept(&job, UnixTime(5), OPS)
+    let (txn, state) = CombinedDependencyState::Cancelled
+        .acceptance_txn(&job, UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!((state, txn.changes.len()), (JobState::Cancelled, 1));
     assert!(
-        Dependencies::Unknown
-            .accept(&job, UnixTime(5), OPS)
+        CombinedDependencyState::Unknown
+            .acceptance_txn(&job, UnixTime(5), OPS)
             .is_none()
     );
 }
@@ -116,9 +118,9 @@
             live(JobKind::Array),
         )
     });
-    let open = Dependencies::of(&"job-1000".into(), named.collect());
+    let open = CombinedDependencyState::of(&"job-1000".into(), named.collect());
     let (txn, _) = open
-        .accept(&spec("job-1000"), UnixTime(5), OPS)
+        .acceptance_txn(&spec("job-1000"), UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!(txn.conditions.len(), Txn::CONDITIONS_PER_CHANGE * OPS);
 }
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -43,7 +43,7 @@
 
 /// What is counted of the reads of final states. Serialized as `/admin/status` shows it.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
-pub(crate) struct FinalReadCounters {
+pub(crate) struct FinalStateReadCounters {
     /// Reads of one record.
     records: u64,
     /// Reads of a page.
@@ -63,7 +63,7 @@
     cache: Rc<RefCell<FinalStateCache>>,
     waiting: Rc<RefCell<WaitingQuestions>>,
     reserve: Rc<RefCell<TokenBucket>>,
-    counters: Rc<RefCell<FinalReadCounters>>,
+    counters: Rc<RefCell<FinalStateReadCounters>>,
     /// Whether the routine that admits reads is running.
     is_admitting: Rc<Cell<bool>>,
 }
@@ -84,7 +84,7 @@
     }
 
     /// What was counted since the start.
-    pub(super) fn counters(&self) -> FinalReadCounters {
+    pub(super) fn counters(&self) -> FinalStateReadCounters {
         *self.counters.borrow()
     }
 
--- a/src/api/final_state_reader/tests.rs
+++ b/src/api/final_state_reader/tests.rs
@@ -67,7 +67,7 @@
         let key = keys::final_state(&"job-1".into());
         state.borrow_mut().keys.insert(key, (record, 1));
         state.borrow_mut().away = away;
-        let client = Client::answered_by(Rc::new(move |request: Request| {
+        let client = Client::with_fake_transport(Rc::new(move |request: Request| {
             let answer = state.borrow_mut().answer(&request);
             Box::pin(std::future::ready(answer))
         }));
@@ -118,7 +118,7 @@
     for n in jobs {
         let (api, results) = (api.clone(), results.clone());
         users.spawn(async move {
-            let outcome = api.final_outcome(&job_id(n)).await;
+            let outcome = api.final_job_state(&job_id(n)).await;
             results.borrow_mut().insert(n, outcome);
         });
     }
@@ -149,7 +149,7 @@
         for n in 0..PAGE_FROM_JOBS + 1 {
             let api = api.clone();
             users.spawn(async move {
-                api.final_outcome(&job_id(n)).await;
+                api.final_job_state(&job_id(n)).await;
             });
         }
         runtime::sleep(Duration::from_secs(1)).await;
@@ -197,7 +197,7 @@
         let state = store_with_ended_jobs(PAGE_ITEMS);
         let (api, _asked) = api_in_memory(&state);
         api.poll(job_id(0).as_str()).await;
-        json!(api.final_read_counters())
+        json!(api.final_state_read_counters())
     });
     let expected = json!({
         "records": 1, "pages": 0, "answered_jobs": 1, "refused": 0, "held_back": 0
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -1,7 +1,7 @@
 //! The facade of the users' side. Each kind of request has a file of its own: `submit`, `query`,
 //! `cancel` and `dependencies`.
 
-use super::final_state_reader::{FinalReadCounters, FinalStateReader};
+use super::final_state_reader::{FinalStateReadCounters, FinalStateReader};
 use super::retry_reason::RetryReason;
 use super::revision_check::RevisionChecker;
 use super::unanswered::{UnansweredQuestions, UnansweredReport};
@@ -23,7 +23,7 @@
     /// The store revision that cancelled it.
     pub(crate) revision: Revision,
     /// When its transaction was sent, if by this controller.
-    pub(crate) since: Option<Instant>,
+    pub(crate) sent_at: Option<Instant>,
     /// Receives whether the tasks are proved gone.
     pub(crate) settled: Sender<bool>,
 }
@@ -77,7 +77,7 @@
     }
 
     /// What is counted of the reads of final states.
-    pub(crate) fn final_read_counters(&self) -> FinalReadCounters {
+    pub(crate) fn final_state_read_counters(&self) -> FinalStateReadCounters {
         self.final_states.counters()
     }
 
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -63,7 +63,7 @@
     }
 
     /// How a job that has ended did so, if that can be read now.
-    pub(crate) async fn final_outcome(&self, id: &JobId) -> Option<JobState> {
+    pub(crate) async fn final_job_state(&self, id: &JobId) -> Option<JobState> {
         let final_state = self.final_states.read(id).await.ok()??;
         Some(final_state.record.state)
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -19,6 +19,6 @@
 mod unanswered;
 mod waiting_questions;
 
-pub(crate) use final_state_reader::FinalReadCounters;
+pub(crate) use final_state_reader::FinalStateReadCounters;
 pub(crate) use job_api::{Cancellation, JobApi};
 pub(crate) use unanswered::UnansweredReport;
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -134,7 +134,7 @@
             self.cancellations.send(Cancellation {
                 job: id.clone(),
                 revision: final_state.revision,
-                since,
+                sent_at: since,
                 settled,
             });
             if result.get().await != Some(true) {
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -49,7 +49,7 @@
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         match self.try_submit(body).await {
             Ok(response) => response,
-            Err(unwritten) => self.look_up_unwritten(unwritten).await,
+            Err(unwritten) => self.respond_from_lookup(unwritten).await,
         }
     }
 
@@ -73,14 +73,14 @@
 
     /// Answers a submission that was not written. Its job may be known all the same: its retry has the
     /// right to an answer that its poll has.
-    pub(crate) async fn look_up_unwritten(&self, unwritten: UnwrittenSubmission) -> Response {
+    pub(crate) async fn respond_from_lookup(&self, unwritten: UnwrittenSubmission) -> Response {
         let UnwrittenSubmission { id, reason } = unwritten;
         let answer = self.status_or_retry(&id, reason).await;
         self.respond(&id, answer)
     }
 
     /// Asks the user of a submission that was not written to come back: a peer has looked its job up.
-    pub(crate) fn put_off_unwritten(&self, unwritten: UnwrittenSubmission) -> Response {
+    pub(crate) fn respond_retry_later(&self, unwritten: UnwrittenSubmission) -> Response {
         self.respond(&unwritten.id, Err(unwritten.reason))
     }
 
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -73,11 +73,11 @@
             self.refused_reads -= 1;
             return Response::error(429, "too many requests");
         }
-        if let Some(query) = request.path.strip_prefix("/kv?") {
+        if let Some(query) = request.target.strip_prefix("/kv?") {
             return self.page(query);
         }
         if request.method == Method::Get {
-            let key = request.path.trim_start_matches("/kv/");
+            let key = request.target.trim_start_matches("/kv/");
             return match self.keys.get(key) {
                 Some((value, at)) => {
                     Response::json(200, &json!({"key": key, "data": value, "amendment": at}))
@@ -226,7 +226,7 @@
 pub(super) fn api_in_memory(state: &Rc<RefCell<StandIn>>) -> (JobApi, Receiver<Cancellation>) {
     let config = sample_config();
     let answering = state.clone();
-    let client = Client::answered_by(Rc::new(move |request: Request| {
+    let client = Client::with_fake_transport(Rc::new(move |request: Request| {
         let answer = answering.borrow_mut().answer(&request);
         Box::pin(std::future::ready(answer))
     }));
--- a/src/api/tests/busy_cluster.rs
+++ b/src/api/tests/busy_cluster.rs
@@ -5,7 +5,7 @@
 use crate::api::JobApi;
 use crate::config::Config;
 use crate::config::tests::sample_config;
-use crate::http::{Client, Request, Response, StandIn as HttpStandIn};
+use crate::http::{Client, FakeTransport, Request, Response};
 use crate::ids::{JobId, MonotonicTime, Revision};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
@@ -64,7 +64,7 @@
     controllers: RefCell<Vec<BusyController>>,
     config: Config,
     load: Load,
-    answers: HttpStandIn,
+    answers: FakeTransport,
     started: Instant,
 }
 
@@ -120,7 +120,7 @@
             true => refusing(self.load.store_latency),
             false => self.answers.clone(),
         };
-        let client = Client::answered_by(answers);
+        let client = Client::with_fake_transport(answers);
         let (addr, limits) = (self.config.store_addr, &self.config.store_limits);
         let store = StoreClient::with_client(client, addr, limits, RATE_SHARE, self.started);
         let (api, mut cancellations) = controller_api(&self.config, store, true);
@@ -158,7 +158,7 @@
 }
 
 /// Answers for the store after its latency, or with 429 above its rate of requests.
-fn rate_limited(state: Rc<RefCell<StandIn>>, load: Load, started: Instant) -> HttpStandIn {
+fn rate_limited(state: Rc<RefCell<StandIn>>, load: Load, started: Instant) -> FakeTransport {
     let bucket = Rc::new(RefCell::new(TokenBucket::new(REQUESTS_PER_S)));
     Rc::new(move |request: Request| {
         let elapsed = runtime::now() - started;
@@ -168,7 +168,7 @@
             .try_acquire(now, 1.0, RequestClass::Accept);
         let in_period = elapsed.as_secs_f64() % OUTAGE_PERIOD.as_secs_f64();
         let is_away = in_period < load.outage_part * OUTAGE_PERIOD.as_secs_f64();
-        let answer = match request.path.as_str() {
+        let answer = match request.target.as_str() {
             _ if is_away => Response::error(503, "trouble"),
             _ if !admitted => Response::error(429, "too many requests"),
             path if path.starts_with("/grants") => Response::json(200, &()),
@@ -182,7 +182,7 @@
 }
 
 /// Answers for a store that does not serve a controller.
-fn refusing(latency: Duration) -> HttpStandIn {
+fn refusing(latency: Duration) -> FakeTransport {
     Rc::new(move |_| {
         Box::pin(async move {
             runtime::sleep(latency).await;
--- a/src/api/tests/users.rs
+++ b/src/api/tests/users.rs
@@ -73,7 +73,7 @@
             let dependent = body(&format!("{id}9"), |b| b["awaits"] = json!([id]));
             api.submit(&dependent).await
         }
-        Question::FinalOutcome => return api.final_outcome(job).await.is_some(),
+        Question::FinalOutcome => return api.final_job_state(job).await.is_some(),
     };
     assert!(matches!(response.status, 200 | 201 | 503), "{response:?}");
     response.status != 503
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -68,11 +68,11 @@
     MachineHealth {
         machine: id.clone(),
         fence: Revision(5),
-        silent: Millis(30_000),
+        unresponsive_for: Millis(30_000),
         since_direct_heartbeat: Millis(30_000),
-        confirmed: true,
-        notice: None,
-        unrecorded: None,
+        token_confirmed: true,
+        until_interruption: None,
+        unstored_record: None,
         gangs: Vec::new(),
     }
 }
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -61,7 +61,7 @@
         for owner in by_owner.into_values() {
             let is_suspect = owner.is_owner_suspect(all - owner.counts);
             let given_up = owner.silent.into_iter().filter(|id| {
-                let silent = scheduler.health[*id].report.silent;
+                let silent = scheduler.health[*id].report.unresponsive_for;
                 !is_suspect || silent >= Millis(SUSPECT_OWNER_FACTOR * patience.0)
             });
             list.extend(given_up.cloned());
@@ -86,9 +86,9 @@
             };
             let owner = by_owner.entry(shard.value.owner.as_str()).or_default();
             owner.counts.machines += 1;
-            owner.counts.missed += usize::from(health.report.silent >= missed_after);
+            owner.counts.missed += usize::from(health.report.unresponsive_for >= missed_after);
             let is_recent = now.since(health.received_at) < HEALTH_REPORT_EXPIRY;
-            if health.report.silent >= patience && is_recent {
+            if health.report.unresponsive_for >= patience && is_recent {
                 owner.silent.push(id);
             }
         }
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -52,9 +52,9 @@
         revision: Revision(431),
         type_name: "t8".into(),
         pipeline: Some("batch".into()),
-        end,
+        outcome: end,
         estimate_s: 30.0,
-        ran: Some(Millis(28_500)),
+        run_time: Some(Millis(28_500)),
     })
 }
 
@@ -70,11 +70,11 @@
     Message::Health(vec![MachineHealth {
         machine: machine(),
         fence: Revision(41),
-        silent: Millis(1200),
+        unresponsive_for: Millis(1200),
         since_direct_heartbeat: Millis(3000),
-        confirmed: true,
-        notice: Some(Millis(8000)),
-        unrecorded: Some(machine_record()),
+        token_confirmed: true,
+        until_interruption: Some(Millis(8000)),
+        unstored_record: Some(machine_record()),
         gangs: vec![(JOB.into(), AttemptNumber(9))],
     }])
 }
@@ -99,7 +99,7 @@
         fence: Revision(41),
         job_revision: Revision(400),
         attempts: vec![attempt(0), attempt(1)],
-        preferred: vec![machine()],
+        candidate_machines: vec![machine()],
     });
     let refused = Message::Refused {
         fence: Revision(41),
@@ -134,7 +134,7 @@
     let acknowledged = Message::CancellationAcknowledged {
         round: CancellationRoundId(3),
         job: JobId::from(JOB),
-        settled: vec![ShardFence {
+        cleared_shards: vec![ShardFence {
             shard: ShardId(4),
             fence: Revision(41),
         }],
@@ -145,7 +145,7 @@
 fn forwarding_messages() -> Vec<(&'static str, Message)> {
     let request = Message::ForwardedRequest {
         id: 8,
-        post: true,
+        is_post: true,
         path: "/work".into(),
         body: b"{}".to_vec(),
     };
@@ -161,7 +161,7 @@
     let status = Message::PeerStatus {
         store_reachable: true,
         reachable_peers: vec![member()],
-        missing_machines: vec![machine()],
+        machines_without_direct_heartbeats: vec![machine()],
     };
     let misdirected = Message::MisdirectedHeartbeats(vec![machine()]);
     let relay = Message::Relay {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -203,8 +203,8 @@
     }
 
     /// Machines of owned shards without a direct heartbeat for so long that they may be cut off.
-    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
-        self.shard_owner.missing_machines(now)
+    pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
+        self.shard_owner.machines_without_direct_heartbeats(now)
     }
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -27,21 +27,21 @@
                 age,
             } => {
                 self.learn_cancelled(now, &job, revision, age, &mut effects);
-                let settled = self.cleared_shards(now, &job);
+                let cleared_shards = self.cleared_shards(now, &job);
                 let acknowledgement = Message::CancellationAcknowledged {
                     round,
                     job,
-                    settled,
+                    cleared_shards,
                 };
                 effects.push(Effect::SendToPeer(from.clone(), acknowledgement));
             }
             Message::CancellationAcknowledged {
                 round,
                 job,
-                settled,
+                cleared_shards,
             } => {
                 let rounds = &mut self.cancellation.rounds;
-                rounds.on_acknowledged(round, &job, from, settled);
+                rounds.on_acknowledged(round, &job, from, cleared_shards);
             }
             message => self.dispatch(now, message, &mut effects),
         }
@@ -101,8 +101,8 @@
     }
 
     fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt) {
-        if ended.end == AttemptOutcome::Done
-            && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.ran)
+        if ended.outcome == AttemptOutcome::Done
+            && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.run_time)
         {
             self.history
                 .add(pipeline, &ended.type_name, ended.estimate_s, ran);
@@ -115,7 +115,7 @@
         // An owner reports a single machine when something has changed there.
         let urgent = health.len() == 1;
         for machine in &health {
-            if let Some(record) = &machine.unrecorded {
+            if let Some(record) = &machine.unstored_record {
                 self.cache
                     .insert_unrecorded_machine(machine.machine.clone(), record.clone());
             }
--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -25,7 +25,9 @@
 
 async fn confirm(node: Rc<Node>, cancellation: Cancellation) {
     let begun = Instant::now();
-    let age = cancellation.since.map_or(Duration::ZERO, |at| at.elapsed());
+    let age = cancellation
+        .sent_at
+        .map_or(Duration::ZERO, |at| at.elapsed());
     let age = Millis(age.as_millis() as u64);
     let job = &cancellation.job;
     let round = node.update_and_get(|controller, now| {
--- a/src/daemon/cloud_calls/tests.rs
+++ b/src/daemon/cloud_calls/tests.rs
@@ -21,14 +21,14 @@
 fn cloud(machines: usize, rps: f64, calls: Rc<Cell<usize>>) -> Client {
     let started = runtime::now();
     let bucket = Rc::new(RefCell::new(TokenBucket::new(rps)));
-    Client::answered_by(Rc::new(move |request: Request| {
+    Client::with_fake_transport(Rc::new(move |request: Request| {
         let now = MonotonicTime((runtime::now() - started).as_millis() as u64);
         calls.set(calls.get() + 1);
         let admitted = bucket
             .borrow_mut()
             .try_acquire(now, 1.0, RequestClass::Accept);
         let response = match admitted {
-            true => page(machines, &request.path),
+            true => page(machines, &request.target),
             false => Response::error(429, "too many requests"),
         };
         Box::pin(async move {
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -3,7 +3,7 @@
 use super::node::Node;
 use crate::cloud::RentOutcome;
 use crate::controller::{Effect, TxnRequester};
-use crate::http::{Failure, Method, Response};
+use crate::http::{CallError, Method, Response};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::store::Txn;
 use crate::protocol::{self, Heartbeat, RentRequest, path};
@@ -75,8 +75,8 @@
             .await;
         match result {
             Ok(response) => direct_call_outcome(&response),
-            Err(Failure::NotSent) => DirectCallOutcome::NotSent,
-            Err(Failure::Unknown | Failure::TooLarge) => DirectCallOutcome::Unknown,
+            Err(CallError::NotSent) => DirectCallOutcome::NotSent,
+            Err(CallError::Unknown | CallError::TooLarge) => DirectCallOutcome::Unknown,
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     async fn query_job_outcome(self: Rc<Self>, job: JobId) {
-        if let Some(state) = self.api.final_outcome(&job).await {
+        if let Some(state) = self.api.final_job_state(&job).await {
             self.update(|controller, now| controller.on_job_outcome(now, &job, state));
         }
     }
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -37,7 +37,11 @@
     request: &Request,
 ) -> Option<Response> {
     let now = node.now();
-    if !node.routes.borrow().may_be_missing(now, owner, machine) {
+    if !node
+        .routes
+        .borrow()
+        .should_relay_heartbeat(now, owner, machine)
+    {
         return None;
     }
     let response = forward_to(node, owner, request).await;
@@ -48,8 +52,8 @@
     let pending = node.pending_forwards.register()?;
     let message = Message::ForwardedRequest {
         id: pending.id,
-        post: request.method == Method::Post,
-        path: request.path.clone(),
+        is_post: request.method == Method::Post,
+        path: request.target.clone(),
         body: request.body.clone(),
     };
     node.send(peer, message);
--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -36,7 +36,7 @@
         .record(endpoint, response.status, received);
     // Redirects of heartbeats are no refusals.
     if response.status >= 400 && response.status != 421 {
-        tracing::debug!(path = request.path, status = response.status, body = %String::from_utf8_lossy(&response.body), "refused");
+        tracing::debug!(path = request.target, status = response.status, body = %String::from_utf8_lossy(&response.body), "refused");
     }
     response
 }
--- a/src/daemon/peer_messages.rs
+++ b/src/daemon/peer_messages.rs
@@ -17,17 +17,26 @@
             Message::PeerStatus {
                 store_reachable,
                 reachable_peers,
-                missing_machines,
-            } => self.on_peer_status(from, store_reachable, reachable_peers, missing_machines),
+                machines_without_direct_heartbeats,
+            } => self.on_peer_status(
+                from,
+                store_reachable,
+                reachable_peers,
+                machines_without_direct_heartbeats,
+            ),
             Message::Relay { to, from, message } => self.on_relay(to, from, message),
             Message::ForwardedRequest {
                 id,
-                post,
+                is_post,
                 path,
                 body,
             } => {
-                let method = if post { Method::Post } else { Method::Get };
-                let request = Request { method, path, body };
+                let method = if is_post { Method::Post } else { Method::Get };
+                let request = Request {
+                    method,
+                    target: path,
+                    body,
+                };
                 runtime::spawn(answer_forwarded(self.clone(), from.clone(), id, request));
             }
             Message::ForwardedResponse { id, status, body } => {
@@ -45,13 +54,13 @@
         from: &MemberId,
         store_reachable: bool,
         reachable_peers: Vec<MemberId>,
-        missing_machines: Vec<MachineId>,
+        machines_without_direct_heartbeats: Vec<MachineId>,
     ) {
         self.routes.borrow_mut().on_peer_status(
             self.now(),
             from,
             reachable_peers,
-            missing_machines,
+            machines_without_direct_heartbeats,
         );
         self.served_peers.record(from, store_reachable);
     }
@@ -71,7 +80,7 @@
 
 /// Decides a peer's request here; it is never forwarded again.
 async fn answer_forwarded(node: Rc<Node>, from: MemberId, id: u64, request: Request) {
-    let response = if request.method == Method::Post && request.path == path::HEARTBEAT {
+    let response = if request.method == Method::Post && request.target == path::HEARTBEAT {
         heartbeat_endpoint::relayed_heartbeat(&node, &request.body)
     } else {
         user_endpoints::respond(&node, &request)
--- a/src/daemon/peer_status.rs
+++ b/src/daemon/peer_status.rs
@@ -17,7 +17,10 @@
         let status = Message::PeerStatus {
             store_reachable: node.store.is_up(),
             reachable_peers: node.routes.borrow().reachable_peers(now),
-            missing_machines: node.controller.borrow().missing_machines(now),
+            machines_without_direct_heartbeats: node
+                .controller
+                .borrow()
+                .machines_without_direct_heartbeats(now),
         };
         for peer in node.config.peers.keys() {
             node.links.send(peer, status.clone());
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint::EndpointReport;
 use super::node::Node;
-use crate::api::{FinalReadCounters, UnansweredReport};
+use crate::api::{FinalStateReadCounters, UnansweredReport};
 use crate::ids::{
     FencingToken, MachineId, MachineTypeName, MemberId, Resources, Revision, TeamId, Zone,
 };
@@ -55,7 +55,7 @@
     /// Users' questions without an answer.
     unanswered: UnansweredReport,
     /// Reads of how jobs have ended.
-    final_state_reads: FinalReadCounters,
+    final_state_reads: FinalStateReadCounters,
 }
 
 /// A shard's owner and its fencing token.
@@ -124,7 +124,7 @@
             store: StoreReport::new(&node.store),
             responses: node.response_stats.report(),
             unanswered: node.api.unanswered_report(),
-            final_state_reads: node.api.final_read_counters(),
+            final_state_reads: node.api.final_state_read_counters(),
         }
     }
 }
--- a/src/daemon/user_endpoints.rs
+++ b/src/daemon/user_endpoints.rs
@@ -10,7 +10,7 @@
 pub(super) fn endpoint(request: &Request) -> Endpoint {
     match request.method {
         Method::Get => Endpoint::Poll,
-        _ if request.path.ends_with(path::CANCEL) => Endpoint::Cancel,
+        _ if request.target.ends_with(path::CANCEL) => Endpoint::Cancel,
         _ => Endpoint::Submit,
     }
 }
@@ -30,8 +30,8 @@
         Ok(response) => response,
         Err(unwritten) => match forwarding::ask_served_peer(node, request).await {
             Some(response) if forwarding::is_decided(&response) => response,
-            Some(_) => node.api.put_off_unwritten(unwritten),
-            None => node.api.look_up_unwritten(unwritten).await,
+            Some(_) => node.api.respond_retry_later(unwritten),
+            None => node.api.respond_from_lookup(unwritten).await,
         },
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -22,7 +22,7 @@
 
 /// Why a call has no response. The difference decides what may be concluded from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Failure {
+pub(crate) enum CallError {
     /// The other side has seen nothing of the request.
     #[error("not sent")]
     NotSent,
@@ -36,7 +36,7 @@
 
 /// Answers a request in place of the network.
 #[cfg(test)]
-pub(crate) type StandIn = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response>>>>;
+pub(crate) type FakeTransport = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response>>>>;
 
 /// A client whose clones share their connections.
 #[derive(Clone)]
@@ -50,7 +50,7 @@
     body_limit: usize,
     /// Answers all calls in place of the network.
     #[cfg(test)]
-    stand_in: Option<StandIn>,
+    stand_in: Option<FakeTransport>,
 }
 
 impl Client {
@@ -68,7 +68,7 @@
 
     /// A client whose calls a function answers, without sockets.
     #[cfg(test)]
-    pub(crate) fn answered_by(stand_in: StandIn) -> Self {
+    pub(crate) fn with_fake_transport(stand_in: FakeTransport) -> Self {
         Self {
             stand_in: Some(stand_in),
             ..Self::new(0, 0)
@@ -83,25 +83,25 @@
         path: &str,
         body: &[u8],
         limit: Duration,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, CallError> {
         #[cfg(test)]
         if let Some(stand_in) = &self.stand_in {
             let answer = stand_in(Request {
                 method,
-                path: path.to_owned(),
+                target: path.to_owned(),
                 body: body.to_vec(),
             });
             let answer = runtime::timeout(limit, answer).await;
-            return answer.ok_or(Failure::Unknown);
+            return answer.ok_or(CallError::Unknown);
         }
         // What an error or the end of the time means at the point that the exchange has reached.
-        let mut failure = Failure::NotSent;
+        let mut failure = CallError::NotSent;
         let exchange = async {
             let mut stream = match self.take_idle(addr) {
                 Some(stream) => stream,
                 None => TcpStream::connect(addr).await?,
             };
-            failure = Failure::Unknown;
+            failure = CallError::Unknown;
             stream.write_all(&encode(addr, method, path, body)).await?;
             let received = self.read(&mut stream).await?;
             if received.reusable {
@@ -114,7 +114,7 @@
             Some(Err(error)) => {
                 tracing::debug!(%addr, path, %error, "call failed");
                 match error.kind() {
-                    io::ErrorKind::FileTooLarge => Err(Failure::TooLarge),
+                    io::ErrorKind::FileTooLarge => Err(CallError::TooLarge),
                     _ => Err(failure),
                 }
             }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -45,7 +45,7 @@
     /// Its method.
     pub method: Method,
     /// Its target: the path, and the query after a `?`.
-    pub path: String,
+    pub target: String,
     /// Its body, of any bytes.
     pub body: Vec<u8>,
 }
@@ -53,7 +53,7 @@
 impl Request {
     /// The path up to its query.
     pub(crate) fn path_without_query(&self) -> &str {
-        self.path.split('?').next().unwrap_or("")
+        self.target.split('?').next().unwrap_or("")
     }
 }
 
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -9,8 +9,8 @@
 mod server;
 
 #[cfg(test)]
-pub(crate) use client::StandIn;
-pub(crate) use client::{Client, Failure};
+pub(crate) use client::FakeTransport;
+pub(crate) use client::{CallError, Client};
 pub(crate) use message::{Method, Request, Response};
 pub(crate) use server::serve;
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -130,7 +130,7 @@
     Progress::Ready {
         request: Request {
             method: Method::parse(head.method.unwrap_or("")),
-            path: head.path.unwrap_or("/").to_owned(),
+            target: head.path.unwrap_or("/").to_owned(),
             body: body.bytes,
         },
         used: head_length + body.consumed,
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -16,7 +16,7 @@
         panic!("not ready");
     };
     assert_eq!(
-        (request.path.as_str(), request.body.as_slice()),
+        (request.target.as_str(), request.body.as_slice()),
         ("/work", &b"{}"[..])
     );
     assert!(!close && text[used..].starts_with(b"GET"));
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -115,7 +115,7 @@
             let machines = owners.entry(&shard_record.value.owner).or_default();
             machines.all += 1;
             // An owner may hear of all its machines through others, and still can't command them.
-            if last.silent.max(last.since_direct_heartbeat) >= patience {
+            if last.unresponsive_for.max(last.since_direct_heartbeat) >= patience {
                 machines.silent += 1;
                 let heard_elsewhere = self.misdirected.contains_key(&last.machine);
                 machines.heard_elsewhere += usize::from(heard_elsewhere);
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -37,11 +37,11 @@
     MachineHealth {
         machine: format!("vm-{n:03}").as_str().into(),
         fence: Revision(5),
-        silent: Millis(silent),
+        unresponsive_for: Millis(silent),
         since_direct_heartbeat: Millis(silent),
-        confirmed: true,
-        notice: None,
-        unrecorded: None,
+        token_confirmed: true,
+        until_interruption: None,
+        unstored_record: None,
         gangs: Vec::new(),
     }
 }
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -61,7 +61,8 @@
         /// The job.
         job: JobId,
         /// Shards that the sender owns and in which all of the job's tasks are proved gone.
-        settled: Vec<ShardFence>,
+        #[serde(rename = "settled")]
+        cleared_shards: Vec<ShardFence>,
     },
     /// A user's request that the sender can't decide because the key-value store does not serve
     /// it, or a heartbeat that its worker could not bring to the receiver.
@@ -69,7 +70,8 @@
         /// Names the request among those of the sender.
         id: u64,
         /// Whether its method is POST; GET otherwise.
-        post: bool,
+        #[serde(rename = "post")]
+        is_post: bool,
         /// Path of the request.
         path: String,
         /// Body of the request.
@@ -91,7 +93,8 @@
         /// The controllers that the sender hears itself.
         reachable_peers: Vec<MemberId>,
         /// Machines that the sender owns and whose heartbeats don't come to it directly.
-        missing_machines: Vec<MachineId>,
+        #[serde(rename = "missing_machines")]
+        machines_without_direct_heartbeats: Vec<MachineId>,
     },
     /// To be passed on to a controller that the sender can't reach itself.
     Relay {
@@ -131,7 +134,8 @@
     /// The attempts to be placed, all of the same job.
     pub attempts: Vec<TaskAttempt>,
     /// The machines of the shard that the leader accepts, best first.
-    pub preferred: Vec<MachineId>,
+    #[serde(rename = "preferred")]
+    pub candidate_machines: Vec<MachineId>,
 }
 
 /// How an attempt ended.
@@ -159,11 +163,13 @@
     /// Pipeline of the job; none if the job is not live any more.
     pub pipeline: Option<Pipeline>,
     /// How it ended.
-    pub end: AttemptOutcome,
+    #[serde(rename = "end")]
+    pub outcome: AttemptOutcome,
     /// The user's estimate of the task's duration, in seconds; 0 if the job is not live any more.
     pub estimate_s: f64,
     /// How long it was seen running.
-    pub ran: Option<Millis>,
+    #[serde(rename = "ran")]
+    pub run_time: Option<Millis>,
 }
 
 /// What a shard owner knows of one of its machines.
@@ -175,15 +181,19 @@
     pub fence: Revision,
     /// How long nothing has shown that the machine can be used: no heartbeat and no answered
     /// probe came, or direct commands fail.
-    pub silent: Millis,
+    #[serde(rename = "silent")]
+    pub unresponsive_for: Millis,
     /// Time without a heartbeat that came directly from it, and not through another controller.
     pub since_direct_heartbeat: Millis,
     /// It obeys the shard owner's own token, as its latest heartbeat shows.
-    pub confirmed: bool,
+    #[serde(rename = "confirmed")]
+    pub token_confirmed: bool,
     /// Time until the machine is interrupted, if its cloud has given notice.
-    pub notice: Option<Millis>,
+    #[serde(rename = "notice")]
+    pub until_interruption: Option<Millis>,
     /// Its description, while the key-value store has no record of it.
-    pub unrecorded: Option<MachineRecord>,
+    #[serde(rename = "unrecorded")]
+    pub unstored_record: Option<MachineRecord>,
     /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
     pub gangs: Vec<(JobId, AttemptNumber)>,
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -17,7 +17,7 @@
 /// A message as the other side of a link reads it. Simulated days send each message through its
 /// frame, since one that can't be read there closes the link.
 #[cfg(test)]
-pub(crate) fn over_link(message: &Message) -> Message {
+pub(crate) fn frame_round_trip(message: &Message) -> Message {
     let frame = frame::encode(message).expect("frame");
     let decoded = frame::decode(&frame)
         .expect("own frame")
--- a/src/peers/relay_routes.rs
+++ b/src/peers/relay_routes.rs
@@ -15,7 +15,7 @@
     /// The controllers that it hears itself.
     reachable_peers: BTreeSet<MemberId>,
     /// Machines that it owns and whose heartbeats don't come to it directly.
-    missing_machines: BTreeSet<MachineId>,
+    machines_without_direct_heartbeats: BTreeSet<MachineId>,
 }
 
 /// What this controller knows of the links between all controllers.
@@ -31,12 +31,14 @@
         now: MonotonicTime,
         from: &MemberId,
         reachable_peers: Vec<MemberId>,
-        missing_machines: Vec<MachineId>,
+        machines_without_direct_heartbeats: Vec<MachineId>,
     ) {
         let status = PeerStatus {
             received_at: now,
             reachable_peers: reachable_peers.into_iter().collect(),
-            missing_machines: missing_machines.into_iter().collect(),
+            machines_without_direct_heartbeats: machines_without_direct_heartbeats
+                .into_iter()
+                .collect(),
         };
         self.statuses.insert(from.clone(), status);
     }
@@ -78,7 +80,7 @@
     /// controllers are: then the heartbeat is relayed, instead of the machine being redirected to
     /// an owner that it can't reach. A shard owner that hears all others and misses its machines
     /// has lost them alone, and is relieved sooner if it goes on missing them.
-    pub(crate) fn may_be_missing(
+    pub(crate) fn should_relay_heartbeat(
         &self,
         now: MonotonicTime,
         owner: &MemberId,
@@ -87,7 +89,7 @@
         let mut statuses = self.recent(now);
         let reported_missing = statuses.any(|(member, status)| {
             member == owner
-                && status.missing_machines.contains(machine)
+                && status.machines_without_direct_heartbeats.contains(machine)
                 && self.is_partitioned(now, owner, status)
         });
         reported_missing || self.relay_for(now, owner).is_some()
--- a/src/peers/relay_routes/tests.rs
+++ b/src/peers/relay_routes/tests.rs
@@ -9,10 +9,10 @@
     at: u64,
     from: &str,
     reachable_peers: &[&str],
-    missing_machines: &[&str],
+    machines_without_direct_heartbeats: &[&str],
 ) {
     let reachable_peers = reachable_peers.iter().map(|m| member(m)).collect();
-    let missing_machines = missing_machines
+    let machines_without_direct_heartbeats = machines_without_direct_heartbeats
         .iter()
         .map(|m| MachineId::from(*m))
         .collect();
@@ -20,7 +20,7 @@
         MonotonicTime(at),
         &member(from),
         reachable_peers,
-        missing_machines,
+        machines_without_direct_heartbeats,
     );
 }
 
@@ -57,13 +57,13 @@
     receive_status(&mut routes, 50, "c2", &["c0"], &[]);
     receive_status(&mut routes, 60, "c1", &["c0", "c2"], &["vm-2"]);
     // It hears all controllers and has lost its machines alone.
-    assert!(!routes.may_be_missing(MonotonicTime(70), &member("c1"), &far));
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(70), &member("c1"), &far));
     receive_status(&mut routes, 100, "c1", &["c0"], &["vm-2"]);
-    assert!(!routes.may_be_missing(MonotonicTime(200), &member("c1"), &near));
-    assert!(routes.may_be_missing(MonotonicTime(200), &member("c1"), &far));
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &near));
+    assert!(routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &far));
     // Not heard, and not by others either: it has ended.
-    assert!(!routes.may_be_missing(MonotonicTime(9000), &member("c1"), &far));
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &far));
     // Heard by another alone: whatever it misses, its report could not have come here.
     receive_status(&mut routes, 9000, "c2", &["c1"], &[]);
-    assert!(routes.may_be_missing(MonotonicTime(9000), &member("c1"), &near));
+    assert!(routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &near));
 }
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -27,7 +27,7 @@
         let noticed = self
             .health
             .iter()
-            .filter(|(_, h)| h.report.notice.is_some());
+            .filter(|(_, h)| h.report.until_interruption.is_some());
         for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
             self.move_replicas_off(id, &mut targets, &mut stops);
         }
@@ -88,8 +88,10 @@
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
-            let (Some(left), Some(machine)) = (health.report.notice, self.cache.machines.get(id))
-            else {
+            let (Some(left), Some(machine)) = (
+                health.report.until_interruption,
+                self.cache.machines.get(id),
+            ) else {
                 continue;
             };
             for (attempt, _) in machine.record.attempts() {
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -118,10 +118,10 @@
         self.allotment_ledger.on_ended(ended, cache);
         self.preempted.remove(&ended.attempt);
         let job = &ended.attempt.task.job;
-        if !matches!(ended.end, AttemptOutcome::Absent) {
+        if !matches!(ended.outcome, AttemptOutcome::Absent) {
             self.gangs.on_ended(job);
         }
-        match ended.end {
+        match ended.outcome {
             AttemptOutcome::Done => self.faults.on_success(job, &ended.machine),
             AttemptOutcome::Exited(ExitReason::Error) => {
                 self.faults.on_failure(now, job, &ended.machine)
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -55,7 +55,7 @@
         let shard_record = cache.shards.get(&id.shard(self.config.shard_count()));
         self.health.get(id).is_some_and(|reported| {
             shard_record.is_some_and(|shard| shard.revision == reported.report.fence)
-                && reported.report.silent >= for_long
+                && reported.report.unresponsive_for >= for_long
                 && now.since(reported.received_at) < MAX_REPORT_AGE
         })
     }
@@ -67,7 +67,7 @@
         let fence = cache.shards.get(&shard).map(|record| record.revision);
         let is_healthy = self.health.get(id).is_some_and(|reported| {
             Some(reported.report.fence) == fence
-                && reported.report.confirmed
+                && reported.report.token_confirmed
                 && !self.is_lost(&reported.report)
                 && now.since(reported.received_at) < MAX_REPORT_AGE
         });
@@ -84,8 +84,8 @@
 
     /// Whether a machine is reported to be interrupted, or its heartbeat is late.
     fn is_lost(&self, health: &MachineHealth) -> bool {
-        health.notice.is_some()
-            || health.silent >= self.config.heartbeat_interval + HEARTBEAT_TOLERANCE
+        health.until_interruption.is_some()
+            || health.unresponsive_for >= self.config.heartbeat_interval + HEARTBEAT_TOLERANCE
     }
 
     /// Whether the leader itself gives a machine nothing new.
--- a/src/placement/scheduling_pass/assignment.rs
+++ b/src/placement/scheduling_pass/assignment.rs
@@ -148,7 +148,7 @@
                 fence: candidate.fence,
                 job_revision: job.revision,
                 attempts,
-                preferred,
+                candidate_machines: preferred,
             },
         }
     }
--- a/src/placement/tests/limits.rs
+++ b/src/placement/tests/limits.rs
@@ -33,8 +33,9 @@
     }
     for allotment in allotments {
         let spec = specs[allotment.attempts[0].task.job.as_str()];
-        *used.entry(allotment.preferred[0].clone()).or_default() +=
-            spec.need().milli_cpus * allotment.attempts.len() as u64;
+        *used
+            .entry(allotment.candidate_machines[0].clone())
+            .or_default() += spec.need().milli_cpus * allotment.attempts.len() as u64;
     }
     used
 }
@@ -51,7 +52,7 @@
     let mut tasks = BTreeSet::new();
     for allotment in allotments {
         let spec = specs[allotment.attempts[0].task.job.as_str()];
-        for id in &allotment.preferred {
+        for id in &allotment.candidate_machines {
             let record = &scene.cache.machines[id].record;
             prop_assert!(spec.allows(&record.type_name, &record.zone, record.spot));
             prop_assert_eq!(id.shard(scene.config.shard_count()), allotment.shard);
--- a/src/placement/tests/machine_choice.rs
+++ b/src/placement/tests/machine_choice.rs
@@ -22,7 +22,7 @@
     });
     let allotments = scene.step().allotments;
     assert_eq!(allotments.len(), 1);
-    assert_eq!(allotments[0].preferred, vec![own]);
+    assert_eq!(allotments[0].candidate_machines, vec![own]);
 }
 
 /// Two machines have free capacity for one task each, and each has the image of another job.
@@ -88,7 +88,7 @@
     });
     let allotments = scene.step().allotments;
     let on = |id: &MachineId| -> usize {
-        let there = allotments.iter().filter(|a| a.preferred[0] == *id);
+        let there = allotments.iter().filter(|a| a.candidate_machines[0] == *id);
         there.map(|a| a.attempts.len()).sum()
     };
     assert_eq!(
--- a/src/placement/tests/machine_health.rs
+++ b/src/placement/tests/machine_health.rs
@@ -18,7 +18,7 @@
     assert!(!scene.scheduler.is_usable(NOW, &id, &scene.cache));
     assert!(scene.scheduler.counts_as_capacity(NOW, &id));
     let mut silent = scene.health(&id);
-    silent.silent = Millis(60_000);
+    silent.unresponsive_for = Millis(60_000);
     scene.scheduler.on_health(NOW, vec![silent], &scene.cache);
     assert!(!scene.scheduler.counts_as_capacity(NOW, &id));
 }
@@ -30,8 +30,8 @@
     let id = scene.machine(1, "a", false, &[]);
     let earlier = MachineHealth {
         fence: Revision(scene.health(&id).fence.0 - 1),
-        silent: Millis(60_000),
-        confirmed: false,
+        unresponsive_for: Millis(60_000),
+        token_confirmed: false,
         ..scene.health(&id)
     };
     scene.scheduler.on_health(NOW, vec![earlier], &scene.cache);
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -19,12 +19,12 @@
     let plain = scene.job(2, |s| s.tasks = 1);
     let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
     let mut noticed = scene.health(&id);
-    noticed.notice = Some(Millis(3500));
+    noticed.until_interruption = Some(Millis(3500));
     scene
         .scheduler
         .on_health(NOW, vec![noticed.clone()], &scene.cache);
     assert!(scene.step().stops.is_empty(), "too late to save");
-    noticed.notice = Some(Millis(8000));
+    noticed.until_interruption = Some(Millis(8000));
     scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
     let stops = scene.step().stops;
     assert_eq!(stops.len(), 1);
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/scene.rs
@@ -86,11 +86,11 @@
         MachineHealth {
             machine: id.clone(),
             fence: self.cache.shards[&shard].revision,
-            silent: Millis(0),
+            unresponsive_for: Millis(0),
             since_direct_heartbeat: Millis(0),
-            confirmed: true,
-            notice: None,
-            unrecorded: None,
+            token_confirmed: true,
+            until_interruption: None,
+            unstored_record: None,
             gangs: Vec::new(),
         }
     }
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -6,7 +6,8 @@
 use super::timing::USER_RETRY_MS;
 use super::violations::Rule;
 use crate::api::dependencies::{
-    CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache,
+    CancellationCascade, CascadeStep, CombinedDependencyState, DependencyState,
+    cached_dependency_state,
 };
 use crate::controller::{Effect, TxnRequester};
 use crate::ids::{JobId, UnixTime};
@@ -71,20 +72,20 @@
         }
         let ids = spec.dependencies.iter();
         let named = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
-        let dependencies = Dependencies::of(&spec.id, named.collect());
+        let dependencies = CombinedDependencyState::of(&spec.id, named.collect());
         self.write_submission(&spec, &dependencies);
     }
 
-    fn write_submission(&mut self, spec: &JobSpec, dependencies: &Dependencies) {
+    fn write_submission(&mut self, spec: &JobSpec, dependencies: &CombinedDependencyState) {
         let decided = match self.disabled_guard {
-            DisabledGuard::DependenciesIgnored => &Dependencies::Done,
+            DisabledGuard::DependenciesIgnored => &CombinedDependencyState::Done,
             _ => dependencies,
         };
         let (now, ops) = (
             UnixTime(self.now.0),
             self.nodes[0].config.store_limits.txn_ops,
         );
-        let Some((txn, state)) = decided.accept(spec, now, ops) else {
+        let Some((txn, state)) = decided.acceptance_txn(spec, now, ops) else {
             self.record_violation(
                 Rule::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
@@ -95,7 +96,8 @@
             TxnOutcome::Committed(_) => {
                 let counts = &mut self.observed.dependencies;
                 counts.submitted += 1;
-                counts.waited += u64::from(matches!(dependencies, Dependencies::Open(_)));
+                counts.waited +=
+                    u64::from(matches!(dependencies, CombinedDependencyState::Live(_)));
                 counts.cancelled_at_once += u64::from(state == JobState::Cancelled);
                 if state == JobState::Cancelled {
                     self.check_final_states();
@@ -123,7 +125,7 @@
 
     fn dependency_state(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
-        let shown = controller.and_then(|c| named_in_cache(id, &c.cache));
+        let shown = controller.and_then(|c| cached_dependency_state(id, &c.cache));
         // What the watch cache shows may be old: the conditions of the write fail then, and the
         // records are read.
         let found = self.store.revision_of(&keys::job(id));
@@ -140,7 +142,7 @@
         match self.final_state(id) {
             Some(JobState::Cancelled) => DependencyState::Cancelled,
             Some(_) => DependencyState::Done,
-            None => DependencyState::Never,
+            None => DependencyState::NeverAccepted,
         }
     }
 
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/stand_ins/network.rs
@@ -1,7 +1,7 @@
 //! The network: isolated zones, zones that can't reach each other, and relays between them.
 
 use crate::ids::{MemberId, MonotonicTime};
-use crate::peers::{Message, RelayRoutes, over_link};
+use crate::peers::{Message, RelayRoutes, frame_round_trip};
 use crate::protocol::Heartbeat;
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::{PeerDelivery, SimulationEvent};
@@ -63,7 +63,7 @@
     }
 
     fn deliver_to_peer(&mut self, ms: u64, from: usize, to: usize, message: &Message) {
-        let message = over_link(message);
+        let message = frame_round_trip(message);
         let delivery = PeerDelivery { to, from, message };
         self.schedule_in(ms, SimulationEvent::Peer(delivery));
     }
@@ -86,12 +86,13 @@
             let heard = (0..members).filter(|n| reachable_peers(other, *n));
             let heard = heard.map(|n| MemberId::from(MEMBERS[n])).collect();
             let controller = self.nodes[other].controller.as_ref();
-            let missing_machines = controller.map_or_else(Vec::new, |c| c.missing_machines(now));
+            let machines_without_direct_heartbeats =
+                controller.map_or_else(Vec::new, |c| c.machines_without_direct_heartbeats(now));
             routes.on_peer_status(
                 now,
                 &MemberId::from(MEMBERS[other]),
                 heard,
-                missing_machines,
+                machines_without_direct_heartbeats,
             );
         }
         routes
@@ -119,7 +120,7 @@
         }
         let now = self.now;
         let routes = self.routes(node);
-        if !routes.may_be_missing(now, &owner, &heartbeat.machine) {
+        if !routes.should_relay_heartbeat(now, &owner, &heartbeat.machine) {
             return None;
         }
         let to = member_index(owner.as_str())?;
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -2,7 +2,9 @@
 //! the submission reads first and writes later, so what it read may be old by then.
 
 use super::*;
-use crate::api::dependencies::{CancellationCascade, CascadeStep, Dependencies, DependencyState};
+use crate::api::dependencies::{
+    CancellationCascade, CascadeStep, CombinedDependencyState, DependencyState,
+};
 use crate::protocol::JobKind;
 
 const PARENT: &str = "job-000001";
@@ -23,7 +25,7 @@
     parent: Revision,
     ends: Txn,
     /// What the submission has seen last.
-    seen: Option<Dependencies>,
+    seen: Option<CombinedDependencyState>,
     /// The parent's user was told that it is cancelled.
     confirmed: bool,
 }
@@ -55,7 +57,10 @@
                 revision: self.parent,
             },
         };
-        self.seen = Some(Dependencies::of(&CHILD.into(), vec![(parent, named)]));
+        self.seen = Some(CombinedDependencyState::of(
+            &CHILD.into(),
+            vec![(parent, named)],
+        ));
     }
 
     /// Writes what was decided; where that is out of date it is decided anew.
@@ -67,7 +72,9 @@
                 self.read_parent();
             }
             let seen = self.seen.take().expect("seen");
-            let (txn, _) = seen.accept(&spec, UnixTime(9), OPS).expect("decided");
+            let (txn, _) = seen
+                .acceptance_txn(&spec, UnixTime(9), OPS)
+                .expect("decided");
             if matches!(self.store.txn(&txn), TxnOutcome::Committed(_)) {
                 return;
             }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -9,7 +9,7 @@
 use super::rate_limiter::RequestClass;
 use super::refusals::{Refusals, RefusedBy};
 use crate::config::{StoreLimits, StoreRates};
-use crate::http::{Client, Failure, Method, Response};
+use crate::http::{CallError, Client, Method, Response};
 use crate::ids::{LeaseId, MonotonicTime, Revision};
 use crate::protocol::path;
 use crate::protocol::store::{
@@ -151,7 +151,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, CallError> {
         self.counters.borrow_mut().calls += 1;
         let result = self
             .client
@@ -190,8 +190,8 @@
         let result = self.call(Method::Post, path::TXN, &body, CALL_TIMEOUT);
         match result.await {
             Ok(answer) => txn_outcome(&answer),
-            Err(Failure::NotSent) => TxnOutcome::Refused(Refusal::StoreUnavailable),
-            Err(Failure::Unknown | Failure::TooLarge) => TxnOutcome::Unknown,
+            Err(CallError::NotSent) => TxnOutcome::Refused(Refusal::StoreUnavailable),
+            Err(CallError::Unknown | CallError::TooLarge) => TxnOutcome::Unknown,
         }
     }
 
@@ -266,7 +266,7 @@
             Ok(answer) if answer.status == 410 => Err(StoreError::Gone),
             // The same request would get the same answer for ever, and the watch cache would stop.
             // Pages are bounded, however many records there are.
-            Err(Failure::TooLarge) => Err(StoreError::Gone),
+            Err(CallError::TooLarge) => Err(StoreError::Gone),
             result => Err(failed_call(&result)),
         }
     }
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -13,7 +13,7 @@
         let addr = listener.local_addr().expect("addr");
         let mut scope = runtime::Scope::default();
         scope.spawn(serve(listener, 10, |request| async move {
-            let events = match request.path.contains("after=1&") {
+            let events = match request.target.contains("after=1&") {
                 true => vec!["x"; 1000],
                 false => Vec::new(),
             };
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -1,6 +1,6 @@
 //! What became of calls of the key-value store, and what may be concluded from their answers.
 
-use crate::http::{Failure, Response};
+use crate::http::{CallError, Response};
 use crate::ids::Revision;
 use crate::protocol::store::TxnResponseBody;
 use serde::de::DeserializeOwned;
@@ -56,7 +56,7 @@
 }
 
 /// Why a call that has no usable result failed.
-pub(super) fn failed_call(result: &Result<Response, Failure>) -> StoreError {
+pub(super) fn failed_call(result: &Result<Response, CallError>) -> StoreError {
     match result {
         Ok(response) if response.status == TOO_MANY_REQUESTS => StoreError::Refused,
         _ => StoreError::Unavailable,
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -119,7 +119,7 @@
             let in_shard = id.shard(self.shards) == allotment.shard;
             in_shard && self.fits(id, job, attempt, cache).unwrap_or(false)
         };
-        allotment.preferred.iter().find(fits).cloned()
+        allotment.candidate_machines.iter().find(fits).cloned()
     }
 
     /// Whether a machine can take a task more. `None`: the machine or its type is unknown.
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -61,7 +61,12 @@
     ) -> MachineHealth {
         let mut health = machine_health(id, tracker, now, cache);
         if self.partitioned && !tracker.is_relayed() {
-            health.silent = Millis(health.silent.0.saturating_sub(RELAY_GRACE_PERIOD.0));
+            health.unresponsive_for = Millis(
+                health
+                    .unresponsive_for
+                    .0
+                    .saturating_sub(RELAY_GRACE_PERIOD.0),
+            );
         }
         health
     }
@@ -141,11 +146,11 @@
     MachineHealth {
         machine: id.clone(),
         fence: tracker.fence(),
-        silent: tracker.silent(now),
+        unresponsive_for: tracker.silent(now),
         since_direct_heartbeat: tracker.since_direct_heartbeat(now),
-        confirmed: tracker.obeys_us(),
-        notice: tracker.notice().map(|at| at.since(now)),
-        unrecorded: unrecorded.map(|machine| machine.record.clone()),
+        token_confirmed: tracker.obeys_us(),
+        until_interruption: tracker.notice().map(|at| at.since(now)),
+        unstored_record: unrecorded.map(|machine| machine.record.clone()),
         gangs: tracker
             .seen_running()
             .filter(is_gang)
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -15,7 +15,7 @@
     }
 
     /// Machines owned here whose direct heartbeats have been absent for too long.
-    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
+    pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         let timeout = self.direct_heartbeat_timeout();
         let missing = self
             .trackers
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -99,8 +99,8 @@
             type_name: self.type_name.clone(),
             estimate_s: job.map_or(0.0, |job| job.spec.estimate_s),
             pipeline: job.map(|job| job.spec.pipeline.clone()),
-            end: ended.outcome,
-            ran,
+            outcome: ended.outcome,
+            run_time: ran,
             attempt: ended.attempt,
         }
     }
