--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -21,7 +21,7 @@
 impl SimulatedCluster {
     /// A user cancels a job, unless that is under way.
     pub(super) fn cancel(&mut self, id: &JobId) {
-        if self.cancelling.insert(id.clone()) {
+        if self.pending_cancellations.insert(id.clone()) {
             self.request_cancellation(id.clone());
         }
     }
@@ -40,11 +40,11 @@
         }
         let node = able[self.pick(0, able.len() as u64 - 1) as usize];
         let Some(revision) = self.commit_cancellation(&job) else {
-            self.cancelling.remove(&job);
+            self.pending_cancellations.remove(&job);
             return;
         };
         self.nodes[node].final_records_seen.insert(job.clone());
-        if self.disabled_guard == DisabledGuard::CancellationConfirmedAtOnce {
+        if self.disabled_guard == DisabledGuard::CancellationConfirmedOnCommit {
             self.confirm(&job);
             return;
         }
@@ -89,7 +89,7 @@
             .refused_alone()
             .is_some_and(|node| self.serves_job(node, job))
         {
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
         }
         let outcome = self.write_as_user(txn);
         self.check_final_states();
@@ -133,7 +133,7 @@
 
     /// The user is told that the job is cancelled.
     pub(super) fn confirm(&mut self, job: &JobId) {
-        self.cancelling.remove(job);
+        self.pending_cancellations.remove(job);
         self.cancelled.entry(job.clone()).or_insert(self.now);
     }
 
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -4,13 +4,13 @@
 use super::clock::EventQueue;
 use super::digest_recorder::Digest;
 use super::events::SimulationEvent;
+use super::fakes::{FakeStore, Worker};
 use super::faults::Faults;
 use super::guards::DisabledGuard;
-use super::models::{StoreModel, Worker};
+use super::large_fleet_state::LargeFleetState;
 use super::node::Node;
 use super::observations::Observations;
-use super::scale::Scale;
-use super::topology::{Shape, THREE_CONTROLLERS, ZONES};
+use super::topology::{ClusterSize, THREE_CONTROLLERS, ZONES};
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::{JobKind, JobSpec};
 use crate::store::keys;
@@ -43,7 +43,7 @@
     /// The guard that is disabled.
     pub disabled_guard: DisabledGuard,
     /// The key-value store.
-    pub store: StoreModel,
+    pub store: FakeStore,
     /// The nodes that controllers run on.
     pub nodes: Vec<Node>,
     /// The workers of all machines that were not deleted.
@@ -59,9 +59,9 @@
     /// When users were told that their jobs are cancelled.
     pub cancelled: BTreeMap<JobId, MonotonicTime>,
     /// Cancellations that users wait for.
-    pub cancelling: BTreeSet<JobId>,
+    pub pending_cancellations: BTreeSet<JobId>,
     /// Set for a large fleet only.
-    pub scale: Option<Scale>,
+    pub fleet: Option<LargeFleetState>,
     /// What tests assert.
     pub observed: Observations,
     /// Of all that left the controllers.
@@ -71,17 +71,18 @@
 impl SimulatedCluster {
     /// A cluster with three controllers.
     pub(super) fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
-        Self::of_shape(seed, faults, disabled_guard, THREE_CONTROLLERS)
+        Self::with_size(seed, faults, disabled_guard, THREE_CONTROLLERS)
     }
 
     /// A cluster with so many controllers and zones.
-    pub(super) fn of_shape(
+    pub(super) fn with_size(
         seed: u64,
         faults: Faults,
         disabled_guard: DisabledGuard,
-        shape: Shape,
+        size: ClusterSize,
     ) -> Self {
-        let nodes = (0..shape.members).map(|i| Node::new(i, shape.members, faults.rolling_upgrade));
+        let nodes = (0..size.controller_count)
+            .map(|i| Node::new(i, size.controller_count, faults.rolling_upgrade));
         let mut cluster = Self {
             now: MonotonicTime(0),
             queue: EventQueue::default(),
@@ -89,16 +90,16 @@
             faults,
             active: ActiveFaults::default(),
             disabled_guard,
-            store: StoreModel::default(),
+            store: FakeStore::default(),
             nodes: nodes.collect(),
             workers: BTreeMap::new(),
             last_machine: 0,
             rented: BTreeMap::new(),
-            zones: shape.zones,
+            zones: size.zones,
             jobs: BTreeMap::new(),
             cancelled: BTreeMap::new(),
-            cancelling: BTreeSet::new(),
-            scale: None,
+            pending_cancellations: BTreeSet::new(),
+            fleet: None,
             observed: Observations::default(),
             digest: Digest::default(),
         };
@@ -153,7 +154,7 @@
     }
 
     /// Runs all events until a time, in ms from the beginning of the day.
-    pub(super) fn run(&mut self, until: u64) {
+    pub(super) fn run_until(&mut self, until: u64) {
         while let Some((due, event)) = self.queue.pop_until(MonotonicTime(until)) {
             self.now = due;
             // In an outage of the store leases don't expire.
@@ -192,7 +193,7 @@
     }
 
     /// Jobs other than services that have no final state yet.
-    pub(super) fn unfinished(&self) -> Vec<&JobId> {
+    pub(super) fn unfinished_jobs(&self) -> Vec<&JobId> {
         let ended = |id: &JobId| self.store.contains(&keys::final_state(id));
         let finite = self.jobs.iter().filter(|(_, s)| s.kind != JobKind::Service);
         finite.map(|(id, _)| id).filter(|id| !ended(id)).collect()
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -4,7 +4,7 @@
 use super::events::{CascadeStepDue, ControllerProcess, SimulationEvent};
 use super::guards::DisabledGuard;
 use super::timing::USER_RETRY_MS;
-use super::violations::Rule;
+use super::violations::ViolationKind;
 use crate::api::dependencies::{
     CancellationCascade, CascadeStep, CombinedDependencyState, DependencyState,
     cached_dependency_state,
@@ -64,7 +64,7 @@
         let Some(controller) = &self.nodes[node].controller else {
             return;
         };
-        let guarded = self.disabled_guard != DisabledGuard::OldVersionsAcceptDependencies;
+        let guarded = self.disabled_guard != DisabledGuard::DependenciesAcceptedDuringUpgrade;
         if guarded && !controller.cache.all_members_support_dependencies() {
             self.observed.dependencies.postponed += 1;
             self.schedule_in(USER_RETRY_MS, SimulationEvent::SubmitDependent(spec));
@@ -87,7 +87,7 @@
         );
         let Some((txn, state)) = decided.acceptance_txn(spec, now, ops) else {
             self.record_violation(
-                Rule::SubmissionNotAccepted,
+                ViolationKind::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
             );
             return;
@@ -96,9 +96,9 @@
             TxnOutcome::Committed(_) => {
                 let counts = &mut self.observed.dependencies;
                 counts.submitted += 1;
-                counts.waited +=
+                counts.accepted_blocked +=
                     u64::from(matches!(dependencies, CombinedDependencyState::Live(_)));
-                counts.cancelled_at_once += u64::from(state == JobState::Cancelled);
+                counts.cancelled_on_submission += u64::from(state == JobState::Cancelled);
                 if state == JobState::Cancelled {
                     self.check_final_states();
                 }
@@ -190,7 +190,7 @@
         self.check_final_states();
         if let TxnOutcome::Committed(at) = outcome {
             cascade.committed(at);
-            self.observed.dependencies.cancelled_with += jobs.len() as u64;
+            self.observed.dependencies.cancelled_by_cascade += jobs.len() as u64;
             self.with_controller(process, |c| {
                 c.on_dependents_cancelled(jobs, at);
                 Vec::new()
@@ -202,7 +202,7 @@
         let left = self.jobs.keys().filter(|id| {
             self.store.contains(&keys::job(id)) && self.ancestors(id).contains(cancelled)
         });
-        self.observed.dependencies.left_at_confirmation += left.count() as u64;
+        self.observed.dependencies.live_at_confirmation += left.count() as u64;
     }
 
     /// All jobs that a job needs, directly or through others.
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -95,7 +95,7 @@
     }
 
     fn send_to_cloud(&mut self, caller: ControllerProcess, effect: Effect) {
-        let at_once = self.disabled_guard == DisabledGuard::MissingParentCountsAsDone;
+        let at_once = self.disabled_guard == DisabledGuard::MissingDependencyCountsAsDone;
         let ms = match at_once {
             true => 0,
             false => self.pick(CLOUD_CALL_MS.0, CLOUD_CALL_MS.1),
--- a/src/simulation/models.rs
+++ b/src/simulation/fakes.rs
@@ -3,5 +3,5 @@
 mod store;
 mod worker;
 
-pub(super) use store::{FakeStoreLimits, StoreModel};
+pub(super) use store::{FakeStore, FakeStoreLimits};
 pub(super) use worker::{AwaitedResponse, Worker, WorkerTask};
--- a/src/simulation/models/store.rs
+++ b/src/simulation/fakes/store.rs
@@ -37,7 +37,7 @@
 
 /// The state of the key-value store.
 #[derive(Default)]
-pub(in crate::simulation) struct StoreModel {
+pub(in crate::simulation) struct FakeStore {
     /// The last change.
     pub revision: Revision,
     keys: BTreeMap<String, StoredValue>,
@@ -49,7 +49,7 @@
     /// None at first.
     pub limits: Option<FakeStoreLimits>,
     /// How many transactions were refused for their size.
-    pub too_large: u64,
+    pub oversized_txns: u64,
 }
 
 fn read_by(value: Value, earlier_version: bool) -> Value {
@@ -75,7 +75,7 @@
     value
 }
 
-impl StoreModel {
+impl FakeStore {
     /// Whether a key has a value.
     pub(in crate::simulation) fn contains(&self, key: &str) -> bool {
         self.keys.contains_key(key)
@@ -145,7 +145,7 @@
             return TxnOutcome::Failed(failed, self.revision);
         }
         if self.is_too_large(txn) {
-            self.too_large += 1;
+            self.oversized_txns += 1;
             return TxnOutcome::Invalid;
         }
         let lease_ended = |change: &Change| matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -112,7 +112,7 @@
             self.active.partition.zones = [one, other];
             self.active.partition.until = self.time_in(ms);
             self.active.partition.delays_messages = self.chance(50);
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
         }
     }
 
@@ -126,13 +126,13 @@
         let first = self.pick(0, 2) as usize;
         for worker in self.workers.values_mut().skip(first).step_by(3) {
             worker.outbound_cut_until = until;
-            self.observed.faults_met += u64::from(!worker.tasks.is_empty());
+            self.observed.fault_occurrences += u64::from(!worker.tasks.is_empty());
         }
     }
 
     fn slow_store(&mut self) {
         if self.faults.slow_store && self.chance(35) {
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
             let ms = self.pick(3000, 15_000);
             self.active.slow_store_until = self.time_in(ms);
         }
@@ -140,7 +140,7 @@
 
     fn stop_all_controllers(&mut self) {
         if self.faults.control_plane_outage && self.chance(15) {
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
             let ms = self.pick(SHARD_LEASE_MS, 2 * SHARD_LEASE_MS);
             for node in 0..self.nodes.len() {
                 self.stop_controller(node, ms);
@@ -153,7 +153,7 @@
     /// well, its links are cut, or machines hang.
     fn begin_refusal_then_outage(&mut self) {
         let possible =
-            self.faults.refusal_then_outage && self.active.store_outage_until <= self.now;
+            self.faults.store_refusal_then_outage && self.active.store_outage_until <= self.now;
         if !(possible && self.chance(40)) {
             return;
         }
@@ -259,7 +259,7 @@
             return;
         }
         if let Some(leader) = self.leader() {
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
             let ms = self.restart_delay();
             self.stop_controller(leader, ms);
         }
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -30,7 +30,7 @@
     pub duplicate_requests: bool,
     /// The key-value store refuses the leader alone, users cancel through the others, and then
     /// it is out for everybody for longer than a cancellation may take.
-    pub refusal_then_outage: bool,
+    pub store_refusal_then_outage: bool,
     /// Machines can't reach any controller, while direct commands reach them.
     pub inbound_only_machines: bool,
     /// The key-value store is slow: transactions are given up and carried out later, and the
@@ -67,7 +67,7 @@
         controller_pauses: false,
         zone_isolation: false,
         duplicate_requests: false,
-        refusal_then_outage: false,
+        store_refusal_then_outage: false,
         inbound_only_machines: false,
         slow_store: false,
         leader_crashes: false,
@@ -80,7 +80,7 @@
     };
 
     /// All faults but those that need other zones, users or versions.
-    pub(super) const ALL: Self = Self {
+    pub(super) const ALL_SINGLE_FAULTS: Self = Self {
         controller_crashes: true,
         lost_responses: true,
         machine_failures: true,
@@ -93,7 +93,7 @@
         controller_pauses: true,
         zone_isolation: true,
         duplicate_requests: true,
-        refusal_then_outage: true,
+        store_refusal_then_outage: true,
         inbound_only_machines: true,
         slow_store: true,
         leader_crashes: true,
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -8,7 +8,7 @@
 mod starvation;
 
 use super::cluster::SimulatedCluster;
-use super::violations::{Rule, Violation};
+use super::violations::{Violation, ViolationKind};
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobSpec, TaskState};
 
@@ -39,9 +39,13 @@
     }
 
     /// Notes that a rule does not hold, and for what.
-    pub(super) fn record_violation(&mut self, rule: Rule, subject: impl std::fmt::Display) {
+    pub(super) fn record_violation(
+        &mut self,
+        rule: ViolationKind,
+        subject: impl std::fmt::Display,
+    ) {
         self.observed.violations.push(Violation {
-            rule,
+            kind: rule,
             at: self.now,
             subject: subject.to_string(),
         });
--- a/src/simulation/invariants/cancellations.rs
+++ b/src/simulation/invariants/cancellations.rs
@@ -3,7 +3,7 @@
 use crate::ids::JobId;
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::timing::CANCELLATION_LIMIT_MS;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 
 impl SimulatedCluster {
     /// For how many ms a job's user has known that it is cancelled.
@@ -31,17 +31,18 @@
             .map(|live| format!("{} on {}", live.attempt, live.machine))
             .collect();
         for what in kept {
-            self.record_violation(Rule::CancelledTaskRan, what);
+            self.record_violation(ViolationKind::CancelledTaskRan, what);
         }
     }
 
     /// A job is only cancelled if its user has asked for it, or with one that it needs.
     pub(in crate::simulation) fn check_cancellation_reason(&mut self, id: &JobId) {
-        let asked = |id: &JobId| self.cancelling.contains(id) || self.cancelled.contains_key(id);
+        let asked =
+            |id: &JobId| self.pending_cancellations.contains(id) || self.cancelled.contains_key(id);
         let mut reasons = self.ancestors(id);
         reasons.insert(id.clone());
         if !reasons.iter().any(asked) {
-            self.record_violation(Rule::CancelledWithoutReason, id);
+            self.record_violation(ViolationKind::CancelledWithoutReason, id);
         }
     }
 }
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -4,7 +4,7 @@
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::SimulationEvent;
 use crate::simulation::timing::UNREACHABLE_LIMIT_MS;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -23,14 +23,14 @@
             .find(recreated)
             .cloned()
         {
-            self.record_violation(Rule::DeletedRecordRecreated, machine);
+            self.record_violation(ViolationKind::DeletedRecordRecreated, machine);
         }
     }
 
     /// `DeletedRecordKept`: a record that a late request brought back for a deleted machine has to go
     /// again.
     pub(in crate::simulation) fn check_deleted_records_removed(&mut self) {
-        if !self.active.healed || self.scale.is_some() {
+        if !self.active.healed || self.fleet.is_some() {
             return;
         }
         let recorded = |id: &&MachineId| self.store.contains(&keys::machine(id));
@@ -51,7 +51,7 @@
                 .entry(id.clone())
                 .or_insert(self.now);
             if self.now.since(since).0 > DELETED_RECORD_LIMIT_MS {
-                self.record_violation(Rule::DeletedRecordKept, id);
+                self.record_violation(ViolationKind::DeletedRecordKept, id);
             }
         }
     }
@@ -62,7 +62,7 @@
         let up = self.workers.get(id).is_some_and(|w| !w.dead);
         let faults = &self.faults;
         let no_leader = faults.controller_crashes
-            || faults.refusal_then_outage
+            || faults.store_refusal_then_outage
             || faults.leader_crashes
             || faults.control_plane_outage
             || faults.slow_store;
@@ -78,7 +78,7 @@
                 self.schedule_in(ms, SimulationEvent::CheckUnreachable(id.clone()));
             }
         } else if self.store.contains(&keys::machine(id)) {
-            self.record_violation(Rule::UnreachableMachineKept, id);
+            self.record_violation(ViolationKind::UnreachableMachineKept, id);
         }
     }
 }
--- a/src/simulation/invariants/dependencies.rs
+++ b/src/simulation/invariants/dependencies.rs
@@ -3,7 +3,7 @@
 use crate::ids::JobId;
 use crate::protocol::{JobSpec, JobState};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -17,15 +17,18 @@
         done >= self.jobs[id].tasks as usize
     }
 
-    /// `ParentNotDone`.
+    /// `DependencyNotDone`.
     pub(in crate::simulation) fn check_parents_done(&mut self, spec: &JobSpec) {
         let open = spec.dependencies.iter().find(|id| !self.is_done(id));
         if let Some(open) = open.cloned() {
-            self.record_violation(Rule::ParentNotDone, format!("{} before {open}", spec.id));
+            self.record_violation(
+                ViolationKind::DependencyNotDone,
+                format!("{} before {open}", spec.id),
+            );
         }
     }
 
-    /// `Orphaned`: it would still be called queued or running.
+    /// `OrphanedDependent`: it would still be called queued or running.
     pub(in crate::simulation) fn check_no_orphans(&mut self) {
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.contains(&keys::job(id)));
@@ -35,7 +38,7 @@
         });
         let orphaned: Vec<JobId> = orphaned.cloned().collect();
         for orphan in orphaned {
-            self.record_violation(Rule::Orphaned, orphan);
+            self.record_violation(ViolationKind::OrphanedDependent, orphan);
         }
     }
 
--- a/src/simulation/invariants/final_states.rs
+++ b/src/simulation/invariants/final_states.rs
@@ -3,7 +3,7 @@
 use crate::ids::JobId;
 use crate::protocol::JobState;
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use crate::store::records::FinalRecord;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 impl SimulatedCluster {
     /// `DoneTooEarly` and `FinalStateChanged`.
     pub(in crate::simulation) fn check_final_states(&mut self) {
-        if self.scale.is_some() {
+        if self.fleet.is_some() {
             return;
         }
         let records = self.jobs.keys().filter_map(|id| {
@@ -27,7 +27,7 @@
     fn check_final_state(&mut self, id: &JobId, state: JobState) {
         let before = self.observed.final_states.insert(id.clone(), state);
         if before.is_some_and(|s| s != state) {
-            self.record_violation(Rule::FinalStateChanged, id);
+            self.record_violation(ViolationKind::FinalStateChanged, id);
         }
         if before.is_none() && state == JobState::Cancelled {
             self.check_cancellation_reason(id);
@@ -38,7 +38,7 @@
         if state == JobState::Done && done < spec.tasks as usize {
             let (kind, tasks) = (spec.kind, spec.tasks);
             let what = format!("{id} {kind:?} {completed:?} of {tasks}");
-            self.record_violation(Rule::DoneTooEarly, what);
+            self.record_violation(ViolationKind::DoneTooEarly, what);
         }
     }
 }
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -3,7 +3,7 @@
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 
 /// The longest way of a command that is neither delayed nor lost, in ms.
 const COMMAND_TRANSIT_MS: u64 = 10;
@@ -20,7 +20,7 @@
         just_sent: bool,
     ) {
         self.observed.launches += launched.len() as u64;
-        if self.scale.is_some() {
+        if self.fleet.is_some() {
             return;
         }
         for attempt in launched {
@@ -53,7 +53,7 @@
         let mut live = self.live_attempts();
         if live.any(|other| other.attempt.task == attempt.task && other.machine != machine) {
             drop(live);
-            self.record_violation(Rule::RanTwice, attempt);
+            self.record_violation(ViolationKind::RanTwice, attempt);
         }
     }
 
@@ -61,7 +61,7 @@
     fn check_quota(&mut self, spec: &JobSpec, attempt: &TaskAttempt) {
         let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         if self.team_cpus(spec) > limit {
-            self.record_violation(Rule::QuotaExceeded, attempt);
+            self.record_violation(ViolationKind::QuotaExceeded, attempt);
         }
     }
 
@@ -75,7 +75,7 @@
         let one_zone = !spec.one_zone || in_zone == zones.len();
         let spread = !spec.spread || in_zone <= spec.tasks.div_ceil(2) as usize;
         if !one_zone || !spread || (here.spot && !spec.allow_spot) {
-            self.record_violation(Rule::WrongPlacement, attempt);
+            self.record_violation(ViolationKind::WrongPlacement, attempt);
         }
     }
 
@@ -83,10 +83,10 @@
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
         if self.is_cancelled_for_long(job) {
-            self.record_violation(Rule::CancelledTaskRan, attempt);
+            self.record_violation(ViolationKind::CancelledTaskRan, attempt);
         }
         if just_sent && self.is_cancelled_for_more_than(job, COMMAND_TRANSIT_MS) {
-            self.record_violation(Rule::CancelledTaskLaunched, attempt);
+            self.record_violation(ViolationKind::CancelledTaskLaunched, attempt);
         }
     }
 }
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -3,8 +3,8 @@
 use crate::ids::{JobId, MachineId};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::models::Worker;
-use crate::simulation::violations::Rule;
+use crate::simulation::fakes::Worker;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
     /// `Starved`: no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
-        if !self.active.healed || self.scale.is_some() {
+        if !self.active.healed || self.fleet.is_some() {
             return;
         }
         let now = self.now;
@@ -28,7 +28,7 @@
             let since = &mut self.observed.starving_since;
             let since = *since.entry(id.clone()).or_insert(now);
             if now.since(since).0 > STARVATION_LIMIT_MS {
-                self.record_violation(Rule::Starved, &id);
+                self.record_violation(ViolationKind::Starved, &id);
             }
         }
     }
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -4,7 +4,7 @@
 use super::events::SimulationEvent;
 use super::faults::Faults;
 use super::guards::DisabledGuard;
-use super::scale::{RequestCounts, Scale};
+use super::large_fleet_state::{LargeFleetState, RequestCounts};
 use crate::config::TeamQuota;
 use crate::controller::TxnRequester;
 use crate::ids::{JobId, UnixTime};
@@ -30,7 +30,7 @@
 
 impl SimulatedCluster {
     /// Hundreds of machines, from so many to so many, and an array every so many ms.
-    pub(super) fn grown(
+    pub(super) fn with_large_fleet(
         seed: u64,
         machines: (usize, usize),
         changes_per_s: f64,
@@ -38,7 +38,7 @@
     ) -> Self {
         let mut cluster = Self::new(seed, Faults::default(), DisabledGuard::None);
         let limiter = TokenBucket::new(changes_per_s * CHANGES_SHARE);
-        cluster.scale = Some(Scale {
+        cluster.fleet = Some(LargeFleetState {
             min_machines: machines.0,
             max_machines: machines.1,
             slots: SLOTS,
@@ -54,7 +54,7 @@
 
     /// Boots the machines of a large fleet and applies its rates.
     fn start_large_fleet(&mut self) {
-        let Some(scale) = &self.scale else { return };
+        let Some(scale) = &self.fleet else { return };
         let changes = scale.changes_per_s;
         let more = scale.min_machines.saturating_sub(self.workers.len());
         for _ in 0..more {
@@ -74,7 +74,7 @@
     /// Whether the rates let a transaction through, each controller within its share.
     pub(super) fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
         let now = self.now;
-        let Some(scale) = &mut self.scale else {
+        let Some(scale) = &mut self.fleet else {
             return true;
         };
         let (name, class) = match requester {
@@ -93,7 +93,7 @@
         counts.transactions += 1;
         if admitted {
             counts.changes += changes;
-            *counts.by_requester.entry(name).or_default() += changes;
+            *counts.changes_by_requester.entry(name).or_default() += changes;
         } else {
             counts.refused += 1;
         }
@@ -102,7 +102,7 @@
 
     /// Submits the next array or service; services end after a while.
     pub(super) fn submit_to_large_fleet(&mut self) {
-        let Some(scale) = self.scale.as_ref().filter(|_| !self.active.healed) else {
+        let Some(scale) = self.fleet.as_ref().filter(|_| !self.active.healed) else {
             return;
         };
         let interval_ms = scale.array_interval_ms;
@@ -114,7 +114,7 @@
         txn.put(keys::job(&spec.id), &record, None);
         self.store.txn(&txn);
         self.jobs.insert(spec.id.clone(), spec);
-        if let Some(scale) = &mut self.scale {
+        if let Some(scale) = &mut self.fleet {
             scale.services = services;
         }
         if service && services > MAX_SERVICES {
--- a/src/simulation/scale.rs
+++ b/src/simulation/large_fleet_state.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// A large fleet: what exceeds the settings' rates is refused, and counted.
-pub(super) struct Scale {
+pub(super) struct LargeFleetState {
     /// Machines that are up from the start.
     pub min_machines: usize,
     /// The most machines that the cloud provides.
@@ -33,7 +33,7 @@
     /// Changes that were let through.
     pub changes: u64,
     /// Changes by the part of the controller that asked for them.
-    pub by_requester: BTreeMap<&'static str, u64>,
+    pub changes_by_requester: BTreeMap<&'static str, u64>,
     /// Tasks of arrays that have ended.
     pub ended: u64,
 }
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -13,9 +13,9 @@
     /// How many task attempts were launched.
     pub launches: u64,
     /// How often faults met as the day's name says.
-    pub faults_met: u64,
+    pub fault_occurrences: u64,
     /// How many messages and heartbeats were relayed around a partition.
-    pub relayed: u64,
+    pub relayed_messages: u64,
     /// How many running tasks ended with their machine or its lease.
     pub tasks_lost: u64,
     /// The tasks of each job that have run to their end.
@@ -38,28 +38,28 @@
     /// Submissions that were accepted.
     pub submitted: u64,
     /// Accepted with dependencies that had not ended.
-    pub waited: u64,
+    pub accepted_blocked: u64,
     /// Transactions that released dependent jobs.
     pub released: u64,
     /// Accepted as cancelled, since a dependency was.
-    pub cancelled_at_once: u64,
+    pub cancelled_on_submission: u64,
     /// Cancelled later together with a dependency.
-    pub cancelled_with: u64,
+    pub cancelled_by_cascade: u64,
     /// Submissions postponed since a controller of an earlier version took part.
     pub postponed: u64,
     /// Still live when the user of a cancelled dependency was told.
-    pub left_at_confirmation: u64,
+    pub live_at_confirmation: u64,
 }
 
 impl DependencyCounts {
     /// Adds the counts of another day.
     pub(super) fn add(&mut self, other: &Self) {
         self.submitted += other.submitted;
-        self.waited += other.waited;
+        self.accepted_blocked += other.accepted_blocked;
         self.released += other.released;
-        self.cancelled_at_once += other.cancelled_at_once;
-        self.cancelled_with += other.cancelled_with;
+        self.cancelled_on_submission += other.cancelled_on_submission;
+        self.cancelled_by_cascade += other.cancelled_by_cascade;
         self.postponed += other.postponed;
-        self.left_at_confirmation += other.left_at_confirmation;
+        self.live_at_confirmation += other.live_at_confirmation;
     }
 }
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/stand_ins/cloud.rs
@@ -6,11 +6,11 @@
 use crate::protocol::{Catalog, JobState, ListedMachine, MachineState, RentRequest, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::{ControllerProcess, SimulationEvent};
+use crate::simulation::fakes::{Worker, WorkerTask};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
-use crate::simulation::models::{Worker, WorkerTask};
 use crate::simulation::topology::ZONES;
-use crate::simulation::violations::Rule;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use crate::store::records::FinalRecord;
 use serde_json::json;
@@ -72,7 +72,7 @@
     }
 
     fn provide_machines(&mut self, request: &RentRequest) -> Vec<MachineId> {
-        let scale = self.scale.as_ref();
+        let scale = self.fleet.as_ref();
         let most = scale.map_or(SMALL_FLEET_MACHINES, |s| s.max_machines);
         let free = most.saturating_sub(self.workers.len());
         let free = free.min(request.count as usize);
@@ -99,7 +99,7 @@
     fn delete_machines(&mut self, caller: ControllerProcess, ids: &[MachineId]) {
         let now = self.now;
         self.check_deletion(ids);
-        if self.disabled_guard != DisabledGuard::UnconfirmedDeletionsTrusted {
+        if self.disabled_guard != DisabledGuard::DeletionsFalselyConfirmed {
             for id in ids {
                 let deleted = self.workers.remove(id).filter(|w| !w.dead);
                 self.observed.tasks_lost += deleted.as_ref().map_or(0, Worker::running_tasks);
@@ -124,7 +124,7 @@
         if self.faults == pauses_only
             && let Some(id) = ids.iter().find(healthy).cloned()
         {
-            self.record_violation(Rule::HealthyMachineDeleted, id);
+            self.record_violation(ViolationKind::HealthyMachineDeleted, id);
         }
     }
 
@@ -147,7 +147,7 @@
 
     fn send_catalog(&mut self, caller: ControllerProcess) {
         let now = self.now;
-        let slots = self.scale.as_ref().map_or(SMALL_FLEET_SLOTS, |s| s.slots);
+        let slots = self.fleet.as_ref().map_or(SMALL_FLEET_SLOTS, |s| s.slots);
         let catalog: Catalog = serde_json::from_value(json!({"hulls": [
             {"name": "t8", "cores": 2 * slots, "cards": 0, "memory_gb": 16 * slots, "cache_gb": 50,
              "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
@@ -166,7 +166,7 @@
             return;
         };
         let state = match self.disabled_guard {
-            DisabledGuard::MissingParentCountsAsDone => JobState::Done,
+            DisabledGuard::MissingDependencyCountsAsDone => JobState::Done,
             _ => record.state,
         };
         self.with_controller(caller, |c| c.on_job_outcome(now, job, state));
--- a/src/simulation/stand_ins/direct_calls.rs
+++ b/src/simulation/stand_ins/direct_calls.rs
@@ -44,7 +44,7 @@
     /// The machine is deleted, dead or has not booted.
     fn call_missing_machine(&mut self, call: &DirectCall) {
         let deleted = self.observed.deleted_machines.contains(&call.machine);
-        if deleted && self.disabled_guard == DisabledGuard::DeletedMachinesAnswer {
+        if deleted && self.disabled_guard == DisabledGuard::DeletedMachinesAcknowledge {
             let mut worker = self.new_worker(false);
             worker.token = call.token;
             let heartbeat = worker.heartbeat(call.machine.as_str());
--- a/src/simulation/stand_ins/gangs.rs
+++ b/src/simulation/stand_ins/gangs.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{ExitReason, JobKind, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::SimulationEvent;
-use crate::simulation::models::{Worker, WorkerTask};
+use crate::simulation::fakes::{Worker, WorkerTask};
 use std::collections::BTreeMap;
 
 /// How long a gang runs, in ms.
--- a/src/simulation/stand_ins/heartbeats.rs
+++ b/src/simulation/stand_ins/heartbeats.rs
@@ -6,8 +6,8 @@
 use crate::simulation::events::{
     HeartbeatDelivery, HeartbeatRedirect, HeartbeatResponse, SimulationEvent,
 };
+use crate::simulation::fakes::AwaitedResponse;
 use crate::simulation::guards::DisabledGuard;
-use crate::simulation::models::AwaitedResponse;
 use crate::simulation::timing::{HEARTBEAT_TIMEOUT_MS, SHARD_LEASE_MS};
 use crate::simulation::topology::member_index;
 use crate::worker_control::HeartbeatAnswer;
@@ -85,7 +85,7 @@
                 worker.next_heartbeat = worker.next_heartbeat.min(now);
             }
         }
-        if let Some(scale) = &mut self.scale {
+        if let Some(scale) = &mut self.fleet {
             scale.counts.ended += ended.len() as u64;
         }
         ended
@@ -123,7 +123,7 @@
     fn cancel_at_completion(&mut self, job: JobId) {
         if self.faults.cancel_at_completion && self.chance(30) {
             let ms = self.pick(0, 60);
-            self.observed.faults_met += 1;
+            self.observed.fault_occurrences += 1;
             self.schedule_in(ms, SimulationEvent::CancelAtCompletion(job));
         }
     }
@@ -241,7 +241,7 @@
         let commands = &response.commands;
         let launched = worker.execute(now, if ignores_launches { &[] } else { commands });
         worker.answered = awaited.sent;
-        if self.disabled_guard == DisabledGuard::ExitedTasksForgottenAtOnce {
+        if self.disabled_guard == DisabledGuard::ExitedTasksForgottenOnReport {
             worker.forget_exited();
         }
         if response.token > worker.token || !commands.is_empty() {
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/stand_ins/network.rs
@@ -52,7 +52,7 @@
         let cut = cut(from) || cut(to) || partitioned;
         if partitioned && let Some(relay) = self.relay_between(from, to) {
             self.deliver_to_peer(RELAYED_MS, from, to, message);
-            self.observed.relayed += u64::from(relay != from);
+            self.observed.relayed_messages += u64::from(relay != from);
             return;
         }
         let lost = cut || (self.faults.lost_responses && self.chance(LOST_MESSAGE_PERCENT));
@@ -133,7 +133,7 @@
         if let Some(answer) = &answer {
             self.digest.add_answer(to, answer);
         }
-        self.observed.relayed += u64::from(answer.is_some());
+        self.observed.relayed_messages += u64::from(answer.is_some());
         answer
     }
 
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -15,7 +15,7 @@
 use super::cluster::SimulatedCluster;
 use super::faults::Faults;
 use super::guards::DisabledGuard;
-use super::topology::{Shape, THREE_CONTROLLERS};
+use super::topology::{ClusterSize, THREE_CONTROLLERS};
 
 /// When the faults of a day are healed, in ms.
 const HEAL_AT_MS: u64 = 120_000;
@@ -41,7 +41,7 @@
     ("freezes", |t| t.controller_pauses = true),
     ("zone", |t| t.zone_isolation = true),
     ("repeats", |t| t.duplicate_requests = true),
-    ("gap", |t| t.refusal_then_outage = true),
+    ("gap", |t| t.store_refusal_then_outage = true),
     ("mute", |t| t.inbound_only_machines = true),
     ("slow", |t| t.slow_store = true),
     ("leaders", |t| t.leader_crashes = true),
@@ -56,15 +56,15 @@
 
 /// Plays a day with faults, heals them and lets all work finish.
 fn play_at(
-    shape: Shape,
+    size: ClusterSize,
     seed: u64,
     faults: Faults,
     disabled_guard: DisabledGuard,
 ) -> SimulatedCluster {
-    let mut cluster = SimulatedCluster::of_shape(seed, faults, disabled_guard, shape);
-    cluster.run(HEAL_AT_MS);
+    let mut cluster = SimulatedCluster::with_size(seed, faults, disabled_guard, size);
+    cluster.run_until(HEAL_AT_MS);
     cluster.heal();
-    cluster.run(DAY_END_MS);
+    cluster.run_until(DAY_END_MS);
     cluster
 }
 
@@ -80,9 +80,9 @@
         "{what}: only {} starts",
         cluster.observed.launches
     );
-    let waiting = &cluster.cancelling;
+    let waiting = &cluster.pending_cancellations;
     assert!(waiting.is_empty(), "{what}: never confirmed {waiting:?}");
-    let left = cluster.unfinished();
+    let left = cluster.unfinished_jobs();
     assert!(left.is_empty(), "{what}: never finished {left:?}");
 }
 
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -8,7 +8,7 @@
 use crate::planning::completion_counter::{self, CounterLayout};
 use crate::protocol::JobState;
 use crate::protocol::store::Txn;
-use crate::simulation::models::StoreModel;
+use crate::simulation::fakes::FakeStore;
 use crate::store::records::{FinalRecord, JobRecord, MachineRecord};
 use crate::store::{TxnOutcome, keys};
 
@@ -50,7 +50,7 @@
 }
 
 /// The end as the leader writes it, once a machine's record says that all tasks are done.
-fn completion(store: &mut StoreModel, id: &JobId) -> Txn {
+fn completion(store: &mut FakeStore, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
     record.add_done(id, 0, 3);
@@ -62,7 +62,7 @@
     completion_counter::completion_txn(id, &cache.jobs[id], &layout).expect("all tasks are done")
 }
 
-fn final_state(store: &StoreModel, id: &JobId) -> Option<JobState> {
+fn final_state(store: &FakeStore, id: &JobId) -> Option<JobState> {
     let record = store.read::<FinalRecord>(&keys::final_state(id))?;
     Some(record.state)
 }
@@ -93,7 +93,7 @@
     let orders = distinct_orders(&ALL);
     assert_eq!(orders.len(), 90);
     for order in orders {
-        let mut store = StoreModel::default();
+        let mut store = FakeStore::default();
         let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
             panic!("not accepted");
         };
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -21,7 +21,7 @@
 
 /// A parent and a child in one store.
 struct Scene {
-    store: StoreModel,
+    store: FakeStore,
     parent: Revision,
     ends: Txn,
     /// What the submission has seen last.
@@ -32,7 +32,7 @@
 
 impl Scene {
     fn new() -> Self {
-        let mut store = StoreModel::default();
+        let mut store = FakeStore::default();
         let parent = JobId::from(PARENT);
         let TxnOutcome::Committed(revision) = store.txn(&submission(&parent)) else {
             panic!("not accepted");
--- a/src/simulation/tests/dependent_days.rs
+++ b/src/simulation/tests/dependent_days.rs
@@ -5,8 +5,8 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::observations::DependencyCounts;
-use crate::simulation::topology::{FIVE_CONTROLLERS, Shape, THREE_CONTROLLERS};
-use crate::simulation::violations::Rule;
+use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
+use crate::simulation::violations::ViolationKind;
 
 /// Users submit dependent jobs, without any fault.
 pub(super) const DEPENDENT_JOBS: Faults = Faults {
@@ -27,26 +27,26 @@
 
 /// Plays a day until dependent jobs have ended as well.
 pub(super) fn play_dependent_day(
-    shape: Shape,
+    size: ClusterSize,
     seed: u64,
     faults: Faults,
     disabled_guard: DisabledGuard,
 ) -> SimulatedCluster {
-    let mut cluster = super::play_at(shape, seed, faults, disabled_guard);
-    cluster.run(DAY_END_MS);
+    let mut cluster = super::play_at(size, seed, faults, disabled_guard);
+    cluster.run_until(DAY_END_MS);
     cluster
 }
 
 /// Plays a day on each seed and sums up what became of the dependent jobs.
 fn play_days(
     name: &str,
-    shape: Shape,
+    size: ClusterSize,
     seeds: std::ops::Range<u64>,
     faults: Faults,
 ) -> DependencyCounts {
     let mut sum = DependencyCounts::default();
     for seed in seeds {
-        let cluster = play_dependent_day(shape, seed, faults, DisabledGuard::None);
+        let cluster = play_dependent_day(size, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
         sum.add(&cluster.observed.dependencies);
     }
@@ -55,10 +55,10 @@
 }
 
 fn assert_dependencies_exercised(counts: &DependencyCounts) {
-    assert!(counts.waited >= 10, "{counts:?}");
+    assert!(counts.accepted_blocked >= 10, "{counts:?}");
     assert!(counts.released >= 5, "{counts:?}");
     assert!(
-        counts.cancelled_at_once + counts.cancelled_with >= 3,
+        counts.cancelled_on_submission + counts.cancelled_by_cascade >= 3,
         "{counts:?}"
     );
 }
@@ -73,7 +73,7 @@
     );
     assert_dependencies_exercised(&counts);
     // Nobody is told of a cancellation while a dependent of the job is still live.
-    assert_eq!(counts.left_at_confirmation, 0);
+    assert_eq!(counts.live_at_confirmation, 0);
 }
 
 /// Each fault alone, with dependent jobs all day.
@@ -84,17 +84,20 @@
         let mut faults = DEPENDENT_JOBS;
         set(&mut faults);
         let counts = play_days(name, THREE_CONTROLLERS, seed..seed + 3, faults);
-        assert!(counts.waited >= 10 && counts.released >= 5, "{counts:?}");
+        assert!(
+            counts.accepted_blocked >= 10 && counts.released >= 5,
+            "{counts:?}"
+        );
         sum.add(&counts);
     }
-    assert!(sum.cancelled_with >= 100, "{sum:?}");
+    assert!(sum.cancelled_by_cascade >= 100, "{sum:?}");
 }
 
 #[test]
 fn invariants_hold_for_dependent_jobs_under_all_faults() {
     let all = Faults {
         dependent_jobs: true,
-        ..Faults::ALL
+        ..Faults::ALL_SINGLE_FAULTS
     };
     let mut sum = play_days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
     let partitioned = Faults {
@@ -136,22 +139,22 @@
         (
             DisabledGuard::DependenciesIgnored,
             DEPENDENT_JOBS,
-            Rule::ParentNotDone,
+            ViolationKind::DependencyNotDone,
         ),
         (
-            DisabledGuard::MissingParentCountsAsDone,
+            DisabledGuard::MissingDependencyCountsAsDone,
             DEPENDENT_JOBS,
-            Rule::ParentNotDone,
+            ViolationKind::DependencyNotDone,
         ),
         (
             DisabledGuard::DependentsNotCancelled,
             DEPENDENT_JOBS,
-            Rule::Orphaned,
+            ViolationKind::OrphanedDependent,
         ),
         (
-            DisabledGuard::OldVersionsAcceptDependencies,
+            DisabledGuard::DependenciesAcceptedDuringUpgrade,
             UPGRADE,
-            Rule::ParentNotDone,
+            ViolationKind::DependencyNotDone,
         ),
     ] {
         let record_violation = |seed: &u64| {
@@ -161,7 +164,7 @@
                 .observed
                 .violations
                 .iter()
-                .any(|violation| violation.rule == rule)
+                .any(|violation| violation.kind == rule)
         };
         let caught = (680..700).find(record_violation);
         println!("{disabled_guard:?} seen with seed {caught:?}");
--- a/src/simulation/tests/digests.rs
+++ b/src/simulation/tests/digests.rs
@@ -7,7 +7,7 @@
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
-use crate::simulation::topology::{FIVE_CONTROLLERS, Shape, THREE_CONTROLLERS};
+use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
 /// The end of days on which jobs wait for one another, in ms.
 const DEPENDENT_DAY_END_MS: u64 = 340_000;
@@ -18,10 +18,10 @@
     println!("digest {name} {seed}: {value:016x} of {outputs} outputs");
 }
 
-fn play(name: &str, shape: Shape, seed: u64, faults: Faults) {
-    let mut cluster = play_at(shape, seed, faults, DisabledGuard::None);
+fn play(name: &str, size: ClusterSize, seed: u64, faults: Faults) {
+    let mut cluster = play_at(size, seed, faults, DisabledGuard::None);
     if faults.dependent_jobs {
-        cluster.run(DEPENDENT_DAY_END_MS);
+        cluster.run_until(DEPENDENT_DAY_END_MS);
     }
     print(name, seed, &cluster);
 }
@@ -72,7 +72,7 @@
 fn digests_of_all_faults_and_upgrades() {
     let partitioned = Faults {
         zone_partition: true,
-        ..Faults::ALL
+        ..Faults::ALL_SINGLE_FAULTS
     };
     let upgraded = Faults {
         dependent_jobs: true,
@@ -81,7 +81,7 @@
         ..Faults::NONE
     };
     for seed in 720..726 {
-        play("all", THREE_CONTROLLERS, seed, Faults::ALL);
+        play("all", THREE_CONTROLLERS, seed, Faults::ALL_SINGLE_FAULTS);
         play("all at five", FIVE_CONTROLLERS, seed, partitioned);
         play("upgrade and limits", THREE_CONTROLLERS, seed, upgraded);
         play("upgrade at five", FIVE_CONTROLLERS, seed, upgraded);
@@ -92,8 +92,8 @@
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_large_fleets() {
     for (seed, machines) in [(7, (300, 900)), (8, (120, 120)), (9, (1200, 1800))] {
-        let mut cluster = SimulatedCluster::grown(seed, machines, 50.0, 500);
-        cluster.run(45_000);
+        let mut cluster = SimulatedCluster::with_large_fleet(seed, machines, 50.0, 500);
+        cluster.run_until(45_000);
         print("grown", seed, &cluster);
     }
 }
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -44,20 +44,23 @@
         ..Faults::default()
     };
     let refusal = Faults {
-        refusal_then_outage: true,
+        store_refusal_then_outage: true,
         ..Faults::default()
     };
     for (disabled_guard, faults) in [
         (
-            DisabledGuard::ExitedTasksForgottenAtOnce,
+            DisabledGuard::ExitedTasksForgottenOnReport,
             duplicate_requests,
         ),
         (DisabledGuard::LostCallsCountAsUnsent, lost_responses),
-        (DisabledGuard::UnconfirmedDeletionsTrusted, all),
+        (DisabledGuard::DeletionsFalselyConfirmed, all),
         (DisabledGuard::FencesIgnored, all),
-        (DisabledGuard::DeletedMachinesAnswer, duplicate_heartbeats),
+        (
+            DisabledGuard::DeletedMachinesAcknowledge,
+            duplicate_heartbeats,
+        ),
         (DisabledGuard::UnreachableMachinesAcknowledge, outbound_only),
-        (DisabledGuard::CancellationConfirmedAtOnce, refusal),
+        (DisabledGuard::CancellationConfirmedOnCommit, refusal),
         (DisabledGuard::LaunchesIgnoredAfterHeal, lost_responses),
     ] {
         assert_detected(disabled_guard, faults);
--- a/src/simulation/tests/fault_meetings.rs
+++ b/src/simulation/tests/fault_meetings.rs
@@ -9,18 +9,18 @@
 #[test]
 fn invariants_hold_for_cancellations_between_store_refusal_and_outage() {
     let refusal = Faults {
-        refusal_then_outage: true,
+        store_refusal_then_outage: true,
         ..Faults::default()
     };
-    let mut faults_met = 0;
+    let mut fault_occurrences = 0;
     for seed in 140..150 {
         let cluster = play(seed, refusal, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("gap, seed {seed}"));
-        faults_met += cluster.observed.faults_met;
+        fault_occurrences += cluster.observed.fault_occurrences;
     }
     assert!(
-        faults_met >= 10,
-        "cancellations met the gap {faults_met} times"
+        fault_occurrences >= 10,
+        "cancellations met the gap {fault_occurrences} times"
     );
     let more = Faults {
         controller_crashes: true,
@@ -39,13 +39,16 @@
     faults: Faults,
     at_least: u64,
 ) {
-    let mut faults_met = 0;
+    let mut fault_occurrences = 0;
     for seed in seeds.clone() {
         let cluster = play(seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
-        faults_met += cluster.observed.faults_met;
+        fault_occurrences += cluster.observed.fault_occurrences;
     }
-    assert!(faults_met >= at_least, "{name}: met {faults_met} times");
+    assert!(
+        fault_occurrences >= at_least,
+        "{name}: met {fault_occurrences} times"
+    );
     let more = Faults {
         controller_crashes: true,
         machine_failures: true,
--- a/src/simulation/tests/growth.rs
+++ b/src/simulation/tests/growth.rs
@@ -2,12 +2,12 @@
 //! times, so that growing costs can't return unnoticed.
 
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::scale::RequestCounts;
+use crate::simulation::large_fleet_state::RequestCounts;
 
 /// Plays a day of a fleet; returns what was asked of the store, and how many tasks were launched.
 fn cost(mut cluster: SimulatedCluster, until: u64) -> (RequestCounts, u64) {
-    cluster.run(until);
-    let counts = cluster.scale.take().expect("scale").counts;
+    cluster.run_until(until);
+    let counts = cluster.fleet.take().expect("scale").counts;
     println!(
         "{counts:?}, {} starts, {} jobs",
         cluster.observed.launches,
@@ -18,8 +18,11 @@
 
 #[test]
 fn fleet_of_900_writes_few_changes_per_task() {
-    let (counts, starts) = cost(SimulatedCluster::grown(7, (300, 900), 50.0, 920), 120_000);
-    let by = &counts.by_requester;
+    let (counts, starts) = cost(
+        SimulatedCluster::with_large_fleet(7, (300, 900), 50.0, 920),
+        120_000,
+    );
+    let by = &counts.changes_by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
     // A batch a second, not a plan for each job.
@@ -32,8 +35,11 @@
 /// nothing is scanned over and over.
 #[test]
 fn overloaded_fleet_writes_few_changes_per_task() {
-    let (counts, starts) = cost(SimulatedCluster::grown(8, (120, 120), 50.0, 300), 90_000);
-    let by = &counts.by_requester;
+    let (counts, starts) = cost(
+        SimulatedCluster::with_large_fleet(8, (120, 120), 50.0, 300),
+        90_000,
+    );
+    let by = &counts.changes_by_requester;
     assert!(starts > 10_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
 }
@@ -41,8 +47,11 @@
 /// Half as many machines again as the largest deployment so far.
 #[test]
 fn fleet_of_1800_writes_few_changes_per_task() {
-    let (counts, starts) = cost(SimulatedCluster::grown(9, (1200, 1800), 70.0, 500), 60_000);
-    let by = &counts.by_requester;
+    let (counts, starts) = cost(
+        SimulatedCluster::with_large_fleet(9, (1200, 1800), 70.0, 500),
+        60_000,
+    );
+    let by = &counts.changes_by_requester;
     assert!(starts > 8_000, "{starts} starts");
     assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
 }
@@ -51,13 +60,13 @@
 /// machine, and placing a task costs no more changes than on a smaller fleet.
 #[test]
 fn fleet_of_4500_is_fully_known_and_writes_few_changes_per_task() {
-    let mut cluster = SimulatedCluster::grown(10, (4500, 4500), 90.0, 300);
-    cluster.run(15_000);
+    let mut cluster = SimulatedCluster::with_large_fleet(10, (4500, 4500), 90.0, 300);
+    cluster.run_until(15_000);
     let leader = cluster.leader().expect("a leader");
     let controller = cluster.nodes[leader].controller.as_ref().expect("it runs");
     assert_eq!(controller.cache.machines.len(), 4500);
     let (counts, starts) = cost(cluster, 45_000);
-    let by = &counts.by_requester;
+    let by = &counts.changes_by_requester;
     assert!(starts > 20_000, "{starts} starts");
     assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
--- a/src/simulation/tests/pairs.rs
+++ b/src/simulation/tests/pairs.rs
@@ -79,7 +79,7 @@
         let first = FIRST_SEARCH_SEED + SEEDS_PER_PAIR * n;
         for seed in first..first + SEEDS_PER_PAIR {
             let cluster = play(seed, faults, DisabledGuard::None);
-            let (waiting, left) = (&cluster.cancelling, cluster.unfinished());
+            let (waiting, left) = (&cluster.pending_cancellations, cluster.unfinished_jobs());
             if !cluster.observed.violations.is_empty() || !waiting.is_empty() || !left.is_empty() {
                 let rules = cluster.observed.violations.first();
                 violations.push(format!(
@@ -94,5 +94,5 @@
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
 fn search_many_seeds_of_all_faults() {
-    play_days("all", 1000..1200, Faults::ALL);
+    play_days("all", 1000..1200, Faults::ALL_SINGLE_FAULTS);
 }
--- a/src/simulation/tests/single_faults.rs
+++ b/src/simulation/tests/single_faults.rs
@@ -123,5 +123,5 @@
 
 #[test]
 fn invariants_hold_under_all_faults() {
-    play_days("all", 40..48, Faults::ALL);
+    play_days("all", 40..48, Faults::ALL_SINGLE_FAULTS);
 }
--- a/src/simulation/tests/upgrades.rs
+++ b/src/simulation/tests/upgrades.rs
@@ -4,20 +4,20 @@
 use super::dependent_days::{UPGRADE, play_dependent_day};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
-use crate::simulation::topology::{FIVE_CONTROLLERS, Shape, THREE_CONTROLLERS};
+use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
 /// Plays upgrade days and asserts that every controller was upgraded and every limit lowered.
-fn play_upgrade_days(name: &str, shape: Shape, seeds: std::ops::Range<u64>, faults: Faults) {
+fn play_upgrade_days(name: &str, size: ClusterSize, seeds: std::ops::Range<u64>, faults: Faults) {
     let (mut upgraded, mut postponed, mut lowered) = (0, 0, 0);
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let cluster = play_dependent_day(shape, seed, faults, DisabledGuard::None);
+        let cluster = play_dependent_day(size, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
         upgraded += cluster.nodes.iter().filter(|n| !n.earlier_version).count();
         postponed += cluster.observed.dependencies.postponed;
         lowered += u64::from(cluster.store.limits.is_some());
     }
-    assert_eq!(upgraded, shape.members * count as usize, "{name}");
+    assert_eq!(upgraded, size.controller_count * count as usize, "{name}");
     assert_eq!(lowered, count, "{name}");
     assert!(postponed > 0, "{name}: nothing was asked too soon");
 }
@@ -64,7 +64,7 @@
         late,
     );
     let refusal = Faults {
-        refusal_then_outage: true,
+        store_refusal_then_outage: true,
         cancel_at_completion: true,
         store_disconnects: true,
         ..UPGRADE
@@ -82,7 +82,7 @@
         };
         let cluster = play_dependent_day(THREE_CONTROLLERS, seed, overload, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("limits, seed {seed}"));
-        let refused = cluster.store.too_large;
+        let refused = cluster.store.oversized_txns;
         assert!(refused <= 20, "seed {seed}: refused {refused} times");
     }
 }
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -30,7 +30,7 @@
             ..partitioned
         },
         Faults {
-            refusal_then_outage: true,
+            store_refusal_then_outage: true,
             ..partitioned
         },
         Faults {
@@ -60,10 +60,10 @@
         let cluster = play_at(FIVE_CONTROLLERS, seed, partitioned, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("zones apart, seed {seed}"));
         assert!(
-            cluster.observed.faults_met > 0,
+            cluster.observed.fault_occurrences > 0,
             "seed {seed}: no zones were apart"
         );
-        relayed += cluster.observed.relayed;
+        relayed += cluster.observed.relayed_messages;
         killed[0] += cluster.observed.tasks_lost;
         let without = play_at(
             FIVE_CONTROLLERS,
@@ -100,7 +100,7 @@
     for seed in 430..438 {
         let faults = Faults {
             zone_partition: true,
-            ..Faults::ALL
+            ..Faults::ALL_SINGLE_FAULTS
         };
         let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("all at five, seed {seed}"));
--- a/src/simulation/topology.rs
+++ b/src/simulation/topology.rs
@@ -2,26 +2,26 @@
 
 /// How many controllers and zones there are.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Shape {
+pub(super) struct ClusterSize {
     /// How many controllers there are.
-    pub members: usize,
+    pub controller_count: usize,
     /// How many zones there are.
     pub zones: usize,
 }
 
 /// The small deployment: three controllers in two zones.
-pub(super) const THREE_CONTROLLERS: Shape = Shape {
-    members: 3,
+pub(super) const THREE_CONTROLLERS: ClusterSize = ClusterSize {
+    controller_count: 3,
     zones: 2,
 };
 /// The large deployment: five controllers in three zones.
-pub(super) const FIVE_CONTROLLERS: Shape = Shape {
-    members: 5,
+pub(super) const FIVE_CONTROLLERS: ClusterSize = ClusterSize {
+    controller_count: 5,
     zones: 3,
 };
-/// The names of the zones; a shape uses the first ones.
+/// The names of the zones; a cluster uses the first ones.
 pub(super) const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The names of the controllers; a shape uses the first ones.
+/// The names of the controllers; a cluster uses the first ones.
 pub(super) const MEMBERS: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 /// The zone that zone isolation cuts off.
 pub(super) const ISOLATED_ZONE: &str = "b";
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -5,7 +5,7 @@
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
-use super::models::FakeStoreLimits;
+use super::fakes::FakeStoreLimits;
 
 /// When the first controller is upgraded, and the time between two upgrades, in ms.
 const FIRST_UPGRADE_MS: u64 = 15_000;
@@ -53,7 +53,7 @@
     pub(super) fn upgrade(&mut self, node: usize) {
         self.nodes[node].earlier_version = false;
         self.configure_limits(node);
-        self.observed.faults_met += 1;
+        self.observed.fault_occurrences += 1;
         if self.stop_process(node) {
             let ms = self.pick(RESTART_MS.0, RESTART_MS.1);
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
--- a/src/simulation/violations.rs
+++ b/src/simulation/violations.rs
@@ -4,7 +4,7 @@
 
 /// What must hold. Each variant is named for its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Rule {
+pub(super) enum ViolationKind {
     /// A machine with running tasks was deleted, though no machine was at fault.
     HealthyMachineDeleted,
     /// Two attempts of a task were live on two machines.
@@ -24,9 +24,9 @@
     /// A job was done before all its tasks were.
     DoneTooEarly,
     /// A task was launched before a dependency was done.
-    ParentNotDone,
+    DependencyNotDone,
     /// A job was still live long after a dependency was cancelled.
-    Orphaned,
+    OrphanedDependent,
     /// A job waited for long beside room that fits.
     Starved,
     /// A record of a deleted machine came back.
@@ -44,7 +44,7 @@
 #[expect(dead_code, reason = "time and subject are printed by failing tests")]
 pub(super) struct Violation {
     /// The rule.
-    pub rule: Rule,
+    pub kind: ViolationKind,
     /// When it was noticed.
     pub at: MonotonicTime,
     /// The job, task attempt or machine.
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -18,7 +18,7 @@
 impl SimulatedCluster {
     /// Submits a job, and cancels one now and then.
     pub(super) fn user_turn(&mut self) {
-        if self.scale.is_some() {
+        if self.fleet.is_some() {
             return self.submit_to_large_fleet();
         }
         if self.active.healed {
