--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -4,7 +4,9 @@
 mod decision;
 
 pub(crate) use cascade::{CancellationCascade, CascadeStep};
-pub(crate) use decision::{Dependencies, DependencyState, named_in_cache, new_job};
+pub(crate) use decision::{
+    CombinedDependencyState, DependencyState, cached_dependency_state, new_job,
+};
 
 use super::job_api::JobApi;
 use super::job_lookup::JobLookup;
@@ -35,7 +37,12 @@
     pub(super) async fn submit_dependent(&self, spec: JobSpec) -> Submitted {
         let id = spec.id.clone();
         // An earlier version would start the job at once.
-        if !self.controller.borrow().cache.all_know_dependencies() {
+        if !self
+            .controller
+            .borrow()
+            .cache
+            .all_members_support_dependencies()
+        {
             return Err(SubmissionError::NotWritten(RetryReason::EarlierVersion));
         }
         let mut changed = BTreeSet::new();
@@ -44,11 +51,12 @@
             let Some(dependencies) = runtime::timeout(LOOKUP_TIMEOUT, looked_up).await else {
                 return Err(self.dependencies_unread());
             };
-            if let Dependencies::Refused(reason) = &dependencies {
+            if let CombinedDependencyState::Refused(reason) = &dependencies {
                 return Ok(self.refuse(&id, &reason.to_string()).await?);
             }
-            let ops = self.config.state.txn_ops;
-            let Some((txn, state)) = dependencies.accept(&spec, UnixTime::now(), ops) else {
+            let ops = self.config.store_limits.txn_ops;
+            let Some((txn, state)) = dependencies.acceptance_txn(&spec, UnixTime::now(), ops)
+            else {
                 return Err(self.dependencies_unread());
             };
             match self.store.txn(RequestClass::Accept, &txn).await {
@@ -74,7 +82,7 @@
     /// answer is not asked once more.
     fn dependencies_unread(&self) -> SubmissionError {
         let reason = RetryReason::DependenciesUnread;
-        match self.store.is_answering() {
+        match self.store.last_call_answered() {
             true => SubmissionError::NotWritten(reason),
             false => SubmissionError::Unanswered(reason),
         }
@@ -82,17 +90,17 @@
 
     /// Looks all dependencies up. What the watch cache shows of those that have `changed` is known
     /// to be stale.
-    async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> Dependencies {
+    async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> CombinedDependencyState {
         let mut states = Vec::new();
         for id in &spec.dependencies {
             let state = self.dependency_state(id, changed.contains(id)).await;
             states.push((id.clone(), state));
         }
-        Dependencies::of(&spec.id, states)
+        CombinedDependencyState::of(&spec.id, states)
     }
 
     async fn dependency_state(&self, id: &JobId, changed: bool) -> DependencyState {
-        let shown = named_in_cache(id, &self.controller.borrow().cache);
+        let shown = cached_dependency_state(id, &self.controller.borrow().cache);
         if let Some(live) = shown.filter(|_| !changed) {
             return live;
         }
@@ -108,7 +116,7 @@
                 JobState::Cancelled => DependencyState::Cancelled,
                 _ => DependencyState::Done,
             },
-            Ok(JobLookup::NeverAccepted) => DependencyState::Never,
+            Ok(JobLookup::NeverAccepted) => DependencyState::NeverAccepted,
             Err(_) => DependencyState::Unknown,
         }
     }
@@ -118,7 +126,7 @@
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
         let until = runtime::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
-        let ops = self.config.state.txn_ops;
+        let ops = self.config.store_limits.txn_ops;
         while runtime::now() < until {
             let step = cascade.next(&self.controller.borrow().cache, ops);
             let (txn, jobs) = match step {
@@ -133,7 +141,7 @@
                 TxnOutcome::Committed(at) => {
                     cascade.committed(at);
                     let mut controller = self.controller.borrow_mut();
-                    controller.dependents_cancelled(&jobs, at);
+                    controller.on_dependents_cancelled(&jobs, at);
                 }
                 // Released, cancelled by others, or the watch cache lags.
                 TxnOutcome::Failed(..) => runtime::sleep(POLL_INTERVAL).await,
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -49,7 +49,7 @@
     if !spec.need().times(at_once).fits(team.limit()) {
         return Err(Infeasible::OverTeamLimit);
     }
-    if record_size(spec) > config.state.value_bytes {
+    if record_size(spec) > config.store_limits.value_bytes {
         return Err(Infeasible::RecordTooLarge);
     }
     Ok(())
@@ -60,8 +60,11 @@
     let need = spec.need();
     let allowed = |zone: &Zone| spec.zone.as_ref().is_none_or(|only| only == zone);
     let fitting = catalog.types.iter().filter(|t| {
-        let listed = spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-        listed && need.fits(t.room())
+        let listed = spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|l| l.contains(&t.name));
+        listed && need.fits(t.capacity())
     });
     fitting
         .flat_map(|t| t.zones.iter().filter(|z| allowed(z)))
@@ -71,7 +74,7 @@
 /// The size in bytes of a job's record once it is stored, with the time of its release.
 fn record_size(spec: &JobSpec) -> usize {
     let record = JobRecord {
-        released: Some(UnixTime(u64::MAX)),
+        released_at: Some(UnixTime(u64::MAX)),
         ..JobRecord::new(spec.clone(), UnixTime(u64::MAX))
     };
     serde_json::to_vec(&record).map_or(usize::MAX, |bytes| bytes.len())
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -5,16 +5,16 @@
 
 use super::{Cancellation, JobApi};
 use crate::config::tests::sample_config;
-use crate::config::{Config, StateLimits};
+use crate::config::{Config, StoreLimits};
 use crate::controller::Controller;
 use crate::http::{Client, Method, Request, Response, serve};
 use crate::ids::{Incarnation, JobId, MonotonicTime, Revision};
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::protocol::{Catalog, JobState};
 use crate::runtime::{self, Receiver, Scope, TcpListener, channel, run_in_virtual_time};
 use crate::store::records::FinalRecord;
 use crate::store::watch_cache::WatchCache;
-use crate::store::{Store, keys};
+use crate::store::{StoreClient, keys};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -73,11 +73,11 @@
             self.refused_reads -= 1;
             return Response::error(429, "too many requests");
         }
-        if let Some(query) = request.path.strip_prefix("/kv?") {
+        if let Some(query) = request.target.strip_prefix("/kv?") {
             return self.page(query);
         }
         if request.method == Method::Get {
-            let key = request.path.trim_start_matches("/kv/");
+            let key = request.target.trim_start_matches("/kv/");
             return match self.keys.get(key) {
                 Some((value, at)) => {
                     Response::json(200, &json!({"key": key, "data": value, "amendment": at}))
@@ -211,7 +211,7 @@
     pub(super) fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let limits = generous_limits(&config);
-        let store = Store::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
+        let store = StoreClient::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
         controller_api(&config, store, types)
     }
 
@@ -226,21 +226,21 @@
 pub(super) fn api_in_memory(state: &Rc<RefCell<StandIn>>) -> (JobApi, Receiver<Cancellation>) {
     let config = sample_config();
     let answering = state.clone();
-    let client = Client::answered_by(Rc::new(move |request: Request| {
+    let client = Client::with_fake_transport(Rc::new(move |request: Request| {
         let answer = answering.borrow_mut().answer(&request);
         Box::pin(std::future::ready(answer))
     }));
     let limits = generous_limits(&config);
-    let store = Store::with_client(client, config.state_addr, &limits, 1.0, runtime::now());
+    let store = StoreClient::with_client(client, config.store_addr, &limits, 1.0, runtime::now());
     controller_api(&config, store, true)
 }
 
 /// Limits that no test reaches.
-fn generous_limits(config: &Config) -> StateLimits {
-    let mut limits = config.state;
+fn generous_limits(config: &Config) -> StoreLimits {
+    let mut limits = config.store_limits;
     limits.rates.requests = 1e4;
-    limits.rates.changes = 1e4;
-    limits.least_rates = limits.rates;
+    limits.rates.writes = 1e4;
+    limits.min_rates = limits.rates;
     limits
 }
 
@@ -259,13 +259,13 @@
 /// The API of a controller that has just started with a client of the key-value store.
 pub(super) fn controller_api(
     config: &Config,
-    store: Store,
+    store: StoreClient,
     types: bool,
 ) -> (JobApi, Receiver<Cancellation>) {
     let mut controller = Controller::new(config, Incarnation(1));
     let mut cache = WatchCache::new(config);
     if types {
-        cache.load(Item {
+        cache.load(KeyValue {
             key: keys::CATALOG.to_owned(),
             value: serde_json::to_value(catalog()).expect("json"),
             revision: Revision(1),
@@ -281,10 +281,10 @@
 
 /// Brings a controller's watch cache up to what a key-value store holds.
 pub(super) fn catch_up(state: &StandIn, api: &JobApi) {
-    let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE);
+    let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE_PREFIX);
     let mut cache = WatchCache::new(&api.config);
     for (key, (value, revision)) in state.keys.iter().filter(live) {
-        cache.load(Item {
+        cache.load(KeyValue {
             key: key.clone(),
             value: value.clone(),
             revision: Revision(*revision),
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -30,11 +30,11 @@
 /// A call to the cloud, or a change of what is stored, that follows from a decision.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Rent machines; the answer goes to `Autoscaler::on_rent`.
+    /// Rent machines; the answer goes to `Autoscaler::on_rent_outcome`.
     RentMachines(RentRequest),
-    /// Delete these machines; the answer goes to `Autoscaler::on_deleted`.
+    /// Delete these machines; the answer goes to `Autoscaler::on_delete_outcome`.
     DeleteMachines(Vec<MachineId>),
-    /// Ask for the list of machines; the answer goes to `Autoscaler::on_list`.
+    /// Ask for the list of machines; the answer goes to `Autoscaler::on_machine_list`.
     ListMachines,
     /// Ask for the catalog; the answer goes to `Autoscaler::on_catalog`.
     FetchCatalog,
@@ -66,7 +66,7 @@
     /// The wall clock, set before each step.
     pub(crate) unix_time: UnixTime,
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) change_rate: f64,
+    pub(crate) store_write_rate: f64,
 }
 
 impl Autoscaler {
@@ -88,7 +88,7 @@
             machine_list: MachineListPoll::default(),
             catalog: CatalogPoll::default(),
             unix_time: UnixTime(0),
-            change_rate: config.state.rates.changes,
+            store_write_rate: config.store_limits.rates.writes,
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Takes the cloud's list of machines; `None`: the call failed.
-    pub(crate) fn on_list(
+    pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
@@ -123,7 +123,7 @@
     }
 
     /// Takes the cloud's answer to a rent request.
-    pub(crate) fn on_rent(
+    pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
         request: &RentRequest,
@@ -136,7 +136,7 @@
     }
 
     /// Takes the cloud's answer to a deletion. `ok`: the machines are deleted.
-    pub(crate) fn on_deleted(
+    pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
         ids: &[MachineId],
@@ -220,7 +220,7 @@
         }
         let due = self.deletions.take_due(now);
         if !due.is_empty() {
-            scheduler.leaving.extend(due.iter().cloned());
+            scheduler.draining.extend(due.iter().cloned());
             out.push(Effect::DeleteMachines(due));
         }
     }
@@ -238,7 +238,7 @@
     }
 
     /// How many machines boot.
-    pub(crate) fn booting(&self) -> usize {
+    pub(crate) fn booting_count(&self) -> usize {
         self.boots.len()
     }
 }
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -2,8 +2,8 @@
 
 use super::Autoscaler;
 use super::cheapest_offer::cheapest_offer;
-use crate::ids::{MachineId, Millis, MonotonicTime, TypeName};
-use crate::placement::{Scheduler, replicas, spare_replicas};
+use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime};
+use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
 /// At most one in so many machines begins to drain at a time.
@@ -47,8 +47,10 @@
 }
 
 /// The CPUs (in thousandths) of a machine, as far as its type is known.
-fn machine_cpus(type_name: &TypeName, cache: &WatchCache) -> u64 {
-    cache.machine_type(type_name).map_or(0, |t| t.room().cpus)
+fn machine_cpus(type_name: &MachineTypeName, cache: &WatchCache) -> u64 {
+    cache
+        .machine_type(type_name)
+        .map_or(0, |t| t.capacity().milli_cpus)
 }
 
 /// Whether something that waits for capacity may run on a machine.
@@ -73,11 +75,17 @@
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) -> Vec<MachineId> {
-        self.load_history
-            .observe(now, self.unix_time, cache, &self.config, self.change_rate);
-        self.service_reserve = spare_replicas(cache).map_or(0, |(need, count)| need.cpus * count);
+        self.load_history.observe(
+            now,
+            self.unix_time,
+            cache,
+            &self.config,
+            self.store_write_rate,
+        );
+        self.service_reserve =
+            reserved_replicas(cache).map_or(0, |(need, count)| need.milli_cpus * count);
         scheduler
-            .leaving
+            .draining
             .retain(|id| cache.machines.contains_key(id));
         let candidates = self.measure_capacity(now, cache, scheduler);
         let drained = self.drained(now, cache, scheduler);
@@ -108,14 +116,14 @@
             let spot = machine.record.spot;
             let cpus = machine_cpus(&machine.record.type_name, cache);
             self.capacity.add(spot, cpus);
-            let (replicas, in_use) = replicas(machine, cache);
-            if REPLICA_SHARE_DIVISOR * in_use.cpus > cpus {
+            let (replicas, in_use) = machine_replica_usage(machine, cache);
+            if REPLICA_SHARE_DIVISOR * in_use.milli_cpus > cpus {
                 continue;
             }
             candidates.push(DrainCandidate {
                 spot,
                 replicas,
-                used_cpus: machine.record.used().cpus,
+                used_cpus: machine.record.used().milli_cpus,
                 cpus,
                 id: id.clone(),
             });
@@ -131,19 +139,20 @@
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
         self.leaving_since
-            .retain(|id, _| scheduler.leaving.contains(id));
-        for id in &scheduler.leaving {
+            .retain(|id, _| scheduler.draining.contains(id));
+        for id in &scheduler.draining {
             self.leaving_since.entry(id.clone()).or_insert(now);
         }
         let empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
-            let shard = id.shard(self.config.shards());
+            let shard = id.shard(self.config.shard_count());
             let leaving_since = self.leaving_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && leaving_since.is_some_and(|at| !scheduler.allotted_before(shard, *at))
+                && leaving_since
+                    .is_some_and(|at| !scheduler.has_in_flight_allotment_before(shard, *at))
         };
         scheduler
-            .leaving
+            .draining
             .iter()
             .filter(|id| !self.deletions.is_pending(id))
             .filter(empty)
@@ -174,7 +183,7 @@
             most -= 1;
             remaining.subtract(machine.spot, cpus);
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.leaving.insert(machine.id);
+            scheduler.draining.insert(machine.id);
         }
     }
 
@@ -189,13 +198,13 @@
         let none_waits = scheduler.unmet_demands.is_empty();
         while *cpu_shortfall > 0 {
             let back = scheduler
-                .leaving
+                .draining
                 .iter()
                 .filter(|id| !self.deletions.is_pending(id) && cache.machines.contains_key(*id))
                 .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
                 .cloned();
             let Some(id) = back else { return };
-            scheduler.leaving.remove(&id);
+            scheduler.draining.remove(&id);
             let machine = cache.machines.get(&id);
             let cpus = machine.map_or(0, |m| machine_cpus(&m.record.type_name, cache));
             *cpu_shortfall = cpu_shortfall.saturating_sub(cpus.max(1));
@@ -208,7 +217,10 @@
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
-        let mut all_at_once = scheduler.unmet_demands.iter().filter(|s| s.all_at_once);
+        let mut all_at_once = scheduler
+            .unmet_demands
+            .iter()
+            .filter(|s| s.must_run_concurrently);
         all_at_once.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
@@ -243,7 +255,7 @@
             .collect();
         if !useless.is_empty() {
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.leaving.extend(useless);
+            scheduler.draining.extend(useless);
         }
     }
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -3,7 +3,7 @@
 use super::Autoscaler;
 use super::cheapest_offer::{CheapestOffer, cheapest_offer};
 use super::incoming::IncomingMachines;
-use crate::ids::{Millis, MonotonicTime, TypeName, Zone};
+use crate::ids::{MachineTypeName, Millis, MonotonicTime, Zone};
 use crate::placement::{Scheduler, UnmetDemand};
 use crate::protocol::{Catalog, JobKind, JobSpec};
 use crate::store::watch_cache::WatchCache;
@@ -33,12 +33,17 @@
         let mut incoming =
             IncomingMachines::collect(now, &self.boots, &self.rentals, &catalog, cache);
         let mut cpu_shortfall = self.cpu_shortfall(&catalog, &incoming);
-        if scheduler.unmet_demands.iter().any(|s| s.all_at_once) || cpu_shortfall > 0 {
+        if scheduler
+            .unmet_demands
+            .iter()
+            .any(|s| s.must_run_concurrently)
+            || cpu_shortfall > 0
+        {
             let mut wanted = cpu_shortfall.max(1);
             self.reclaim_leaving(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.leaving.len(), "autoscaler step");
+        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "autoscaler step");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
             let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
             let rented =
@@ -70,10 +75,10 @@
         let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
         // The next replicas must not wait for a machine to boot.
-        if on_demand < wanted && !unmet_demands.iter().any(|s| s.all_at_once) {
+        if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
             unmet_demands.extend(one_replica(cache));
         }
-        unmet_demands.sort_by_key(|s| !s.all_at_once);
+        unmet_demands.sort_by_key(|s| !s.must_run_concurrently);
         merge_alike(unmet_demands, cache)
     }
 
@@ -98,8 +103,8 @@
             else {
                 break;
             };
-            let capacity = machine_type.room();
-            let tasks_per_machine = unmet_demand.need.count_in(capacity).max(1);
+            let capacity = machine_type.capacity();
+            let tasks_per_machine = unmet_demand.need.fit_count(capacity).max(1);
             let machines = left.div_ceil(tasks_per_machine);
             let count = machines.min(MAX_MACHINES_PER_RENTAL.into()) as u32;
             let covered = left.min(tasks_per_machine * u64::from(count));
@@ -123,8 +128,8 @@
         job: id.clone(),
         need: job.spec.need(),
         tasks: 1,
-        all_at_once: true,
-        cached_only: false,
+        must_run_concurrently: true,
+        requires_cached_image: false,
     })
 }
 
@@ -141,10 +146,10 @@
         return 0;
     };
     let spec = &job.spec;
-    if unmet_demand.all_at_once || !is_served(unmet_demand, spec, incoming, cache) {
+    if unmet_demand.must_run_concurrently || !is_served(unmet_demand, spec, incoming, cache) {
         return incoming.place(unmet_demand, spec);
     }
-    let cpus = unmet_demand.need.cpus;
+    let cpus = unmet_demand.need.milli_cpus;
     let tasks = cpu_shortfall.div_ceil(cpus.max(1)).min(unmet_demand.tasks);
     *cpu_shortfall = cpu_shortfall.saturating_sub(tasks * cpus);
     tasks
@@ -158,10 +163,10 @@
     incoming: &IncomingMachines,
     cache: &WatchCache,
 ) -> bool {
-    let fits = |type_name: &TypeName, zone: &Zone, spot: bool| {
+    let fits = |type_name: &MachineTypeName, zone: &Zone, spot: bool| {
         let machine_type = cache.machine_type(type_name);
         spec.allows(type_name, zone, spot)
-            && machine_type.is_some_and(|t| unmet_demand.need.fits(t.room()))
+            && machine_type.is_some_and(|t| unmet_demand.need.fits(t.capacity()))
     };
     let mut offers = incoming.offers();
     let mut machines = cache.machines.values().map(|m| &m.record);
@@ -177,12 +182,15 @@
         let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
         let same = |other: &&mut UnmetDemand| {
             let alike = match (spec(&unmet_demand), spec(other)) {
-                (Some(a), Some(b)) => (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot),
+                (Some(a), Some(b)) => {
+                    (&a.machine_types, &a.zone, a.allow_spot)
+                        == (&b.machine_types, &b.zone, b.allow_spot)
+                }
                 _ => false,
             };
             alike
-                && !unmet_demand.all_at_once
-                && !other.all_at_once
+                && !unmet_demand.must_run_concurrently
+                && !other.must_run_concurrently
                 && other.need == unmet_demand.need
         };
         match merged.iter_mut().find(same) {
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::sample_config;
 use crate::ids::{Incarnation, Millis};
 use crate::peers::MachineHealth;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{MachineRecord, ShardRecord};
 use unresponsive::{HeartbeatCounts, OwnerSilence};
@@ -40,7 +40,7 @@
 /// A watch cache with one machine, whose shard has an owner.
 fn cache_with_machine(config: &Config, id: &MachineId) -> WatchCache {
     let mut cache = WatchCache::new(config);
-    let shard = id.shard(config.shards());
+    let shard = id.shard(config.shard_count());
     let shard_record = ShardRecord {
         owner: "c0".into(),
         incarnation: Incarnation(1),
@@ -53,7 +53,7 @@
     ];
     for (key, value) in values {
         let value = value.expect("json");
-        cache.load(Item {
+        cache.load(KeyValue {
             key,
             value,
             revision: Revision(5),
@@ -68,11 +68,11 @@
     MachineHealth {
         machine: id.clone(),
         fence: Revision(5),
-        silent: Millis(30_000),
+        unresponsive_for: Millis(30_000),
         since_direct_heartbeat: Millis(30_000),
-        confirmed: true,
-        notice: None,
-        unrecorded: None,
+        token_confirmed: true,
+        until_interruption: None,
+        unstored_record: None,
         gangs: Vec::new(),
     }
 }
@@ -95,7 +95,7 @@
         for effect in out {
             if let Effect::DeleteMachines(ids) = effect {
                 deletions += 1;
-                autoscaler.on_deleted(now, &ids, true, &mut Vec::new());
+                autoscaler.on_delete_outcome(now, &ids, true, &mut Vec::new());
             }
         }
     }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::ids::UnixTime;
-use crate::placement::service_order;
+use crate::placement::jobs_in_queue_order;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::{LiveJob, WatchCache};
@@ -118,7 +118,7 @@
     if let Some(finish_by) = job.urgency.finish_by {
         return (finish_by.0 as f64 - unix_time.0 as f64) / 1000.0;
     }
-    let age_s = unix_time.0.saturating_sub(job.eligible.0) as f64 / 1000.0;
+    let age_s = unix_time.0.saturating_sub(job.eligible_at.0) as f64 / 1000.0;
     let objective = config.finish_within.get(&job.spec.pipeline);
     let default_s = DEFAULT_DUE_TASKS * task_s + DEFAULT_DUE_MARGIN_S;
     objective.map_or(default_s, |within| within.as_secs_f64()) - age_s
@@ -134,20 +134,23 @@
     let mut load = Load::default();
     let mut batches = Vec::new();
     let mut running_work = 0.0;
-    for (_, job) in service_order(config, cache) {
+    for (_, job) in jobs_in_queue_order(config, cache) {
         let spec = &job.spec;
         let need = spec.need();
         if spec.kind != JobKind::Array {
-            load.services += need.cpus * u64::from(spec.tasks);
+            load.services += need.milli_cpus * u64::from(spec.tasks);
             continue;
         }
-        let limit = config.teams.get(&spec.team).map_or(0, |t| t.limit().cpus);
+        let limit = config
+            .teams
+            .get(&spec.team)
+            .map_or(0, |t| t.limit().milli_cpus);
         let left = spec.tasks.saturating_sub(job.done_count());
         let running = (job.placed.len() as u32).min(left);
         let task_s = task_time_s(job, cache, turnaround_s);
-        let width = need.cpus.saturating_mul(left.into()).min(limit) as f64;
+        let width = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
-        let cpus = need.cpus as f64;
+        let cpus = need.milli_cpus as f64;
         // Running tasks keep their slots whatever comes first; on average half of each is left.
         running_work += 0.5 * f64::from(running) * cpus * task_s;
         let work = f64::from(left - running) * cpus * task_s;
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -2,8 +2,8 @@
 
 use crate::admin::Settings;
 use crate::ids::{
-    AttemptNumber, Incarnation, JobId, LeaseId, MachineId, Member, Millis, Revision, RoundId,
-    ShardFence, ShardId, TaskAttempt, TaskId, UnixTime,
+    AttemptNumber, CancellationRoundId, Incarnation, JobId, LeaseId, MachineId, MemberId, Millis,
+    Revision, ShardFence, ShardId, TaskAttempt, TaskId, UnixTime,
 };
 use crate::peers::{Allotment, AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::protocol::{Catalog, ExitReason, JobState};
@@ -27,7 +27,7 @@
     }
 }
 
-fn member() -> Member {
+fn member() -> MemberId {
     "mooring-1".into()
 }
 
@@ -41,7 +41,7 @@
     let spec = crate::protocol::tests::spec(JOB);
     record.add(&attempt(2), &spec);
     record.add(&attempt(3), &spec);
-    record.count(&JOB.into(), 0, 1);
+    record.add_done(&JOB.into(), 0, 1);
     record
 }
 
@@ -52,9 +52,9 @@
         revision: Revision(431),
         type_name: "t8".into(),
         pipeline: Some("batch".into()),
-        end,
+        outcome: end,
         estimate_s: 30.0,
-        ran: Some(Millis(28_500)),
+        run_time: Some(Millis(28_500)),
     })
 }
 
@@ -70,11 +70,11 @@
     Message::Health(vec![MachineHealth {
         machine: machine(),
         fence: Revision(41),
-        silent: Millis(1200),
+        unresponsive_for: Millis(1200),
         since_direct_heartbeat: Millis(3000),
-        confirmed: true,
-        notice: Some(Millis(8000)),
-        unrecorded: Some(machine_record()),
+        token_confirmed: true,
+        until_interruption: Some(Millis(8000)),
+        unstored_record: Some(machine_record()),
         gangs: vec![(JOB.into(), AttemptNumber(9))],
     }])
 }
@@ -99,7 +99,7 @@
         fence: Revision(41),
         job_revision: Revision(400),
         attempts: vec![attempt(0), attempt(1)],
-        preferred: vec![machine()],
+        candidate_machines: vec![machine()],
     });
     let refused = Message::Refused {
         fence: Revision(41),
@@ -109,7 +109,7 @@
 }
 
 fn attempt_messages() -> Vec<(&'static str, Message)> {
-    let no_room = AttemptOutcome::Exited(ExitReason::NoRoom);
+    let no_room = AttemptOutcome::Exited(ExitReason::NoCapacity);
     let stop = Message::Stop {
         machine: machine(),
         attempt: attempt(2),
@@ -126,15 +126,15 @@
 
 fn cancellation_messages() -> Vec<(&'static str, Message)> {
     let cancelled = Message::Cancelled {
-        round: RoundId(3),
+        round: CancellationRoundId(3),
         job: JobId::from(JOB),
         revision: Revision(500),
         age: Millis(20),
     };
     let acknowledged = Message::CancellationAcknowledged {
-        round: RoundId(3),
+        round: CancellationRoundId(3),
         job: JobId::from(JOB),
-        settled: vec![ShardFence {
+        cleared_shards: vec![ShardFence {
             shard: ShardId(4),
             fence: Revision(41),
         }],
@@ -145,7 +145,7 @@
 fn forwarding_messages() -> Vec<(&'static str, Message)> {
     let request = Message::ForwardedRequest {
         id: 8,
-        post: true,
+        is_post: true,
         path: "/work".into(),
         body: b"{}".to_vec(),
     };
@@ -161,7 +161,7 @@
     let status = Message::PeerStatus {
         store_reachable: true,
         reachable_peers: vec![member()],
-        missing_machines: vec![machine()],
+        machines_without_direct_heartbeats: vec![machine()],
     };
     let misdirected = Message::MisdirectedHeartbeats(vec![machine()]);
     let relay = Message::Relay {
@@ -191,7 +191,7 @@
 
 fn history() -> HistoryRecord {
     let mut history = HistoryRecord::default();
-    history.types.insert("t8".into(), vec![0.5, 1.25]);
+    history.run_time_ratios.insert("t8".into(), vec![0.5, 1.25]);
     history
 }
 
@@ -200,7 +200,7 @@
         type_name: Some("t8".into()),
         machines: vec![machine()],
         predicted_s: 28.5,
-        joins: None,
+        placement_group_job: None,
     };
     PlanBatch::from([(JOB.into(), plan)])
 }
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -7,21 +7,21 @@
 /// of that kind does not count: a guarantee of GPUs is not broken by the CPUs that tasks with GPUs
 /// need as well.
 #[derive(Debug, Clone)]
-pub(crate) struct Team {
+pub(crate) struct TeamQuota {
     guarantee: [Option<u64>; 2],
     limit: [Option<u64>; 2],
 }
 
 /// The kinds that guarantees and limits are given in. Memory has neither.
 fn quota_kinds(amounts: Resources) -> [u64; 2] {
-    [amounts.cpus, amounts.gpus]
+    [amounts.milli_cpus, amounts.milli_gpus]
 }
 
 fn above_zero(amounts: Resources) -> [Option<u64>; 2] {
     quota_kinds(amounts).map(|amount| (amount > 0).then_some(amount))
 }
 
-impl Team {
+impl TeamQuota {
     /// A team with these quotas. An amount of 0 means none.
     pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
@@ -34,14 +34,14 @@
     pub(crate) fn limit(&self) -> Resources {
         let [cpus, gpus] = self.limit.map(|limit| limit.unwrap_or(u64::MAX));
         Resources {
-            cpus,
-            gpus,
-            memory: u64::MAX,
+            milli_cpus: cpus,
+            milli_gpus: gpus,
+            memory_mb: u64::MAX,
         }
     }
 
     /// Whether the guarantee covers any kind that a task needs.
-    pub(crate) fn guarantees(&self, need: Resources) -> bool {
+    pub(crate) fn has_guarantee_for(&self, need: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(need))
@@ -49,7 +49,7 @@
     }
 
     /// Whether a use goes beyond the guarantee in any kind, those without a guarantee included.
-    pub(crate) fn is_exceeded(&self, used: Resources) -> bool {
+    pub(crate) fn is_guarantee_exceeded(&self, used: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(used))
@@ -57,7 +57,7 @@
     }
 
     /// Whether a sum of needs stays within the guarantee, of the kinds that have one.
-    pub(crate) fn covers(&self, sum: Resources) -> bool {
+    pub(crate) fn is_within_guarantee(&self, sum: Resources) -> bool {
         self.guarantee
             .iter()
             .zip(quota_kinds(sum))
@@ -66,11 +66,11 @@
 }
 
 #[cfg(test)]
-impl Team {
+impl TeamQuota {
     /// A team with quotas of CPUs alone, in thousandths.
     pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
-            cpus,
+            milli_cpus: cpus,
             ..Resources::default()
         };
         Self::new(cpus(guarantee), cpus(limit))
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -137,9 +137,9 @@
 
     /// A watch cache that was read anew takes the old one's place.
     pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
-        cache.keep_cancelled(&self.cache);
+        cache.copy_cancelled_from(&self.cache);
         self.cache = cache;
-        self.shard_owner.compare_all_trackers();
+        self.shard_owner.request_full_reconcile();
         self.timers.schedule.request();
         self.timers.reconcile.expedite(now);
         self.run_due_work(now)
@@ -154,13 +154,13 @@
     ) -> (Vec<Effect>, Vec<JobId>) {
         let touched: BTreeSet<MachineId> = events
             .iter()
-            .filter_map(|e| keys::machine_of(e.put.as_deref().or(e.delete.as_deref())?))
+            .filter_map(|e| keys::machine_from_key(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
         let ended = self.cache.apply(revision, events);
         self.timers.schedule.request();
         let mut out = Vec::new();
         self.shard_owner
-            .on_changed(now, &touched, &self.cache, &mut out);
+            .on_machines_changed(now, &touched, &self.cache, &mut out);
         (self.finish(now, out), ended)
     }
 
@@ -170,7 +170,7 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
-        self.process_heartbeat(now, heartbeat, HeartbeatPath::FromWorker)
+        self.process_heartbeat(now, heartbeat, HeartbeatPath::Direct)
     }
 
     fn process_heartbeat(
@@ -192,7 +192,10 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (Option<HeartbeatAnswer>, Vec<Effect>) {
-        if !self.shard_owner.accepts_relayed(now, &heartbeat.machine) {
+        if !self
+            .shard_owner
+            .try_accept_relayed_heartbeat(now, &heartbeat.machine)
+        {
             return (None, Vec::new());
         }
         let (answer, effects) = self.process_heartbeat(now, heartbeat, HeartbeatPath::Relayed);
@@ -200,8 +203,8 @@
     }
 
     /// Machines of owned shards without a direct heartbeat for so long that they may be cut off.
-    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
-        self.shard_owner.missing_machines(now)
+    pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
+        self.shard_owner.machines_without_direct_heartbeats(now)
     }
 
     /// Whether some controllers can't reach each other: machines may be cut off likewise.
@@ -210,7 +213,7 @@
     }
 
     /// The outcome of direct commands that were sent under a token.
-    pub(crate) fn on_call(
+    pub(crate) fn on_direct_call_outcome(
         &mut self,
         now: MonotonicTime,
         machine: &MachineId,
@@ -218,13 +221,19 @@
         outcome: DirectCallOutcome,
     ) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.shard_owner
-            .on_call(now, machine, token, outcome, &self.cache, &mut out);
+        self.shard_owner.on_direct_call_outcome(
+            now,
+            machine,
+            token,
+            outcome,
+            &self.cache,
+            &mut out,
+        );
         self.finish(now, out)
     }
 
     /// The outcome of a transaction.
-    pub(crate) fn on_txn(
+    pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
         requester: &TxnRequester,
@@ -234,16 +243,16 @@
         match requester {
             TxnRequester::ShardOwner(machine) => {
                 self.shard_owner
-                    .on_txn(now, machine, outcome, &mut self.cache, &mut out);
+                    .on_txn_outcome(now, machine, outcome, &mut self.cache, &mut out);
                 self.timers.schedule.request();
             }
-            TxnRequester::Leadership => self.leadership.on_txn(now, outcome),
+            TxnRequester::Leadership => self.leadership.on_txn_outcome(now, outcome),
             TxnRequester::Plans(jobs) => self.plans.on_outcome(now, jobs, outcome, &self.cache),
             TxnRequester::JobCompletion(job) => self.on_completion(job, outcome),
             TxnRequester::DependentRelease(job) => self.on_release(now, job, outcome),
             TxnRequester::CancelledDependents(jobs) => {
                 if let TxnOutcome::Committed(revision) = outcome {
-                    self.dependents_cancelled(jobs, *revision);
+                    self.on_dependents_cancelled(jobs, *revision);
                 }
             }
             TxnRequester::Catalog => self.catalog.on_outcome(now, outcome),
@@ -270,35 +279,35 @@
     }
 
     /// The cloud's list of machines. `None`: it did not answer.
-    pub(crate) fn on_list(
+    pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
         machines: Option<Vec<ListedMachine>>,
     ) -> Vec<Effect> {
-        self.autoscaler.on_list(now, machines, &self.cache);
+        self.autoscaler.on_machine_list(now, machines, &self.cache);
         self.run_due_work(now)
     }
 
     /// The outcome of a request for machines.
-    pub(crate) fn on_rent(
+    pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
         request: &RentRequest,
         outcome: RentOutcome,
     ) -> Vec<Effect> {
-        self.autoscaler.on_rent(now, request, outcome);
+        self.autoscaler.on_rent_outcome(now, request, outcome);
         self.run_due_work(now)
     }
 
     /// Whether the cloud has deleted these machines.
-    pub(crate) fn on_deleted(
+    pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
         ids: &[MachineId],
         ok: bool,
     ) -> Vec<Effect> {
         let mut cloud = Vec::new();
-        self.autoscaler.on_deleted(now, ids, ok, &mut cloud);
+        self.autoscaler.on_delete_outcome(now, ids, ok, &mut cloud);
         let mut effects = self.apply_cloud_effects(now, cloud);
         effects.extend(self.run_due_work(now));
         effects
@@ -325,10 +334,10 @@
     }
 
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_change_rate(&mut self, changes: f64) {
-        self.shard_owner.set_change_rate(changes);
-        self.scheduler.set_change_rate(changes);
-        self.autoscaler.change_rate = changes;
+    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
+        self.shard_owner.set_store_write_rate(changes);
+        self.scheduler.set_store_write_rate(changes);
+        self.autoscaler.store_write_rate = changes;
     }
 
     /// When the next tick is due; inputs may make an earlier one due.
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -5,7 +5,7 @@
 use super::effects::Effect;
 use crate::cancellation::{CacheView, CancellationDeadlines, CancellationRounds};
 use crate::ids::{
-    JobId, MachineId, Millis, MonotonicTime, Revision, RoundId, ShardFence, TaskAttempt,
+    CancellationRoundId, JobId, MachineId, Millis, MonotonicTime, Revision, ShardFence, TaskAttempt,
 };
 use crate::peers::Message;
 use std::collections::BTreeMap;
@@ -26,26 +26,30 @@
 }
 
 impl Controller {
-    /// Tells all controllers of a cancellation that is committed; [`Self::is_settled`] says when its
-    /// user may hear of it.
+    /// Tells all controllers of a cancellation that is committed;
+    /// [`Self::is_cancellation_complete`] says when its user may hear of it.
     pub(crate) fn announce_cancellation(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
         revision: Revision,
         age: Millis,
-    ) -> (RoundId, Vec<Effect>) {
+    ) -> (CancellationRoundId, Vec<Effect>) {
         let mut effects = Vec::new();
         self.learn_cancelled(now, job, revision, age, &mut effects);
         let round = self.cancellation.rounds.open(job, revision);
         effects.extend(self.run_due_work(now));
-        effects.extend(self.ask_round(now, round));
+        effects.extend(self.send_cancellation(now, round));
         (round, effects)
     }
 
     /// Asks the other controllers, once more if need be: what they answered first was perhaps not
     /// proved yet.
-    pub(crate) fn ask_round(&self, now: MonotonicTime, round: RoundId) -> Vec<Effect> {
+    pub(crate) fn send_cancellation(
+        &self,
+        now: MonotonicTime,
+        round: CancellationRoundId,
+    ) -> Vec<Effect> {
         let Some((job, revision)) = self.cancellation.rounds.pending_cancellation(round) else {
             return Vec::new();
         };
@@ -58,12 +62,16 @@
         };
         let peers = self.config.peers.keys();
         peers
-            .map(|peer| Effect::Peer(peer.clone(), message.clone()))
+            .map(|peer| Effect::SendToPeer(peer.clone(), message.clone()))
             .collect()
     }
 
     /// Whether all tasks of a round's job are proved gone.
-    pub(crate) fn is_settled(&mut self, now: MonotonicTime, round: RoundId) -> bool {
+    pub(crate) fn is_cancellation_complete(
+        &mut self,
+        now: MonotonicTime,
+        round: CancellationRoundId,
+    ) -> bool {
         let pending = self.cancellation.rounds.pending_cancellation(round);
         let Some(job) = pending.map(|(job, _)| job.clone()) else {
             return false;
@@ -73,7 +81,7 @@
         let rounds = &mut self.cancellation.rounds;
         rounds.on_acknowledged(round, &job, member, cleared);
         let carriers = self.cache.machines_with_job(&job).map(|id| {
-            let shard = id.shard(self.config.shards());
+            let shard = id.shard(self.config.shard_count());
             let record = self.cache.shards.get(&shard);
             (shard, record.map(|record| record.revision))
         });
@@ -81,7 +89,7 @@
             revision: self.cache.revision,
             shards_with_job: carriers.collect(),
         };
-        self.cancellation.rounds.is_settled(round, &view)
+        self.cancellation.rounds.is_complete(round, &view)
     }
 
     /// The owned shards in which a cancelled job's tasks are proved gone. Where neither a stop nor a
@@ -89,14 +97,14 @@
     /// cancellation: a user is not left without an answer for longer.
     pub(super) fn cleared_shards(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation.deadlines.age(now, job);
-        let late = age.is_some_and(|age| age >= self.config.cancel);
+        let late = age.is_some_and(|age| age >= self.config.cancellation_timeout);
         let deleted = |id: &MachineId| self.autoscaler.is_deleted(id);
         self.shard_owner
             .cleared_shards(job, late, deleted, &self.cache)
     }
 
     /// Ends a round, whatever has come of it.
-    pub(crate) fn close_round(&mut self, round: RoundId) {
+    pub(crate) fn close_cancellation_round(&mut self, round: CancellationRoundId) {
         self.cancellation.rounds.close(round);
     }
 
@@ -109,12 +117,12 @@
         age: Millis,
         effects: &mut Vec<Effect>,
     ) {
-        self.cache.cancel(job, revision);
+        self.cache.apply_cancellation(job, revision);
         let machines = self.cache.machines_with_job(job).cloned().collect();
         self.cancellation.deadlines.cancelled(now, job, age);
         let mut out = Vec::new();
         self.shard_owner
-            .on_changed(now, &machines, &self.cache, &mut out);
+            .on_machines_changed(now, &machines, &self.cache, &mut out);
         self.apply_owner_effects(now, out, effects);
         self.timers.schedule.request();
     }
@@ -130,12 +138,25 @@
 
     /// As the leader, deletes machines on which a cancelled job's tasks did not stop in time.
     pub(super) fn decommission_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let patience = self.autoscaler.patience(&self.cache);
-        let silent = |id: &MachineId| self.scheduler.is_silent(now, id, patience, &self.cache);
+        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
+        let silent = |id: &MachineId| {
+            self.scheduler
+                .is_unresponsive(now, id, patience, &self.cache)
+        };
         let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let deadlines = &mut self.cancellation.deadlines;
-        let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
-        effects.extend(due.unknown_outcomes.into_iter().map(Effect::QueryOutcome));
+        let due = deadlines.due(
+            now,
+            self.config.cancellation_timeout,
+            &self.cache,
+            silent,
+            freed,
+        );
+        effects.extend(
+            due.unknown_outcomes
+                .into_iter()
+                .map(Effect::QueryJobOutcome),
+        );
         if !due.decommission.is_empty() {
             tracing::info!(machines = ?due.decommission, "machines are deleted: tasks of a cancelled job did not stop in time");
             self.autoscaler.decommission(now, due.decommission);
@@ -154,16 +175,22 @@
         if !due {
             return;
         }
-        let patience = self.autoscaler.patience(&self.cache);
+        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
         let shard_owner = &self.shard_owner;
-        let silent = |id: &MachineId| shard_owner.is_silent(now, id, patience);
-        let freed = |attempt: &TaskAttempt| shard_owner.is_gone(attempt);
+        let silent = |id: &MachineId| shard_owner.is_unresponsive(now, id, patience);
+        let freed = |attempt: &TaskAttempt| shard_owner.is_freed(attempt);
         let CancellationDuty {
             deadlines,
             requested_deletions,
             ..
         } = &mut self.cancellation;
-        let due = deadlines.due(now, self.config.cancel, &self.cache, silent, freed);
+        let due = deadlines.due(
+            now,
+            self.config.cancellation_timeout,
+            &self.cache,
+            silent,
+            freed,
+        );
         requested_deletions.retain(|_, at| now.since(*at) < DELETION_RETRY_INTERVAL);
         let autoscaler = &self.autoscaler;
         let is_new =
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime, Revision};
 use crate::placement::Scheduler;
-use crate::planning::counter::{self, Layout};
+use crate::planning::completion_counter::{self, CounterLayout};
 use crate::protocol::store::Txn;
 use crate::store::keys;
 use crate::store::rate_limiter::RequestClass;
@@ -52,7 +52,7 @@
         for id in unreported {
             let since = *self.unreported_since.entry(id.clone()).or_insert(now);
             if now.since(since) >= UNREPORTED_MACHINE_TIMEOUT {
-                cache.forget(&id);
+                cache.remove_unrecorded_machine(&id);
             }
         }
     }
@@ -73,11 +73,11 @@
         }
         let machine = cache.machines.get(id)?;
         if machine.revision == Revision(0) {
-            cache.forget(id);
+            cache.remove_unrecorded_machine(id);
             return None;
         }
         self.deletions.insert(id.clone(), now);
-        let txn = record_deletion(id, machine, cache, &Layout::new(config));
+        let txn = record_deletion(id, machine, cache, &CounterLayout::new(config));
         Some(Effect::unattended_txn(RequestClass::Place, txn))
     }
 
@@ -101,7 +101,7 @@
         counts_live_job
             && record.jobs.is_empty()
             && now.since(since) < MAX_COUNTED_WAIT
-            && scheduler.changes_are_scarce(now)
+            && scheduler.is_write_budget_low(now)
     }
 }
 
@@ -112,7 +112,7 @@
     id: &MachineId,
     machine: &LiveMachine,
     cache: &WatchCache,
-    layout: &Layout,
+    layout: &CounterLayout,
 ) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::machine(id), machine.revision);
@@ -120,7 +120,7 @@
     for done in &machine.record.done {
         let max_changes = layout.txn_ops - 1 - txn.changes.len();
         if let Some(job) = cache.jobs.get(&done.job) {
-            all_folded &= counter::fold(&mut txn, &done.job, job, layout, max_changes);
+            all_folded &= completion_counter::fold(&mut txn, &done.job, job, layout, max_changes);
         }
     }
     if all_folded {
@@ -132,15 +132,15 @@
 /// Moves what machines' records count into the jobs' own counters where a record grows long.
 /// Elsewhere the counts cost nothing, and go when their jobs end.
 pub(super) fn fold_counters(cache: &WatchCache, config: &Config, effects: &mut Vec<Effect>) {
-    let value_bytes = config.state.value_bytes;
+    let value_bytes = config.store_limits.value_bytes;
     let records = cache.machines.values().map(|m| &m.record);
     let full = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
     let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
-    let layout = Layout::new(config);
+    let layout = CounterLayout::new(config);
     for id in jobs.into_iter().take(MAX_COUNTERS_FOLDED) {
         let mut txn = Txn::default();
         if let Some(job) = cache.jobs.get(id) {
-            counter::fold(&mut txn, id, job, &layout, config.state.txn_ops);
+            completion_counter::fold(&mut txn, id, job, &layout, config.store_limits.txn_ops);
         }
         if !txn.changes.is_empty() {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
@@ -151,7 +151,7 @@
 /// Deletes records that ended jobs left behind.
 pub(super) fn delete_orphans(cache: &WatchCache, config: &Config) -> Option<Effect> {
     let mut txn = Txn::default();
-    for key in cache.orphaned_keys(config.state.txn_ops) {
+    for key in cache.orphaned_keys(config.store_limits.txn_ops) {
         txn.delete(key);
     }
     let found = !txn.changes.is_empty();
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::effects::{Effect, TxnRequester};
 use crate::cloud;
-use crate::ids::{MachineId, Member, MonotonicTime, ShardId};
+use crate::ids::{MachineId, MemberId, MonotonicTime, ShardId};
 use crate::peers::{AttemptOutcome, EndedAttempt, FreedAttempt, MachineHealth, Message};
 use crate::placement;
 use crate::store::rate_limiter::RequestClass;
@@ -12,10 +12,10 @@
 
 impl Controller {
     /// A message from another controller.
-    pub(crate) fn on_peer(
+    pub(crate) fn on_peer_message(
         &mut self,
         now: MonotonicTime,
-        from: &Member,
+        from: &MemberId,
         message: Message,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
@@ -27,21 +27,21 @@
                 age,
             } => {
                 self.learn_cancelled(now, &job, revision, age, &mut effects);
-                let settled = self.cleared_shards(now, &job);
+                let cleared_shards = self.cleared_shards(now, &job);
                 let acknowledgement = Message::CancellationAcknowledged {
                     round,
                     job,
-                    settled,
+                    cleared_shards,
                 };
-                effects.push(Effect::Peer(from.clone(), acknowledgement));
+                effects.push(Effect::SendToPeer(from.clone(), acknowledgement));
             }
             Message::CancellationAcknowledged {
                 round,
                 job,
-                settled,
+                cleared_shards,
             } => {
                 let rounds = &mut self.cancellation.rounds;
-                rounds.on_acknowledged(round, &job, from, settled);
+                rounds.on_acknowledged(round, &job, from, cleared_shards);
             }
             message => self.dispatch(now, message, &mut effects),
         }
@@ -78,7 +78,7 @@
                 self.reachability.on_misdirected_heartbeats(now, machines);
             }
             Message::Health(health) => self.on_health(now, health),
-            // Handled by the daemon, or by `on_peer`.
+            // Handled by the daemon, or by `on_peer_message`.
             Message::Hello { .. }
             | Message::PeerStatus { .. }
             | Message::Relay { .. }
@@ -101,8 +101,8 @@
     }
 
     fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt) {
-        if ended.end == AttemptOutcome::Done
-            && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.ran)
+        if ended.outcome == AttemptOutcome::Done
+            && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.run_time)
         {
             self.history
                 .add(pipeline, &ended.type_name, ended.estimate_s, ran);
@@ -115,8 +115,9 @@
         // An owner reports a single machine when something has changed there.
         let urgent = health.len() == 1;
         for machine in &health {
-            if let Some(record) = &machine.unrecorded {
-                self.cache.discover(machine.machine.clone(), record.clone());
+            if let Some(record) = &machine.unstored_record {
+                self.cache
+                    .insert_unrecorded_machine(machine.machine.clone(), record.clone());
             }
         }
         self.scheduler.on_health(now, health, &self.cache);
@@ -140,17 +141,21 @@
                     class: RequestClass::Place,
                     txn,
                 }),
-                worker_control::Effect::Call(call) => effects.push(Effect::Call(call)),
+                worker_control::Effect::CallWorker(call) => effects.push(Effect::CallWorker(call)),
                 worker_control::Effect::ToLeader(message) => {
                     self.send_to_leader(now, message, effects);
                 }
                 worker_control::Effect::MachineDiscovered(id, record) => {
-                    self.cache.discover(id, record);
-                    self.shard_owner.compare_all_trackers();
+                    self.cache.insert_unrecorded_machine(id, record);
+                    self.shard_owner.request_full_reconcile();
                     self.timers.reconcile.expedite(now);
                 }
-                worker_control::Effect::MachineLost(id) => self.cache.forget(&id),
-                worker_control::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+                worker_control::Effect::UnrecordedMachineLost(id) => {
+                    self.cache.remove_unrecorded_machine(&id)
+                }
+                worker_control::Effect::RaiseShardFence(shard) => {
+                    self.raise_shard_fence(shard, effects)
+                }
             }
         }
     }
@@ -165,19 +170,19 @@
     fn send(
         &mut self,
         now: MonotonicTime,
-        to: Member,
+        to: MemberId,
         message: Message,
         effects: &mut Vec<Effect>,
     ) {
         if to == self.config.member {
             self.dispatch(now, message, effects);
         } else {
-            effects.push(Effect::Peer(to, message));
+            effects.push(Effect::SendToPeer(to, message));
         }
     }
 
-    fn renew_shard(&self, shard: ShardId, effects: &mut Vec<Effect>) {
-        if let Some(txn) = self.leadership.renew_shard(shard, &self.cache) {
+    fn raise_shard_fence(&self, shard: ShardId, effects: &mut Vec<Effect>) {
+        if let Some(txn) = self.leadership.raise_shard_fence(shard, &self.cache) {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
         }
     }
@@ -194,7 +199,7 @@
                 placement::Effect::ToShardOwner(member, message) => {
                     self.send(now, member, *message, effects);
                 }
-                placement::Effect::RenewShard(shard) => self.renew_shard(shard, effects),
+                placement::Effect::RaiseShardFence(shard) => self.raise_shard_fence(shard, effects),
             }
         }
     }
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -3,7 +3,7 @@
 use super::node::Node;
 use crate::cloud::RentOutcome;
 use crate::controller::{Effect, TxnRequester};
-use crate::http::{Failure, Method, Response};
+use crate::http::{CallError, Method, Response};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::store::Txn;
 use crate::protocol::{self, Heartbeat, RentRequest, path};
@@ -22,16 +22,16 @@
         for effect in effects {
             let node = self.clone();
             match effect {
-                Effect::Peer(member, message) => self.send(&member, message),
+                Effect::SendToPeer(member, message) => self.send(&member, message),
                 Effect::Txn {
                     requester,
                     class,
                     txn,
                 } => runtime::spawn(node.run_transaction(requester, class, txn)),
-                Effect::Call(call) => runtime::spawn(node.run_direct_call(call)),
+                Effect::CallWorker(call) => runtime::spawn(node.run_direct_call(call)),
                 Effect::RentMachines(request) => runtime::spawn(node.rent_machines(request)),
                 Effect::DeleteMachines(ids) => runtime::spawn(node.delete_machines(ids)),
-                Effect::QueryOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
+                Effect::QueryJobOutcome(job) => runtime::spawn(node.query_job_outcome(job)),
                 Effect::ListMachines => runtime::spawn(node.list_machines()),
                 Effect::FetchCatalog => runtime::spawn(node.fetch_catalog()),
             }
@@ -46,18 +46,20 @@
     ) {
         let outcome = self.store.txn(class, &txn).await;
         tracing::debug!(?requester, ?outcome, "transaction");
-        self.update(|controller, now| controller.on_txn(now, &requester, &outcome));
+        self.update(|controller, now| controller.on_txn_outcome(now, &requester, &outcome));
     }
 
     async fn run_direct_call(self: Rc<Self>, call: DirectCall) {
         let outcome = match call.addr.parse() {
             Err(_) => DirectCallOutcome::NotSent,
             Ok(addr) => {
-                let body = protocol::commands(call.token, Some(call.epoch), &call.commands);
+                let body = protocol::encode_commands(call.token, Some(call.epoch), &call.commands);
                 self.call_worker(addr, &body).await
             }
         };
-        self.update(|controller, now| controller.on_call(now, &call.machine, call.token, outcome));
+        self.update(|controller, now| {
+            controller.on_direct_call_outcome(now, &call.machine, call.token, outcome)
+        });
     }
 
     async fn call_worker(&self, addr: SocketAddr, body: &[u8]) -> DirectCallOutcome {
@@ -73,15 +75,15 @@
             .await;
         match result {
             Ok(response) => direct_call_outcome(&response),
-            Err(Failure::NotSent) => DirectCallOutcome::NotSent,
-            Err(Failure::Unknown | Failure::TooLarge) => DirectCallOutcome::Unknown,
+            Err(CallError::NotSent) => DirectCallOutcome::NotSent,
+            Err(CallError::Unknown | CallError::TooLarge) => DirectCallOutcome::Unknown,
         }
     }
 
     async fn rent_machines(self: Rc<Self>, request: RentRequest) {
         let outcome = self.cloud.rent(&request).await;
         self.log_rental(&request, &outcome);
-        self.update(|controller, now| controller.on_rent(now, &request, outcome));
+        self.update(|controller, now| controller.on_rent_outcome(now, &request, outcome));
     }
 
     /// One line for each answer, but of those that only ask to repeat the request the first alone.
@@ -100,18 +102,18 @@
     async fn delete_machines(self: Rc<Self>, ids: Vec<MachineId>) {
         let ok = self.cloud.delete(&ids).await;
         tracing::info!(?ids, ok, "machine deletion answered");
-        self.update(|controller, now| controller.on_deleted(now, &ids, ok));
+        self.update(|controller, now| controller.on_delete_outcome(now, &ids, ok));
     }
 
     async fn query_job_outcome(self: Rc<Self>, job: JobId) {
-        if let Some(state) = self.api.final_outcome(&job).await {
+        if let Some(state) = self.api.final_job_state(&job).await {
             self.update(|controller, now| controller.on_job_outcome(now, &job, state));
         }
     }
 
     async fn list_machines(self: Rc<Self>) {
         let machines = self.cloud.list().await;
-        self.update(|controller, now| controller.on_list(now, machines));
+        self.update(|controller, now| controller.on_machine_list(now, machines));
     }
 
     async fn fetch_catalog(self: Rc<Self>) {
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -4,7 +4,7 @@
 
 use super::node::Node;
 use crate::http::{Method, Request, Response};
-use crate::ids::{MachineId, Member};
+use crate::ids::{MachineId, MemberId};
 use crate::peers::Message;
 use crate::runtime;
 use std::time::Duration;
@@ -32,24 +32,28 @@
 /// send it there itself.
 pub(super) async fn forward_heartbeat(
     node: &Node,
-    owner: &Member,
+    owner: &MemberId,
     machine: &MachineId,
     request: &Request,
 ) -> Option<Response> {
     let now = node.now();
-    if !node.routes.borrow().may_be_missing(now, owner, machine) {
+    if !node
+        .routes
+        .borrow()
+        .should_relay_heartbeat(now, owner, machine)
+    {
         return None;
     }
     let response = forward_to(node, owner, request).await;
     response.filter(|response| response.status == 200)
 }
 
-async fn forward_to(node: &Node, peer: &Member, request: &Request) -> Option<Response> {
+async fn forward_to(node: &Node, peer: &MemberId, request: &Request) -> Option<Response> {
     let pending = node.pending_forwards.register()?;
     let message = Message::ForwardedRequest {
         id: pending.id,
-        post: request.method == Method::Post,
-        path: request.path.clone(),
+        is_post: request.method == Method::Post,
+        path: request.target.clone(),
         body: request.body.clone(),
     };
     node.send(peer, message);
--- a/src/daemon/peer_messages.rs
+++ b/src/daemon/peer_messages.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::{heartbeat_endpoint, user_endpoints};
 use crate::http::{Method, Request, Response};
-use crate::ids::{MachineId, Member};
+use crate::ids::{MachineId, MemberId};
 use crate::peers::Message;
 use crate::protocol::path;
 use crate::runtime;
@@ -12,51 +12,62 @@
 
 impl Node {
     /// Handles a message that was sent, directly or through a relay, by `from`.
-    pub(super) fn on_peer_message(self: &Rc<Self>, from: &Member, message: Message) {
+    pub(super) fn on_peer_message(self: &Rc<Self>, from: &MemberId, message: Message) {
         match message {
             Message::PeerStatus {
                 store_reachable,
                 reachable_peers,
-                missing_machines,
-            } => self.on_peer_status(from, store_reachable, reachable_peers, missing_machines),
+                machines_without_direct_heartbeats,
+            } => self.on_peer_status(
+                from,
+                store_reachable,
+                reachable_peers,
+                machines_without_direct_heartbeats,
+            ),
             Message::Relay { to, from, message } => self.on_relay(to, from, message),
             Message::ForwardedRequest {
                 id,
-                post,
+                is_post,
                 path,
                 body,
             } => {
-                let method = if post { Method::Post } else { Method::Get };
-                let request = Request { method, path, body };
+                let method = if is_post { Method::Post } else { Method::Get };
+                let request = Request {
+                    method,
+                    target: path,
+                    body,
+                };
                 runtime::spawn(answer_forwarded(self.clone(), from.clone(), id, request));
             }
             Message::ForwardedResponse { id, status, body } => {
                 self.pending_forwards
                     .complete(id, Response::new(status, body));
             }
-            message => self.update(|controller, now| controller.on_peer(now, from, message)),
+            message => {
+                self.update(|controller, now| controller.on_peer_message(now, from, message))
+            }
         }
     }
 
     fn on_peer_status(
         &self,
-        from: &Member,
+        from: &MemberId,
         store_reachable: bool,
-        reachable_peers: Vec<Member>,
-        missing_machines: Vec<MachineId>,
+        reachable_peers: Vec<MemberId>,
+        machines_without_direct_heartbeats: Vec<MachineId>,
     ) {
         self.routes.borrow_mut().on_peer_status(
             self.now(),
             from,
             reachable_peers,
-            missing_machines,
+            machines_without_direct_heartbeats,
         );
         self.served_peers.record(from, store_reachable);
     }
 
     /// A message for another controller is sent on directly and never relayed again: whoever was
     /// asked to relay reaches the other side itself.
-    fn on_relay(self: &Rc<Self>, to: Member, from: Member, message: Box<Message>) {
+    fn on_relay(self: &Rc<Self>, to: MemberId, from: MemberId, message: Box<Message>) {
         if to == self.config.member {
             self.on_peer_message(&from, *message);
             return;
@@ -68,8 +79,8 @@
 }
 
 /// Decides a peer's request here; it is never forwarded again.
-async fn answer_forwarded(node: Rc<Node>, from: Member, id: u64, request: Request) {
-    let response = if request.method == Method::Post && request.path == path::HEARTBEAT {
+async fn answer_forwarded(node: Rc<Node>, from: MemberId, id: u64, request: Request) {
+    let response = if request.method == Method::Post && request.target == path::HEARTBEAT {
         heartbeat_endpoint::relayed_heartbeat(&node, &request.body)
     } else {
         user_endpoints::respond(&node, &request)
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -2,28 +2,30 @@
 
 use super::endpoint::EndpointReport;
 use super::node::Node;
-use crate::api::{FinalReadCounters, UnansweredReport};
-use crate::ids::{FencingToken, MachineId, Member, Resources, Revision, TeamId, TypeName, Zone};
+use crate::api::{FinalStateReadCounters, UnansweredReport};
+use crate::ids::{
+    FencingToken, MachineId, MachineTypeName, MemberId, Resources, Revision, TeamId, Zone,
+};
 use crate::store::rate_limiter::RequestClass;
 use crate::store::records::ProgramVersion;
 use crate::store::watch_cache::WatchCache;
-use crate::store::{ClassCounters, Store};
+use crate::store::{ClassCounters, StoreClient};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// What a node knows of the cluster and of itself.
 #[derive(Serialize)]
 pub(super) struct StatusReport<'a> {
-    member: &'a Member,
+    member: &'a MemberId,
     zone: &'a Zone,
     /// Whether the load balancer should send users here.
     ready: bool,
     /// The leader, as far as the watch cache knows.
-    leader: Option<&'a Member>,
+    leader: Option<&'a MemberId>,
     /// All controllers that hold a lease.
-    members: Vec<&'a Member>,
+    members: Vec<&'a MemberId>,
     /// Their program versions.
-    versions: BTreeMap<&'a Member, ProgramVersion>,
+    versions: BTreeMap<&'a MemberId, ProgramVersion>,
     /// The revision of the watch cache.
     revision: Revision,
     /// By the shard's id.
@@ -53,14 +55,14 @@
     /// Users' questions without an answer.
     unanswered: UnansweredReport,
     /// Reads of how jobs have ended.
-    final_state_reads: FinalReadCounters,
+    final_state_reads: FinalStateReadCounters,
 }
 
 /// A shard's owner and its fencing token.
 #[derive(Serialize)]
 struct ShardReport<'a> {
     #[serde(rename = "holder")]
-    owner: &'a Member,
+    owner: &'a MemberId,
     token: FencingToken,
 }
 
@@ -69,7 +71,7 @@
 struct MachineReport<'a> {
     id: &'a MachineId,
     #[serde(rename = "type")]
-    type_name: &'a TypeName,
+    type_name: &'a MachineTypeName,
     zone: &'a Zone,
     spot: bool,
     /// How many tasks are placed on it.
@@ -112,22 +114,22 @@
             revision: cache.revision,
             shards: shard_reports(cache),
             machines: machine_reports(cache),
-            booting: controller.autoscaler.booting(),
+            booting: controller.autoscaler.booting_count(),
             teams: cache.team_usage(),
             jobs: cache.jobs.len(),
             waiting_jobs: cache.dependency_graph.len(),
             waiting_tasks: unmet_demands.iter().map(|demand| demand.tasks).sum(),
-            allotted: controller.scheduler.allotted_count(),
+            allotted: controller.scheduler.in_flight_task_count(),
             owned_machines: controller.shard_owner.tracked_count(),
             store: StoreReport::new(&node.store),
             responses: node.response_stats.report(),
             unanswered: node.api.unanswered_report(),
-            final_state_reads: node.api.final_read_counters(),
+            final_state_reads: node.api.final_state_read_counters(),
         }
     }
 }
 
-fn versions_by_member(cache: &WatchCache) -> BTreeMap<&Member, ProgramVersion> {
+fn versions_by_member(cache: &WatchCache) -> BTreeMap<&MemberId, ProgramVersion> {
     let members = cache.members.iter();
     members
         .map(|(member, record)| (member, record.version))
@@ -162,8 +164,8 @@
 }
 
 impl StoreReport {
-    fn new(store: &Store) -> Self {
-        let levels = store.levels();
+    fn new(store: &StoreClient) -> Self {
+        let levels = store.token_levels();
         let counters = store.counters();
         Self {
             up: store.is_up(),
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use reachability::ReachabilityMonitor;
 
 use crate::config::Config;
-use crate::ids::{Incarnation, LeaseId, Member, Millis, MonotonicTime, Revision, ShardId};
+use crate::ids::{Incarnation, LeaseId, MemberId, Millis, MonotonicTime, Revision, ShardId};
 use crate::protocol::store::Txn;
 use crate::store::records::{LeaderRecord, ShardRecord};
 use crate::store::watch_cache::WatchCache;
@@ -25,7 +25,7 @@
 
 /// This controller's part in electing a leader and, where it leads, in assigning the shards.
 pub(crate) struct Leadership {
-    member: Member,
+    member: MemberId,
     incarnation: Incarnation,
     /// How many shards there are.
     shards: u32,
@@ -41,7 +41,7 @@
     /// The leader's record that was ours under a lease which has ended since.
     ended_term: Revision,
     /// Who is given no shards, while there is somebody else.
-    quarantined: BTreeSet<Member>,
+    quarantined: BTreeSet<MemberId>,
 }
 
 impl Leadership {
@@ -50,8 +50,8 @@
         Self {
             member: config.member.clone(),
             incarnation,
-            shards: config.shards(),
-            txn_ops: config.state.txn_ops,
+            shards: config.shard_count(),
+            txn_ops: config.store_limits.txn_ops,
             lease: None,
             in_flight: false,
             retry_at: MonotonicTime::default(),
@@ -119,12 +119,12 @@
     }
 
     /// Sets who is given no shards, while there is somebody else.
-    pub(crate) fn set_quarantined(&mut self, members: BTreeSet<Member>) {
+    pub(crate) fn set_quarantined(&mut self, members: BTreeSet<MemberId>) {
         self.quarantined = members;
     }
 
     /// Takes the outcome of the last transaction of [`Self::step`].
-    pub(crate) fn on_txn(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
+    pub(crate) fn on_txn_outcome(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
             TxnOutcome::Committed(revision) => {
@@ -177,7 +177,7 @@
 
     /// Rewrites a shard's record unchanged, to raise its fencing token. Its owner may, and the
     /// leader.
-    pub(crate) fn renew_shard(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
+    pub(crate) fn raise_shard_fence(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
         let live = cache.members.get(&record.value.owner)?;
         if live.incarnation != record.value.incarnation {
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::tests::sample_config;
 use crate::ids::{Incarnation, LeaseId, Revision};
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ShardRecord};
 
@@ -9,7 +9,7 @@
     let config = sample_config();
     let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: serde_json::Value| {
-        cache.load(Item {
+        cache.load(KeyValue {
             key,
             value,
             revision: Revision(5),
@@ -21,7 +21,7 @@
         let value = serde_json::to_value(&record).expect("json");
         put(keys::member(&member.into()), value);
     }
-    for shard in 0..config.shards() {
+    for shard in 0..config.shard_count() {
         let record = ShardRecord {
             owner: format!("c{}", shard % 3).as_str().into(),
             incarnation: Incarnation(u64::from(shard % 3)),
@@ -37,11 +37,11 @@
     MachineHealth {
         machine: format!("vm-{n:03}").as_str().into(),
         fence: Revision(5),
-        silent: Millis(silent),
+        unresponsive_for: Millis(silent),
         since_direct_heartbeat: Millis(silent),
-        confirmed: true,
-        notice: None,
-        unrecorded: None,
+        token_confirmed: true,
+        until_interruption: None,
+        unstored_record: None,
         gangs: Vec::new(),
     }
 }
@@ -61,8 +61,13 @@
     let of_c1 = (0..60).filter(|n| n % 3 == 1);
     let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
-    reachability.evaluate(MonotonicTime(1100), config.shards(), all.iter(), &cache);
-    let unreachable: Vec<Member> = reachability.quarantined().into_iter().collect();
+    reachability.evaluate(
+        MonotonicTime(1100),
+        config.shard_count(),
+        all.iter(),
+        &cache,
+    );
+    let unreachable: Vec<MemberId> = reachability.quarantined().into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
 }
 
@@ -75,7 +80,7 @@
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
         .collect();
     let evaluate = |reachability: &mut ReachabilityMonitor, now: u64| {
-        reachability.evaluate(MonotonicTime(now), config.shards(), all.iter(), &cache);
+        reachability.evaluate(MonotonicTime(now), config.shard_count(), all.iter(), &cache);
         reachability.quarantined()
     };
     assert!(
@@ -90,10 +95,15 @@
         "those are not silent"
     );
     reachability.on_misdirected_heartbeats(MonotonicTime(3000), named(1));
-    let unreachable: Vec<Member> = evaluate(&mut reachability, 3100).into_iter().collect();
+    let unreachable: Vec<MemberId> = evaluate(&mut reachability, 3100).into_iter().collect();
     assert_eq!(unreachable, ["c1".into()]);
     let later = 3100 + 2 * config.worker_lease.0;
-    reachability.evaluate(MonotonicTime(later), config.shards(), [].iter(), &cache);
+    reachability.evaluate(
+        MonotonicTime(later),
+        config.shard_count(),
+        [].iter(),
+        &cache,
+    );
     assert!(
         reachability.quarantined().is_empty(),
         "and tried again later"
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -24,7 +24,10 @@
             free: candidates.clone().map(|c| c.free).collect(),
             records: candidates.map(|c| c.record_capacity.clone()).collect(),
         };
-        let noticed = self.health.iter().filter(|(_, h)| h.last.notice.is_some());
+        let noticed = self
+            .health
+            .iter()
+            .filter(|(_, h)| h.report.until_interruption.is_some());
         for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
             self.move_replicas_off(id, &mut targets, &mut stops);
         }
@@ -85,14 +88,17 @@
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
-            let (Some(left), Some(machine)) = (health.last.notice, self.cache.machines.get(id))
-            else {
+            let (Some(left), Some(machine)) = (
+                health.report.until_interruption,
+                self.cache.machines.get(id),
+            ) else {
                 continue;
             };
             for (attempt, _) in machine.record.attempts() {
                 let job = self.cache.jobs.get(&attempt.task.job);
                 let can_save = job.is_some_and(|j| {
-                    j.spec.checkpoint_s > 0.0 && j.spec.save_s + SAVE_MARGIN_S < left.as_secs_f64()
+                    j.spec.checkpoint_interval_s > 0.0
+                        && j.spec.checkpoint_duration_s + SAVE_MARGIN_S < left.as_secs_f64()
                 });
                 if can_save {
                     stops.add(&attempt, id);
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -1,20 +1,20 @@
 //! Quota usage of teams: the resources of every placement that is not known to be gone, and of
 //! every allotment of this term that is not on record.
 
-use crate::config::Team;
+use crate::config::TeamQuota;
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
 /// What each team uses, against its guaranteed quota and its limit.
 pub(super) struct QuotaUsage<'a> {
-    teams: &'a BTreeMap<TeamId, Team>,
+    teams: &'a BTreeMap<TeamId, TeamQuota>,
     used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> QuotaUsage<'a> {
     /// Usage against the quotas of `teams`, with what is on record as used.
     pub(super) fn new(
-        teams: &'a BTreeMap<TeamId, Team>,
+        teams: &'a BTreeMap<TeamId, TeamQuota>,
         used: BTreeMap<TeamId, Resources>,
     ) -> Self {
         Self { teams, used }
@@ -48,13 +48,19 @@
             return 0;
         };
         let free = limits.limit() - self.used(team);
-        Resources { memory: 0, ..need }.count_in(free)
+        Resources {
+            memory_mb: 0,
+            ..need
+        }
+        .fit_count(free)
     }
 
     /// Whether the team uses more of any resource than its guaranteed quota.
     pub(super) fn exceeds_guarantee(&self, team: &TeamId) -> bool {
         let used = self.used(team);
-        self.teams.get(team).is_none_or(|t| t.is_exceeded(used))
+        self.teams
+            .get(team)
+            .is_none_or(|t| t.is_guarantee_exceeded(used))
     }
 
     /// Whether the team's tasks of such a need may be preempted for other teams' guarantees: it
@@ -63,7 +69,7 @@
         let used = self.used(team);
         self.teams
             .get(team)
-            .is_none_or(|t| !t.guarantees(need) || !t.covers(used))
+            .is_none_or(|t| !t.has_guarantee_for(need) || !t.is_within_guarantee(used))
     }
 }
 
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -9,7 +9,10 @@
 const MIN_SPARE_REPLICAS: u64 = 2;
 
 /// How many replicas of services a machine has, and the resources that they use.
-pub(crate) fn replicas(machine: &LiveMachine, cache: &WatchCache) -> (usize, Resources) {
+pub(crate) fn machine_replica_usage(
+    machine: &LiveMachine,
+    cache: &WatchCache,
+) -> (usize, Resources) {
     let is_service = |placed: &&PlacedJob| {
         cache
             .jobs
@@ -27,18 +30,20 @@
 
 /// The replicas for which capacity is kept: the largest need among the services, and how many
 /// replicas of it. `None` without services.
-pub(crate) fn spare_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
+pub(crate) fn reserved_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
     let (mut total, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
         if job.spec.kind == JobKind::Service {
             let need = job.spec.need();
-            total += need.cpus * u64::from(job.spec.tasks);
-            if need.cpus > largest.cpus {
+            total += need.milli_cpus * u64::from(job.spec.tasks);
+            if need.milli_cpus > largest.milli_cpus {
                 largest = need;
             }
         }
     }
     let spare = (total as f64 * cache.settings().service_spare) as u64;
-    let count = spare.checked_div(largest.cpus)?.max(MIN_SPARE_REPLICAS);
+    let count = spare
+        .checked_div(largest.milli_cpus)?
+        .max(MIN_SPARE_REPLICAS);
     Some((largest, count))
 }
--- a/src/placement/scheduler/dispatch.rs
+++ b/src/placement/scheduler/dispatch.rs
@@ -18,12 +18,14 @@
         out: &mut Vec<Effect>,
     ) {
         for TaskStop { machine, attempt } in stops {
-            let shard = machine.shard(self.config.shards());
+            let shard = machine.shard(self.config.shard_count());
             let Some(record) = cache.shards.get(&shard) else {
                 continue;
             };
             let job = cache.jobs.get(&attempt.task.job);
-            let grace = job.map_or(Millis(0), |j| Millis::from_secs(j.spec.save_s));
+            let grace = job.map_or(Millis(0), |j| {
+                Millis::from_secs(j.spec.checkpoint_duration_s)
+            });
             self.preempted.insert(attempt.clone(), now);
             let message = Message::Stop {
                 machine,
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -1,7 +1,7 @@
 //! What is stopped for others, and before interruptions.
 
 use super::scene::{NOW, Scene, StepOutcome, TERM};
-use crate::config::Team;
+use crate::config::TeamQuota;
 use crate::ids::{JobId, Millis, Resources, UnixTime};
 use crate::peers::Message;
 use crate::placement::{Effect, Scheduler};
@@ -13,18 +13,18 @@
     let mut scene = Scene::new();
     let saving = scene.job(1, |s| {
         s.tasks = 1;
-        s.checkpoint_s = 10.0;
-        s.save_s = 3.0;
+        s.checkpoint_interval_s = 10.0;
+        s.checkpoint_duration_s = 3.0;
     });
     let plain = scene.job(2, |s| s.tasks = 1);
     let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
     let mut noticed = scene.health(&id);
-    noticed.notice = Some(Millis(3500));
+    noticed.until_interruption = Some(Millis(3500));
     scene
         .scheduler
         .on_health(NOW, vec![noticed.clone()], &scene.cache);
     assert!(scene.step().stops.is_empty(), "too late to save");
-    noticed.notice = Some(Millis(8000));
+    noticed.until_interruption = Some(Millis(8000));
     scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
     let stops = scene.step().stops;
     assert_eq!(stops.len(), 1);
@@ -94,7 +94,7 @@
 fn full_of_idle_work(machines: u32) -> Scene {
     let mut scene = Scene::new();
     for team in scene.config.teams.values_mut() {
-        *team = Team::new(Resources::default(), Resources::default());
+        *team = TeamQuota::new(Resources::default(), Resources::default());
     }
     scene.scheduler = Scheduler::new(&scene.config);
     scene.scheduler.unix_time = UnixTime(901_000);
@@ -174,8 +174,8 @@
     let saving = scene.job(2, |s| {
         s.priority = Priority::Low;
         s.tasks = 4;
-        s.checkpoint_s = 15.0;
-        s.save_s = 4.0;
+        s.checkpoint_interval_s = 15.0;
+        s.checkpoint_duration_s = 4.0;
     });
     let attempts: Vec<_> = (0..4).map(|i| (&saving, i, u64::from(100 + i))).collect();
     scene.machine(5, "a", false, &attempts);
@@ -200,7 +200,7 @@
 fn arrays_do_not_preempt_while_record_changes_are_scarce() {
     let stops_at = |changes: f64| {
         let mut scene = full_of_idle_work(20);
-        scene.scheduler.set_change_rate(changes);
+        scene.scheduler.set_store_write_rate(changes);
         for n in 100..103 {
             scene.machine(n, "a", false, &[]);
         }
@@ -213,7 +213,7 @@
     assert_eq!(stops_at(1.0), (4, 0));
     // What must run at once preempts all the same.
     let mut scene = full_of_idle_work(20);
-    scene.scheduler.set_change_rate(1.0);
+    scene.scheduler.set_store_write_rate(1.0);
     for n in 100..103 {
         scene.machine(n, "a", false, &[]);
     }
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/scene.rs
@@ -9,7 +9,7 @@
 use crate::peers::{Allotment, MachineHealth, Message};
 use crate::placement::{Effect, Scheduler};
 use crate::protocol::JobSpec;
-use crate::protocol::store::Item;
+use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{JobRecord, MachineRecord, ShardRecord};
 use crate::store::watch_cache::WatchCache;
@@ -55,7 +55,7 @@
             {"name": "t8", "cores": 8, "cards": 0, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 1.0,
              "price": 1.0, "low_price": 0.5, "startup_s": 20, "berths": ["a", "b"]}]});
         scene.put(keys::CATALOG.to_owned(), &catalog);
-        for shard in 0..scene.config.shards() {
+        for shard in 0..scene.config.shard_count() {
             let record = ShardRecord {
                 owner: "c0".into(),
                 incarnation: Incarnation(1),
@@ -71,7 +71,7 @@
         self.revision += 1;
         let revision = Revision(self.revision);
         let value = serde_json::to_value(value).expect("json");
-        self.cache.load(Item {
+        self.cache.load(KeyValue {
             key,
             value,
             revision,
@@ -82,15 +82,15 @@
 
     /// A report that a machine is healthy.
     pub(super) fn health(&self, id: &MachineId) -> MachineHealth {
-        let shard = id.shard(self.config.shards());
+        let shard = id.shard(self.config.shard_count());
         MachineHealth {
             machine: id.clone(),
             fence: self.cache.shards[&shard].revision,
-            silent: Millis(0),
+            unresponsive_for: Millis(0),
             since_direct_heartbeat: Millis(0),
-            confirmed: true,
-            notice: None,
-            unrecorded: None,
+            token_confirmed: true,
+            until_interruption: None,
+            unstored_record: None,
             gangs: Vec::new(),
         }
     }
@@ -145,7 +145,7 @@
                     Message::Stop { attempt, .. } => stops.push(attempt),
                     other => panic!("{other:?}"),
                 },
-                Effect::RenewShard(_) => {}
+                Effect::RaiseShardFence(_) => {}
             }
         }
         StepOutcome { allotments, stops }
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -4,9 +4,10 @@
 use super::events::{CascadeStepDue, ControllerProcess, SimulationEvent};
 use super::guards::DisabledGuard;
 use super::timing::USER_RETRY_MS;
-use super::violations::Rule;
+use super::violations::ViolationKind;
 use crate::api::dependencies::{
-    CancellationCascade, CascadeStep, Dependencies, DependencyState, named_in_cache,
+    CancellationCascade, CascadeStep, CombinedDependencyState, DependencyState,
+    cached_dependency_state,
 };
 use crate::controller::{Effect, TxnRequester};
 use crate::ids::{JobId, UnixTime};
@@ -63,27 +64,30 @@
         let Some(controller) = &self.nodes[node].controller else {
             return;
         };
-        let guarded = self.disabled_guard != DisabledGuard::OldVersionsAcceptDependencies;
-        if guarded && !controller.cache.all_know_dependencies() {
+        let guarded = self.disabled_guard != DisabledGuard::DependenciesAcceptedDuringUpgrade;
+        if guarded && !controller.cache.all_members_support_dependencies() {
             self.observed.dependencies.postponed += 1;
             self.schedule_in(USER_RETRY_MS, SimulationEvent::SubmitDependent(spec));
             return;
         }
         let ids = spec.dependencies.iter();
         let named = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
-        let dependencies = Dependencies::of(&spec.id, named.collect());
+        let dependencies = CombinedDependencyState::of(&spec.id, named.collect());
         self.write_submission(&spec, &dependencies);
     }
 
-    fn write_submission(&mut self, spec: &JobSpec, dependencies: &Dependencies) {
+    fn write_submission(&mut self, spec: &JobSpec, dependencies: &CombinedDependencyState) {
         let decided = match self.disabled_guard {
-            DisabledGuard::DependenciesIgnored => &Dependencies::Done,
+            DisabledGuard::DependenciesIgnored => &CombinedDependencyState::Done,
             _ => dependencies,
         };
-        let (now, ops) = (UnixTime(self.now.0), self.nodes[0].config.state.txn_ops);
-        let Some((txn, state)) = decided.accept(spec, now, ops) else {
+        let (now, ops) = (
+            UnixTime(self.now.0),
+            self.nodes[0].config.store_limits.txn_ops,
+        );
+        let Some((txn, state)) = decided.acceptance_txn(spec, now, ops) else {
             self.record_violation(
-                Rule::SubmissionNotAccepted,
+                ViolationKind::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
             );
             return;
@@ -92,8 +96,9 @@
             TxnOutcome::Committed(_) => {
                 let counts = &mut self.observed.dependencies;
                 counts.submitted += 1;
-                counts.waited += u64::from(matches!(dependencies, Dependencies::Open(_)));
-                counts.cancelled_at_once += u64::from(state == JobState::Cancelled);
+                counts.accepted_blocked +=
+                    u64::from(matches!(dependencies, CombinedDependencyState::Live(_)));
+                counts.cancelled_on_submission += u64::from(state == JobState::Cancelled);
                 if state == JobState::Cancelled {
                     self.check_final_states();
                 }
@@ -120,7 +125,7 @@
 
     fn dependency_state(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
-        let shown = controller.and_then(|c| named_in_cache(id, &c.cache));
+        let shown = controller.and_then(|c| cached_dependency_state(id, &c.cache));
         // What the watch cache shows may be old: the conditions of the write fail then, and the
         // records are read.
         let found = self.store.revision_of(&keys::job(id));
@@ -137,7 +142,7 @@
         match self.final_state(id) {
             Some(JobState::Cancelled) => DependencyState::Cancelled,
             Some(_) => DependencyState::Done,
-            None => DependencyState::Never,
+            None => DependencyState::NeverAccepted,
         }
     }
 
@@ -154,7 +159,7 @@
             return;
         }
         let ControllerProcess { node, generation } = due.process;
-        let ops = self.nodes[node].config.state.txn_ops;
+        let ops = self.nodes[node].config.store_limits.txn_ops;
         let served = self.nodes[node].store_cut_until <= self.now;
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(due.job);
@@ -185,9 +190,9 @@
         self.check_final_states();
         if let TxnOutcome::Committed(at) = outcome {
             cascade.committed(at);
-            self.observed.dependencies.cancelled_with += jobs.len() as u64;
+            self.observed.dependencies.cancelled_by_cascade += jobs.len() as u64;
             self.with_controller(process, |c| {
-                c.dependents_cancelled(jobs, at);
+                c.on_dependents_cancelled(jobs, at);
                 Vec::new()
             });
         }
@@ -197,7 +202,7 @@
         let left = self.jobs.keys().filter(|id| {
             self.store.contains(&keys::job(id)) && self.ancestors(id).contains(cancelled)
         });
-        self.observed.dependencies.left_at_confirmation += left.count() as u64;
+        self.observed.dependencies.live_at_confirmation += left.count() as u64;
     }
 
     /// All jobs that a job needs, directly or through others.
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -10,7 +10,7 @@
 use super::timing::{CALL_TIMEOUT_MS, SHARD_LEASE_MS};
 use super::topology::MEMBERS;
 use crate::controller::{Effect, TxnRequester};
-use crate::ids::Member;
+use crate::ids::MemberId;
 use crate::protocol::store::Txn;
 use crate::store::{Refusal, TxnOutcome};
 
@@ -44,7 +44,7 @@
     fn execute_effect(&mut self, caller: ControllerProcess, effect: Effect) {
         match effect {
             Effect::Txn { requester, txn, .. } => self.send_txn(caller, requester, txn),
-            Effect::Call(call) => {
+            Effect::CallWorker(call) => {
                 let ms = self.pick(REQUEST_MS.0, REQUEST_MS.1);
                 let call = DirectCall {
                     caller,
@@ -56,7 +56,9 @@
                 };
                 self.schedule_in(ms, SimulationEvent::DirectCall(call));
             }
-            Effect::Peer(member, message) => self.send_to_peer(caller.node, &member, &message),
+            Effect::SendToPeer(member, message) => {
+                self.send_to_peer(caller.node, &member, &message)
+            }
             effect => self.send_to_cloud(caller, effect),
         }
     }
@@ -93,7 +95,7 @@
     }
 
     fn send_to_cloud(&mut self, caller: ControllerProcess, effect: Effect) {
-        let at_once = self.disabled_guard == DisabledGuard::MissingParentCountsAsDone;
+        let at_once = self.disabled_guard == DisabledGuard::MissingDependencyCountsAsDone;
         let ms = match at_once {
             true => 0,
             false => self.pick(CLOUD_CALL_MS.0, CLOUD_CALL_MS.1),
@@ -160,7 +162,9 @@
         let TxnResponse {
             requester, outcome, ..
         } = response;
-        self.with_controller(response.caller, |c| c.on_txn(now, requester, outcome));
+        self.with_controller(response.caller, |c| {
+            c.on_txn_outcome(now, requester, outcome)
+        });
     }
 
     /// The outcome of direct commands arrives at the controller that sent them.
@@ -172,15 +176,17 @@
             token,
             outcome,
         } = response;
-        self.with_controller(caller, |c| c.on_call(now, &machine, token, outcome));
+        self.with_controller(caller, |c| {
+            c.on_direct_call_outcome(now, &machine, token, outcome)
+        });
     }
 
     /// A message arrives at a controller.
     pub(super) fn receive_peer_message(&mut self, delivery: PeerDelivery) {
         let now = self.now;
-        let from = Member::from(MEMBERS[delivery.from]);
+        let from = MemberId::from(MEMBERS[delivery.from]);
         let process = self.process(delivery.to);
-        self.with_controller(process, |c| c.on_peer(now, &from, delivery.message));
+        self.with_controller(process, |c| c.on_peer_message(now, &from, delivery.message));
     }
 
     /// When what was just carried out arrives once more, if it does.
--- a/src/simulation/models/store.rs
+++ b/src/simulation/fakes/store.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::ids::{LeaseId, MonotonicTime, Revision};
-use crate::protocol::store::{Change, Event, Item, Txn};
+use crate::protocol::store::{Change, Event, KeyValue, Txn};
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Refusal, TxnOutcome};
 use serde::de::DeserializeOwned;
@@ -28,7 +28,7 @@
 
 /// What the store takes at most.
 #[derive(Clone, Copy)]
-pub(in crate::simulation) struct StoreLimits {
+pub(in crate::simulation) struct FakeStoreLimits {
     /// The largest value, in bytes.
     pub value_bytes: usize,
     /// The most changes in a transaction.
@@ -37,7 +37,7 @@
 
 /// The state of the key-value store.
 #[derive(Default)]
-pub(in crate::simulation) struct StoreModel {
+pub(in crate::simulation) struct FakeStore {
     /// The last change.
     pub revision: Revision,
     keys: BTreeMap<String, StoredValue>,
@@ -47,9 +47,9 @@
     /// Conditions on the fences of shards and machines are taken as met.
     pub ignore_fences: bool,
     /// None at first.
-    pub limits: Option<StoreLimits>,
+    pub limits: Option<FakeStoreLimits>,
     /// How many transactions were refused for their size.
-    pub too_large: u64,
+    pub oversized_txns: u64,
 }
 
 fn read_by(value: Value, earlier_version: bool) -> Value {
@@ -75,7 +75,7 @@
     value
 }
 
-impl StoreModel {
+impl FakeStore {
     /// Whether a key has a value.
     pub(in crate::simulation) fn contains(&self, key: &str) -> bool {
         self.keys.contains_key(key)
@@ -145,7 +145,7 @@
             return TxnOutcome::Failed(failed, self.revision);
         }
         if self.is_too_large(txn) {
-            self.too_large += 1;
+            self.oversized_txns += 1;
             return TxnOutcome::Invalid;
         }
         let lease_ended = |change: &Change| matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
@@ -246,7 +246,7 @@
     ) -> WatchCache {
         let mut cache = WatchCache::new(config);
         for (key, stored) in &self.keys {
-            cache.load(Item {
+            cache.load(KeyValue {
                 key: key.clone(),
                 value: read_by(stored.value.clone(), earlier_version),
                 revision: stored.revision,
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -3,8 +3,8 @@
 use crate::ids::{JobId, MachineId};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
-use crate::simulation::models::Worker;
-use crate::simulation::violations::Rule;
+use crate::simulation::fakes::Worker;
+use crate::simulation::violations::ViolationKind;
 use crate::store::keys;
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
     /// `Starved`: no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
-        if !self.active.healed || self.scale.is_some() {
+        if !self.active.healed || self.fleet.is_some() {
             return;
         }
         let now = self.now;
@@ -28,7 +28,7 @@
             let since = &mut self.observed.starving_since;
             let since = *since.entry(id.clone()).or_insert(now);
             if now.since(since).0 > STARVATION_LIMIT_MS {
-                self.record_violation(Rule::Starved, &id);
+                self.record_violation(ViolationKind::Starved, &id);
             }
         }
     }
@@ -57,8 +57,8 @@
             JobKind::Array => 1,
             _ => spec.tasks,
         };
-        let need = spec.need().cpus * u64::from(tasks);
-        let limit = self.nodes[0].config.teams[&spec.team].limit().cpus;
+        let need = spec.need().milli_cpus * u64::from(tasks);
+        let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         let mut up = self.workers.iter().filter(|(_, w)| !w.dead);
         self.team_cpus(spec) + need <= limit && up.any(|(id, w)| self.fits(spec, need, id, w))
     }
@@ -67,8 +67,8 @@
         let alive = worker.tasks.iter();
         let alive = alive.filter(|(_, task)| task.state != TaskState::Exited);
         let jobs = alive.filter_map(|(attempt, _)| self.jobs.get(&attempt.task.job));
-        let taken: u64 = jobs.map(|other| other.need().cpus).sum();
+        let taken: u64 = jobs.map(|other| other.need().milli_cpus).sum();
         let recorded = self.store.contains(&keys::machine(id));
-        recorded && taken + need <= MACHINE_CPUS && (spec.spot || !worker.spot)
+        recorded && taken + need <= MACHINE_CPUS && (spec.allow_spot || !worker.spot)
     }
 }
--- a/src/simulation/stand_ins/gangs.rs
+++ b/src/simulation/stand_ins/gangs.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{ExitReason, JobKind, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::SimulationEvent;
-use crate::simulation::models::{Worker, WorkerTask};
+use crate::simulation::fakes::{Worker, WorkerTask};
 use std::collections::BTreeMap;
 
 /// How long a gang runs, in ms.
@@ -95,8 +95,8 @@
             state: TaskState::Running,
             exit_reason: None,
         }),
-        TaskState::Waiting if now >= task.until => Some(exit(ExitReason::Alone)),
-        TaskState::Running if !complete => Some(exit(ExitReason::Peers)),
+        TaskState::Waiting if now >= task.until => Some(exit(ExitReason::GangIncomplete)),
+        TaskState::Running if !complete => Some(exit(ExitReason::GangMemberGone)),
         TaskState::Running if now >= task.until => Some(exit(ExitReason::Done)),
         _ => None,
     }
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/stand_ins/network.rs
@@ -1,7 +1,7 @@
 //! The network: isolated zones, zones that can't reach each other, and relays between them.
 
-use crate::ids::{Member, MonotonicTime};
-use crate::peers::{Message, RelayRoutes, over_link};
+use crate::ids::{MemberId, MonotonicTime};
+use crate::peers::{Message, RelayRoutes, frame_round_trip};
 use crate::protocol::Heartbeat;
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::events::{PeerDelivery, SimulationEvent};
@@ -42,7 +42,7 @@
     pub(in crate::simulation) fn send_to_peer(
         &mut self,
         from: usize,
-        to: &Member,
+        to: &MemberId,
         message: &Message,
     ) {
         let to = member_index(to.as_str()).unwrap_or(0);
@@ -52,7 +52,7 @@
         let cut = cut(from) || cut(to) || partitioned;
         if partitioned && let Some(relay) = self.relay_between(from, to) {
             self.deliver_to_peer(RELAYED_MS, from, to, message);
-            self.observed.relayed += u64::from(relay != from);
+            self.observed.relayed_messages += u64::from(relay != from);
             return;
         }
         let lost = cut || (self.faults.lost_responses && self.chance(LOST_MESSAGE_PERCENT));
@@ -63,7 +63,7 @@
     }
 
     fn deliver_to_peer(&mut self, ms: u64, from: usize, to: usize, message: &Message) {
-        let message = over_link(message);
+        let message = frame_round_trip(message);
         let delivery = PeerDelivery { to, from, message };
         self.schedule_in(ms, SimulationEvent::Peer(delivery));
     }
@@ -84,10 +84,16 @@
         let mut routes = RelayRoutes::default();
         for other in (0..members).filter(|other| reachable_peers(node, *other)) {
             let heard = (0..members).filter(|n| reachable_peers(other, *n));
-            let heard = heard.map(|n| Member::from(MEMBERS[n])).collect();
+            let heard = heard.map(|n| MemberId::from(MEMBERS[n])).collect();
             let controller = self.nodes[other].controller.as_ref();
-            let missing_machines = controller.map_or_else(Vec::new, |c| c.missing_machines(now));
-            routes.on_peer_status(now, &Member::from(MEMBERS[other]), heard, missing_machines);
+            let machines_without_direct_heartbeats =
+                controller.map_or_else(Vec::new, |c| c.machines_without_direct_heartbeats(now));
+            routes.on_peer_status(
+                now,
+                &MemberId::from(MEMBERS[other]),
+                heard,
+                machines_without_direct_heartbeats,
+            );
         }
         routes
     }
@@ -98,7 +104,7 @@
             return None;
         }
         let routes = self.routes(node);
-        let relay_for = routes.relay_for(self.now, &Member::from(MEMBERS[to]))?;
+        let relay_for = routes.relay_for(self.now, &MemberId::from(MEMBERS[to]))?;
         member_index(relay_for.as_str())
     }
 
@@ -106,7 +112,7 @@
     pub(in crate::simulation) fn relay_heartbeat(
         &mut self,
         node: usize,
-        owner: Member,
+        owner: MemberId,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatAnswer> {
         if !self.faults.zone_partition || self.disabled_guard == DisabledGuard::RelayDisabled {
@@ -114,7 +120,7 @@
         }
         let now = self.now;
         let routes = self.routes(node);
-        if !routes.may_be_missing(now, &owner, &heartbeat.machine) {
+        if !routes.should_relay_heartbeat(now, &owner, &heartbeat.machine) {
             return None;
         }
         let to = member_index(owner.as_str())?;
@@ -127,7 +133,7 @@
         if let Some(answer) = &answer {
             self.digest.add_answer(to, answer);
         }
-        self.observed.relayed += u64::from(answer.is_some());
+        self.observed.relayed_messages += u64::from(answer.is_some());
         answer
     }
 
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -5,7 +5,7 @@
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
-use super::models::StoreLimits;
+use super::fakes::FakeStoreLimits;
 
 /// When the first controller is upgraded, and the time between two upgrades, in ms.
 const FIRST_UPGRADE_MS: u64 = 15_000;
@@ -43,7 +43,7 @@
     /// This version keeps to the later limits from its start.
     fn configure_limits(&mut self, node: usize) {
         if self.faults.lowered_store_limits {
-            let state = &mut self.nodes[node].config.state;
+            let state = &mut self.nodes[node].config.store_limits;
             state.value_bytes = VALUE_BYTES;
             state.txn_ops = TXN_OPS;
         }
@@ -53,7 +53,7 @@
     pub(super) fn upgrade(&mut self, node: usize) {
         self.nodes[node].earlier_version = false;
         self.configure_limits(node);
-        self.observed.faults_met += 1;
+        self.observed.fault_occurrences += 1;
         if self.stop_process(node) {
             let ms = self.pick(RESTART_MS.0, RESTART_MS.1);
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
@@ -62,7 +62,7 @@
 
     /// The key-value store takes less from now on.
     pub(super) fn lower_store_limits(&mut self) {
-        self.store.limits = Some(StoreLimits {
+        self.store.limits = Some(FakeStoreLimits {
             value_bytes: VALUE_BYTES,
             changes: TXN_OPS,
         });
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -8,13 +8,13 @@
 };
 use super::rate_limiter::RequestClass;
 use super::refusals::{Refusals, RefusedBy};
-use crate::config::{StateLimits, StateRates};
-use crate::http::{Client, Failure, Method, Response};
+use crate::config::{StoreLimits, StoreRates};
+use crate::http::{CallError, Client, Method, Response};
 use crate::ids::{LeaseId, MonotonicTime, Revision};
 use crate::protocol::path;
 use crate::protocol::store::{
-    Events, Item, Lease, MAX_PAGE_ITEMS, Page, Txn, key_path, lease_path, lease_request, page_path,
-    renewal_path, watch_path,
+    KeyValue, LeaseResponseBody, MAX_PAGE_ITEMS, Page, Txn, WatchResponseBody, key_path,
+    lease_path, lease_request, page_path, renewal_path, watch_path,
 };
 use crate::runtime;
 use std::cell::{Cell, Ref, RefCell};
@@ -32,10 +32,10 @@
 
 /// A token for one read: of a record, or of a page of them.
 #[derive(Debug)]
-pub(crate) struct AdmittedRead(());
+pub(crate) struct ReadPermit(());
 
 /// The client of the service at one address.
-pub(crate) struct Store {
+pub(crate) struct StoreClient {
     client: Client,
     addr: SocketAddr,
     started: Instant,
@@ -46,17 +46,17 @@
     refusals: RefCell<Refusals>,
 }
 
-impl Store {
-    /// `share`: this controller's part of the service's rates. `answer_bytes`: the largest answer
-    /// that is read. Pages of a list are bounded by the service, an answer of changes is not.
+impl StoreClient {
+    /// `share`: this controller's part of the service's rates. `max_response_bytes`: the largest
+    /// answer that is read. Pages of a list are bounded by the service, an answer of changes is not.
     pub(crate) fn new(
         addr: SocketAddr,
-        limits: &StateLimits,
+        limits: &StoreLimits,
         share: f64,
-        answer_bytes: usize,
+        max_response_bytes: usize,
         started: Instant,
     ) -> Self {
-        let client = Client::new(answer_bytes, 1);
+        let client = Client::new(max_response_bytes, 1);
         Self::with_client(client, addr, limits, share, started)
     }
 
@@ -64,7 +64,7 @@
     pub(crate) fn with_client(
         client: Client,
         addr: SocketAddr,
-        limits: &StateLimits,
+        limits: &StoreLimits,
         share: f64,
         started: Instant,
     ) -> Self {
@@ -91,7 +91,7 @@
     }
 
     /// Whether the last call was answered.
-    pub(crate) fn is_answering(&self) -> bool {
+    pub(crate) fn last_call_answered(&self) -> bool {
         self.failures.get() == 0
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// The tokens that are left of this controller's rates.
-    pub(crate) fn levels(&self) -> TokenLevels {
-        self.admission.borrow_mut().levels(self.now())
+    pub(crate) fn token_levels(&self) -> TokenLevels {
+        self.admission.borrow_mut().token_levels(self.now())
     }
 
     /// Logs the episodes of refused requests that are over.
@@ -118,7 +118,7 @@
     }
 
     /// What the service takes in a second from all controllers, as far as it is known.
-    pub(crate) fn rates(&self) -> StateRates {
+    pub(crate) fn rates(&self) -> StoreRates {
         self.admission.borrow().rates(self.now())
     }
 
@@ -134,7 +134,7 @@
         counters.count_request(class, changes, admitted);
         if !admitted {
             let by = RefusedBy::RateLimiter(class);
-            let levels = admission.levels(self.now());
+            let levels = admission.token_levels(self.now());
             self.refusals.borrow_mut().record(self.now(), by, levels);
         }
         admitted
@@ -151,7 +151,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, CallError> {
         self.counters.borrow_mut().calls += 1;
         let result = self
             .client
@@ -167,7 +167,7 @@
             Ok(response) if response.status == TOO_MANY_REQUESTS => {
                 self.counters.borrow_mut().refused += 1;
                 self.admission.borrow_mut().on_refused(self.now());
-                let levels = self.levels();
+                let levels = self.token_levels();
                 self.refusals
                     .borrow_mut()
                     .record(self.now(), RefusedBy::Store, levels);
@@ -190,8 +190,8 @@
         let result = self.call(Method::Post, path::TXN, &body, CALL_TIMEOUT);
         match result.await {
             Ok(answer) => txn_outcome(&answer),
-            Err(Failure::NotSent) => TxnOutcome::Refused(Refusal::StoreUnavailable),
-            Err(Failure::Unknown | Failure::TooLarge) => TxnOutcome::Unknown,
+            Err(CallError::NotSent) => TxnOutcome::Refused(Refusal::StoreUnavailable),
+            Err(CallError::Unknown | CallError::TooLarge) => TxnOutcome::Unknown,
         }
     }
 
@@ -200,22 +200,22 @@
         &self,
         class: RequestClass,
         key: &str,
-    ) -> Result<Option<Item>, StoreError> {
+    ) -> Result<Option<KeyValue>, StoreError> {
         let admitted = self.admit_read(class).ok_or(StoreError::HeldBack)?;
         self.get_admitted(admitted, key).await
     }
 
     /// Takes a token for one read, if its class has one.
-    pub(crate) fn admit_read(&self, class: RequestClass) -> Option<AdmittedRead> {
-        self.try_admit(class, 0).then_some(AdmittedRead(()))
+    pub(crate) fn admit_read(&self, class: RequestClass) -> Option<ReadPermit> {
+        self.try_admit(class, 0).then_some(ReadPermit(()))
     }
 
     /// Reads one record, if there is one, for a token that was taken.
     pub(crate) async fn get_admitted(
         &self,
-        _admitted: AdmittedRead,
+        _admitted: ReadPermit,
         key: &str,
-    ) -> Result<Option<Item>, StoreError> {
+    ) -> Result<Option<KeyValue>, StoreError> {
         let path = key_path(key);
         match self.call(Method::Get, &path, b"", CALL_TIMEOUT).await {
             Ok(answer) if answer.status == 200 => decode(&answer).map(Some),
@@ -228,7 +228,7 @@
     /// was taken.
     pub(crate) async fn page_admitted(
         &self,
-        _admitted: AdmittedRead,
+        _admitted: ReadPermit,
         prefix: &str,
         after: &str,
         max_items: usize,
@@ -257,7 +257,7 @@
         prefix: &str,
         after: Revision,
         wait_up_to: Duration,
-    ) -> Result<Events, StoreError> {
+    ) -> Result<WatchResponseBody, StoreError> {
         self.admit_lease_request();
         let path = watch_path(prefix, after, wait_up_to.as_millis() as u64);
         let timeout = wait_up_to + CALL_TIMEOUT;
@@ -266,7 +266,7 @@
             Ok(answer) if answer.status == 410 => Err(StoreError::Gone),
             // The same request would get the same answer for ever, and the watch cache would stop.
             // Pages are bounded, however many records there are.
-            Err(Failure::TooLarge) => Err(StoreError::Gone),
+            Err(CallError::TooLarge) => Err(StoreError::Gone),
             result => Err(failed_call(&result)),
         }
     }
@@ -277,7 +277,9 @@
         let body = lease_request(ttl.as_millis() as u64);
         let result = self.call(Method::Post, path::LEASES, &body, CALL_TIMEOUT);
         match result.await {
-            Ok(answer) if answer.status == 200 => decode::<Lease>(&answer).map(|lease| lease.id),
+            Ok(answer) if answer.status == 200 => {
+                decode::<LeaseResponseBody>(&answer).map(|lease| lease.id)
+            }
             result => Err(failed_call(&result)),
         }
     }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -3,7 +3,7 @@
 pub(crate) mod size;
 
 use crate::ids::{
-    AttemptNumber, Image, JobId, Resources, TaskAttempt, TaskId, TeamId, TypeName, Zone,
+    AttemptNumber, Image, JobId, MachineTypeName, Resources, TaskAttempt, TaskId, TeamId, Zone,
 };
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// The address of its worker, as host and port.
     pub addr: String,
     /// Its machine type.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The zone that it is in.
     pub zone: Zone,
     /// Whether the cloud may take it back at short notice.
@@ -78,7 +78,7 @@
 
 impl MachineRecord {
     /// A machine on which nothing was placed yet.
-    pub(crate) fn new(addr: &str, type_name: &TypeName, zone: &Zone, spot: bool) -> Self {
+    pub(crate) fn new(addr: &str, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> Self {
         Self {
             addr: addr.to_owned(),
             type_name: type_name.clone(),
@@ -90,7 +90,7 @@
     }
 
     /// Counts finished tasks; those that are counted already change nothing.
-    pub(crate) fn count(&mut self, job: &JobId, first: u32, last: u32) {
+    pub(crate) fn add_done(&mut self, job: &JobId, first: u32, last: u32) {
         match self.done.iter_mut().find(|d| d.job == *job) {
             Some(done) => done.add(first, last),
             None => self.done.push(DoneTasks {
@@ -169,7 +169,7 @@
     }
 
     /// What a placement adds to the stored size.
-    pub(crate) fn size_of_adding(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
+    pub(crate) fn added_size(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
         let task = size::task(attempt.task.index, attempt.number);
         let has_job = self.jobs.iter().any(|p| p.job == attempt.task.job);
         task + if has_job { 0 } else { size::job(spec) }
@@ -177,7 +177,7 @@
 
     /// The stored size up to which placements may be added to a record that may have so many bytes:
     /// their completions need space as well.
-    pub(crate) fn placement_capacity(value_bytes: usize) -> usize {
+    pub(crate) fn max_placement_bytes(value_bytes: usize) -> usize {
         value_bytes - value_bytes / COMPLETIONS_DIVISOR
     }
 }
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -1,8 +1,8 @@
 //! What became of calls of the key-value store, and what may be concluded from their answers.
 
-use crate::http::{Failure, Response};
+use crate::http::{CallError, Response};
 use crate::ids::Revision;
-use crate::protocol::store::TxnAnswer;
+use crate::protocol::store::TxnResponseBody;
 use serde::de::DeserializeOwned;
 
 /// The status of a request beyond the rates.
@@ -46,7 +46,7 @@
     Refused,
     /// No answer, or one that the store does not serve this controller, as in an outage.
     #[error("the key-value store did not answer, or does not serve")]
-    Unanswered,
+    Unavailable,
     /// An answer that this program can't read.
     #[error("the answer of the key-value store can't be read")]
     Unreadable,
@@ -56,10 +56,10 @@
 }
 
 /// Why a call that has no usable result failed.
-pub(super) fn failed_call(result: &Result<Response, Failure>) -> StoreError {
+pub(super) fn failed_call(result: &Result<Response, CallError>) -> StoreError {
     match result {
         Ok(response) if response.status == TOO_MANY_REQUESTS => StoreError::Refused,
-        _ => StoreError::Unanswered,
+        _ => StoreError::Unavailable,
     }
 }
 
@@ -72,12 +72,12 @@
 pub(super) fn txn_outcome(answer: &Response) -> TxnOutcome {
     let text = || String::from_utf8_lossy(&answer.body);
     match answer.status {
-        200 => match decode::<TxnAnswer>(answer) {
+        200 => match decode::<TxnResponseBody>(answer) {
             Ok(committed) => TxnOutcome::Committed(committed.revision),
             Err(_) => TxnOutcome::Unknown,
         },
         409 => {
-            let failed: TxnAnswer = decode(answer).unwrap_or_default();
+            let failed: TxnResponseBody = decode(answer).unwrap_or_default();
             TxnOutcome::Failed(failed.failed, failed.revision)
         }
         400 => {
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -19,7 +19,7 @@
 use crate::admin::Settings;
 use crate::config::Config;
 use crate::ids::{
-    JobId, MachineId, Member, Pipeline, Resources, Revision, ShardId, TeamId, TypeName,
+    JobId, MachineId, MachineTypeName, MemberId, Pipeline, Resources, Revision, ShardId, TeamId,
 };
 use crate::protocol::{Catalog, MachineType};
 use std::collections::BTreeMap;
@@ -30,11 +30,11 @@
     /// The last revision whose changes are all applied.
     pub revision: Revision,
     /// Tasks in one segment of a completion counter.
-    segment_tasks: u32,
+    tasks_per_segment: u32,
     /// The leader's record; none while nobody leads.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The controllers whose leases hold.
-    pub members: BTreeMap<Member, MemberRecord>,
+    pub members: BTreeMap<MemberId, MemberRecord>,
     /// The shards that are leased to an owner.
     pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     /// The cloud's machine types and zones, as last written.
@@ -64,7 +64,7 @@
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             revision: Revision(0),
-            segment_tasks: config.segment_tasks(),
+            tasks_per_segment: config.tasks_per_segment(),
             leader: None,
             members: BTreeMap::new(),
             shards: BTreeMap::new(),
@@ -83,13 +83,13 @@
 
     /// Whether every controller that takes part understands jobs that depend on others. One that
     /// does not would start them at once.
-    pub(crate) fn all_know_dependencies(&self) -> bool {
+    pub(crate) fn all_members_support_dependencies(&self) -> bool {
         let mut members = self.members.values();
         members.all(|m| m.version >= ProgramVersion::DEPENDENCIES)
     }
 
     /// The catalog's entry for a machine type.
-    pub(crate) fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
+    pub(crate) fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         let catalog = self.catalog.as_ref()?;
         catalog.value.types.iter().find(|t| t.name == *name)
     }
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -18,7 +18,7 @@
 
 use super::machine_tracker::{MachineTracker, RecordLimits};
 use crate::config::Config;
-use crate::ids::{Incarnation, MachineId, Member, Millis, MonotonicTime, Revision, ShardId};
+use crate::ids::{Incarnation, MachineId, MemberId, Millis, MonotonicTime, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use allotments::WaitingAllotment;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,13 +30,13 @@
 /// The duty of owning shards: the trackers of their machines, and what is to be reported and
 /// written for them.
 pub(crate) struct ShardOwner {
-    member: Member,
+    member: MemberId,
     incarnation: Incarnation,
     /// The number of shards in the cluster.
     shards: u32,
     limits: RecordLimits,
     /// Tasks in one segment of a job's completion record.
-    segment_tasks: u32,
+    tasks_per_segment: u32,
     heartbeat_interval: Millis,
     worker_lease: Millis,
     trackers: BTreeMap<MachineId, MachineTracker>,
@@ -67,16 +67,16 @@
         Self {
             member: config.member.clone(),
             incarnation,
-            shards: config.shards(),
+            shards: config.shard_count(),
             limits: RecordLimits {
-                value_bytes: config.state.value_bytes,
-                txn_ops: config.state.txn_ops,
+                value_bytes: config.store_limits.value_bytes,
+                txn_ops: config.store_limits.txn_ops,
             },
-            segment_tasks: config.segment_tasks(),
+            tasks_per_segment: config.tasks_per_segment(),
             heartbeat_interval: config.heartbeat_interval,
             worker_lease: config.worker_lease,
             trackers: BTreeMap::new(),
-            write_queue: WriteQueue::new(config.state.rates.changes),
+            write_queue: WriteQueue::new(config.store_limits.rates.writes),
             probed: BTreeMap::new(),
             leader: None,
             owned_shards: BTreeMap::new(),
@@ -90,7 +90,7 @@
     }
 
     /// How many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_change_rate(&mut self, changes: f64) {
+    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
         self.write_queue.set_store_rate(changes);
     }
 
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -119,7 +119,7 @@
             let in_shard = id.shard(self.shards) == allotment.shard;
             in_shard && self.fits(id, job, attempt, cache).unwrap_or(false)
         };
-        allotment.preferred.iter().find(fits).cloned()
+        allotment.candidate_machines.iter().find(fits).cloned()
     }
 
     /// Whether a machine can take a task more. `None`: the machine or its type is unknown.
@@ -136,7 +136,7 @@
         let allowed = job
             .spec
             .allows(&record.type_name, &record.zone, record.spot);
-        let room = cache.machine_type(&record.type_name)?.room();
+        let room = cache.machine_type(&record.type_name)?.capacity();
         let pending = tracker.placements().pending_need();
         let free = room + tracker.writes().freed() - record.used() - pending;
         let stored = self.stored_size(tracker, record, attempt, &job.spec);
@@ -154,7 +154,7 @@
         spec: &JobSpec,
     ) -> usize {
         let value_bytes = self.limits.value_bytes;
-        let ends = value_bytes - MachineRecord::placement_capacity(value_bytes);
+        let ends = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
         let mut jobs = BTreeSet::new();
         let pending = tracker
             .placements()
@@ -162,7 +162,7 @@
             .map(|p| (&p.attempt, &*p.spec));
         let added = pending.chain([(attempt, spec)]).map(|(attempt, spec)| {
             if jobs.insert(&attempt.task.job) {
-                record.size_of_adding(attempt, spec)
+                record.added_size(attempt, spec)
             } else {
                 size::task(attempt.task.index, attempt.number)
             }
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -1,6 +1,6 @@
 //! What a shard owner asks to be done, and the forms of what it hears back.
 
-use crate::ids::{FencingToken, MachineId, Member, ShardId, WorkerEpoch};
+use crate::ids::{FencingToken, MachineId, MemberId, ShardId, WorkerEpoch};
 use crate::peers::Message;
 use crate::protocol::store::Txn;
 use crate::protocol::{Command, Heartbeat};
@@ -9,24 +9,24 @@
 /// An action that the shard owner has decided on.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn`].
+    /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn_outcome`].
     Txn {
         /// The machine whose record it writes.
         machine: MachineId,
         /// The transaction.
         txn: Txn,
     },
-    /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_call`].
-    Call(DirectCall),
+    /// Send commands to a worker; the outcome goes to [`super::ShardOwner::on_direct_call_outcome`].
+    CallWorker(DirectCall),
     /// Send a message to the leader.
     ToLeader(Message),
     /// A machine that has no record answers. Its first placement writes one: until then it
     /// exists in the watch caches alone, and costs no change.
     MachineDiscovered(MachineId, MachineRecord),
     /// Such a machine has been silent for long.
-    MachineLost(MachineId),
+    UnrecordedMachineLost(MachineId),
     /// Rewrite the record of a shard that this controller owns, so that its token rises.
-    RenewShard(ShardId),
+    RaiseShardFence(ShardId),
 }
 
 /// Commands that are sent to a worker directly, not in the answer to a heartbeat.
@@ -50,14 +50,14 @@
     /// Commands under the machine's token.
     Commands(FencingToken, Vec<Command>),
     /// Another controller owns the machine, or may. The worker is sent to it, if it is known.
-    Redirect(Option<Member>),
+    Redirect(Option<MemberId>),
 }
 
 /// How a heartbeat came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatPath {
     /// From the worker itself.
-    FromWorker,
+    Direct,
     /// Through another controller.
     Relayed,
 }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -17,7 +17,12 @@
 impl ShardOwner {
     /// Whether nothing has shown for so long that a machine owned here can be used. One that obeys
     /// a higher token is another shard owner's by now, and only seems silent from here.
-    pub(crate) fn is_silent(&self, now: MonotonicTime, id: &MachineId, for_long: Millis) -> bool {
+    pub(crate) fn is_unresponsive(
+        &self,
+        now: MonotonicTime,
+        id: &MachineId,
+        for_long: Millis,
+    ) -> bool {
         let tracker = self.trackers.get(id);
         tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
     }
@@ -56,7 +61,12 @@
     ) -> MachineHealth {
         let mut health = machine_health(id, tracker, now, cache);
         if self.partitioned && !tracker.is_relayed() {
-            health.silent = Millis(health.silent.0.saturating_sub(RELAY_GRACE_PERIOD.0));
+            health.unresponsive_for = Millis(
+                health
+                    .unresponsive_for
+                    .0
+                    .saturating_sub(RELAY_GRACE_PERIOD.0),
+            );
         }
         health
     }
@@ -77,7 +87,7 @@
                 && unrecorded(id)
                 && !tracker.writes().is_in_flight()
         });
-        out.extend(lost.map(|(id, _)| Effect::MachineLost(id.clone())));
+        out.extend(lost.map(|(id, _)| Effect::UnrecordedMachineLost(id.clone())));
     }
 
     /// Reports ends to the leader before they are written: the room can be given out again, so
@@ -136,11 +146,11 @@
     MachineHealth {
         machine: id.clone(),
         fence: tracker.fence(),
-        silent: tracker.silent(now),
+        unresponsive_for: tracker.silent(now),
         since_direct_heartbeat: tracker.since_direct_heartbeat(now),
-        confirmed: tracker.obeys_us(),
-        notice: tracker.notice().map(|at| at.since(now)),
-        unrecorded: unrecorded.map(|machine| machine.record.clone()),
+        token_confirmed: tracker.obeys_us(),
+        until_interruption: tracker.notice().map(|at| at.since(now)),
+        unstored_record: unrecorded.map(|machine| machine.record.clone()),
         gangs: tracker
             .seen_running()
             .filter(is_gang)
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::health::machine_health;
 use super::{DirectCall, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner};
-use crate::ids::{FencingToken, MachineId, Member, Millis, MonotonicTime, Revision};
+use crate::ids::{FencingToken, MachineId, MemberId, Millis, MonotonicTime, Revision};
 use crate::peers::Message;
 use crate::protocol::Heartbeat;
 use crate::store::watch_cache::WatchCache;
@@ -15,7 +15,7 @@
     }
 
     /// Machines owned here whose direct heartbeats have been absent for too long.
-    pub(crate) fn missing_machines(&self, now: MonotonicTime) -> Vec<MachineId> {
+    pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         let timeout = self.direct_heartbeat_timeout();
         let missing = self
             .trackers
@@ -26,11 +26,16 @@
 
     /// Whether a heartbeat that another controller relays is accepted: from machines that can't
     /// bring it here. Now and then they are made to try all the same.
-    pub(crate) fn accepts_relayed(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub(crate) fn try_accept_relayed_heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+    ) -> bool {
         let timeout = self.direct_heartbeat_timeout();
         let worker_lease = self.worker_lease;
         let tracker = self.trackers.get_mut(id);
-        tracker.is_some_and(|tracker| tracker.accepts_relayed(now, timeout, worker_lease))
+        tracker
+            .is_some_and(|tracker| tracker.try_accept_relayed_heartbeat(now, timeout, worker_lease))
     }
 
     /// Answers a worker's heartbeat.
@@ -63,7 +68,7 @@
         &mut self,
         heartbeat: &Heartbeat,
         cache: &WatchCache,
-    ) -> Result<Revision, Option<Member>> {
+    ) -> Result<Revision, Option<MemberId>> {
         let shard = heartbeat.machine.shard(self.shards);
         let Some(fence) = self.fence(cache, shard) else {
             let owner = cache.shards.get(&shard).map(|b| b.value.owner.clone());
@@ -91,11 +96,11 @@
     ) -> Option<HeartbeatAnswer> {
         let id = &heartbeat.machine;
         let tracker = self.trackers.get_mut(id)?;
-        let health_changes =
-            !tracker.is_confirmed() || heartbeat.notice_s.is_some() != tracker.notice().is_some();
+        let health_changes = !tracker.is_confirmed()
+            || heartbeat.until_interruption_s.is_some() != tracker.notice().is_some();
         let newest = tracker.is_newer(heartbeat);
         tracker.apply_heartbeat(heartbeat, StatusSource::Heartbeat, now);
-        if newest && path == HeartbeatPath::FromWorker {
+        if newest && path == HeartbeatPath::Direct {
             tracker.on_direct_heartbeat(now);
         }
         let token = tracker.token();
@@ -126,7 +131,7 @@
             return;
         }
         self.probed.insert(heartbeat.machine.clone(), now);
-        out.push(Effect::Call(DirectCall {
+        out.push(Effect::CallWorker(DirectCall {
             machine: heartbeat.machine.clone(),
             addr: heartbeat.addr.clone(),
             token: token_at_least(fence, heartbeat),
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -1,7 +1,7 @@
 //! Outcomes of the transactions that write machines' records.
 
 use super::{Effect, ShardOwner};
-use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TypeName};
+use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime, Revision};
 use crate::peers::{EndedAttempt, Message};
 use crate::store::TxnOutcome;
 use crate::store::watch_cache::WatchCache;
@@ -9,7 +9,7 @@
 
 impl ShardOwner {
     /// Takes in what became of the transaction on a machine's record.
-    pub(crate) fn on_txn(
+    pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -79,7 +79,7 @@
 /// A machine's record that was written.
 struct WrittenRecord<'a> {
     machine: &'a MachineId,
-    type_name: TypeName,
+    type_name: MachineTypeName,
     revision: Revision,
 }
 
@@ -99,8 +99,8 @@
             type_name: self.type_name.clone(),
             estimate_s: job.map_or(0.0, |job| job.spec.estimate_s),
             pipeline: job.map(|job| job.spec.pipeline.clone()),
-            end: ended.outcome,
-            ran,
+            outcome: ended.outcome,
+            run_time: ran,
             attempt: ended.attempt,
         }
     }
