--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -1,4 +1,4 @@
-//! What is known of one machine under one token, and what may be concluded from it.
+//! The state of one machine as seen by its shard owner under one fencing token.
 
 mod direct_calls;
 mod launches;
@@ -26,27 +26,29 @@
 use stops::StopRequests;
 use token::TokenState;
 
-/// All that a shard owner knows of one of its machines.
+/// The state of one machine as seen by its shard owner.
 #[derive(Debug)]
 pub(super) struct MachineTracker {
     token: TokenState,
     reachability: Reachability,
-    /// The newest status of the worker.
+    /// The latest status of the worker.
     observed: ObservedState,
-    /// Launches that were sent under the current token.
+    /// Launches that were sent under the current token and are not settled yet.
     launches: Launches,
     stops: StopRequests,
-    /// Placements that are not settled yet.
+    /// Placements that are pending, committed but not yet launched, or refused but not yet
+    /// reported.
     placements: Placements,
-    /// The state of writing the machine's record.
+    /// Unwritten changes to the machine's record and the transaction in flight.
     writes: RecordWrites,
-    /// Direct commands to the worker.
+    /// The direct call in flight and the time of the next one.
     calls: DirectCalls,
 }
 
-/// Construction and parts.
+/// Construction and access to the parts of the state.
 impl MachineTracker {
-    /// A machine of which nothing is known yet, under this revision of its shard's record.
+    /// Creates a tracker for a machine without a known status. `fence` is the revision of its
+    /// shard's record.
     pub(super) fn new(fence: Revision, addr: &str, now: MonotonicTime) -> Self {
         Self {
             token: TokenState::new(fence, now),
@@ -60,8 +62,8 @@
         }
     }
 
-    /// The shard was rewritten: what was sent under the old token proves nothing any more, and
-    /// transactions under the old fence can't be applied.
+    /// Resets the tracker after the shard's record was rewritten. Commands that were sent under the
+    /// old token prove nothing any more, and transactions under the old fence can't be applied.
     pub(super) fn reset(&mut self, fence: Revision, now: MonotonicTime) {
         self.token.reset(fence);
         self.launches.clear();
@@ -71,74 +73,74 @@
         self.reachability = Reachability::new(now);
     }
 
-    /// Placements that are not settled yet.
+    /// Returns the placements that are not settled yet.
     pub(super) fn placements(&self) -> &Placements {
         &self.placements
     }
 
-    /// Placements that are not settled yet.
+    /// Returns the placements that are not settled yet, for changes.
     pub(super) fn placements_mut(&mut self) -> &mut Placements {
         &mut self.placements
     }
 
-    /// The state of writing the machine's record.
+    /// Returns the state of the writes of the machine's record.
     pub(super) fn writes(&self) -> &RecordWrites {
         &self.writes
     }
 
-    /// The state of writing the machine's record.
+    /// Returns the state of the writes of the machine's record, for changes.
     pub(super) fn writes_mut(&mut self) -> &mut RecordWrites {
         &mut self.writes
     }
 
-    /// Direct commands to the machine.
+    /// Returns the state of the direct calls to the machine.
     pub(super) fn calls(&self) -> &DirectCalls {
         &self.calls
     }
 
-    /// Direct commands to the machine.
+    /// Returns the state of the direct calls to the machine, for changes.
     pub(super) fn calls_mut(&mut self) -> &mut DirectCalls {
         &mut self.calls
     }
 }
 
-/// The token.
+/// Fencing token.
 impl MachineTracker {
-    /// The shard's revision, under which the machine's token was issued.
+    /// Returns the revision of the shard's record under which the machine's token was issued.
     pub(super) fn fence(&self) -> Revision {
         self.token.fence()
     }
 
-    /// The token that commands to the machine carry.
+    /// Returns the token that commands to the machine carry.
     pub(super) fn token(&self) -> FencingToken {
         self.token.current()
     }
 
-    /// Whether the latest heartbeat carried our token.
+    /// Returns whether the latest status carried the current token.
     pub(super) fn is_confirmed(&self) -> bool {
         self.token.is_confirmed()
     }
 
-    /// Whether a higher token exists, so that nothing more is sent.
+    /// Returns whether a higher token exists, in which case no more commands are sent.
     pub(super) fn is_superseded(&self) -> bool {
         self.token.is_superseded()
     }
 
-    /// Whether the machine obeys our token, and no higher one is known.
+    /// Returns whether the machine obeys the current token and no higher token is known.
     pub(super) fn obeys_us(&self) -> bool {
         self.token.is_confirmed() && !self.token.is_superseded()
     }
 
-    /// Notes that the machine obeys a token of a later fence.
+    /// Records that the machine obeys a token of a later fence.
     pub(super) fn mark_superseded(&mut self) {
         self.token.mark_superseded();
     }
 
-    /// Raises this machine's token alone, where a direct launch is in the way: one without an
-    /// answer, or so many carried out that keeping them at the worker has become a burden. The
-    /// shard's record, and all that is under way in the shard, stay as they are. Once a heartbeat
-    /// carries the higher token, no launch that was sent under a lower one can take effect any
-    /// more, however often it is repeated. `false`: there is no higher token under this record.
+    /// Raises the token of this machine without changing the shard's record, so that other work in
+    /// the shard continues. It is called when a direct launch has no answer, or when the worker has
+    /// to list too many exited tasks whose direct launches could be repeated. Once a heartbeat
+    /// carries the higher token, no copy of a launch under a lower token can take effect any more.
+    /// Returns `false` if the fence has no higher token left.
     pub(super) fn raise_token(&mut self, now: MonotonicTime) -> bool {
         if !self.token.raise(now) {
             return false;
@@ -148,21 +150,22 @@
         true
     }
 
-    /// Whether its token was raised a moment ago: raising it again would only cost calls.
+    /// Returns whether the token was raised so recently that raising it again would only cost
+    /// calls.
     pub(super) fn token_raised_recently(&self, now: MonotonicTime) -> bool {
         self.token.raised_recently(now)
     }
 }
 
-/// Heartbeats and whether they arrive.
+/// Heartbeats and reachability.
 impl MachineTracker {
-    /// Whether a status is newer than all that came.
+    /// Returns whether a status is newer than all received ones.
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         self.observed.is_newer(heartbeat)
     }
 
-    /// Takes a heartbeat if it is the newest. Late ones say nothing, and are no sign of life
-    /// either.
+    /// Applies a heartbeat if it is the newest. A late one is ignored and does not count as a sign
+    /// of life either.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -187,7 +190,9 @@
         self.settle_sent_commands();
     }
 
-    /// Whether a launch was carried out and has arrived therefore.
+    /// Returns whether the latest status lists a task that was launched under the current token and
+    /// that was not seen running before. It proves that a message from this controller has reached
+    /// the worker.
     fn shows_new_launch(&self) -> bool {
         let new = |attempt: &TaskAttempt| {
             self.launches.contains(attempt) && self.observed.running_since(attempt).is_none()
@@ -195,7 +200,7 @@
         self.observed.listed().any(|(attempt, _)| new(attempt))
     }
 
-    /// Drops what the newest status shows to be carried out or void.
+    /// Drops launches and stop requests that the latest status shows to be executed or void.
     fn settle_sent_commands(&mut self) {
         let observed = &self.observed;
         self.placements
@@ -206,26 +211,27 @@
             .retain(|attempt| observed.lists(attempt) || launches.contains(attempt));
     }
 
-    /// A heartbeat came directly from the machine.
+    /// Records that a heartbeat came directly from the machine.
     pub(super) fn on_direct_heartbeat(&mut self, now: MonotonicTime) {
         self.reachability.on_direct_heartbeat(now);
     }
 
-    /// Something of ours has arrived at the worker.
+    /// Records that a message from this controller has reached the worker.
     pub(super) fn mark_reached(&mut self, now: MonotonicTime) {
         self.reachability.mark_reached(now);
     }
 
-    /// A direct command had no answer.
+    /// Records that a direct call was not answered.
     pub(super) fn on_failed_call(&mut self) {
         self.reachability.on_failed_call();
     }
 
-    /// Whether a heartbeat that comes through another controller is accepted. After half a lease
-    /// the machine is made to try the direct path once.
+    /// Returns whether to accept a heartbeat that another controller relays. After half a lease of
+    /// relayed heartbeats, one is rejected to make the machine try the direct path.
     ///
-    /// Nothing else shows that answers arrive there: direct commands don't. So the token rises,
-    /// and comes back with the next heartbeat.
+    /// While heartbeats are relayed no direct calls are sent, so only the token can show that
+    /// answers reach the machine: it is raised, and the next heartbeat carries it if the answer
+    /// arrived.
     pub(super) fn try_accept_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -241,7 +247,7 @@
             && !self.token_raised_recently(now)
         {
             if !self.is_confirmed() {
-                // The one before has not come back: as if a command had no answer.
+                // The previous token has not come back: this counts as an unanswered call.
                 self.reachability.on_failed_call();
             }
             self.raise_token(now);
@@ -249,47 +255,48 @@
         true
     }
 
-    /// How long no heartbeat has come.
+    /// Returns the time since the last heartbeat, direct or relayed.
     pub(super) fn since_heartbeat(&self, now: MonotonicTime) -> Millis {
         self.reachability.since_heartbeat(now)
     }
 
-    /// How long no heartbeat has come directly from the machine.
+    /// Returns the time since the last heartbeat that came directly from the machine.
     pub(super) fn since_direct_heartbeat(&self, now: MonotonicTime) -> Millis {
         self.reachability.since_direct_heartbeat(now)
     }
 
-    /// How long nothing has shown that something of ours arrives there.
+    /// Returns the time since the machine last proved that a message from this controller reached
+    /// it.
     pub(super) fn since_reached(&self, now: MonotonicTime) -> Millis {
         self.reachability.since_reached(now)
     }
 
-    /// Whether direct heartbeats have been absent for too long.
+    /// Returns whether direct heartbeats are overdue.
     pub(super) fn is_missing(&self, now: MonotonicTime, direct_heartbeat_timeout: Millis) -> bool {
         self.since_direct_heartbeat(now) > direct_heartbeat_timeout
     }
 
-    /// Whether its heartbeats come through other controllers.
+    /// Returns whether the machine's heartbeats are relayed by other controllers.
     pub(super) fn is_relayed(&self) -> bool {
         self.reachability.is_relayed()
     }
 
-    /// How long nothing shows that the machine can be used.
+    /// Returns how long the machine has been unresponsive.
     pub(super) fn silent(&self, now: MonotonicTime) -> Millis {
         self.reachability.silent(now)
     }
 
-    /// Where the worker takes direct commands.
+    /// Returns the address and port where the worker accepts direct calls.
     pub(super) fn addr(&self) -> &str {
         self.observed.addr()
     }
 
-    /// The worker's epoch.
+    /// Returns the worker's epoch.
     pub(super) fn epoch(&self) -> WorkerEpoch {
         self.observed.epoch()
     }
 
-    /// When the machine will be interrupted, if its cloud has given notice.
+    /// Returns when the machine will be interrupted, if its cloud provider has given notice.
     pub(super) fn notice(&self) -> Option<MonotonicTime> {
         self.observed.notice()
     }
--- a/src/worker_control/machine_tracker/direct_calls.rs
+++ b/src/worker_control/machine_tracker/direct_calls.rs
@@ -1,18 +1,18 @@
-//! The direct command that is in flight to a machine, and when the next may be sent.
+//! The direct call that is in flight to a machine, and the time of the next one.
 
 use crate::ids::MonotonicTime;
 use crate::protocol::Command;
 
-/// Direct commands to one machine: one call at a time.
+/// The state of the direct calls to one machine. Only one call is in flight at a time.
 #[derive(Debug)]
 pub(in crate::worker_control) struct DirectCalls {
-    /// The commands of the call whose outcome is awaited.
+    /// The commands of the call in flight. `None` if no call is in flight.
     in_flight: Option<Vec<Command>>,
     next_at: MonotonicTime,
 }
 
 impl DirectCalls {
-    /// Nothing is in flight, and a call may be sent at once.
+    /// Creates a state without a call in flight. A call may be sent immediately.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             in_flight: None,
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Whether a call may be sent now.
+    /// Returns whether a call may be sent now.
     pub(in crate::worker_control) fn may_send(&self, now: MonotonicTime) -> bool {
         self.in_flight.is_none() && now >= self.next_at
     }
 
-    /// A call with these commands is sent; the next one is not sent before `next_at`.
+    /// Records that a call with these commands is sent. The next call is not sent before `next_at`.
     pub(in crate::worker_control) fn begin(
         &mut self,
         commands: Vec<Command>,
@@ -35,12 +35,12 @@
         self.next_at = next_at;
     }
 
-    /// The call has an outcome. Returns its commands.
+    /// Records that the call in flight has an outcome and returns its commands.
     pub(in crate::worker_control) fn finish(&mut self) -> Vec<Command> {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// The next call is not sent before this time.
+    /// Sets the earliest time of the next call.
     pub(in crate::worker_control) fn set_next(&mut self, at: MonotonicTime) {
         self.next_at = at;
     }
--- a/src/worker_control/machine_tracker/launches.rs
+++ b/src/worker_control/machine_tracker/launches.rs
@@ -5,48 +5,51 @@
 use crate::protocol::Command;
 use std::collections::BTreeMap;
 
-/// How commands are sent to a worker.
+/// The route on which commands are sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum CommandRoute {
     /// In the response to a heartbeat. Workers drop late responses.
     HeartbeatResponse,
-    /// By direct command, which may be carried out late or more than once.
+    /// In a direct call, which may be executed late or more than once.
     DirectCall,
 }
 
-/// How a launch was sent by direct command.
+/// The state of the direct calls that carry a launch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum DirectLaunch {
-    /// Not sent, or certainly not carried out.
+    /// Not sent by direct call, or known not to be executed.
     No,
-    /// Sent; the answer is awaited.
+    /// Sent; the answer has not arrived yet.
     Pending,
-    /// Answered: it was carried out then. A repeat has no effect while the worker lists the task.
+    /// Answered: the launch was executed. A repeated copy has no effect while the worker lists the
+    /// task.
     Answered,
-    /// No answer: it may be carried out minutes late, even after the task was forgotten.
+    /// No answer arrived: the launch may be executed minutes late, even after the worker has
+    /// forgotten the task.
     Unknown,
 }
 
-/// A launch that was sent under the tracker's own token.
+/// A launch that was sent under the tracker's current token.
 #[derive(Clone, Copy, Debug)]
 struct LaunchRecord {
-    /// The worker's epoch when it was sent last.
+    /// The worker's epoch when the launch was last sent.
     epoch: WorkerEpoch,
-    /// What became of direct commands with it.
+    /// The state of its direct calls.
     direct: DirectLaunch,
-    /// The heartbeat in whose response it was sent last. Workers drop late responses, and send
-    /// their next heartbeat only after that, so a later heartbeat tells what became of it.
+    /// Sequence number of the heartbeat whose response last carried the launch. Workers drop late
+    /// responses and send the next heartbeat only after the response or its timeout, so a later
+    /// heartbeat shows whether the launch was executed.
     in_response: Option<HeartbeatSequence>,
 }
 
-/// The launches that were sent to one machine under its current token.
+/// The unsettled launches that were sent to one machine under its current token.
 #[derive(Debug, Default)]
 pub(super) struct Launches {
     sent: BTreeMap<TaskAttempt, LaunchRecord>,
 }
 
 impl Launches {
-    /// Notes that a launch is sent now.
+    /// Records that a launch is sent.
     pub(super) fn record(
         &mut self,
         attempt: &TaskAttempt,
@@ -62,13 +65,15 @@
         launch.epoch = epoch;
         match route {
             CommandRoute::HeartbeatResponse => launch.in_response = Some(heartbeat_sequence),
-            // An earlier one without an answer stays unanswered, whatever becomes of this one.
+            // An earlier direct launch without an answer remains unanswered, whatever the outcome
+            // of this one.
             CommandRoute::DirectCall if launch.direct == DirectLaunch::Unknown => {}
             CommandRoute::DirectCall => launch.direct = DirectLaunch::Pending,
         }
     }
 
-    /// Notes the outcome of direct launches. Those of an earlier token are not known any more.
+    /// Records the outcome of direct launches. Launches under an earlier token are no longer
+    /// tracked and are skipped.
     pub(super) fn record_outcomes(&mut self, commands: &[Command], direct: DirectLaunch) {
         for command in commands {
             if let Command::Launch(attempt) = command
@@ -83,44 +88,44 @@
         }
     }
 
-    /// Drops all launches: none of them can take effect any more.
+    /// Removes all launches, none of which can take effect any more.
     pub(super) fn clear(&mut self) {
         self.sent.clear();
     }
 
-    /// Drops launches that were sent to earlier epochs of the worker.
+    /// Removes launches that were sent to earlier epochs of the worker.
     pub(super) fn drop_before(&mut self, epoch: WorkerEpoch) {
         self.sent.retain(|_, launch| launch.epoch >= epoch);
     }
 
-    /// Drops one launch, whose task the worker is told to forget.
+    /// Removes the launch of a task that the worker is told to forget.
     pub(super) fn remove(&mut self, attempt: &TaskAttempt) {
         self.sent.remove(attempt);
     }
 
-    /// Whether a launch of the attempt was sent.
+    /// Returns whether a launch of the attempt is recorded.
     pub(super) fn contains(&self, attempt: &TaskAttempt) -> bool {
         self.sent.contains_key(attempt)
     }
 
-    /// Whether a direct launch is in flight: its answer has not come yet.
+    /// Returns whether a direct launch of the attempt is in flight.
     pub(super) fn is_pending(&self, attempt: &TaskAttempt) -> bool {
         self.direct(attempt) == DirectLaunch::Pending
     }
 
-    /// Whether a direct launch was left without an answer.
+    /// Returns whether a direct launch of the attempt ended without an answer.
     pub(super) fn is_unanswered(&self, attempt: &TaskAttempt) -> bool {
         self.direct(attempt) == DirectLaunch::Unknown
     }
 
-    /// Whether no direct launch could start the task once more after it was forgotten: one
-    /// without an answer comes late, one that was carried out may be repeated. Launches in
-    /// responses can't: workers drop late ones.
+    /// Returns whether no direct launch could start the task again after it was forgotten. A direct
+    /// launch without an answer may arrive late, and one that was executed may be repeated.
+    /// Launches in heartbeat responses can't, because workers drop late responses.
     pub(super) fn allow_forgetting(&self, attempt: &TaskAttempt) -> bool {
         self.direct(attempt) == DirectLaunch::No
     }
 
-    /// What is certain of an attempt that the worker does not list.
+    /// Returns the presence of an attempt that the worker does not list.
     pub(super) fn presence_of_unlisted(
         &self,
         attempt: &TaskAttempt,
--- a/src/worker_control/machine_tracker/observed_state.rs
+++ b/src/worker_control/machine_tracker/observed_state.rs
@@ -1,45 +1,45 @@
-//! What the latest heartbeat of a machine says.
+//! The latest status that a machine has reported.
 
 use crate::ids::{HeartbeatSequence, Millis, MonotonicTime, TaskAttempt, TaskId, WorkerEpoch};
 use crate::protocol::{ExitReason, Heartbeat, TaskState};
 use std::collections::BTreeMap;
 
-/// How a status message of a worker came here.
+/// The kind of message that carried a worker's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum StatusSource {
-    /// A heartbeat: the worker has dealt with all earlier responses.
+    /// A heartbeat: the worker has processed or dropped all earlier heartbeat responses.
     Heartbeat,
-    /// The answer to a direct command: a response to a heartbeat may still be on its way.
+    /// The answer to a direct call: a heartbeat response may still be in flight.
     CallAnswer,
 }
 
 /// A task that the worker lists.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedTask {
-    /// Its state at the worker.
+    /// Its state as reported by the worker.
     pub(super) state: TaskState,
-    /// Why it ended; only exited tasks have one.
+    /// Why it exited. Only exited tasks have a reason.
     pub(super) exit_reason: Option<ExitReason>,
 }
 
-/// The newest status of a machine.
+/// The latest status of a machine.
 #[derive(Debug)]
 pub(super) struct ObservedState {
     addr: String,
     epoch: WorkerEpoch,
-    /// Sequence of the newest status; 0: none came yet.
+    /// Sequence number of the latest status, or 0 before the first one.
     sequence: HeartbeatSequence,
-    /// Sequence of the newest heartbeat, answers to direct commands left out.
+    /// Sequence number of the latest heartbeat. Answers to direct calls don't change it.
     heartbeat_sequence: HeartbeatSequence,
-    /// When the machine will be interrupted, if its cloud has given notice.
+    /// When the machine will be interrupted, if its cloud provider has given notice.
     notice: Option<MonotonicTime>,
     listed: BTreeMap<TaskAttempt, ListedTask>,
-    /// When listed tasks were first seen running.
+    /// When the listed tasks were first seen running.
     running_since: BTreeMap<TaskAttempt, MonotonicTime>,
 }
 
 impl ObservedState {
-    /// A machine from which nothing came yet.
+    /// Creates the state of a machine that has not reported a status yet.
     pub(super) fn new(addr: &str) -> Self {
         Self {
             addr: addr.to_owned(),
@@ -52,13 +52,14 @@
         }
     }
 
-    /// Whether a status is newer than the newest that came.
+    /// Returns whether a status is newer than the latest one.
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.epoch, heartbeat.sequence) > (self.epoch, self.sequence)
             || self.sequence == HeartbeatSequence(0)
     }
 
-    /// Takes over a status, which must be the newest. [`Self::track_running`] comes after it.
+    /// Applies a status, which must be newer than the latest one. The caller calls
+    /// [`Self::track_running`] afterwards.
     pub(super) fn apply(
         &mut self,
         heartbeat: &Heartbeat,
@@ -66,7 +67,7 @@
         now: MonotonicTime,
     ) {
         if heartbeat.epoch > self.epoch {
-            // The worker's lease ran out: it forgot all its tasks, and starts that were sent to
+            // The worker's lease expired: it forgot all its tasks, and launches that were sent to
             // its earlier epoch are void.
             self.heartbeat_sequence = HeartbeatSequence(0);
             self.running_since.clear();
@@ -83,7 +84,7 @@
         self.listed = listed_tasks(heartbeat);
     }
 
-    /// Notes which tasks run now, and drops those that are no longer listed.
+    /// Records which tasks are running, and removes those that are no longer listed.
     pub(super) fn track_running(&mut self, now: MonotonicTime) {
         for (attempt, task) in &self.listed {
             if task.state == TaskState::Running && !self.running_since.contains_key(attempt) {
@@ -95,47 +96,47 @@
             .retain(|attempt, _| listed.contains_key(attempt));
     }
 
-    /// Where the worker takes direct commands.
+    /// Returns the address and port where the worker accepts direct calls.
     pub(super) fn addr(&self) -> &str {
         &self.addr
     }
 
-    /// The worker's epoch.
+    /// Returns the worker's epoch.
     pub(super) fn epoch(&self) -> WorkerEpoch {
         self.epoch
     }
 
-    /// Sequence of the newest heartbeat, answers to direct commands left out.
+    /// Returns the sequence number of the latest heartbeat, answers to direct calls excluded.
     pub(super) fn heartbeat_sequence(&self) -> HeartbeatSequence {
         self.heartbeat_sequence
     }
 
-    /// When the machine will be interrupted, if its cloud has given notice.
+    /// Returns when the machine will be interrupted, if its cloud provider has given notice.
     pub(super) fn notice(&self) -> Option<MonotonicTime> {
         self.notice
     }
 
-    /// What the worker says of one task, if it lists it.
+    /// Returns the reported state of one task, if the worker lists it.
     pub(super) fn task(&self, attempt: &TaskAttempt) -> Option<ListedTask> {
         self.listed.get(attempt).copied()
     }
 
-    /// Whether the worker lists the task, running or exited.
+    /// Returns whether the worker lists the task, running or exited.
     pub(super) fn lists(&self, attempt: &TaskAttempt) -> bool {
         self.listed.contains_key(attempt)
     }
 
-    /// All tasks that the worker lists.
+    /// Returns all tasks that the worker lists.
     pub(super) fn listed(&self) -> impl Iterator<Item = (&TaskAttempt, &ListedTask)> {
         self.listed.iter()
     }
 
-    /// How many tasks the worker lists.
+    /// Returns the number of tasks that the worker lists.
     pub(super) fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Tasks that the worker lists as exited.
+    /// Returns the tasks that the worker lists as exited.
     pub(super) fn exited(&self) -> impl Iterator<Item = &TaskAttempt> {
         let exited = self
             .listed
@@ -144,7 +145,7 @@
         exited.map(|(attempt, _)| attempt)
     }
 
-    /// Tasks that the worker lists and that have not exited.
+    /// Returns the listed tasks that have not exited.
     pub(super) fn alive(&self) -> impl Iterator<Item = &TaskAttempt> {
         let alive = self
             .listed
@@ -153,18 +154,18 @@
         alive.map(|(attempt, _)| attempt)
     }
 
-    /// Tasks that were seen running and are still listed.
+    /// Returns the listed tasks that were seen running.
     pub(super) fn seen_running(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.running_since.keys()
     }
 
-    /// When a listed task was first seen running.
+    /// Returns when a listed task was first seen running.
     pub(super) fn running_since(&self, attempt: &TaskAttempt) -> Option<MonotonicTime> {
         self.running_since.get(attempt).copied()
     }
 }
 
-/// The tasks of a heartbeat; those whose name can't be read are left out.
+/// Returns the tasks of a heartbeat. Tasks whose name can't be parsed are omitted.
 fn listed_tasks(heartbeat: &Heartbeat) -> BTreeMap<TaskAttempt, ListedTask> {
     let tasks = heartbeat.tasks.iter().filter_map(|status| {
         let attempt = TaskAttempt {
--- a/src/worker_control/machine_tracker/placements.rs
+++ b/src/worker_control/machine_tracker/placements.rs
@@ -1,4 +1,5 @@
-//! Placements on one machine that are not settled yet: allotted, committed or refused.
+//! Placements on one machine that are not settled yet: pending, committed but not yet launched, or
+//! refused but not yet reported.
 
 use crate::ids::{MonotonicTime, Resources, Revision, TaskAttempt};
 use crate::protocol::JobSpec;
@@ -8,46 +9,49 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A placement that the leader has allotted and that the machine's record does not show yet.
+/// A placement that the leader has allotted and that the machine's record does not contain yet.
 #[derive(Debug)]
 pub(in crate::worker_control) struct PendingPlacement {
-    /// When it was allotted.
+    /// When the attempt was assigned to the machine.
     pub(in crate::worker_control) since: MonotonicTime,
-    /// The attempt to be placed.
+    /// The attempt to place.
     pub(in crate::worker_control) attempt: TaskAttempt,
-    /// The specification of its job.
+    /// The specification of the attempt's job.
     pub(in crate::worker_control) spec: Rc<JobSpec>,
-    /// Revision of the job's record: the placement is committed only under it.
+    /// Revision of the job's record. The placement is only committed if the record still has it.
     pub(in crate::worker_control) job_revision: Revision,
 }
 
-/// The limits of the key-value store that a machine's record has to keep.
+/// Limits of the key-value store that apply to machine records.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::worker_control) struct RecordLimits {
-    /// Largest record, in bytes.
+    /// Maximum size of a record in bytes.
     pub(in crate::worker_control) value_bytes: usize,
-    /// Changes in one transaction. It may carry four times as many conditions.
+    /// Maximum number of writes in one transaction. A transaction may have four times as many
+    /// conditions.
     pub(in crate::worker_control) txn_ops: usize,
 }
 
-/// Placements on one machine on their way from the allotment to the running task.
+/// The placements on one machine between allotment and launch, and the reports about them.
 #[derive(Debug, Default)]
 pub(in crate::worker_control) struct Placements {
-    /// Allotted, and not in the machine's record yet.
+    /// Allotted placements that the machine's record does not contain yet.
     pending: VecDeque<PendingPlacement>,
-    /// Committed here and not seen on the machine yet. Only these are ever started: whatever else
-    /// is absent may have ended before, its room given out again, and only its end not written.
-    /// Started once more it would break its team's limit.
+    /// Attempts that were committed by this tracker and not yet seen on the machine. Only these are
+    /// launched. Any other attempt that is absent from the machine may have ended already, with its
+    /// end not yet written and its capacity allotted again. Launching it again would exceed its
+    /// team's limit.
     launchable: BTreeSet<TaskAttempt>,
-    /// Proved gone, and reported to the leader before it was written.
+    /// Attempts that are proved gone and were reported to the leader, but whose end is not written
+    /// yet.
     reported: BTreeSet<TaskAttempt>,
-    /// To be refused once nothing that was sent can still place them.
+    /// Attempts to be refused as soon as no transaction in flight can still place them.
     rejected: Vec<TaskAttempt>,
 }
 
 impl Placements {
-    /// The shard's record was rewritten: everything allotted under the old one is void. What was
-    /// committed stays launchable.
+    /// Resets the state after the shard's record was rewritten. Pending placements under the old
+    /// fence are void. Committed ones remain launchable.
     pub(super) fn reset(&mut self) {
         self.pending.clear();
         self.reported.clear();
@@ -59,34 +63,34 @@
         self.pending.push_back(placement);
     }
 
-    /// The pending placements, the oldest first.
+    /// Returns the pending placements, oldest first.
     pub(in crate::worker_control) fn pending(&self) -> impl Iterator<Item = &PendingPlacement> {
         self.pending.iter()
     }
 
-    /// How many placements are pending.
+    /// Returns the number of pending placements.
     pub(in crate::worker_control) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether a placement of the attempt is pending.
+    /// Returns whether a placement of the attempt is pending.
     pub(in crate::worker_control) fn is_pending(&self, attempt: &TaskAttempt) -> bool {
         self.pending.iter().any(|p| p.attempt == *attempt)
     }
 
-    /// What the pending placements need together.
+    /// Returns the resources that the pending placements need in total.
     pub(in crate::worker_control) fn pending_need(&self) -> Resources {
         self.pending
             .iter()
             .fold(Resources::default(), |sum, p| sum + p.spec.need())
     }
 
-    /// Drops pending placements that the machine's record shows.
+    /// Removes pending placements that the machine's record contains.
     pub(in crate::worker_control) fn drop_committed(&mut self, record: &MachineRecord) {
         self.pending.retain(|p| !record.holds(&p.attempt));
     }
 
-    /// Drops rejections of placements that were committed after all.
+    /// Removes rejections of placements that were committed after all.
     pub(in crate::worker_control) fn drop_committed_rejections(&mut self, record: &MachineRecord) {
         self.rejected.retain(|attempt| !record.holds(attempt));
     }
@@ -106,18 +110,19 @@
         self.rejected.extend(rejected);
     }
 
-    /// Whether rejections wait to be reported to the leader.
+    /// Returns whether there are rejections to report to the leader.
     pub(in crate::worker_control) fn has_rejected(&self) -> bool {
         !self.rejected.is_empty()
     }
 
-    /// Takes the rejections to report them to the leader.
+    /// Takes the rejections to report to the leader.
     pub(in crate::worker_control) fn take_rejected(&mut self) -> Vec<TaskAttempt> {
         std::mem::take(&mut self.rejected)
     }
 
-    /// Adds the pending placements to a machine's record, as far as they fit, with the conditions
-    /// that their jobs are unchanged. Those that make the record too large are rejected.
+    /// Adds pending placements to a machine's record, and to the transaction the conditions that
+    /// their jobs are unchanged. Stops when the transaction has no room for another condition.
+    /// Rejects placements that would make the record too large.
     pub(in crate::worker_control) fn add_to_record(
         &mut self,
         record: &mut MachineRecord,
@@ -146,12 +151,12 @@
         self.rejected.extend(too_large);
     }
 
-    /// Whether the attempt was committed here and was not seen on the machine yet.
+    /// Returns whether the attempt was committed by this tracker and not yet seen on the machine.
     pub(in crate::worker_control) fn is_launchable(&self, attempt: &TaskAttempt) -> bool {
         self.launchable.contains(attempt)
     }
 
-    /// Keeps the attempts launchable for which this holds.
+    /// Keeps only the launchable attempts for which `keep` returns true.
     pub(in crate::worker_control) fn retain_launchable(
         &mut self,
         keep: impl Fn(&TaskAttempt) -> bool,
@@ -159,24 +164,25 @@
         self.launchable.retain(keep);
     }
 
-    /// Notes that the leader is informed of an attempt's end. It is never started again then,
-    /// whatever becomes of the proof. Returns whether this is the first report.
+    /// Records that an attempt's end is reported to the leader. From then on the attempt is never
+    /// launched again, even if its end can't be proved any more. Returns whether this is the first
+    /// report.
     pub(in crate::worker_control) fn mark_reported(&mut self, attempt: &TaskAttempt) -> bool {
         self.launchable.remove(attempt);
         self.reported.insert(attempt.clone())
     }
 
-    /// Whether the attempt's end was reported and is not written yet.
+    /// Returns whether the attempt's end was reported and is not written yet.
     pub(in crate::worker_control) fn is_reported(&self, attempt: &TaskAttempt) -> bool {
         self.reported.contains(attempt)
     }
 
-    /// The attempt's end is written.
+    /// Removes an attempt whose end is written.
     pub(in crate::worker_control) fn forget_reported(&mut self, attempt: &TaskAttempt) {
         self.reported.remove(attempt);
     }
 
-    /// Another leader has to be informed anew.
+    /// Clears the reported attempts, so that they are reported again to a new leader.
     pub(in crate::worker_control) fn clear_reported(&mut self) {
         self.reported.clear();
     }
--- a/src/worker_control/machine_tracker/presence.rs
+++ b/src/worker_control/machine_tracker/presence.rs
@@ -1,18 +1,19 @@
-//! What a worker's status proves about a placement.
+//! The presence of an attempt on a machine, as proved by the worker's status.
 
 use crate::protocol::{ExitReason, TaskState};
 
-/// What the latest heartbeat says of a placement.
+/// The presence of an attempt on a machine according to the latest status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum TaskPresence {
-    /// Nothing certain.
+    /// The status proves nothing.
     Unclear,
-    /// Not there, and nothing that was sent can still start it.
+    /// Not on the machine, and no command that was sent can still start it.
     Absent,
-    /// Not there, but a launch without an answer may still be on its way.
+    /// Not on the machine, but a direct launch that is in flight or without an answer may still
+    /// start it.
     MayAppear,
-    /// There, in this state.
+    /// On the machine, in this state.
     Alive(TaskState),
-    /// Exited there, and not forgotten yet.
+    /// Exited on the machine, and not forgotten by the worker yet.
     Exited(ExitReason),
 }
--- a/src/worker_control/machine_tracker/reachability.rs
+++ b/src/worker_control/machine_tracker/reachability.rs
@@ -1,27 +1,29 @@
-//! Whether a machine's heartbeats arrive here, and whether our commands arrive there.
+//! Reachability of a machine in both directions: heartbeats that arrive here, and messages that
+//! arrive there.
 
 use crate::ids::{Millis, MonotonicTime};
 
-/// Failed calls in a row from which on a machine that still sends heartbeats counts as silent.
+/// Number of consecutive failed calls from which on a machine counts as unresponsive even if it
+/// still sends heartbeats.
 const UNREACHABLE_AFTER_FAILED_CALLS: u32 = 2;
 
-/// Signs of life in both directions between this controller and one machine.
+/// The times of the last communication between this controller and one machine, in both directions.
 #[derive(Debug)]
 pub(super) struct Reachability {
-    /// When a heartbeat last came, directly or relayed.
+    /// When the last heartbeat came, direct or relayed.
     last_heartbeat: MonotonicTime,
-    /// When a heartbeat last came directly from the machine.
+    /// When the last heartbeat came directly from the machine.
     last_direct_heartbeat: MonotonicTime,
-    /// Since when its heartbeats are relayed by other controllers.
+    /// When other controllers began to relay its heartbeats. `None` if they are not relayed.
     relayed_since: Option<MonotonicTime>,
-    /// When it was last certain that something of ours arrives there.
+    /// When the machine last proved that a message from this controller reached it.
     last_reached: MonotonicTime,
-    /// Direct commands in a row that had no answer.
+    /// Number of consecutive direct calls without an answer.
     failed_calls: u32,
 }
 
 impl Reachability {
-    /// A machine of which nothing bad is known: all intervals start now.
+    /// Creates the state of a machine that counts as reachable. All intervals start at `now`.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             last_heartbeat: now,
@@ -32,53 +34,55 @@
         }
     }
 
-    /// A heartbeat came, on whatever path.
+    /// Records that a heartbeat came, direct or relayed.
     pub(super) fn on_heartbeat(&mut self, now: MonotonicTime) {
         self.last_heartbeat = self.last_heartbeat.max(now);
     }
 
-    /// A heartbeat came directly from the machine.
+    /// Records that a heartbeat came directly from the machine.
     pub(super) fn on_direct_heartbeat(&mut self, now: MonotonicTime) {
         self.last_direct_heartbeat = now;
         self.relayed_since = None;
     }
 
-    /// Something of ours has arrived at the worker.
+    /// Records that a message from this controller has reached the worker.
     pub(super) fn mark_reached(&mut self, now: MonotonicTime) {
         self.last_reached = now;
         self.failed_calls = 0;
     }
 
-    /// A direct command had no answer.
+    /// Records that a direct call was not answered.
     pub(super) fn on_failed_call(&mut self) {
         self.failed_calls += 1;
     }
 
-    /// How long no heartbeat has come.
+    /// Returns the time since the last heartbeat, direct or relayed.
     pub(super) fn since_heartbeat(&self, now: MonotonicTime) -> Millis {
         now.since(self.last_heartbeat)
     }
 
-    /// How long no heartbeat has come directly from the machine.
+    /// Returns the time since the last heartbeat that came directly from the machine.
     pub(super) fn since_direct_heartbeat(&self, now: MonotonicTime) -> Millis {
         now.since(self.last_direct_heartbeat)
     }
 
-    /// How long nothing has shown that something of ours arrives there.
+    /// Returns the time since the machine last proved that a message from this controller reached
+    /// it.
     pub(super) fn since_reached(&self, now: MonotonicTime) -> Millis {
         now.since(self.last_reached)
     }
 
-    /// Whether its heartbeats are relayed by other controllers.
+    /// Returns whether the machine's heartbeats are relayed by other controllers.
     pub(super) fn is_relayed(&self) -> bool {
         self.relayed_since.is_some()
     }
 
-    /// Accepts a relayed heartbeat, until the machine has to try the direct path again:
-    /// after half a lease, so that it is well within its lease then.
+    /// Returns whether to accept a relayed heartbeat. After half a lease of relaying, one is
+    /// rejected so that the machine tries the direct path again while its lease is still valid for
+    /// long enough.
     pub(super) fn accept_relayed(&mut self, now: MonotonicTime, worker_lease: Millis) -> bool {
         if self.relayed_since.is_none() {
-            // What failed before was tried on the direct path.
+            // Earlier failures were on the direct path, so they don't count any more.
             self.mark_reached(now);
         }
         let since = *self.relayed_since.get_or_insert(now);
@@ -89,8 +93,8 @@
         accepted
     }
 
-    /// How long nothing shows that the machine can be used: nothing came from it, or nothing of
-    /// ours gets there, though its heartbeats still come.
+    /// Returns how long the machine has been unresponsive: the time since its last heartbeat or,
+    /// after several failed calls, since it was last reached if that is longer.
     pub(super) fn silent(&self, now: MonotonicTime) -> Millis {
         let unheard = self.since_heartbeat(now);
         if self.failed_calls >= UNREACHABLE_AFTER_FAILED_CALLS {
--- a/src/worker_control/machine_tracker/record_writes.rs
+++ b/src/worker_control/machine_tracker/record_writes.rs
@@ -1,48 +1,52 @@
-//! What a machine's record lacks, and the transaction that is writing it.
+//! Unwritten changes to a machine's record, and the transaction that writes them.
 
 use crate::ids::{Millis, MonotonicTime, Resources, Revision, TaskAttempt};
 use crate::peers::AttemptOutcome;
 use crate::store::records::MachineRecord;
 
-/// How long a failed transaction waits to be tried again.
+/// Delay before a failed transaction is retried.
 const TXN_RETRY_DELAY: Millis = Millis(250);
-/// How long a retry waits for the watch cache to bring the change that it collided with.
+/// Additional time that a retry waits for the watch cache to deliver the conflicting change.
 const CACHE_WAIT_LIMIT: Millis = Millis(2000);
-/// How long ends wait for a placement on their machine while changes are scarce.
+/// Time that ended placements wait for a new placement on their machine before they are written
+/// without one, in milliseconds. It limits the number of writes.
 const ENDS_ONLY_WRITE_DELAY_MS: u64 = 10_000;
-/// How long the last ends of a machine wait while changes are scarce.
+/// Time that the last ended placements of a machine wait to be written, in milliseconds. It is
+/// shorter because a machine can only be returned once its record is empty.
 const IDLE_MACHINE_WRITE_DELAY_MS: u64 = 700;
-/// Priority of a pending placement; a millisecond of age counts 1.
+/// Priority of each pending placement. One millisecond of age adds 1.
 const PLACEMENT_PRIORITY: u64 = 1000;
-/// Priority of an end.
+/// Priority of each ended placement.
 const END_PRIORITY: u64 = 300;
 
 /// A placement that is proved gone.
 #[derive(Clone, Debug)]
 pub(in crate::worker_control) struct EndedPlacement {
-    /// The attempt.
+    /// The attempt that ended.
     pub(in crate::worker_control) attempt: TaskAttempt,
     /// How it ended.
     pub(in crate::worker_control) outcome: AttemptOutcome,
 }
 
-/// What a machine's record lacks.
+/// Changes that a machine's record does not contain yet.
 #[derive(Debug)]
 pub(in crate::worker_control) struct UnwrittenChanges {
     since: MonotonicTime,
-    /// How many placements are to be added.
+    /// The number of placements to add.
     pending: usize,
     ended: Vec<EndedPlacement>,
-    /// The room that the ended placements leave.
+    /// The resources that the ended placements free.
     freed: Resources,
-    /// Nothing is left on the machine: only with an empty record can it be returned.
+    /// Whether the record will be empty after these changes. Only a machine with an empty record
+    /// can be returned.
     idle: bool,
-    /// Somebody waits for it: a service, a gang, or another try.
+    /// Whether a user or another decision waits for the changes: those for services, gangs, and
+    /// attempts to be retried.
     urgent: bool,
 }
 
 impl UnwrittenChanges {
-    /// Changes since then that add so many placements.
+    /// Creates changes that exist since `since` and add `pending` placements.
     pub(in crate::worker_control) fn new(since: MonotonicTime, pending: usize) -> Self {
         Self {
             since,
@@ -54,7 +58,7 @@
         }
     }
 
-    /// Adds a placement that ended and the room that it leaves.
+    /// Adds an ended placement and the resources that it frees.
     pub(in crate::worker_control) fn add_ended(&mut self, ended: EndedPlacement, need: Resources) {
         self.freed = self.freed + need;
         self.ended.push(ended);
@@ -65,34 +69,36 @@
         self.urgent |= urgent;
     }
 
-    /// Compares the ends with the number of placements in the machine's record.
+    /// Sets whether the record will be empty, given the number of placements that it contains.
     pub(in crate::worker_control) fn detect_idle(&mut self, placed: usize) {
         self.idle = self.pending == 0 && self.ended.len() == placed;
     }
 
-    /// Whether there is nothing to write but for a touch of the record.
+    /// Returns whether there are no changes, so that only a write with unchanged content may be
+    /// needed.
     pub(in crate::worker_control) fn is_empty(&self) -> bool {
         self.pending == 0 && self.ended.is_empty()
     }
 
-    /// Since when the record lacks something.
+    /// Returns since when the record lacks changes.
     pub(in crate::worker_control) fn since(&self) -> MonotonicTime {
         self.since
     }
 
-    /// Placements that are proved gone.
+    /// Returns the placements that are proved gone.
     pub(in crate::worker_control) fn ended(&self) -> &[EndedPlacement] {
         &self.ended
     }
 
-    /// Whether somebody waits for the changes.
+    /// Returns whether a user or another decision waits for the changes.
     pub(in crate::worker_control) fn is_urgent(&self) -> bool {
         self.urgent
     }
 
-    /// Grows with what one change would write, and with age, so that nothing waits for ever.
-    /// Ends alone are worth nothing at first: the leader is informed of them, and a placement
-    /// may follow that takes them along.
+    /// Returns the priority of the write. It grows with the number of changes and with their age,
+    /// so that every change is written eventually. Ended placements alone have priority 0 at first:
+    /// the leader is already informed of them, and a new placement may follow that shares their
+    /// write.
     pub(in crate::worker_control) fn write_priority(&self, now: MonotonicTime) -> u64 {
         let age = now.since(self.since).0;
         let ended = END_PRIORITY * self.ended.len() as u64;
@@ -105,14 +111,14 @@
     }
 }
 
-/// A transaction on its way.
+/// A transaction in flight.
 #[derive(Debug)]
 pub(in crate::worker_control) struct PendingTxn {
-    /// The machine's record as it is written.
+    /// The machine's record with the changes.
     pub(in crate::worker_control) record: MachineRecord,
-    /// The placements that are dropped by it.
+    /// The placements that the transaction removes.
     pub(in crate::worker_control) ended: Vec<EndedPlacement>,
-    /// The fence under which it was sent.
+    /// The fence under which the transaction was sent.
     pub(in crate::worker_control) fence: Revision,
 }
 
@@ -122,16 +128,17 @@
     unwritten: Option<UnwrittenChanges>,
     in_flight: Option<PendingTxn>,
     retry_at: MonotonicTime,
-    /// A condition failed at this revision: the watch cache must get there first.
+    /// Revision at which a condition failed. The watch cache must reach it before the retry.
     retry_revision: Revision,
-    /// The key-value store refused the record for its size: nothing that large is written again.
+    /// Whether the key-value store refused the record for its size. A record over the limit is then
+    /// not sent again.
     too_large: bool,
-    /// A transaction under this revision of the record has no known outcome.
+    /// Revision of the record under which a transaction with an unknown outcome was sent.
     uncertain: Option<Revision>,
 }
 
 impl RecordWrites {
-    /// Nothing to write.
+    /// Creates a state without changes to write.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             unwritten: None,
@@ -143,56 +150,57 @@
         }
     }
 
-    /// The shard's record was rewritten: transactions under the old one can't be applied.
+    /// Resets the state after the shard's record was rewritten. Transactions under the old fence
+    /// can't be applied.
     pub(super) fn reset(&mut self) {
         self.unwritten = None;
         self.uncertain = None;
     }
 
-    /// What the record lacks, as it was last determined.
+    /// Returns the changes that the record did not contain at the last check.
     pub(in crate::worker_control) fn unwritten(&self) -> Option<&UnwrittenChanges> {
         self.unwritten.as_ref()
     }
 
-    /// The room that ended placements leave which the record still shows.
+    /// Returns the resources of ended placements that the record still contains.
     pub(in crate::worker_control) fn freed(&self) -> Resources {
         self.unwritten
             .as_ref()
             .map_or(Resources::default(), |unwritten| unwritten.freed)
     }
 
-    /// Replaces what the record lacks.
+    /// Replaces the unwritten changes.
     pub(in crate::worker_control) fn set_unwritten(&mut self, unwritten: Option<UnwrittenChanges>) {
         self.unwritten = unwritten;
     }
 
-    /// Takes what the record lacks, to write it.
+    /// Takes the unwritten changes in order to write them.
     pub(in crate::worker_control) fn take_unwritten(&mut self) -> Option<UnwrittenChanges> {
         self.unwritten.take()
     }
 
-    /// Whether a transaction is on its way.
+    /// Returns whether a transaction is in flight.
     pub(in crate::worker_control) fn is_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// A transaction is sent.
+    /// Records that a transaction is sent.
     pub(in crate::worker_control) fn begin(&mut self, pending: PendingTxn) {
         self.in_flight = Some(pending);
     }
 
-    /// The transaction on its way has an outcome.
+    /// Records that the transaction in flight has an outcome and returns the transaction.
     pub(in crate::worker_control) fn finish(&mut self) -> Option<PendingTxn> {
         self.in_flight.take()
     }
 
-    /// Tries again after a pause.
+    /// Delays the next write by [`TXN_RETRY_DELAY`].
     pub(in crate::worker_control) fn retry_later(&mut self, now: MonotonicTime) {
         self.retry_at = now + TXN_RETRY_DELAY;
     }
 
-    /// A condition failed at this revision. The watch cache is behind: once it has caught up, the
-    /// change is built anew from it.
+    /// Handles a condition that failed at this revision. The watch cache is behind: once it has
+    /// caught up, the transaction is rebuilt from it.
     pub(in crate::worker_control) fn on_conflict(
         &mut self,
         revision: Revision,
@@ -202,36 +210,37 @@
         self.retry_later(now);
     }
 
-    /// The key-value store refused the record for its size.
+    /// Handles the key-value store's refusal of a record for its size.
     pub(in crate::worker_control) fn on_too_large(&mut self, now: MonotonicTime) {
         self.too_large = true;
         self.retry_later(now);
     }
 
-    /// A transaction under this revision of the record has no known outcome. It may be applied
-    /// late, but only while the record is unchanged.
+    /// Records that a transaction under this revision of the record has no known outcome. It may
+    /// still be applied, but only while the record is unchanged.
     pub(in crate::worker_control) fn set_uncertain(&mut self, revision: Option<Revision>) {
         self.uncertain = revision;
     }
 
-    /// Whether a transaction without a known outcome may still be applied.
+    /// Returns whether a transaction with an unknown outcome may still be applied.
     pub(in crate::worker_control) fn is_uncertain(&self) -> bool {
         self.uncertain.is_some()
     }
 
-    /// The record has this revision: transactions under another one can't be applied any more.
+    /// Resolves the uncertainty if the record has a different revision: a transaction under the old
+    /// one can't be applied any more.
     pub(in crate::worker_control) fn resolve_uncertainty(&mut self, revision: Revision) {
         if self.uncertain.is_some_and(|r| r != revision) {
             self.uncertain = None;
         }
     }
 
-    /// Whether the pause after a failed transaction is over.
+    /// Returns whether the delay after a failed transaction has passed.
     pub(in crate::worker_control) fn is_retry_due(&self, now: MonotonicTime) -> bool {
         now >= self.retry_at
     }
 
-    /// Whether a transaction may be built from the watch cache at its revision.
+    /// Returns whether a transaction may be built from the watch cache at `cache_revision`.
     pub(in crate::worker_control) fn may_write(
         &self,
         now: MonotonicTime,
@@ -242,8 +251,8 @@
         self.is_retry_due(now) && !cache_behind
     }
 
-    /// Whether a record of this size may be sent. One that the key-value store would refuse again
-    /// waits for more ends, which make it smaller.
+    /// Returns whether a record of this size may be sent. A record that the key-value store would
+    /// refuse again is held until more placements end, which makes it smaller.
     pub(in crate::worker_control) fn accepts_size(
         &mut self,
         size: usize,
--- a/src/worker_control/machine_tracker/stops.rs
+++ b/src/worker_control/machine_tracker/stops.rs
@@ -1,17 +1,17 @@
-//! Tasks that are to be stopped on a machine.
+//! Stop requests for the tasks of a machine.
 
 use crate::ids::{Millis, MonotonicTime, TaskAttempt};
 use std::collections::BTreeMap;
 
-/// A stop command is repeated after this time while its task is still alive.
+/// Interval at which a stop command is repeated while its task is still alive.
 const STOP_RETRY_INTERVAL: Millis = Millis(2000);
 
-/// One task that is to be stopped.
+/// The request to stop one task.
 #[derive(Clone, Copy, Debug)]
 struct StopRequest {
-    /// The time that the task has to save its progress.
+    /// Time that the task has to save its progress.
     grace: Millis,
-    /// When the command was sent last.
+    /// When the stop command was last sent. `None` if it was not sent yet.
     sent_at: Option<MonotonicTime>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl StopRequests {
-    /// Adds a request; an earlier one for the same attempt stays as it is.
+    /// Adds a request. An earlier request for the same attempt is kept.
     pub(super) fn add(&mut self, attempt: TaskAttempt, grace: Millis) {
         self.requests.entry(attempt).or_insert(StopRequest {
             grace,
@@ -30,17 +30,17 @@
         });
     }
 
-    /// The grace time of a requested stop.
+    /// Returns the grace period of a requested stop.
     pub(super) fn grace(&self, attempt: &TaskAttempt) -> Option<Millis> {
         self.requests.get(attempt).map(|request| request.grace)
     }
 
-    /// Whether a stop of the attempt is requested.
+    /// Returns whether a stop of the attempt is requested.
     pub(super) fn contains(&self, attempt: &TaskAttempt) -> bool {
         self.requests.contains_key(attempt)
     }
 
-    /// Whether the command for a requested stop is due. If so it counts as sent now.
+    /// Returns whether the command for a requested stop is due. If so, records it as sent.
     pub(super) fn send_if_due(&mut self, attempt: &TaskAttempt, now: MonotonicTime) -> bool {
         let Some(request) = self.requests.get_mut(attempt) else {
             return false;
@@ -54,12 +54,12 @@
         due
     }
 
-    /// Drops the request of an attempt that has ended.
+    /// Removes the request for an attempt that has ended.
     pub(super) fn remove(&mut self, attempt: &TaskAttempt) {
         self.requests.remove(attempt);
     }
 
-    /// Keeps the requests of attempts that may still be on the machine.
+    /// Keeps only the requests for attempts for which `keep` returns true.
     pub(super) fn retain(&mut self, keep: impl Fn(&TaskAttempt) -> bool) {
         self.requests.retain(|attempt, _| keep(attempt));
     }
--- a/src/worker_control/machine_tracker/tasks.rs
+++ b/src/worker_control/machine_tracker/tasks.rs
@@ -1,4 +1,4 @@
-//! What is certain about the tasks of a machine, and the commands for them.
+//! The presence of tasks on a machine, and the state of the commands for them.
 
 use super::MachineTracker;
 use super::launches::{CommandRoute, DirectLaunch};
@@ -7,8 +7,8 @@
 use crate::protocol::{Command, ExitReason, TaskState};
 
 impl MachineTracker {
-    /// What is certain about a placement. Only a heartbeat under our own token counts: no launch
-    /// of an earlier shard owner can take effect after it.
+    /// Returns what is proved about the presence of an attempt. Only a status under the current
+    /// token is proof: after it no launch of an earlier shard owner can take effect.
     pub(in crate::worker_control) fn presence(&self, attempt: &TaskAttempt) -> TaskPresence {
         if !self.is_confirmed() {
             return TaskPresence::Unclear;
@@ -25,44 +25,46 @@
         }
     }
 
-    /// Whether a placement is proved gone, and nothing that was sent can start it.
+    /// Returns whether an attempt is proved gone and no command that was sent can start it.
     pub(in crate::worker_control) fn is_gone(&self, attempt: &TaskAttempt) -> bool {
         let presence = self.presence(attempt);
         matches!(presence, TaskPresence::Absent | TaskPresence::Exited(_))
     }
 
-    /// Whether the worker may forget an exited task: nothing that was sent can start it again.
+    /// Returns whether the worker may forget an exited task because no launch that was sent can
+    /// start it again.
     pub(in crate::worker_control) fn may_forget(&self, attempt: &TaskAttempt) -> bool {
         self.is_confirmed() && self.launches.allow_forgetting(attempt)
     }
 
-    /// Exited tasks that only a higher token lets the worker forget.
+    /// Returns the number of exited tasks that the worker may only forget after the token was
+    /// raised.
     pub(in crate::worker_control) fn unforgettable_count(&self) -> usize {
         let exited = self.observed.exited();
         exited.filter(|attempt| !self.may_forget(attempt)).count()
     }
 
-    /// How many tasks the worker lists.
+    /// Returns the number of tasks that the worker lists.
     pub(in crate::worker_control) fn listed_count(&self) -> usize {
         self.observed.listed_count()
     }
 
-    /// Tasks that the worker lists as exited.
+    /// Returns the tasks that the worker lists as exited.
     pub(in crate::worker_control) fn exited_tasks(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.observed.exited()
     }
 
-    /// Tasks that the worker lists and that have not exited.
+    /// Returns the listed tasks that have not exited.
     pub(in crate::worker_control) fn alive_tasks(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.observed.alive()
     }
 
-    /// Tasks that were seen running and are still listed.
+    /// Returns the listed tasks that were seen running.
     pub(in crate::worker_control) fn seen_running(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.observed.seen_running()
     }
 
-    /// When a listed task was first seen running.
+    /// Returns when a listed task was first seen running.
     pub(in crate::worker_control) fn running_since(
         &self,
         attempt: &TaskAttempt,
@@ -70,7 +72,7 @@
         self.observed.running_since(attempt)
     }
 
-    /// Notes that a launch is sent now.
+    /// Records that a launch is sent.
     pub(in crate::worker_control) fn record_launch(
         &mut self,
         attempt: &TaskAttempt,
@@ -81,7 +83,8 @@
         self.launches.record(attempt, route, epoch, sequence);
     }
 
-    /// Notes the outcome of direct launches. Those of an earlier token are not known any more.
+    /// Records the outcome of direct launches. Launches under an earlier token are no longer
+    /// tracked and are skipped.
     pub(in crate::worker_control) fn record_launch_outcomes(
         &mut self,
         commands: &[Command],
@@ -90,37 +93,37 @@
         self.launches.record_outcomes(commands, direct);
     }
 
-    /// Whether a direct launch is in flight: its answer has not come yet.
+    /// Returns whether a direct launch of the attempt is in flight.
     pub(in crate::worker_control) fn is_launch_pending(&self, attempt: &TaskAttempt) -> bool {
         self.launches.is_pending(attempt)
     }
 
-    /// Whether a direct launch was left without an answer.
+    /// Returns whether a direct launch of the attempt ended without an answer.
     pub(in crate::worker_control) fn is_launch_unanswered(&self, attempt: &TaskAttempt) -> bool {
         self.launches.is_unanswered(attempt)
     }
 
-    /// Drops the launch of a task that the worker is told to forget.
+    /// Removes the launch of a task that the worker is told to forget.
     pub(in crate::worker_control) fn forget_launch(&mut self, attempt: &TaskAttempt) {
         self.launches.remove(attempt);
     }
 
-    /// Adds a stop request; an earlier one for the same attempt stays as it is.
+    /// Adds a stop request. An earlier request for the same attempt is kept.
     pub(in crate::worker_control) fn request_stop(&mut self, attempt: TaskAttempt, grace: Millis) {
         self.stops.add(attempt, grace);
     }
 
-    /// The grace time of a requested stop.
+    /// Returns the grace period of a requested stop.
     pub(in crate::worker_control) fn stop_grace(&self, attempt: &TaskAttempt) -> Option<Millis> {
         self.stops.grace(attempt)
     }
 
-    /// Whether a stop of the attempt is requested.
+    /// Returns whether a stop of the attempt is requested.
     pub(in crate::worker_control) fn is_stop_requested(&self, attempt: &TaskAttempt) -> bool {
         self.stops.contains(attempt)
     }
 
-    /// Whether the command for a requested stop is due. If so it counts as sent now.
+    /// Returns whether the command for a requested stop is due. If so, records it as sent.
     pub(in crate::worker_control) fn send_stop_if_due(
         &mut self,
         attempt: &TaskAttempt,
@@ -129,7 +132,7 @@
         self.stops.send_if_due(attempt, now)
     }
 
-    /// The attempt's end is written: nothing more is to be done for it.
+    /// Removes the remaining state of an attempt whose end is written.
     pub(in crate::worker_control) fn on_end_written(&mut self, attempt: &TaskAttempt) {
         self.stops.remove(attempt);
         self.placements.forget_reported(attempt);
--- a/src/worker_control/machine_tracker/tests.rs
+++ b/src/worker_control/machine_tracker/tests.rs
@@ -71,7 +71,7 @@
         MonotonicTime(3),
     );
     assert_eq!(tracker.presence(&attempt()), TaskPresence::MayAppear);
-    // Sent again and answered: the first copy may still come.
+    // The launch is sent again and answered, but the first copy may still arrive.
     tracker.record_launch(&attempt(), CommandRoute::DirectCall);
     tracker.record_launch_outcomes(&[Command::Launch(attempt())], DirectLaunch::Answered);
     tracker.apply_heartbeat(
@@ -131,8 +131,9 @@
     assert_eq!(tracker.presence(&attempt()), TaskPresence::Absent);
 }
 
-/// A command that was carried out may be repeated later: forgotten before that, the task
-/// would start again, while it runs elsewhere or its job is long cancelled.
+/// Guards against a second start of a task. A direct launch that was executed may be repeated
+/// later. If the worker had forgotten the task before that, the task would start again while it
+/// runs on another machine or after its job was cancelled.
 #[test]
 fn answered_direct_launch_prevents_forgetting_until_the_token_rises() {
     let mut tracker = tracker();
@@ -159,7 +160,7 @@
     tracker.apply_heartbeat(&raised, StatusSource::Heartbeat, MonotonicTime(5));
     assert!(tracker.may_forget(&attempt()));
     assert_eq!(tracker.unforgettable_count(), 0);
-    // A launch in a response needs none of that.
+    // A launch in a heartbeat response does not prevent forgetting.
     tracker.record_launch(&attempt(), CommandRoute::HeartbeatResponse);
     assert!(tracker.may_forget(&attempt()));
 }
--- a/src/worker_control/machine_tracker/token.rs
+++ b/src/worker_control/machine_tracker/token.rs
@@ -1,27 +1,30 @@
-//! The fencing token under which a machine is commanded, and the one that its worker obeys.
+//! The fencing token of the commands to a machine, and the token that its worker obeys.
 
 use crate::ids::{FencingToken, Millis, MonotonicTime, Revision};
 
-/// A machine's token is not raised again within this time, except where nothing else helps.
+/// Minimum time between two raises of a machine's token. A raise above the token of an earlier
+/// tracker is not limited.
 const TOKEN_RAISE_INTERVAL: Millis = Millis(4000);
 
-/// Our token for one machine and how it compares with the one the worker has seen.
+/// This controller's token for one machine, and how it compares with the token that the worker
+/// reports.
 #[derive(Debug)]
 pub(super) struct TokenState {
     /// Revision of the shard's record under which the token was issued.
     fence: Revision,
     current: FencingToken,
     raised_at: MonotonicTime,
-    /// The highest that the worker had seen by its latest heartbeat.
+    /// The highest token that the worker had seen when it sent its latest status.
     seen: FencingToken,
-    /// The latest heartbeat carried our token.
+    /// Whether the latest status carried the current token.
     confirmed: bool,
-    /// A higher token exists: nothing more is sent until the watch cache brings it.
+    /// Whether a higher token exists. No more commands are sent until the watch cache delivers its
+    /// fence.
     superseded: bool,
 }
 
 impl TokenState {
-    /// The first token under the given revision of the shard's record.
+    /// Creates the state with the first token under the given revision of the shard's record.
     pub(super) fn new(fence: Revision, now: MonotonicTime) -> Self {
         Self {
             fence,
@@ -33,7 +36,7 @@
         }
     }
 
-    /// Starts again under a new revision of the shard's record.
+    /// Restarts with the first token under a new revision of the shard's record.
     pub(super) fn reset(&mut self, fence: Revision) {
         self.fence = fence;
         self.current = FencingToken::of(fence, 0);
@@ -41,7 +44,7 @@
         self.confirmed = false;
     }
 
-    /// Raises the token within its fence. `false`: the fence has no higher one left.
+    /// Raises the token within its fence. Returns `false` if the fence has no higher token left.
     pub(super) fn raise(&mut self, now: MonotonicTime) -> bool {
         self.raised_at = now;
         let Some(next) = self.current.checked_increment() else {
@@ -52,18 +55,21 @@
         true
     }
 
-    /// Whether the token was raised a moment ago: raising it again would only cost calls.
+    /// Returns whether the token was raised so recently that raising it again would only cost
+    /// calls.
     pub(super) fn raised_recently(&self, now: MonotonicTime) -> bool {
         now.since(self.raised_at) < TOKEN_RAISE_INTERVAL
     }
 
-    /// Whether a heartbeat with this token is the first to show that ours has arrived.
+    /// Returns whether a status with this token is the first to show that the current token has
+    /// reached the worker.
     pub(super) fn newly_arrived(&self, reported: FencingToken) -> bool {
         reported == self.current && self.seen < reported
     }
 
-    /// Takes in the token of a heartbeat. Returns whether ours rose above it: an earlier tracker
-    /// under the same fence had raised it, and what that one sent is not known here.
+    /// Applies the token of a status. Returns whether the current token was raised above it: an
+    /// earlier tracker under the same fence had raised the token, and this tracker does not know
+    /// which commands it sent.
     pub(super) fn observe(&mut self, reported: FencingToken) -> bool {
         self.seen = reported;
         let raised_before = reported.fence() == self.fence && reported > self.current;
@@ -75,27 +81,27 @@
         raised_before
     }
 
-    /// Notes that the worker obeys a token of a later fence.
+    /// Records that the worker obeys a token of a later fence.
     pub(super) fn mark_superseded(&mut self) {
         self.superseded = true;
     }
 
-    /// Revision of the shard's record under which the token was issued.
+    /// Returns the revision of the shard's record under which the token was issued.
     pub(super) fn fence(&self) -> Revision {
         self.fence
     }
 
-    /// The token that commands carry now.
+    /// Returns the token that commands carry.
     pub(super) fn current(&self) -> FencingToken {
         self.current
     }
 
-    /// Whether the latest heartbeat carried our token.
+    /// Returns whether the latest status carried the current token.
     pub(super) fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// Whether the worker obeys a token above ours.
+    /// Returns whether the worker obeys a higher token than the current one.
     pub(super) fn is_superseded(&self) -> bool {
         self.superseded
     }
--- a/src/worker_control/mod.rs
+++ b/src/worker_control/mod.rs
@@ -1,5 +1,6 @@
-//! The shard owner's duty: one tracker for each machine of its shards. It answers heartbeats,
-//! commits placements under the shard's fence before it starts them, and drops them only on proof.
+//! Control of the workers in the shards that this controller owns. Each machine has a tracker. The
+//! shard owner answers heartbeats, commits a placement under the shard's fence before it launches
+//! the task, and removes a placement only once the task is proved to be gone.
 
 mod machine_tracker;
 mod shard_owner;
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -1,5 +1,5 @@
-//! Decisions for all machines of the shards that this controller owns. No I/O: effects are
-//! returned, and their outcomes come back as calls.
+//! Decides for all machines of the shards that this controller owns. It does no I/O: it returns
+//! effects, and their outcomes come back as method calls.
 
 mod allotments;
 mod calls;
@@ -24,45 +24,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use write_queue::WriteQueue;
 
-/// A machine that has not answered its probe by then is probed again at its next heartbeat.
+/// Minimum time between two probes of a machine without a record. After it, the next heartbeat
+/// triggers a new probe.
 const PROBE_RETRY_INTERVAL: Millis = Millis(3000);
 
-/// The duty of owning shards: the trackers of their machines, and what is to be reported and
-/// written for them.
+/// The state of a shard owner: the trackers of its machines, and the reports and record writes that
+/// are pending for them.
 pub(crate) struct ShardOwner {
     member: MemberId,
     incarnation: Incarnation,
     /// The number of shards in the cluster.
     shards: u32,
     limits: RecordLimits,
-    /// Tasks in one segment of a job's completion record.
+    /// The number of tasks in one segment of a job's completion record.
     tasks_per_segment: u32,
     heartbeat_interval: Millis,
     worker_lease: Millis,
     trackers: BTreeMap<MachineId, MachineTracker>,
-    /// Machines whose records are to change, written by priority as the rate of changes allows.
+    /// Machines with unwritten record changes, written by priority within the write budget.
     write_queue: WriteQueue,
-    /// Machines without a record that were probed, and when.
+    /// Machines without a record and the time of their last probe.
     probed: BTreeMap<MachineId, MonotonicTime>,
-    /// The leader that ends were reported to.
+    /// Revision of the leader's record when ended attempts were last reported.
     leader: Option<Revision>,
-    /// The shards that the trackers were last compared with.
+    /// The owned shards and their fences at the last comparison with the trackers.
     owned_shards: BTreeMap<ShardId, Revision>,
     waiting_allotments: Vec<WaitingAllotment>,
     next_health: MonotonicTime,
-    /// All trackers are to be compared with the watch cache, not only those of machines that
-    /// changed.
+    /// Whether the next comparison with the watch cache covers all trackers, not only those of
+    /// changed machines.
     compare_all: bool,
-    /// The last tracker of the batch that had its turn; none after a pass over all.
+    /// The last machine of the previous batch. `None` if the next batch starts from the beginning.
     batch_end: Option<MachineId>,
-    /// Machines of other owners that sent heartbeats here since the last report to the leader.
+    /// Machines of other owners that sent heartbeats here since the last health report to the
+    /// leader.
     misdirected: BTreeSet<MachineId>,
-    /// Some controllers can't reach each other, and machines perhaps neither.
+    /// Whether some controllers can't reach each other. Machines may then be unable to reach their
+    /// owner.
     partitioned: bool,
 }
 
 impl ShardOwner {
-    /// An owner that knows no shard yet: the watch cache brings them.
+    /// Creates a shard owner without trackers. They are created from the watch cache.
     pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             member: config.member.clone(),
@@ -89,17 +92,18 @@
         }
     }
 
-    /// How many changes the key-value store takes in a second from all controllers.
+    /// Sets how many writes per second the key-value store accepts from all controllers together.
     pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
         self.write_queue.set_store_rate(changes);
     }
 
-    /// Whether some controllers can't reach each other, and machines perhaps neither.
+    /// Sets whether some controllers can't reach each other. Machines may then be unable to reach
+    /// their owner.
     pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
         self.partitioned = partitioned;
     }
 
-    /// The revision of a shard's record if this process owns the shard.
+    /// Returns the revision of the shard's record if this process owns the shard.
     fn fence(&self, cache: &WatchCache, shard: ShardId) -> Option<Revision> {
         let record = cache.shards.get(&shard)?;
         let mine =
@@ -107,8 +111,8 @@
         mine.then_some(record.revision)
     }
 
-    /// Brings the trackers in line with the shards that the watch cache says this controller
-    /// owns, and does what time has made due.
+    /// Updates the trackers to the shards that this controller owns according to the watch cache,
+    /// and performs the actions that are due by time.
     pub(crate) fn reconcile(
         &mut self,
         now: MonotonicTime,
@@ -129,7 +133,8 @@
         self.report_health(now, cache, out);
     }
 
-    /// Does for one machine whatever is due; what its record lacks waits for [`Self::flush`].
+    /// Updates the unwritten changes of one machine and sends its due commands. The changes are
+    /// written by [`Self::flush`].
     fn step(
         &mut self,
         now: MonotonicTime,
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -1,4 +1,4 @@
-//! Allotments of the leader: which of the machines here takes what.
+//! Placement of the leader's allotments on the machines of owned shards.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
@@ -9,19 +9,19 @@
 use crate::worker_control::machine_tracker::{MachineTracker, PendingPlacement};
 use std::collections::BTreeSet;
 
-/// How long an allotment waits for the watch cache to bring its job.
+/// How long an allotment waits for the watch cache to deliver its job and the shard's record.
 const ALLOTMENT_WAIT_LIMIT: Millis = Millis(1500);
 
-/// An allotment that came before the watch cache brought what it refers to.
+/// An allotment that arrived before the records that it refers to are in the watch cache.
 #[derive(Debug)]
 pub(super) struct WaitingAllotment {
-    /// When it came.
+    /// When the allotment arrived.
     since: MonotonicTime,
     allotment: Allotment,
 }
 
 impl ShardOwner {
-    /// Takes in an allotment of the leader.
+    /// Handles an allotment from the leader.
     pub(crate) fn on_allot(
         &mut self,
         now: MonotonicTime,
@@ -37,8 +37,8 @@
         self.flush(now, cache, out);
     }
 
-    /// Places the allotments for which the watch cache is recent enough, or has been awaited for
-    /// too long.
+    /// Places the waiting allotments whose records are in the watch cache, or whose wait limit has
+    /// passed.
     pub(super) fn place_waiting(
         &mut self,
         now: MonotonicTime,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Whether the watch cache lacks the shard's record or the job that an allotment refers to.
+    /// Returns whether the watch cache still lacks the shard's record or the job that an allotment
+    /// refers to.
     fn is_cache_behind(&self, allotment: &Allotment, cache: &WatchCache) -> bool {
         let fence = self.fence(cache, allotment.shard);
         let job = allotted_job(allotment, cache);
@@ -63,7 +64,8 @@
             || (job.is_none() && cache.revision < allotment.job_revision)
     }
 
-    /// Chooses machines for an allotment; attempts for which none fits are refused.
+    /// Assigns the attempts of an allotment to machines. Attempts that fit on no machine are
+    /// refused.
     fn place(
         &mut self,
         now: MonotonicTime,
@@ -106,8 +108,8 @@
         }
     }
 
-    /// The first of the leader's choices inside the shard that fits as the shard is now. The
-    /// leader lists every machine of the shard that it would accept.
+    /// Returns the first of the leader's candidate machines in the shard on which the attempt fits
+    /// now. The leader lists every machine of the shard that it would accept.
     fn choose(
         &self,
         job: &LiveJob,
@@ -122,7 +124,8 @@
         allotment.candidate_machines.iter().find(fits).cloned()
     }
 
-    /// Whether a machine can take a task more. `None`: the machine or its type is unknown.
+    /// Returns whether the attempt fits on the machine, or `None` if the machine or its type is
+    /// unknown.
     fn fits(
         &self,
         id: &MachineId,
@@ -144,8 +147,8 @@
         Some(usable && allowed && job.spec.need().fits(free) && storable)
     }
 
-    /// The size of a machine's record with all that is allotted there and one placement more. What
-    /// has ended is not taken off: its end needs room too.
+    /// Returns the size in bytes of the machine's record with all pending placements and one more.
+    /// Ended placements are not subtracted, because their completion entries need space too.
     fn stored_size(
         &self,
         tracker: &MachineTracker,
@@ -173,7 +176,7 @@
     }
 }
 
-/// The job whose tasks are allotted, if the watch cache has it.
+/// Returns the job of the allotment if the watch cache has it.
 fn allotted_job<'a>(allotment: &Allotment, cache: &'a WatchCache) -> Option<&'a LiveJob> {
     let first = allotment.attempts.first()?;
     cache.jobs.get(&first.task.job)
--- a/src/worker_control/shard_owner/calls.rs
+++ b/src/worker_control/shard_owner/calls.rs
@@ -1,4 +1,4 @@
-//! Outcomes of direct commands.
+//! Handling of the outcomes of direct calls.
 
 use super::health::machine_health;
 use super::{DirectCallOutcome, Effect, ShardOwner};
@@ -9,13 +9,13 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::{DirectLaunch, MachineTracker, StatusSource};
 
-/// The pause after a call without an answer, and between probes of a silent machine.
+/// Delay after a call without an answer, and between two probes of an unresponsive machine.
 pub(super) const CALL_RETRY_DELAY: Millis = Millis(700);
-/// The pause after a call that the worker refused.
+/// Delay after a call that the worker rejected.
 const REJECTED_CALL_DELAY: Millis = Millis(50);
 
 impl ShardOwner {
-    /// Takes in what became of a call that was sent under the given token.
+    /// Handles the outcome of a call that was sent under the given token.
     pub(crate) fn on_direct_call_outcome(
         &mut self,
         now: MonotonicTime,
@@ -41,7 +41,7 @@
         self.flush(now, cache, out);
     }
 
-    /// A machine without a record has answered its probe.
+    /// Handles a probe's answer from a machine without a record.
     fn discover(
         &self,
         id: &MachineId,
@@ -63,7 +63,8 @@
     }
 }
 
-/// Notes an outcome in the machine's tracker. Under an earlier token it tells nothing of launches.
+/// Records a call's outcome in the machine's tracker. If the token has changed since the call, the
+/// outcome says nothing about the tracker's launches.
 fn apply_outcome(
     tracker: &mut MachineTracker,
     token: FencingToken,
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -1,4 +1,4 @@
-//! What a shard owner can prove about the tasks of cancelled jobs.
+//! Proof that the tasks of cancelled jobs are gone.
 
 use super::ShardOwner;
 use crate::ids::{JobId, MachineId, ShardFence, ShardId, TaskAttempt};
@@ -6,9 +6,9 @@
 use std::collections::BTreeSet;
 
 impl ShardOwner {
-    /// The shards owned here in which all tasks of a cancelled job are proved gone, but for those
-    /// on machines that are deleted. With `known` it suffices that the machines obey this shard
-    /// owner alone, which knows of the cancellation.
+    /// Returns the owned shards in which all tasks of a cancelled job are proved gone. Tasks on
+    /// deleted machines are ignored. If `known` is set, this shard owner knows of the cancellation
+    /// and launches none of the tasks, so it is enough that it alone controls the machines.
     pub(crate) fn cleared_shards(
         &self,
         job: &JobId,
@@ -31,7 +31,7 @@
         owned.collect()
     }
 
-    /// Whether no task of a cancelled job can run on a machine any more.
+    /// Returns whether no task of a cancelled job can run on the machine any more.
     fn is_cleared(&self, id: &MachineId, job: &JobId, known: bool, cache: &WatchCache) -> bool {
         let (Some(tracker), Some(machine)) = (self.trackers.get(id), cache.machines.get(id)) else {
             return false;
@@ -43,7 +43,7 @@
         (known && tracker.obeys_us()) || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
     }
 
-    /// Whether a placement here is proved gone, though its machine's record may still show it.
+    /// Returns whether the attempt is proved gone, even if its machine's record still shows it.
     pub(crate) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         let mut trackers = self.trackers.values();
         trackers.any(|tracker| tracker.placements().is_reported(attempt))
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -1,4 +1,4 @@
-//! What a shard owner commands its workers to do, in answers and by direct command.
+//! Commands to workers, sent in heartbeat responses and by direct call.
 
 use super::calls::CALL_RETRY_DELAY;
 use super::{DirectCall, Effect, ShardOwner};
@@ -7,14 +7,16 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use crate::worker_control::machine_tracker::{CommandRoute, MachineTracker, TaskPresence};
 
-/// Commands in one message: no launch or forget command is added beyond this.
+/// Maximum number of commands in one message. Only stop commands for tasks without a placement may
+/// exceed it.
 const COMMAND_BATCH: usize = 200;
-/// Exited tasks that a worker goes on listing because their direct launches could be repeated.
-/// More of them, and the machine's token rises: fewer would be calls, more is longer heartbeats.
+/// Maximum number of exited tasks that a worker keeps listing because their direct launches could
+/// be repeated. Beyond it the machine's token is raised so that the worker can forget them. A
+/// smaller limit costs more calls, a larger one makes heartbeats longer.
 const MAX_UNFORGETTABLE_TASKS: usize = 24;
 
 impl ShardOwner {
-    /// The leader wants a task stopped.
+    /// Handles the leader's request to stop a task.
     pub(crate) fn on_stop(
         &mut self,
         now: MonotonicTime,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// The commands that are due; they are noted as sent.
+    /// Returns the commands that are due and records them as sent.
     pub(super) fn due_commands(
         &mut self,
         now: MonotonicTime,
@@ -48,21 +50,22 @@
             commands.extend(forget_commands(tracker, machine, room));
         }
         if tracker.is_confirmed() {
-            // A task that runs without a placement belongs to nobody.
+            // A running task without a placement is orphaned.
             let orphans = tracker
                 .alive_tasks()
                 .filter(|attempt| !machine.record.holds(attempt));
             commands.extend(orphans.map(|attempt| Command::Stop(attempt.clone(), Millis(0))));
         }
         if !commands.is_empty() {
-            // A start is allowed by the record of this revision, a stop by the leader's request, by
-            // a cancellation, or by the record that lacks the task.
+            // A launch is justified by the record at this revision. A stop is justified by the
+            // leader's request, by a cancellation, or by the absence of the task from the record.
             tracing::debug!(machine = %id, token = %tracker.token(), record = %machine.revision, ?route, ?commands, "commands are due");
         }
         commands
     }
 
-    /// Sends direct commands: to take a machine over, to start and stop at once, to probe.
+    /// Calls the worker directly if needed: to make it accept the current token, to launch or stop
+    /// tasks without waiting for a heartbeat, or to probe it.
     pub(super) fn send_direct_commands(
         &mut self,
         now: MonotonicTime,
@@ -75,7 +78,7 @@
         else {
             return;
         };
-        // What can't bring its heartbeats here can't be reached from here either.
+        // A machine that can't send its heartbeats here can't be reached from here either.
         if !tracker.calls().may_send(now) || tracker.is_superseded() || tracker.is_relayed() {
             return;
         }
@@ -119,12 +122,12 @@
     }
 }
 
-/// How long a machine may be quiet before it is probed.
+/// Times after which a machine is probed.
 struct QuietLimits {
-    /// Since its last heartbeat.
+    /// Maximum time since the last heartbeat.
     heartbeat: Millis,
-    /// Since something of ours arrived: heartbeats show that the machine lives, not that anything
-    /// reaches it.
+    /// Maximum time since the machine last proved that a message from this controller reached it.
+    /// Heartbeats only show that the machine is alive, not that messages reach it.
     reached: Millis,
 }
 
@@ -141,7 +144,7 @@
     }
 }
 
-/// Launches and stops of the placements that the machine's record shows.
+/// Returns the launch and stop commands for the placements in the machine's record.
 fn placement_commands(
     now: MonotonicTime,
     tracker: &mut MachineTracker,
@@ -190,7 +193,7 @@
 ) -> Option<Command> {
     let may_launch = match tracker.presence(&attempt) {
         TaskPresence::Absent => true,
-        // A direct launch is without an answer: only a response may repeat it.
+        // An earlier direct launch has no answer yet: only a heartbeat response may repeat it.
         TaskPresence::MayAppear => route == CommandRoute::HeartbeatResponse,
         _ => false,
     };
@@ -202,8 +205,8 @@
     Some(Command::Launch(attempt))
 }
 
-/// Exited tasks whose end is recorded are forgotten, never sooner: a forgotten task would start
-/// again if its launch came a second time.
+/// Returns forget commands for exited tasks whose end is recorded, at most `limit`. A task must not
+/// be forgotten before that: it would start again if its launch arrived a second time.
 fn forget_commands(
     tracker: &mut MachineTracker,
     machine: &LiveMachine,
@@ -221,8 +224,10 @@
     finished.into_iter().map(Command::Forget).collect()
 }
 
-/// Whether only a higher token helps: a cancelled task whose launch has no answer, which can only
-/// be fenced off; or many exited ones whose launch could be repeated once they were forgotten.
+/// Returns whether the token must be raised. This is the case for a cancelled task or one to be
+/// stopped whose direct launch has no answer, because only a higher token prevents its start. It is
+/// also the case for too many exited tasks that would start again if they were forgotten and their
+/// launches repeated.
 fn needs_token_raise(tracker: &MachineTracker, machine: &LiveMachine, cache: &WatchCache) -> bool {
     let burden = tracker.listed_count() > MAX_UNFORGETTABLE_TASKS
         && tracker.placements().pending_count() == 0
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -1,4 +1,4 @@
-//! What a shard owner asks to be done, and the forms of what it hears back.
+//! Effects that a shard owner requests, and the types of their outcomes.
 
 use crate::ids::{FencingToken, MachineId, MemberId, ShardId, WorkerEpoch};
 use crate::peers::Message;
@@ -6,7 +6,7 @@
 use crate::protocol::{Command, Heartbeat};
 use crate::store::machine_record::MachineRecord;
 
-/// An action that the shard owner has decided on.
+/// An action that the shard owner requests.
 #[derive(Debug)]
 pub(crate) enum Effect {
     /// Run a transaction; its outcome goes to [`super::ShardOwner::on_txn_outcome`].
@@ -20,57 +20,59 @@
     CallWorker(DirectCall),
     /// Send a message to the leader.
     ToLeader(Message),
-    /// A machine that has no record answers. Its first placement writes one: until then it
-    /// exists in the watch caches alone, and costs no change.
+    /// A machine without a record answered its probe. The record is not written until the first
+    /// placement there: until then it exists only in the watch caches and costs no write.
     MachineDiscovered(MachineId, MachineRecord),
-    /// Such a machine has been silent for long.
+    /// A machine without a stored record has been unresponsive for too long.
     UnrecordedMachineLost(MachineId),
-    /// Rewrite the record of a shard that this controller owns, so that its token rises.
+    /// Rewrite the record of an owned shard. This raises its fence and so the tokens of its
+    /// machines.
     RaiseShardFence(ShardId),
 }
 
-/// Commands that are sent to a worker directly, not in the answer to a heartbeat.
+/// Commands that are sent to a worker by direct call, not in a heartbeat response.
 #[derive(Clone, Debug)]
 pub(crate) struct DirectCall {
     /// The worker's machine.
     pub machine: MachineId,
     /// Where the worker takes direct commands: address and port.
     pub addr: String,
-    /// The token that the commands carry. It raises the worker's own.
+    /// The fencing token of the commands. The worker adopts it if it is higher than its own.
     pub token: FencingToken,
-    /// The worker's epoch for which they are meant.
+    /// The worker epoch that the commands are meant for.
     pub epoch: WorkerEpoch,
-    /// The commands; none at all makes a probe, which the worker answers with its status.
+    /// The commands. An empty list is a probe, which the worker answers with its status.
     pub commands: Vec<Command>,
 }
 
-/// What a worker's heartbeat is answered with.
+/// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub(crate) enum HeartbeatAnswer {
     /// Commands under the machine's token.
     Commands(FencingToken, Vec<Command>),
-    /// Another controller owns the machine, or may. The worker is sent to it, if it is known.
+    /// Another controller owns the machine or may own it. The worker is redirected to that
+    /// controller if it is known.
     Redirect(Option<MemberId>),
 }
 
-/// How a heartbeat came here.
+/// The path on which a heartbeat arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatPath {
-    /// From the worker itself.
+    /// Sent here by the worker itself.
     Direct,
-    /// Through another controller.
+    /// Relayed by another controller.
     Relayed,
 }
 
-/// What became of a direct command.
+/// The outcome of a direct call.
 #[derive(Debug)]
 pub(crate) enum DirectCallOutcome {
-    /// Carried out; the worker answered with its status.
+    /// The worker executed the commands and answered with its status.
     Done(Heartbeat),
-    /// Refused by the worker, with its status if it gave one.
+    /// The worker rejected the commands. Holds its status if it sent one.
     Rejected(Option<Heartbeat>),
-    /// Certainly not sent.
+    /// The call was not sent.
     NotSent,
-    /// No answer: it may have been carried out, or may still be.
+    /// No answer arrived. The commands may have been executed or may still be executed later.
     Unknown,
 }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -1,4 +1,5 @@
-//! Reports to the leader: health of the machines, placements that are gone, misdirected heartbeats.
+//! Reports to the leader: machine health, placements that are proved gone, and misdirected
+//! heartbeats.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TaskAttempt};
@@ -8,15 +9,18 @@
 use crate::worker_control::machine_tracker::MachineTracker;
 
 const HEALTH_INTERVAL: Millis = Millis(1000);
-/// A machine without a record that is silent for so long is forgotten: nothing was placed there.
+/// A machine without a stored record that is unresponsive for this time is dropped: no task was
+/// placed there.
 const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
-/// While controllers can't reach each other a machine gets the time to find another one that
-/// relays its heartbeats: two tries that hang, and a second after each.
+/// Subtracted from the unresponsive time of machines while controllers can't reach each other. It
+/// lets a machine find another controller that relays its heartbeats: two attempts that time out,
+/// with a pause of a second after each.
 const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
 
 impl ShardOwner {
-    /// Whether nothing has shown for so long that a machine owned here can be used. One that obeys
-    /// a higher token is another shard owner's by now, and only seems silent from here.
+    /// Returns whether an owned machine has been unresponsive for at least `for_long`. A machine
+    /// that obeys a higher token already belongs to another shard owner and only appears
+    /// unresponsive here.
     pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
@@ -27,7 +31,8 @@
         tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
     }
 
-    /// Reports to the leader in their interval what is known of the machines.
+    /// Reports the health of the machines and misdirected heartbeats to the leader, once per
+    /// [`HEALTH_INTERVAL`].
     pub(super) fn report_health(
         &mut self,
         now: MonotonicTime,
@@ -71,7 +76,7 @@
         health
     }
 
-    /// Reports machines without a record that have been silent for too long.
+    /// Reports machines without a stored record that have been unresponsive for too long.
     pub(super) fn report_lost(
         &self,
         now: MonotonicTime,
@@ -90,9 +95,10 @@
         out.extend(lost.map(|(id, _)| Effect::UnrecordedMachineLost(id.clone())));
     }
 
-    /// Reports ends to the leader before they are written: the room can be given out again, so
-    /// that one change writes the end and the next placement; and a job whose tasks are all done
-    /// ends without waiting for records. A new leader gets all reports again.
+    /// Reports ended placements to the leader before their records are written. The leader can then
+    /// reuse the capacity, so that one write covers both the end and the next placement, and a job
+    /// whose tasks are all done completes without waiting for the writes. All ends are reported
+    /// again to a new leader.
     pub(super) fn report_freed(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
         let leader = cache.leader.as_ref().map(|leader| leader.revision);
         if self.leader != leader {
@@ -113,7 +119,8 @@
     }
 }
 
-/// The ends on a machine that were not reported yet; they count as reported now.
+/// Returns the ended placements of a machine that were not reported yet, and marks them as
+/// reported.
 fn newly_freed(id: &MachineId, tracker: &mut MachineTracker) -> Vec<FreedAttempt> {
     let unwritten = tracker.writes().unwritten();
     let ended = unwritten.map_or_else(Vec::new, |unwritten| unwritten.ended().to_vec());
@@ -128,7 +135,7 @@
     .collect()
 }
 
-/// What is known of one machine.
+/// Returns the health report of one machine.
 pub(super) fn machine_health(
     id: &MachineId,
     tracker: &MachineTracker,
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers and their answers.
+//! Handling of worker heartbeats.
 
 use super::health::machine_health;
 use super::{DirectCall, Effect, HeartbeatAnswer, HeartbeatPath, ShardOwner};
@@ -9,12 +9,12 @@
 use crate::worker_control::machine_tracker::{CommandRoute, StatusSource};
 
 impl ShardOwner {
-    /// The longest interval between two heartbeats that come directly.
+    /// Returns the longest acceptable interval between two direct heartbeats of a machine.
     pub(super) fn direct_heartbeat_timeout(&self) -> Millis {
         self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000)
     }
 
-    /// Machines owned here whose direct heartbeats have been absent for too long.
+    /// Returns the owned machines whose direct heartbeats are overdue.
     pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         let timeout = self.direct_heartbeat_timeout();
         let missing = self
@@ -24,8 +24,9 @@
         missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether a heartbeat that another controller relays is accepted: from machines that can't
-    /// bring it here. Now and then they are made to try all the same.
+    /// Returns whether to accept a heartbeat relayed by another controller. Relayed heartbeats are
+    /// accepted from machines that can't send theirs here. They are rejected from time to time so
+    /// that the machine tries the direct path again.
     pub(crate) fn try_accept_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -38,7 +39,7 @@
             .is_some_and(|tracker| tracker.try_accept_relayed_heartbeat(now, timeout, worker_lease))
     }
 
-    /// Answers a worker's heartbeat.
+    /// Handles a worker's heartbeat and returns the answer.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -62,8 +63,8 @@
         })
     }
 
-    /// The fence under which a machine is owned here. The error: the controller that owns it
-    /// instead, as far as it is known.
+    /// Returns the fence under which this controller owns the machine, or as error the other
+    /// controller that owns it, if known.
     fn fence_for(
         &mut self,
         heartbeat: &Heartbeat,
@@ -84,8 +85,9 @@
         Ok(fence)
     }
 
-    /// Answers for a machine with a record. `None`: it has no tracker, because the watch cache has
-    /// just brought the shard or the machine. The tracker opens at once.
+    /// Answers the heartbeat of a machine with a record. Returns `None` if the machine has no
+    /// tracker because its shard or record has just arrived in the watch cache. The tracker is
+    /// created as soon as that change is processed.
     fn answer_tracked(
         &mut self,
         now: MonotonicTime,
@@ -118,8 +120,9 @@
         Some(HeartbeatAnswer::Commands(token, commands))
     }
 
-    /// A machine without a record: new, one that nobody expected, or one that is long deleted
-    /// and of which a copy of a heartbeat has come late. Only a live one answers a probe.
+    /// Probes a machine without a record. The machine may be new or unexpected. It may also have
+    /// been deleted long ago, and the heartbeat is a late copy: only a live machine answers the
+    /// probe.
     fn probe_unknown(
         &mut self,
         now: MonotonicTime,
@@ -141,8 +144,8 @@
     }
 }
 
-/// The token for a machine without a tracker: one that had a tracker of ours before may have seen
-/// it raised, and drops what carries a lower one.
+/// Returns the token for a machine without a tracker. An earlier tracker under the same fence may
+/// have raised the machine's token, and the worker drops commands with a lower one.
 fn token_at_least(fence: Revision, heartbeat: &Heartbeat) -> FencingToken {
     let base = FencingToken::of(fence, 0);
     if heartbeat.token.fence() == fence {
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -1,4 +1,4 @@
-//! When machines' records are written, and the transactions that write them.
+//! Scheduling of machine record writes, and the transactions that perform them.
 
 use super::records::{attempt_outcome, needs_touch};
 use super::{Effect, ShardOwner};
@@ -11,20 +11,21 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
 
-/// While changes are scarce, whatever comes to a machine within this time shares one.
+/// While the write budget is not ample, changes to a machine's record within this time share one
+/// write.
 const WRITE_BATCH_DELAY: Millis = Millis(200);
-/// Priority of a write that is not limited by the rate of changes.
+/// Priority of a write that the write budget does not delay.
 const URGENT_PRIORITY: u64 = u64::MAX;
 
-/// A machine whose record may be written now.
+/// A machine whose record may be written now, and the priority of that write.
 struct WriteCandidate {
     priority: u64,
     machine: MachineId,
 }
 
 impl ShardOwner {
-    /// Writes records while there are changes for it, those that are worth most first. What
-    /// people or other decisions wait for goes at once.
+    /// Writes machine records within the write budget, highest priority first. Urgent writes, which
+    /// users or other decisions wait for, are sent even if the budget is exhausted.
     pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
         if !self.write_queue.begin_flush(now) {
             return;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The machines whose records may be written now.
+    /// Returns the machines whose records may be written now.
     fn write_candidates(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<WriteCandidate> {
         let scarce = self.write_queue.is_exhausted(now);
         let unhurried = self.write_queue.has_ample_budget(now);
@@ -72,8 +73,9 @@
         candidates
     }
 
-    /// Drops what is proved gone, counts what is done, and adds what was allotted, all in one
-    /// change under the fence. Returns whether a transaction is sent.
+    /// Builds one transaction under the fence that removes the placements proved gone, adds
+    /// completed tasks to the done ranges, and adds the pending placements. Returns whether a
+    /// transaction is sent.
     fn commit(
         &mut self,
         now: MonotonicTime,
@@ -122,7 +124,8 @@
     }
 }
 
-/// Drops counted tasks that their jobs' own records show by now.
+/// Removes done ranges that the completion records of their jobs fully contain, and those of jobs
+/// that are not in the watch cache any more.
 fn drop_counted(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
     record.done.retain(|done| {
         let job = cache.jobs.get(&done.job);
@@ -130,8 +133,8 @@
     });
 }
 
-/// Removes placements that are proved gone from a record and counts those that are done. Returns
-/// what was removed.
+/// Removes placements that are proved gone from a record and adds the completed tasks to its done
+/// ranges. Returns the removed placements.
 fn write_ends<'a>(
     record: &mut MachineRecord,
     tracker: &MachineTracker,
@@ -145,8 +148,8 @@
         };
         let job = cache.jobs.get(&attempt.task.job);
         if let (AttemptOutcome::Done, Some(job)) = (outcome, job) {
-            // The tasks of a gang complete together: when one is done, all are. So the loss
-            // of a machine just then does not leave the rest to be run again.
+            // The tasks of a gang complete together: when one is done, all are recorded as done. If
+            // a machine is lost at that moment, the remaining tasks are not run again.
             match job.spec.kind {
                 JobKind::Gang => record.add_done(&attempt.task.job, 0, job.spec.tasks - 1),
                 _ => record.add_done(&attempt.task.job, attempt.task.index, attempt.task.index),
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -1,4 +1,4 @@
-//! What the records of a shard owner's machines lack.
+//! Detection of changes that are not yet written to the machines' records.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
@@ -9,12 +9,14 @@
     EndedPlacement, MachineTracker, TaskPresence, UnwrittenChanges,
 };
 
-/// An allotment that finds no change for its record by then is given back: left without an answer
-/// the leader would void it by rewriting the whole shard, and all that is under way there.
+/// A pending placement that could not be written within this time is refused. Without an answer,
+/// the leader would void it by rewriting the record of the whole shard, and with it everything in
+/// progress in that shard.
 const PLACEMENT_EXPIRY: Millis = Millis(5000);
 
 impl ShardOwner {
-    /// Notes what a machine's record lacks: what is proved gone, what was allotted, what is done.
+    /// Updates the unwritten changes of a machine: placements that are proved gone, pending
+    /// placements, and completed tasks.
     pub(super) fn note_unwritten(
         &mut self,
         now: MonotonicTime,
@@ -70,7 +72,7 @@
     });
 }
 
-/// How a placement has ended, once that is proved.
+/// Returns the outcome of a placement once its end is proved.
 pub(super) fn attempt_outcome(
     tracker: &MachineTracker,
     attempt: &TaskAttempt,
@@ -89,18 +91,19 @@
     }
 }
 
-/// Whether the record has to be written though its content is the same: a transaction with an
-/// unknown outcome is then void, and the rejections can be reported.
+/// Returns whether the record must be written even if its content is unchanged. The write voids a
+/// transaction with an unknown outcome, so that the rejections can be reported.
 pub(super) fn needs_touch(tracker: &MachineTracker) -> bool {
     tracker.writes().is_uncertain() && tracker.placements().has_rejected()
 }
 
-/// Whether somebody waits for single tasks of such a job.
+/// Returns whether users or other decisions wait for single tasks of this job kind. Record writes
+/// for these tasks are urgent.
 fn is_awaited(kind: JobKind) -> bool {
     kind != JobKind::Array
 }
 
-/// What a record lacks, if anything, and how much it is worth to write it.
+/// Returns the changes that are missing from a machine's record, or `None` if it is up to date.
 fn unwritten_changes(
     tracker: &MachineTracker,
     machine: &LiveMachine,
@@ -118,7 +121,7 @@
             continue;
         };
         if let Some(job) = cache.jobs.get(&attempt.task.job) {
-            // A failure waits to be tried elsewhere.
+            // A failed attempt waits to be retried on another machine.
             unwritten.add_urgency(is_awaited(job.spec.kind) || outcome != AttemptOutcome::Done);
         }
         unwritten.add_ended(EndedPlacement { attempt, outcome }, placed.need);
--- a/src/worker_control/shard_owner/tracking.rs
+++ b/src/worker_control/shard_owner/tracking.rs
@@ -1,4 +1,4 @@
-//! Which machines have trackers, and whose turn it is.
+//! Creation and removal of machine trackers, and their processing in batches.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, MonotonicTime, Revision, ShardId};
@@ -7,23 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Trackers that have their turn in one call of [`ShardOwner::reconcile`].
+/// Maximum number of trackers processed in one call of [`ShardOwner::reconcile`].
 const TRACKERS_PER_BATCH: usize = 100;
 
 impl ShardOwner {
-    /// The number of machines that are tracked here, for display.
+    /// Returns the number of tracked machines, for display.
     pub(crate) fn tracked_count(&self) -> usize {
         self.trackers.len()
     }
 
-    /// All trackers are to be compared with the watch cache: it was read anew, or a machine was
-    /// discovered. Without a change of the cache, no event would open that machine's tracker.
+    /// Requests that the next comparison with the watch cache covers all trackers. It is needed
+    /// after the cache was reloaded, and after a machine was discovered: without a change in the
+    /// key-value store, no event creates that machine's tracker.
     pub(crate) fn request_full_reconcile(&mut self) {
         self.compare_all = true;
     }
 
-    /// After changes of the watch cache: only the machines they concern are looked at, the rest
-    /// in their turn.
+    /// Processes the machines that changed in the watch cache. The other machines are processed in
+    /// the batches of [`Self::reconcile`].
     pub(crate) fn on_machines_changed(
         &mut self,
         now: MonotonicTime,
@@ -39,9 +40,9 @@
         self.flush(now, cache, out);
     }
 
-    /// The trackers whose turn it is. Whatever comes from a machine or changes its record is dealt
-    /// with at once; the turns are for what only time makes due, and one costs the same on any
-    /// fleet.
+    /// Returns the machines of the next batch. Messages from a machine and changes of its record
+    /// are handled immediately; the batches only handle timeouts. The batch size is limited so that
+    /// a call costs the same for any number of machines.
     pub(super) fn next_batch(&mut self) -> Vec<MachineId> {
         let after = match &self.batch_end {
             Some(id) => Bound::Excluded(id.clone()),
@@ -57,9 +58,9 @@
         ids
     }
 
-    /// Opens trackers for machines that came, closes those of machines or shards that went, and
-    /// resets those whose shard was rewritten. `changed`: the machines that are compared while
-    /// the owned shards are the same.
+    /// Creates trackers for new machines, removes those of machines that are gone or whose shard is
+    /// no longer owned, and resets those whose shard's record was rewritten. As long as the owned
+    /// shards are unchanged, only the machines in `changed` are compared.
     pub(super) fn track_machines(
         &mut self,
         now: MonotonicTime,
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -1,4 +1,4 @@
-//! Outcomes of the transactions that write machines' records.
+//! Handling of the outcomes of machine record transactions.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime, Revision};
@@ -8,7 +8,7 @@
 use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
 
 impl ShardOwner {
-    /// Takes in what became of the transaction on a machine's record.
+    /// Handles the outcome of the transaction on a machine's record.
     pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
@@ -35,7 +35,7 @@
                 tracker.writes_mut().on_too_large(now);
             }
             TxnOutcome::Unknown => {
-                // Under an earlier fence it can't be applied any more.
+                // A transaction under an earlier fence can't be applied any more.
                 if tracker.fence() == pending.fence {
                     let revision = cache.machines.get(id).map(|machine| machine.revision);
                     tracker.writes_mut().set_uncertain(revision);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Shows the written record in the watch cache, and reports what it ended to the leader.
+/// Puts the written record into the watch cache and reports the ended attempts to the leader.
 fn on_committed(
     now: MonotonicTime,
     id: &MachineId,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A machine's record that was written.
+/// Identity and revision of a machine record that was written.
 struct WrittenRecord<'a> {
     machine: &'a MachineId,
     type_name: MachineTypeName,
@@ -84,8 +84,8 @@
 }
 
 impl WrittenRecord<'_> {
-    /// The report of a placement that the record does not show any more. `ran`: how long it was
-    /// seen running.
+    /// Returns the report for a placement that was removed from the record. `ran` is the time since
+    /// the task was first seen running.
     fn ended_attempt(
         &self,
         ended: EndedPlacement,
--- a/src/worker_control/shard_owner/write_queue.rs
+++ b/src/worker_control/shard_owner/write_queue.rs
@@ -1,30 +1,32 @@
-//! The machines whose records are to be written, and the rate at which that may happen.
+//! The queue of machines with unwritten record changes, and the write budget.
 
 use crate::ids::{MachineId, Millis, MonotonicTime};
 use crate::store::rate_limiter::{RequestClass, TokenBucket};
 use std::collections::BTreeSet;
 
-/// The part of the key-value store's changes that machines' records may use, over all owners: the
-/// rest is for users' requests and for what the leader records.
+/// The fraction of the key-value store's write rate that all shard owners together may use for
+/// machine records. The rest is for user requests and the leader's records.
 const RECORD_WRITE_SHARE: f64 = 0.7;
-/// While this part of the burst is unused, nothing waits for others to share its change.
+/// While at least this fraction of the burst is unused, writes are not delayed for batching.
 const IDLE_BUDGET_FRACTION: f64 = 0.9;
-/// Which records are worth writing is examined again after a millisecond for so many of them.
+/// Limits the processing time of a long queue: after a flush, the next one waits one millisecond
+/// for each this many queued machines, unless a change is urgent.
 const UNWRITTEN_MACHINES_PER_MS: usize = 8;
 
-/// Machines whose records lack something, and this controller's part of the changes for them.
+/// Machines with unwritten record changes, and this controller's share of the write rate.
 pub(super) struct WriteQueue {
     machines: BTreeSet<MachineId>,
-    /// Something is to be written that may not be held back.
+    /// Whether the queue holds an urgent change, which is not delayed until `next_flush`.
     urgent: bool,
     next_flush: MonotonicTime,
     budget: TokenBucket,
-    /// Changes in a second that the key-value store takes from all controllers.
+    /// Writes per second that the key-value store accepts from all controllers together.
     store_changes_per_s: f64,
 }
 
 impl WriteQueue {
-    /// An empty queue under the given number of changes in a second for all controllers.
+    /// Creates an empty queue. `store_changes_per_s` is the write rate for all controllers
+    /// together.
     pub(super) fn new(store_changes_per_s: f64) -> Self {
         Self {
             machines: BTreeSet::new(),
@@ -35,40 +37,40 @@
         }
     }
 
-    /// Sets how many changes in a second the key-value store takes from all controllers. It
-    /// counts from the next [`Self::adjust_rate`] on.
+    /// Sets the write rate that the key-value store accepts from all controllers together. It takes
+    /// effect at the next [`Self::adjust_rate`].
     pub(super) fn set_store_rate(&mut self, changes_per_s: f64) {
         self.store_changes_per_s = changes_per_s;
     }
 
-    /// Adapts the rate of writes to the number of controllers that share it.
+    /// Sets the write budget to an equal share for each of the controllers.
     pub(super) fn adjust_rate(&mut self, now: MonotonicTime, owners: usize) {
         let owners = owners.max(1) as f64;
         let rate = self.store_changes_per_s * RECORD_WRITE_SHARE / owners;
         self.budget.set_rate(now, rate);
     }
 
-    /// Adds a machine whose record lacks something.
+    /// Adds a machine with unwritten changes.
     pub(super) fn insert(&mut self, id: MachineId) {
         self.machines.insert(id);
     }
 
-    /// Lets the next flush take place at once if `urgent` is set.
+    /// Allows the next flush to run immediately if `urgent` is set.
     pub(super) fn add_urgency(&mut self, urgent: bool) {
         self.urgent |= urgent;
     }
 
-    /// Drops a machine whose record lacks nothing that could be written now.
+    /// Removes a machine that has no changes to be written now.
     pub(super) fn remove(&mut self, id: &MachineId) {
         self.machines.remove(id);
     }
 
-    /// The machines in the order of their ids.
+    /// Returns the machines in the order of their ids.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.iter()
     }
 
-    /// Whether the queue is to be examined now. If so the next time is set.
+    /// Returns whether a flush is due. If so, schedules the next one.
     pub(super) fn begin_flush(&mut self, now: MonotonicTime) -> bool {
         if self.machines.is_empty() || (now < self.next_flush && !self.urgent) {
             return false;
@@ -78,17 +80,17 @@
         true
     }
 
-    /// Whether the budget allows no further write now.
+    /// Returns whether the budget allows no further write now.
     pub(super) fn is_exhausted(&mut self, now: MonotonicTime) -> bool {
         !self.budget.allows(now, 1.0, RequestClass::Place)
     }
 
-    /// Whether so much of the budget is unused that no write needs to be shared.
+    /// Returns whether enough of the budget is unused that writes need not wait for batching.
     pub(super) fn has_ample_budget(&mut self, now: MonotonicTime) -> bool {
         self.budget.available_fraction(now) >= IDLE_BUDGET_FRACTION
     }
 
-    /// Takes a write off the budget.
+    /// Deducts one write from the budget.
     pub(super) fn spend(&mut self) {
         self.budget.spend(1.0);
     }
