--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether the machine obeys the current token and no higher token is known.
-    pub(super) fn obeys_us(&self) -> bool {
+    pub(super) fn is_token_current(&self) -> bool {
         self.token.is_confirmed() && !self.token.is_superseded()
     }
 
@@ -137,10 +137,11 @@
     }
 
     /// Raises the token of this machine without changing the shard's record, so that other work in
-    /// the shard continues. It is called when a direct launch has no answer, or when the worker has
-    /// to list too many exited tasks whose direct launches could be repeated. Once a heartbeat
-    /// carries the higher token, no copy of a launch under a lower token can take effect any more.
-    /// Returns `false` if the fence has no higher token left.
+    /// the shard continues. It is called when a direct launch has no answer, when the worker has to
+    /// list too many exited tasks whose direct launches could be repeated, and to test whether
+    /// answers reach a machine whose heartbeats are relayed. Once a heartbeat carries the higher
+    /// token, no copy of a launch under a lower token can take effect any more. Returns `false` if
+    /// the fence has no higher token left.
     pub(super) fn raise_token(&mut self, now: MonotonicTime) -> bool {
         if !self.token.raise(now) {
             return false;
@@ -176,7 +177,7 @@
             return;
         }
         self.reachability.on_heartbeat(now);
-        if self.token.newly_arrived(heartbeat.token) {
+        if self.token.is_first_report_of_current(heartbeat.token) {
             self.reachability.mark_reached(now);
         }
         self.observed.apply(heartbeat, source, now);
@@ -205,7 +206,7 @@
         let observed = &self.observed;
         self.placements
             .retain_launchable(|attempt| !observed.lists(attempt));
-        self.launches.drop_before(observed.epoch());
+        self.launches.remove_before_epoch(observed.epoch());
         let launches = &self.launches;
         self.stops
             .retain(|attempt| observed.lists(attempt) || launches.contains(attempt));
@@ -238,7 +239,7 @@
         direct_heartbeat_timeout: Millis,
         worker_lease: Millis,
     ) -> bool {
-        if !self.is_missing(now, direct_heartbeat_timeout)
+        if !self.is_direct_heartbeat_overdue(now, direct_heartbeat_timeout)
             || !self.reachability.accept_relayed(now, worker_lease)
         {
             return false;
@@ -272,7 +273,11 @@
     }
 
     /// Returns whether direct heartbeats are overdue.
-    pub(super) fn is_missing(&self, now: MonotonicTime, direct_heartbeat_timeout: Millis) -> bool {
+    pub(super) fn is_direct_heartbeat_overdue(
+        &self,
+        now: MonotonicTime,
+        direct_heartbeat_timeout: Millis,
+    ) -> bool {
         self.since_direct_heartbeat(now) > direct_heartbeat_timeout
     }
 
@@ -282,8 +287,8 @@
     }
 
     /// Returns how long the machine has been unresponsive.
-    pub(super) fn silent(&self, now: MonotonicTime) -> Millis {
-        self.reachability.silent(now)
+    pub(super) fn unresponsive_for(&self, now: MonotonicTime) -> Millis {
+        self.reachability.unresponsive_for(now)
     }
 
     /// Returns the address and port where the worker accepts direct calls.
@@ -297,8 +302,8 @@
     }
 
     /// Returns when the machine will be interrupted, if its cloud provider has given notice.
-    pub(super) fn notice(&self) -> Option<MonotonicTime> {
-        self.observed.notice()
+    pub(super) fn interruption_at(&self) -> Option<MonotonicTime> {
+        self.observed.interruption_at()
     }
 }
 
--- a/src/worker_control/machine_tracker/launches.rs
+++ b/src/worker_control/machine_tracker/launches.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum DirectLaunch {
     /// Not sent by direct call, or known not to be executed.
-    No,
+    NotExecuted,
     /// Sent; the answer has not arrived yet.
     Pending,
     /// Answered: the launch was executed. A repeated copy has no effect while the worker lists the
@@ -59,7 +59,7 @@
     ) {
         let launch = self.sent.entry(attempt.clone()).or_insert(LaunchRecord {
             epoch,
-            direct: DirectLaunch::No,
+            direct: DirectLaunch::NotExecuted,
             in_response: None,
         });
         launch.epoch = epoch;
@@ -81,7 +81,7 @@
                 && launch.direct == DirectLaunch::Pending
             {
                 launch.direct = direct;
-                if direct == DirectLaunch::No && launch.in_response.is_none() {
+                if direct == DirectLaunch::NotExecuted && launch.in_response.is_none() {
                     self.sent.remove(attempt);
                 }
             }
@@ -94,7 +94,7 @@
     }
 
     /// Removes launches that were sent to earlier epochs of the worker.
-    pub(super) fn drop_before(&mut self, epoch: WorkerEpoch) {
+    pub(super) fn remove_before_epoch(&mut self, epoch: WorkerEpoch) {
         self.sent.retain(|_, launch| launch.epoch >= epoch);
     }
 
@@ -122,7 +122,7 @@
     /// launch without an answer may arrive late, and one that was executed may be repeated.
     /// Launches in heartbeat responses can't, because workers drop late responses.
     pub(super) fn allow_forgetting(&self, attempt: &TaskAttempt) -> bool {
-        self.direct(attempt) == DirectLaunch::No
+        self.direct(attempt) == DirectLaunch::NotExecuted
     }
 
     /// Returns the presence of an attempt that the worker does not list.
@@ -135,15 +135,15 @@
             return TaskPresence::Absent;
         };
         match launch.direct {
-            DirectLaunch::Pending | DirectLaunch::Unknown => TaskPresence::MayAppear,
-            DirectLaunch::No | DirectLaunch::Answered => {
+            DirectLaunch::Pending | DirectLaunch::Unknown => TaskPresence::MayStart,
+            DirectLaunch::NotExecuted | DirectLaunch::Answered => {
                 let settled = launch
                     .in_response
                     .is_none_or(|sequence| heartbeat_sequence > sequence);
                 if settled {
                     TaskPresence::Absent
                 } else {
-                    TaskPresence::Unclear
+                    TaskPresence::Unknown
                 }
             }
         }
@@ -152,6 +152,6 @@
     fn direct(&self, attempt: &TaskAttempt) -> DirectLaunch {
         self.sent
             .get(attempt)
-            .map_or(DirectLaunch::No, |launch| launch.direct)
+            .map_or(DirectLaunch::NotExecuted, |launch| launch.direct)
     }
 }
--- a/src/worker_control/machine_tracker/observed_state.rs
+++ b/src/worker_control/machine_tracker/observed_state.rs
@@ -32,7 +32,7 @@
     /// Sequence number of the latest heartbeat. Answers to direct calls don't change it.
     heartbeat_sequence: HeartbeatSequence,
     /// When the machine will be interrupted, if its cloud provider has given notice.
-    notice: Option<MonotonicTime>,
+    interruption_at: Option<MonotonicTime>,
     listed: BTreeMap<TaskAttempt, ListedTask>,
     /// When the listed tasks were first seen running.
     running_since: BTreeMap<TaskAttempt, MonotonicTime>,
@@ -46,7 +46,7 @@
             epoch: WorkerEpoch(1),
             sequence: HeartbeatSequence(0),
             heartbeat_sequence: HeartbeatSequence(0),
-            notice: None,
+            interruption_at: None,
             listed: BTreeMap::new(),
             running_since: BTreeMap::new(),
         }
@@ -78,7 +78,7 @@
             self.heartbeat_sequence = heartbeat.sequence;
         }
         self.addr.clone_from(&heartbeat.addr);
-        self.notice = heartbeat
+        self.interruption_at = heartbeat
             .until_interruption_s
             .map(|s| now + Millis::from_secs(s));
         self.listed = listed_tasks(heartbeat);
@@ -112,8 +112,8 @@
     }
 
     /// Returns when the machine will be interrupted, if its cloud provider has given notice.
-    pub(super) fn notice(&self) -> Option<MonotonicTime> {
-        self.notice
+    pub(super) fn interruption_at(&self) -> Option<MonotonicTime> {
+        self.interruption_at
     }
 
     /// Returns the reported state of one task, if the worker lists it.
--- a/src/worker_control/machine_tracker/placements.rs
+++ b/src/worker_control/machine_tracker/placements.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(in crate::worker_control) struct PendingPlacement {
     /// When the attempt was assigned to the machine.
-    pub(in crate::worker_control) since: MonotonicTime,
+    pub(in crate::worker_control) assigned_at: MonotonicTime,
     /// The attempt to place.
     pub(in crate::worker_control) attempt: TaskAttempt,
     /// The specification of the attempt's job.
@@ -39,7 +39,7 @@
     pending: VecDeque<PendingPlacement>,
     /// Attempts that were committed by this tracker and not yet seen on the machine. Only these are
     /// launched. Any other attempt that is absent from the machine may have ended already, with its
-    /// end not yet written and its capacity allotted again. Launching it again would exceed its
+    /// end not yet written and its capacity allotted again. Launching it again could exceed its
     /// team's limit.
     launchable: BTreeSet<TaskAttempt>,
     /// Attempts that are proved gone and were reported to the leader, but whose end is not written
--- a/src/worker_control/machine_tracker/presence.rs
+++ b/src/worker_control/machine_tracker/presence.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::worker_control) enum TaskPresence {
     /// The status proves nothing.
-    Unclear,
+    Unknown,
     /// Not on the machine, and no command that was sent can still start it.
     Absent,
     /// Not on the machine, but a direct launch that is in flight or without an answer may still
     /// start it.
-    MayAppear,
+    MayStart,
     /// On the machine, in this state.
     Alive(TaskState),
     /// Exited on the machine, and not forgotten by the worker yet.
--- a/src/worker_control/machine_tracker/reachability.rs
+++ b/src/worker_control/machine_tracker/reachability.rs
@@ -95,12 +95,12 @@
 
     /// Returns how long the machine has been unresponsive: the time since its last heartbeat or,
     /// after several failed calls, since it was last reached if that is longer.
-    pub(super) fn silent(&self, now: MonotonicTime) -> Millis {
-        let unheard = self.since_heartbeat(now);
+    pub(super) fn unresponsive_for(&self, now: MonotonicTime) -> Millis {
+        let since_heartbeat = self.since_heartbeat(now);
         if self.failed_calls >= UNREACHABLE_AFTER_FAILED_CALLS {
-            unheard.max(self.since_reached(now))
+            since_heartbeat.max(self.since_reached(now))
         } else {
-            unheard
+            since_heartbeat
         }
     }
 }
--- a/src/worker_control/machine_tracker/tasks.rs
+++ b/src/worker_control/machine_tracker/tasks.rs
@@ -11,7 +11,7 @@
     /// token is proof: after it no launch of an earlier shard owner can take effect.
     pub(in crate::worker_control) fn presence(&self, attempt: &TaskAttempt) -> TaskPresence {
         if !self.is_confirmed() {
-            return TaskPresence::Unclear;
+            return TaskPresence::Unknown;
         }
         match self.observed.task(attempt) {
             Some(task) if task.state == TaskState::Exited => {
@@ -39,7 +39,7 @@
 
     /// Returns the number of exited tasks that the worker may only forget after the token was
     /// raised.
-    pub(in crate::worker_control) fn unforgettable_count(&self) -> usize {
+    pub(in crate::worker_control) fn retained_exited_count(&self) -> usize {
         let exited = self.observed.exited();
         exited.filter(|attempt| !self.may_forget(attempt)).count()
     }
--- a/src/worker_control/machine_tracker/tests.rs
+++ b/src/worker_control/machine_tracker/tests.rs
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn presence_is_unclear_under_a_lower_token() {
+fn presence_is_unknown_under_a_lower_token() {
     let mut tracker = MachineTracker::new(FENCE, "1.1.1.1:1", MonotonicTime(0));
     tracker.apply_heartbeat(
         &heartbeat(1, 1, 6, None),
         StatusSource::Heartbeat,
         MonotonicTime(1),
     );
-    assert_eq!(tracker.presence(&attempt()), TaskPresence::Unclear);
+    assert_eq!(tracker.presence(&attempt()), TaskPresence::Unknown);
     tracker.apply_heartbeat(
         &heartbeat(1, 2, 7, None),
         StatusSource::Heartbeat,
@@ -70,7 +70,7 @@
         StatusSource::Heartbeat,
         MonotonicTime(3),
     );
-    assert_eq!(tracker.presence(&attempt()), TaskPresence::MayAppear);
+    assert_eq!(tracker.presence(&attempt()), TaskPresence::MayStart);
     // The launch is sent again and answered, but the first copy may still arrive.
     tracker.record_launch(&attempt(), CommandRoute::DirectCall);
     tracker.record_launch_outcomes(&[Command::Launch(attempt())], DirectLaunch::Answered);
@@ -103,7 +103,7 @@
         StatusSource::CallAnswer,
         MonotonicTime(2),
     );
-    assert_eq!(tracker.presence(&attempt()), TaskPresence::Unclear);
+    assert_eq!(tracker.presence(&attempt()), TaskPresence::Unknown);
     tracker.apply_heartbeat(
         &heartbeat(1, 3, 7, None),
         StatusSource::Heartbeat,
@@ -145,7 +145,7 @@
         MonotonicTime(2),
     );
     assert!(!tracker.may_forget(&attempt()));
-    assert_eq!(tracker.unforgettable_count(), 1);
+    assert_eq!(tracker.retained_exited_count(), 1);
     assert!(
         tracker.raise_token(MonotonicTime(3)) && tracker.token_raised_recently(MonotonicTime(4))
     );
@@ -159,7 +159,7 @@
     raised.token = tracker.token();
     tracker.apply_heartbeat(&raised, StatusSource::Heartbeat, MonotonicTime(5));
     assert!(tracker.may_forget(&attempt()));
-    assert_eq!(tracker.unforgettable_count(), 0);
+    assert_eq!(tracker.retained_exited_count(), 0);
     // A launch in a heartbeat response does not prevent forgetting.
     tracker.record_launch(&attempt(), CommandRoute::HeartbeatResponse);
     assert!(tracker.may_forget(&attempt()));
--- a/src/worker_control/machine_tracker/token.rs
+++ b/src/worker_control/machine_tracker/token.rs
@@ -4,7 +4,7 @@
 
 /// Minimum time between two raises of a machine's token. A raise above the token of an earlier
 /// tracker is not limited.
-const TOKEN_RAISE_INTERVAL: Millis = Millis(4000);
+const MIN_TOKEN_RAISE_INTERVAL: Millis = Millis(4000);
 
 /// This controller's token for one machine, and how it compares with the token that the worker
 /// reports.
@@ -58,12 +58,12 @@
     /// Returns whether the token was raised so recently that raising it again would only cost
     /// calls.
     pub(super) fn raised_recently(&self, now: MonotonicTime) -> bool {
-        now.since(self.raised_at) < TOKEN_RAISE_INTERVAL
+        now.since(self.raised_at) < MIN_TOKEN_RAISE_INTERVAL
     }
 
     /// Returns whether a status with this token is the first to show that the current token has
     /// reached the worker.
-    pub(super) fn newly_arrived(&self, reported: FencingToken) -> bool {
+    pub(super) fn is_first_report_of_current(&self, reported: FencingToken) -> bool {
         reported == self.current && self.seen < reported
     }
 
@@ -72,13 +72,13 @@
     /// which commands it sent.
     pub(super) fn observe(&mut self, reported: FencingToken) -> bool {
         self.seen = reported;
-        let raised_before = reported.fence() == self.fence && reported > self.current;
-        if raised_before {
+        let raised_by_earlier_tracker = reported.fence() == self.fence && reported > self.current;
+        if raised_by_earlier_tracker {
             self.current = reported.checked_increment().unwrap_or(reported);
         }
         self.superseded = reported > self.current;
         self.confirmed = reported == self.current;
-        raised_before
+        raised_by_earlier_tracker
     }
 
     /// Records that the worker obeys a token of a later fence.
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -50,7 +50,7 @@
     /// The owned shards and their fences at the last comparison with the trackers.
     owned_shards: BTreeMap<ShardId, Revision>,
     waiting_allotments: Vec<WaitingAllotment>,
-    next_health: MonotonicTime,
+    next_health_report: MonotonicTime,
     /// Whether the next comparison with the watch cache covers all trackers, not only those of
     /// changed machines.
     compare_all: bool,
@@ -84,7 +84,7 @@
             leader: None,
             owned_shards: BTreeMap::new(),
             waiting_allotments: Vec::new(),
-            next_health: MonotonicTime::default(),
+            next_health_report: MonotonicTime::default(),
             compare_all: true,
             batch_end: None,
             misdirected: BTreeSet::new(),
@@ -93,8 +93,8 @@
     }
 
     /// Sets how many writes per second the key-value store accepts from all controllers together.
-    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
-        self.write_queue.set_store_rate(changes);
+    pub(crate) fn set_store_write_rate(&mut self, writes_per_s: f64) {
+        self.write_queue.set_store_rate(writes_per_s);
     }
 
     /// Sets whether some controllers can't reach each other. Machines may then be unable to reach
@@ -106,9 +106,9 @@
     /// Returns the revision of the shard's record if this process owns the shard.
     fn fence(&self, cache: &WatchCache, shard: ShardId) -> Option<Revision> {
         let record = cache.shards.get(&shard)?;
-        let mine =
+        let is_owner =
             record.value.owner == self.member && record.value.incarnation == self.incarnation;
-        mine.then_some(record.revision)
+        is_owner.then_some(record.revision)
     }
 
     /// Updates the trackers to the shards that this controller owns according to the watch cache,
@@ -125,17 +125,17 @@
             .retain(|_, at| now.since(*at) < PROBE_RETRY_INTERVAL);
         self.write_queue.adjust_rate(now, cache.members.len());
         for id in self.next_batch() {
-            self.step(now, &id, cache, out);
+            self.process_machine(now, &id, cache, out);
         }
         self.flush(now, cache, out);
-        self.report_freed(cache, out);
-        self.report_lost(now, cache, out);
+        self.report_freed_placements(cache, out);
+        self.report_lost_machines(now, cache, out);
         self.report_health(now, cache, out);
     }
 
     /// Updates the unwritten changes of one machine and sends its due commands. The changes are
     /// written by [`Self::flush`].
-    fn step(
+    fn process_machine(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) struct WaitingAllotment {
     /// When the allotment arrived.
-    since: MonotonicTime,
+    received_at: MonotonicTime,
     allotment: Allotment,
 }
 
@@ -30,7 +30,7 @@
         out: &mut Vec<Effect>,
     ) {
         self.waiting_allotments.push(WaitingAllotment {
-            since: now,
+            received_at: now,
             allotment,
         });
         self.place_waiting(now, cache, out);
@@ -47,7 +47,7 @@
     ) {
         for waiting in std::mem::take(&mut self.waiting_allotments) {
             let behind = self.is_cache_behind(&waiting.allotment, cache);
-            if behind && now.since(waiting.since) < ALLOTMENT_WAIT_LIMIT {
+            if behind && now.since(waiting.received_at) < ALLOTMENT_WAIT_LIMIT {
                 self.waiting_allotments.push(waiting);
             } else {
                 self.place(now, waiting.allotment, cache, out);
@@ -80,7 +80,7 @@
         let mut changed = BTreeSet::new();
         for attempt in std::mem::take(&mut allotment.attempts) {
             let choice = job.and_then(|job| {
-                let id = self.choose(job, &attempt, &allotment, cache)?;
+                let id = self.choose_machine(job, &attempt, &allotment, cache)?;
                 Some((job, id))
             });
             let Some((job, id)) = choice else {
@@ -89,7 +89,7 @@
             };
             if let Some(tracker) = self.trackers.get_mut(&id) {
                 tracker.placements_mut().push(PendingPlacement {
-                    since: now,
+                    assigned_at: now,
                     attempt,
                     spec: job.spec.clone(),
                     job_revision: job.revision,
@@ -104,13 +104,13 @@
             }));
         }
         for id in changed {
-            self.step(now, &id, cache, out);
+            self.process_machine(now, &id, cache, out);
         }
     }
 
     /// Returns the first of the leader's candidate machines in the shard on which the attempt fits
     /// now. The leader lists every machine of the shard that it would accept.
-    fn choose(
+    fn choose_machine(
         &self,
         job: &LiveJob,
         attempt: &TaskAttempt,
@@ -135,13 +135,13 @@
     ) -> Option<bool> {
         let tracker = self.trackers.get(id)?;
         let record = &cache.machines.get(id)?.record;
-        let usable = tracker.obeys_us() && tracker.notice().is_none();
+        let usable = tracker.is_token_current() && tracker.interruption_at().is_none();
         let allowed = job
             .spec
             .allows(&record.type_name, &record.zone, record.spot);
-        let room = cache.machine_type(&record.type_name)?.capacity();
+        let capacity = cache.machine_type(&record.type_name)?.capacity();
         let pending = tracker.placements().pending_need();
-        let free = room + tracker.writes().freed() - record.used() - pending;
+        let free = capacity + tracker.writes().freed() - record.used() - pending;
         let stored = self.stored_size(tracker, record, attempt, &job.spec);
         let storable = stored <= self.limits.value_bytes;
         Some(usable && allowed && job.spec.need().fits(free) && storable)
@@ -157,7 +157,7 @@
         spec: &JobSpec,
     ) -> usize {
         let value_bytes = self.limits.value_bytes;
-        let ends = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
+        let reserved_done_bytes = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
         let mut jobs = BTreeSet::new();
         let pending = tracker
             .placements()
@@ -172,7 +172,7 @@
         });
         let added: usize = added.sum();
         let done = record.done_size();
-        record.size() - done + done.max(ends) + added
+        record.size() - done + done.max(reserved_done_bytes) + added
     }
 }
 
--- a/src/worker_control/shard_owner/calls.rs
+++ b/src/worker_control/shard_owner/calls.rs
@@ -27,7 +27,7 @@
     ) {
         let Some(tracker) = self.trackers.get_mut(id) else {
             if let DirectCallOutcome::Done(heartbeat) = &outcome {
-                self.discover(id, token, heartbeat, cache, out);
+                self.report_discovered(id, token, heartbeat, cache, out);
             }
             return;
         };
@@ -37,12 +37,12 @@
             let message = Message::Health(vec![machine_health(id, tracker, now, cache)]);
             out.push(Effect::ToLeader(message));
         }
-        self.step(now, id, cache, out);
+        self.process_machine(now, id, cache, out);
         self.flush(now, cache, out);
     }
 
     /// Handles a probe's answer from a machine without a record.
-    fn discover(
+    fn report_discovered(
         &self,
         id: &MachineId,
         token: FencingToken,
@@ -74,7 +74,7 @@
     let commands = tracker.calls_mut().finish();
     let launches = match &outcome {
         DirectCallOutcome::Done(_) => DirectLaunch::Answered,
-        DirectCallOutcome::Rejected(_) | DirectCallOutcome::NotSent => DirectLaunch::No,
+        DirectCallOutcome::Rejected(_) | DirectCallOutcome::NotSent => DirectLaunch::NotExecuted,
         DirectCallOutcome::Unknown => DirectLaunch::Unknown,
     };
     if tracker.token() == token {
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -7,18 +7,18 @@
 
 impl ShardOwner {
     /// Returns the owned shards in which all tasks of a cancelled job are proved gone. Tasks on
-    /// deleted machines are ignored. If `known` is set, this shard owner knows of the cancellation
-    /// and launches none of the tasks, so it is enough that it alone controls the machines.
+    /// deleted machines are ignored. If `cancellation_known` is set, this shard owner knows of the
+    /// cancellation, so it is enough that the machines obey only this shard owner.
     pub(crate) fn cleared_shards(
         &self,
         job: &JobId,
-        known: bool,
+        cancellation_known: bool,
         deleted: impl Fn(&MachineId) -> bool,
         cache: &WatchCache,
     ) -> Vec<ShardFence> {
         let unsettled: BTreeSet<ShardId> = cache
             .machines_with_job(job)
-            .filter(|id| !deleted(id) && !self.is_cleared(id, job, known, cache))
+            .filter(|id| !deleted(id) && !self.is_cleared(id, job, cancellation_known, cache))
             .map(|id| id.shard(self.shards))
             .collect();
         let owned = cache.shards.keys().filter_map(|shard| {
@@ -32,7 +32,13 @@
     }
 
     /// Returns whether no task of a cancelled job can run on the machine any more.
-    fn is_cleared(&self, id: &MachineId, job: &JobId, known: bool, cache: &WatchCache) -> bool {
+    fn is_cleared(
+        &self,
+        id: &MachineId,
+        job: &JobId,
+        cancellation_known: bool,
+        cache: &WatchCache,
+    ) -> bool {
         let (Some(tracker), Some(machine)) = (self.trackers.get(id), cache.machines.get(id)) else {
             return false;
         };
@@ -40,7 +46,8 @@
             .record
             .attempts()
             .filter(|(r, _)| r.task.job == *job);
-        (known && tracker.obeys_us()) || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
+        (cancellation_known && tracker.is_token_current())
+            || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
     }
 
     /// Returns whether the attempt is proved gone, even if its machine's record still shows it.
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -9,11 +9,11 @@
 
 /// Maximum number of commands in one message. Only stop commands for tasks without a placement may
 /// exceed it.
-const COMMAND_BATCH: usize = 200;
+const MAX_COMMANDS_PER_MESSAGE: usize = 200;
 /// Maximum number of exited tasks that a worker keeps listing because their direct launches could
 /// be repeated. Beyond it the machine's token is raised so that the worker can forget them. A
 /// smaller limit costs more calls, a larger one makes heartbeats longer.
-const MAX_UNFORGETTABLE_TASKS: usize = 24;
+const MAX_RETAINED_EXITED_TASKS: usize = 24;
 
 impl ShardOwner {
     /// Handles the leader's request to stop a task.
@@ -28,7 +28,7 @@
     ) {
         if let Some(tracker) = self.trackers.get_mut(id) {
             tracker.request_stop(attempt, grace);
-            self.step(now, id, cache, out);
+            self.process_machine(now, id, cache, out);
         }
     }
 
@@ -46,7 +46,7 @@
         };
         let mut commands = placement_commands(now, tracker, machine, cache, route);
         if route == CommandRoute::HeartbeatResponse {
-            let room = COMMAND_BATCH.saturating_sub(commands.len());
+            let room = MAX_COMMANDS_PER_MESSAGE.saturating_sub(commands.len());
             commands.extend(forget_commands(tracker, machine, room));
         }
         if tracker.is_confirmed() {
@@ -59,7 +59,7 @@
         if !commands.is_empty() {
             // A launch is justified by the record at this revision. A stop is justified by the
             // leader's request, by a cancellation, or by the absence of the task from the record.
-            tracing::debug!(machine = %id, token = %tracker.token(), record = %machine.revision, ?route, ?commands, "commands are due");
+            tracing::debug!(machine = %id, token = %tracker.token(), record = %machine.revision, ?route, ?commands, "sending commands to worker");
         }
         commands
     }
@@ -73,7 +73,7 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let quiet_limits = QuietLimits::new(self.heartbeat_interval);
+        let probe_thresholds = ProbeThresholds::new(self.heartbeat_interval);
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
             return;
@@ -82,8 +82,8 @@
         if !tracker.calls().may_send(now) || tracker.is_superseded() || tracker.is_relayed() {
             return;
         }
-        let quiet = quiet_limits.exceeded(tracker, now);
-        let may_raise = tracker.is_confirmed() && !quiet && !tracker.token_raised_recently(now);
+        let probe_due = probe_thresholds.exceeded(tracker, now);
+        let may_raise = tracker.is_confirmed() && !probe_due && !tracker.token_raised_recently(now);
         if may_raise && needs_token_raise(tracker, machine, cache) && !tracker.raise_token(now) {
             out.push(Effect::RaiseShardFence(id.shard(self.shards)));
         }
@@ -93,10 +93,10 @@
         } else {
             self.due_commands(now, id, cache, CommandRoute::DirectCall)
         };
-        if commands.is_empty() && !quiet && !take_over {
+        if commands.is_empty() && !probe_due && !take_over {
             return;
         }
-        let probe = take_over || quiet;
+        let probe = take_over || probe_due;
         let pause = if probe { CALL_RETRY_DELAY } else { Millis(0) };
         self.send_call(id, commands, now + pause, out);
     }
@@ -123,24 +123,25 @@
 }
 
 /// Times after which a machine is probed.
-struct QuietLimits {
+struct ProbeThresholds {
     /// Maximum time since the last heartbeat.
-    heartbeat: Millis,
+    since_heartbeat: Millis,
     /// Maximum time since the machine last proved that a message from this controller reached it.
     /// Heartbeats only show that the machine is alive, not that messages reach it.
-    reached: Millis,
+    since_reached: Millis,
 }
 
-impl QuietLimits {
+impl ProbeThresholds {
     fn new(heartbeat_interval: Millis) -> Self {
         Self {
-            heartbeat: heartbeat_interval + Millis(heartbeat_interval.0 / 4 + 300),
-            reached: Millis(4 * heartbeat_interval.0 + 2000),
+            since_heartbeat: heartbeat_interval + Millis(heartbeat_interval.0 / 4 + 300),
+            since_reached: Millis(4 * heartbeat_interval.0 + 2000),
         }
     }
 
     fn exceeded(&self, tracker: &MachineTracker, now: MonotonicTime) -> bool {
-        tracker.since_heartbeat(now) > self.heartbeat || tracker.since_reached(now) > self.reached
+        tracker.since_heartbeat(now) > self.since_heartbeat
+            || tracker.since_reached(now) > self.since_reached
     }
 }
 
@@ -164,7 +165,7 @@
             Some(grace) => stop_command(now, tracker, attempt, grace),
             None => launch_command(tracker, attempt, route),
         });
-        if commands.len() >= COMMAND_BATCH {
+        if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
             break;
         }
     }
@@ -194,7 +195,7 @@
     let may_launch = match tracker.presence(&attempt) {
         TaskPresence::Absent => true,
         // An earlier direct launch has no answer yet: only a heartbeat response may repeat it.
-        TaskPresence::MayAppear => route == CommandRoute::HeartbeatResponse,
+        TaskPresence::MayStart => route == CommandRoute::HeartbeatResponse,
         _ => false,
     };
     let committed = tracker.placements().is_launchable(&attempt);
@@ -229,19 +230,19 @@
 /// also the case for too many exited tasks that would start again if they were forgotten and their
 /// launches repeated.
 fn needs_token_raise(tracker: &MachineTracker, machine: &LiveMachine, cache: &WatchCache) -> bool {
-    let burden = tracker.listed_count() > MAX_UNFORGETTABLE_TASKS
+    let too_many_retained = tracker.listed_count() > MAX_RETAINED_EXITED_TASKS
         && tracker.placements().pending_count() == 0
-        && tracker.unforgettable_count() > MAX_UNFORGETTABLE_TASKS;
-    let is_stuck = |attempt: &TaskAttempt| {
+        && tracker.retained_exited_count() > MAX_RETAINED_EXITED_TASKS;
+    let needs_fencing = |attempt: &TaskAttempt| {
         let wanted =
             !tracker.is_stop_requested(attempt) && cache.jobs.contains_key(&attempt.task.job);
         !wanted
             && tracker.is_launch_unanswered(attempt)
-            && tracker.presence(attempt) == TaskPresence::MayAppear
+            && tracker.presence(attempt) == TaskPresence::MayStart
     };
-    burden
+    too_many_retained
         || machine
             .record
             .attempts()
-            .any(|(attempt, _)| is_stuck(&attempt))
+            .any(|(attempt, _)| needs_fencing(&attempt))
 }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -8,7 +8,7 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::MachineTracker;
 
-const HEALTH_INTERVAL: Millis = Millis(1000);
+const HEALTH_REPORT_INTERVAL: Millis = Millis(1000);
 /// A machine without a stored record that is unresponsive for this time is dropped: no task was
 /// placed there.
 const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
@@ -18,31 +18,33 @@
 const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
 
 impl ShardOwner {
-    /// Returns whether an owned machine has been unresponsive for at least `for_long`. A machine
+    /// Returns whether an owned machine has been unresponsive for at least `threshold`. A machine
     /// that obeys a higher token already belongs to another shard owner and only appears
     /// unresponsive here.
     pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
         id: &MachineId,
-        for_long: Millis,
+        threshold: Millis,
     ) -> bool {
         let tracker = self.trackers.get(id);
-        tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
+        tracker.is_some_and(|tracker| {
+            !tracker.is_superseded() && tracker.unresponsive_for(now) >= threshold
+        })
     }
 
-    /// Reports the health of the machines and misdirected heartbeats to the leader, once per
-    /// [`HEALTH_INTERVAL`].
+    /// Reports the health of the machines and misdirected heartbeats to the leader once per
+    /// [`HEALTH_REPORT_INTERVAL`].
     pub(super) fn report_health(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        if now < self.next_health {
+        if now < self.next_health_report {
             return;
         }
-        self.next_health = now + HEALTH_INTERVAL;
+        self.next_health_report = now + HEALTH_REPORT_INTERVAL;
         let machines = self.trackers.iter();
         let health: Vec<MachineHealth> = machines
             .map(|(id, tracker)| self.health_under_partition(id, tracker, now, cache))
@@ -77,7 +79,7 @@
     }
 
     /// Reports machines without a stored record that have been unresponsive for too long.
-    pub(super) fn report_lost(
+    pub(super) fn report_lost_machines(
         &self,
         now: MonotonicTime,
         cache: &WatchCache,
@@ -88,7 +90,7 @@
             machine.is_some_and(|machine| machine.revision == Revision(0))
         };
         let lost = self.trackers.iter().filter(|(id, tracker)| {
-            tracker.silent(now) >= UNRECORDED_MACHINE_TIMEOUT
+            tracker.unresponsive_for(now) >= UNRECORDED_MACHINE_TIMEOUT
                 && unrecorded(id)
                 && !tracker.writes().is_in_flight()
         });
@@ -99,7 +101,7 @@
     /// reuse the capacity, so that one write covers both the end and the next placement, and a job
     /// whose tasks are all done completes without waiting for the writes. All ends are reported
     /// again to a new leader.
-    pub(super) fn report_freed(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
+    pub(super) fn report_freed_placements(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
         let leader = cache.leader.as_ref().map(|leader| leader.revision);
         if self.leader != leader {
             self.leader = leader;
@@ -153,10 +155,10 @@
     MachineHealth {
         machine: id.clone(),
         fence: tracker.fence(),
-        unresponsive_for: tracker.silent(now),
+        unresponsive_for: tracker.unresponsive_for(now),
         since_direct_heartbeat: tracker.since_direct_heartbeat(now),
-        token_confirmed: tracker.obeys_us(),
-        until_interruption: tracker.notice().map(|at| at.since(now)),
+        token_confirmed: tracker.is_token_current(),
+        until_interruption: tracker.interruption_at().map(|at| at.since(now)),
         unstored_record: unrecorded.map(|machine| machine.record.clone()),
         gangs: tracker
             .seen_running()
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -17,11 +17,11 @@
     /// Returns the owned machines whose direct heartbeats are overdue.
     pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         let timeout = self.direct_heartbeat_timeout();
-        let missing = self
+        let overdue = self
             .trackers
             .iter()
-            .filter(|(_, tracker)| tracker.is_missing(now, timeout));
-        missing.map(|(id, _)| id.clone()).collect()
+            .filter(|(_, tracker)| tracker.is_direct_heartbeat_overdue(now, timeout));
+        overdue.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns whether to accept a heartbeat relayed by another controller. Relayed heartbeats are
@@ -55,7 +55,7 @@
         let answer = if cache.machines.contains_key(&heartbeat.machine) {
             self.answer_tracked(now, heartbeat, path, cache, out)
         } else {
-            self.probe_unknown(now, heartbeat, fence, out);
+            self.probe_unrecorded(now, heartbeat, fence, out);
             None
         };
         answer.unwrap_or_else(|| {
@@ -99,7 +99,7 @@
         let id = &heartbeat.machine;
         let tracker = self.trackers.get_mut(id)?;
         let health_changes = !tracker.is_confirmed()
-            || heartbeat.until_interruption_s.is_some() != tracker.notice().is_some();
+            || heartbeat.until_interruption_s.is_some() != tracker.interruption_at().is_some();
         let newest = tracker.is_newer(heartbeat);
         tracker.apply_heartbeat(heartbeat, StatusSource::Heartbeat, now);
         if newest && path == HeartbeatPath::Direct {
@@ -115,7 +115,7 @@
             let message = Message::Health(vec![machine_health(id, tracker, now, cache)]);
             out.push(Effect::ToLeader(message));
         }
-        self.step(now, id, cache, out);
+        self.process_machine(now, id, cache, out);
         self.flush(now, cache, out);
         Some(HeartbeatAnswer::Commands(token, commands))
     }
@@ -123,7 +123,7 @@
     /// Probes a machine without a record. The machine may be new or unexpected. It may also have
     /// been deleted long ago, and the heartbeat is a late copy: only a live machine answers the
     /// probe.
-    fn probe_unknown(
+    fn probe_unrecorded(
         &mut self,
         now: MonotonicTime,
         heartbeat: &Heartbeat,
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -44,8 +44,8 @@
 
     /// Returns the machines whose records may be written now.
     fn write_candidates(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<WriteCandidate> {
-        let scarce = self.write_queue.is_exhausted(now);
-        let unhurried = self.write_queue.has_ample_budget(now);
+        let budget_exhausted = self.write_queue.is_exhausted(now);
+        let ample_budget = self.write_queue.has_ample_budget(now);
         let mut candidates = Vec::new();
         for id in self.write_queue.machines() {
             let Some(tracker) = self.trackers.get(id) else {
@@ -56,14 +56,15 @@
                 continue;
             };
             let may_write = writes.may_write(now, cache.revision) && !tracker.is_superseded();
-            let batched = unhurried || now.since(unwritten.since()) >= WRITE_BATCH_DELAY;
+            let batch_delay_over =
+                ample_budget || now.since(unwritten.since()) >= WRITE_BATCH_DELAY;
             let priority = if unwritten.is_urgent() {
                 URGENT_PRIORITY
             } else {
                 unwritten.write_priority(now)
             };
-            let affordable = unwritten.is_urgent() || (!scarce && priority > 0);
-            if may_write && batched && affordable {
+            let affordable = unwritten.is_urgent() || (!budget_exhausted && priority > 0);
+            if may_write && batch_delay_over && affordable {
                 candidates.push(WriteCandidate {
                     priority,
                     machine: id.clone(),
@@ -95,9 +96,9 @@
         txn.require(keys::shard(id.shard(self.shards)), tracker.fence());
         txn.require(keys::machine(id), machine.revision);
         let mut record = machine.record.clone();
-        drop_counted(&mut record, self.tasks_per_segment, cache);
+        remove_stored_done(&mut record, self.tasks_per_segment, cache);
         let ended = unwritten.ended().iter().map(|ended| &ended.attempt);
-        let ended = write_ends(&mut record, tracker, ended, cache);
+        let ended = remove_ended(&mut record, tracker, ended, cache);
         let placements = tracker.placements_mut();
         placements.add_to_record(&mut record, &mut txn, self.limits);
         let (size, value_bytes) = (record.size(), self.limits.value_bytes);
@@ -126,7 +127,7 @@
 
 /// Removes done ranges that the completion records of their jobs fully contain, and those of jobs
 /// that are not in the watch cache any more.
-fn drop_counted(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
+fn remove_stored_done(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
     record.done.retain(|done| {
         let job = cache.jobs.get(&done.job);
         job.is_some_and(|job| job.has_tasks_outside_segments(done, tasks_per_segment))
@@ -135,7 +136,7 @@
 
 /// Removes placements that are proved gone from a record and adds the completed tasks to its done
 /// ranges. Returns the removed placements.
-fn write_ends<'a>(
+fn remove_ended<'a>(
     record: &mut MachineRecord,
     tracker: &MachineTracker,
     attempts: impl Iterator<Item = &'a TaskAttempt>,
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -66,7 +66,7 @@
     placements.drop_committed(&machine.record);
     placements.drop_committed_rejections(&machine.record);
     placements.reject_unless(|placement| {
-        let expired = may_expire && now.since(placement.since) >= PLACEMENT_EXPIRY;
+        let expired = may_expire && now.since(placement.assigned_at) >= PLACEMENT_EXPIRY;
         let job = cache.jobs.get(&placement.attempt.task.job);
         !expired && job.is_some_and(|job| job.revision == placement.job_revision)
     });
--- a/src/worker_control/shard_owner/tracking.rs
+++ b/src/worker_control/shard_owner/tracking.rs
@@ -35,7 +35,7 @@
         self.track_machines(now, machines, cache);
         self.place_waiting(now, cache, out);
         for id in machines {
-            self.step(now, id, cache, out);
+            self.process_machine(now, id, cache, out);
         }
         self.flush(now, cache, out);
     }
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -43,7 +43,7 @@
                 tracker.writes_mut().retry_later(now);
             }
         }
-        self.step(now, id, cache, out);
+        self.process_machine(now, id, cache, out);
         self.flush(now, cache, out);
     }
 }
--- a/src/worker_control/shard_owner/write_queue.rs
+++ b/src/worker_control/shard_owner/write_queue.rs
@@ -8,9 +8,9 @@
 /// machine records. The rest is for user requests and the leader's records.
 const RECORD_WRITE_SHARE: f64 = 0.7;
 /// While at least this fraction of the burst is unused, writes are not delayed for batching.
-const IDLE_BUDGET_FRACTION: f64 = 0.9;
-/// Limits the processing time of a long queue: after a flush, the next one waits one millisecond
-/// for each this many queued machines, unless a change is urgent.
+const AMPLE_BUDGET_FRACTION: f64 = 0.9;
+/// Number of queued machines that add one millisecond to the time until the next flush, which
+/// limits the processing time of a long queue. Urgent changes don't wait for it.
 const UNWRITTEN_MACHINES_PER_MS: usize = 8;
 
 /// Machines with unwritten record changes, and this controller's share of the write rate.
@@ -21,32 +21,31 @@
     next_flush: MonotonicTime,
     budget: TokenBucket,
     /// Writes per second that the key-value store accepts from all controllers together.
-    store_changes_per_s: f64,
+    store_writes_per_s: f64,
 }
 
 impl WriteQueue {
-    /// Creates an empty queue. `store_changes_per_s` is the write rate for all controllers
-    /// together.
-    pub(super) fn new(store_changes_per_s: f64) -> Self {
+    /// Creates an empty queue. `store_writes_per_s` is the write rate for all controllers together.
+    pub(super) fn new(store_writes_per_s: f64) -> Self {
         Self {
             machines: BTreeSet::new(),
             urgent: false,
             next_flush: MonotonicTime::default(),
-            budget: TokenBucket::new(store_changes_per_s * RECORD_WRITE_SHARE),
-            store_changes_per_s,
+            budget: TokenBucket::new(store_writes_per_s * RECORD_WRITE_SHARE),
+            store_writes_per_s,
         }
     }
 
     /// Sets the write rate that the key-value store accepts from all controllers together. It takes
     /// effect at the next [`Self::adjust_rate`].
-    pub(super) fn set_store_rate(&mut self, changes_per_s: f64) {
-        self.store_changes_per_s = changes_per_s;
+    pub(super) fn set_store_rate(&mut self, writes_per_s: f64) {
+        self.store_writes_per_s = writes_per_s;
     }
 
     /// Sets the write budget to an equal share for each of the controllers.
     pub(super) fn adjust_rate(&mut self, now: MonotonicTime, owners: usize) {
         let owners = owners.max(1) as f64;
-        let rate = self.store_changes_per_s * RECORD_WRITE_SHARE / owners;
+        let rate = self.store_writes_per_s * RECORD_WRITE_SHARE / owners;
         self.budget.set_rate(now, rate);
     }
 
@@ -87,7 +86,7 @@
 
     /// Returns whether enough of the budget is unused that writes need not wait for batching.
     pub(super) fn has_ample_budget(&mut self, now: MonotonicTime) -> bool {
-        self.budget.available_fraction(now) >= IDLE_BUDGET_FRACTION
+        self.budget.available_fraction(now) >= AMPLE_BUDGET_FRACTION
     }
 
     /// Deducts one write from the budget.
