--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -1,4 +1,4 @@
-//! Allotments of the leader: which of the machines here takes what.
+//! Placement of the leader's allotments on the machines of owned shards.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, TaskAttempt};
@@ -9,19 +9,19 @@
 use crate::worker_control::machine_tracker::{MachineTracker, PendingPlacement};
 use std::collections::BTreeSet;
 
-/// How long an allotment waits for the watch cache to bring its job.
+/// How long an allotment waits for the watch cache to deliver its job and the shard's record.
 const ALLOTMENT_WAIT_LIMIT: Millis = Millis(1500);
 
-/// An allotment that came before the watch cache brought what it refers to.
+/// An allotment that arrived before the records that it refers to are in the watch cache.
 #[derive(Debug)]
 pub(super) struct WaitingAllotment {
-    /// When it came.
-    since: MonotonicTime,
+    /// When the allotment arrived.
+    received_at: MonotonicTime,
     allotment: Allotment,
 }
 
 impl ShardOwner {
-    /// Takes in an allotment of the leader.
+    /// Handles an allotment from the leader.
     pub(crate) fn on_allot(
         &mut self,
         now: MonotonicTime,
@@ -30,15 +30,15 @@
         out: &mut Vec<Effect>,
     ) {
         self.waiting_allotments.push(WaitingAllotment {
-            since: now,
+            received_at: now,
             allotment,
         });
         self.place_waiting(now, cache, out);
         self.flush(now, cache, out);
     }
 
-    /// Places the allotments for which the watch cache is recent enough, or has been awaited for
-    /// too long.
+    /// Places the waiting allotments whose records are in the watch cache, or whose wait limit has
+    /// passed.
     pub(super) fn place_waiting(
         &mut self,
         now: MonotonicTime,
@@ -47,7 +47,7 @@
     ) {
         for waiting in std::mem::take(&mut self.waiting_allotments) {
             let behind = self.is_cache_behind(&waiting.allotment, cache);
-            if behind && now.since(waiting.since) < ALLOTMENT_WAIT_LIMIT {
+            if behind && now.since(waiting.received_at) < ALLOTMENT_WAIT_LIMIT {
                 self.waiting_allotments.push(waiting);
             } else {
                 self.place(now, waiting.allotment, cache, out);
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Whether the watch cache lacks the shard's record or the job that an allotment refers to.
+    /// Returns whether the watch cache still lacks the shard's record or the job that an allotment
+    /// refers to.
     fn is_cache_behind(&self, allotment: &Allotment, cache: &WatchCache) -> bool {
         let fence = self.fence(cache, allotment.shard);
         let job = allotted_job(allotment, cache);
@@ -63,7 +64,8 @@
             || (job.is_none() && cache.revision < allotment.job_revision)
     }
 
-    /// Chooses machines for an allotment; attempts for which none fits are refused.
+    /// Assigns the attempts of an allotment to machines. Attempts that fit on no machine are
+    /// refused.
     fn place(
         &mut self,
         now: MonotonicTime,
@@ -78,7 +80,7 @@
         let mut changed = BTreeSet::new();
         for attempt in std::mem::take(&mut allotment.attempts) {
             let choice = job.and_then(|job| {
-                let id = self.choose(job, &attempt, &allotment, cache)?;
+                let id = self.choose_machine(job, &attempt, &allotment, cache)?;
                 Some((job, id))
             });
             let Some((job, id)) = choice else {
@@ -87,7 +89,7 @@
             };
             if let Some(tracker) = self.trackers.get_mut(&id) {
                 tracker.placements_mut().push(PendingPlacement {
-                    since: now,
+                    assigned_at: now,
                     attempt,
                     spec: job.spec.clone(),
                     job_revision: job.revision,
@@ -102,13 +104,13 @@
             }));
         }
         for id in changed {
-            self.step(now, &id, cache, out);
+            self.process_machine(now, &id, cache, out);
         }
     }
 
-    /// The first of the leader's choices inside the shard that fits as the shard is now. The
-    /// leader lists every machine of the shard that it would accept.
-    fn choose(
+    /// Returns the first of the leader's candidate machines in the shard on which the attempt fits
+    /// now. The leader lists every machine of the shard that it would accept.
+    fn choose_machine(
         &self,
         job: &LiveJob,
         attempt: &TaskAttempt,
@@ -122,7 +124,8 @@
         allotment.candidate_machines.iter().find(fits).cloned()
     }
 
-    /// Whether a machine can take a task more. `None`: the machine or its type is unknown.
+    /// Returns whether the attempt fits on the machine, or `None` if the machine or its type is
+    /// unknown.
     fn fits(
         &self,
         id: &MachineId,
@@ -132,20 +135,20 @@
     ) -> Option<bool> {
         let tracker = self.trackers.get(id)?;
         let record = &cache.machines.get(id)?.record;
-        let usable = tracker.obeys_us() && tracker.notice().is_none();
+        let usable = tracker.is_token_current() && tracker.interruption_at().is_none();
         let allowed = job
             .spec
             .allows(&record.type_name, &record.zone, record.spot);
-        let room = cache.machine_type(&record.type_name)?.capacity();
+        let capacity = cache.machine_type(&record.type_name)?.capacity();
         let pending = tracker.placements().pending_need();
-        let free = room + tracker.writes().freed() - record.used() - pending;
+        let free = capacity + tracker.writes().freed() - record.used() - pending;
         let stored = self.stored_size(tracker, record, attempt, &job.spec);
         let storable = stored <= self.limits.value_bytes;
         Some(usable && allowed && job.spec.need().fits(free) && storable)
     }
 
-    /// The size of a machine's record with all that is allotted there and one placement more. What
-    /// has ended is not taken off: its end needs room too.
+    /// Returns the size in bytes of the machine's record with all pending placements and one more.
+    /// Ended placements are not subtracted, because their completion entries need space too.
     fn stored_size(
         &self,
         tracker: &MachineTracker,
@@ -154,7 +157,7 @@
         spec: &JobSpec,
     ) -> usize {
         let value_bytes = self.limits.value_bytes;
-        let ends = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
+        let reserved_done_bytes = value_bytes - MachineRecord::max_placement_bytes(value_bytes);
         let mut jobs = BTreeSet::new();
         let pending = tracker
             .placements()
@@ -169,11 +172,11 @@
         });
         let added: usize = added.sum();
         let done = record.done_size();
-        record.size() - done + done.max(ends) + added
+        record.size() - done + done.max(reserved_done_bytes) + added
     }
 }
 
-/// The job whose tasks are allotted, if the watch cache has it.
+/// Returns the job of the allotment if the watch cache has it.
 fn allotted_job<'a>(allotment: &Allotment, cache: &'a WatchCache) -> Option<&'a LiveJob> {
     let first = allotment.attempts.first()?;
     cache.jobs.get(&first.task.job)
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -1,4 +1,4 @@
-//! What a shard owner commands its workers to do, in answers and by direct command.
+//! Commands to workers, sent in heartbeat responses and by direct call.
 
 use super::calls::CALL_RETRY_DELAY;
 use super::{DirectCall, Effect, ShardOwner};
@@ -7,14 +7,16 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use crate::worker_control::machine_tracker::{CommandRoute, MachineTracker, TaskPresence};
 
-/// Commands in one message: no launch or forget command is added beyond this.
-const COMMAND_BATCH: usize = 200;
-/// Exited tasks that a worker goes on listing because their direct launches could be repeated.
-/// More of them, and the machine's token rises: fewer would be calls, more is longer heartbeats.
-const MAX_UNFORGETTABLE_TASKS: usize = 24;
+/// Maximum number of commands in one message. Only stop commands for tasks without a placement may
+/// exceed it.
+const MAX_COMMANDS_PER_MESSAGE: usize = 200;
+/// Maximum number of exited tasks that a worker keeps listing because their direct launches could
+/// be repeated. Beyond it the machine's token is raised so that the worker can forget them. A
+/// smaller limit costs more calls, a larger one makes heartbeats longer.
+const MAX_RETAINED_EXITED_TASKS: usize = 24;
 
 impl ShardOwner {
-    /// The leader wants a task stopped.
+    /// Handles the leader's request to stop a task.
     pub(crate) fn on_stop(
         &mut self,
         now: MonotonicTime,
@@ -26,11 +28,11 @@
     ) {
         if let Some(tracker) = self.trackers.get_mut(id) {
             tracker.request_stop(attempt, grace);
-            self.step(now, id, cache, out);
+            self.process_machine(now, id, cache, out);
         }
     }
 
-    /// The commands that are due; they are noted as sent.
+    /// Returns the commands that are due and records them as sent.
     pub(super) fn due_commands(
         &mut self,
         now: MonotonicTime,
@@ -44,25 +46,26 @@
         };
         let mut commands = placement_commands(now, tracker, machine, cache, route);
         if route == CommandRoute::HeartbeatResponse {
-            let room = COMMAND_BATCH.saturating_sub(commands.len());
+            let room = MAX_COMMANDS_PER_MESSAGE.saturating_sub(commands.len());
             commands.extend(forget_commands(tracker, machine, room));
         }
         if tracker.is_confirmed() {
-            // A task that runs without a placement belongs to nobody.
+            // A running task without a placement is orphaned.
             let orphans = tracker
                 .alive_tasks()
                 .filter(|attempt| !machine.record.holds(attempt));
             commands.extend(orphans.map(|attempt| Command::Stop(attempt.clone(), Millis(0))));
         }
         if !commands.is_empty() {
-            // A start is allowed by the record of this revision, a stop by the leader's request, by
-            // a cancellation, or by the record that lacks the task.
-            tracing::debug!(machine = %id, token = %tracker.token(), record = %machine.revision, ?route, ?commands, "commands are due");
+            // A launch is justified by the record at this revision. A stop is justified by the
+            // leader's request, by a cancellation, or by the absence of the task from the record.
+            tracing::debug!(machine = %id, token = %tracker.token(), record = %machine.revision, ?route, ?commands, "sending commands to worker");
         }
         commands
     }
 
-    /// Sends direct commands: to take a machine over, to start and stop at once, to probe.
+    /// Calls the worker directly if needed: to make it accept the current token, to launch or stop
+    /// tasks without waiting for a heartbeat, or to probe it.
     pub(super) fn send_direct_commands(
         &mut self,
         now: MonotonicTime,
@@ -70,17 +73,17 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        let quiet_limits = QuietLimits::new(self.heartbeat_interval);
+        let probe_thresholds = ProbeThresholds::new(self.heartbeat_interval);
         let (Some(tracker), Some(machine)) = (self.trackers.get_mut(id), cache.machines.get(id))
         else {
             return;
         };
-        // What can't bring its heartbeats here can't be reached from here either.
+        // A machine that can't send its heartbeats here can't be reached from here either.
         if !tracker.calls().may_send(now) || tracker.is_superseded() || tracker.is_relayed() {
             return;
         }
-        let quiet = quiet_limits.exceeded(tracker, now);
-        let may_raise = tracker.is_confirmed() && !quiet && !tracker.token_raised_recently(now);
+        let probe_due = probe_thresholds.exceeded(tracker, now);
+        let may_raise = tracker.is_confirmed() && !probe_due && !tracker.token_raised_recently(now);
         if may_raise && needs_token_raise(tracker, machine, cache) && !tracker.raise_token(now) {
             out.push(Effect::RaiseShardFence(id.shard(self.shards)));
         }
@@ -90,10 +93,10 @@
         } else {
             self.due_commands(now, id, cache, CommandRoute::DirectCall)
         };
-        if commands.is_empty() && !quiet && !take_over {
+        if commands.is_empty() && !probe_due && !take_over {
             return;
         }
-        let probe = take_over || quiet;
+        let probe = take_over || probe_due;
         let pause = if probe { CALL_RETRY_DELAY } else { Millis(0) };
         self.send_call(id, commands, now + pause, out);
     }
@@ -119,29 +122,30 @@
     }
 }
 
-/// How long a machine may be quiet before it is probed.
-struct QuietLimits {
-    /// Since its last heartbeat.
-    heartbeat: Millis,
-    /// Since something of ours arrived: heartbeats show that the machine lives, not that anything
-    /// reaches it.
-    reached: Millis,
+/// Times after which a machine is probed.
+struct ProbeThresholds {
+    /// Maximum time since the last heartbeat.
+    since_heartbeat: Millis,
+    /// Maximum time since the machine last proved that a message from this controller reached it.
+    /// Heartbeats only show that the machine is alive, not that messages reach it.
+    since_reached: Millis,
 }
 
-impl QuietLimits {
+impl ProbeThresholds {
     fn new(heartbeat_interval: Millis) -> Self {
         Self {
-            heartbeat: heartbeat_interval + Millis(heartbeat_interval.0 / 4 + 300),
-            reached: Millis(4 * heartbeat_interval.0 + 2000),
+            since_heartbeat: heartbeat_interval + Millis(heartbeat_interval.0 / 4 + 300),
+            since_reached: Millis(4 * heartbeat_interval.0 + 2000),
         }
     }
 
     fn exceeded(&self, tracker: &MachineTracker, now: MonotonicTime) -> bool {
-        tracker.since_heartbeat(now) > self.heartbeat || tracker.since_reached(now) > self.reached
+        tracker.since_heartbeat(now) > self.since_heartbeat
+            || tracker.since_reached(now) > self.since_reached
     }
 }
 
-/// Launches and stops of the placements that the machine's record shows.
+/// Returns the launch and stop commands for the placements in the machine's record.
 fn placement_commands(
     now: MonotonicTime,
     tracker: &mut MachineTracker,
@@ -161,7 +165,7 @@
             Some(grace) => stop_command(now, tracker, attempt, grace),
             None => launch_command(tracker, attempt, route),
         });
-        if commands.len() >= COMMAND_BATCH {
+        if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
             break;
         }
     }
@@ -190,8 +194,8 @@
 ) -> Option<Command> {
     let may_launch = match tracker.presence(&attempt) {
         TaskPresence::Absent => true,
-        // A direct launch is without an answer: only a response may repeat it.
-        TaskPresence::MayAppear => route == CommandRoute::HeartbeatResponse,
+        // An earlier direct launch has no answer yet: only a heartbeat response may repeat it.
+        TaskPresence::MayStart => route == CommandRoute::HeartbeatResponse,
         _ => false,
     };
     let committed = tracker.placements().is_launchable(&attempt);
@@ -202,8 +206,8 @@
     Some(Command::Launch(attempt))
 }
 
-/// Exited tasks whose end is recorded are forgotten, never sooner: a forgotten task would start
-/// again if its launch came a second time.
+/// Returns forget commands for exited tasks whose end is recorded, at most `limit`. A task must not
+/// be forgotten before that: it would start again if its launch arrived a second time.
 fn forget_commands(
     tracker: &mut MachineTracker,
     machine: &LiveMachine,
@@ -221,22 +225,24 @@
     finished.into_iter().map(Command::Forget).collect()
 }
 
-/// Whether only a higher token helps: a cancelled task whose launch has no answer, which can only
-/// be fenced off; or many exited ones whose launch could be repeated once they were forgotten.
+/// Returns whether the token must be raised. This is the case for a cancelled task or one to be
+/// stopped whose direct launch has no answer, because only a higher token prevents its start. It is
+/// also the case for too many exited tasks that would start again if they were forgotten and their
+/// launches repeated.
 fn needs_token_raise(tracker: &MachineTracker, machine: &LiveMachine, cache: &WatchCache) -> bool {
-    let burden = tracker.listed_count() > MAX_UNFORGETTABLE_TASKS
+    let too_many_retained = tracker.listed_count() > MAX_RETAINED_EXITED_TASKS
         && tracker.placements().pending_count() == 0
-        && tracker.unforgettable_count() > MAX_UNFORGETTABLE_TASKS;
-    let is_stuck = |attempt: &TaskAttempt| {
+        && tracker.retained_exited_count() > MAX_RETAINED_EXITED_TASKS;
+    let needs_fencing = |attempt: &TaskAttempt| {
         let wanted =
             !tracker.is_stop_requested(attempt) && cache.jobs.contains_key(&attempt.task.job);
         !wanted
             && tracker.is_launch_unanswered(attempt)
-            && tracker.presence(attempt) == TaskPresence::MayAppear
+            && tracker.presence(attempt) == TaskPresence::MayStart
     };
-    burden
+    too_many_retained
         || machine
             .record
             .attempts()
-            .any(|(attempt, _)| is_stuck(&attempt))
+            .any(|(attempt, _)| needs_fencing(&attempt))
 }
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -1,4 +1,5 @@
-//! Reports to the leader: health of the machines, placements that are gone, misdirected heartbeats.
+//! Reports to the leader: machine health, placements that are proved gone, and misdirected
+//! heartbeats.
 
 use super::{Effect, ShardOwner};
 use crate::ids::{MachineId, Millis, MonotonicTime, Revision, TaskAttempt};
@@ -7,37 +8,43 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::MachineTracker;
 
-const HEALTH_INTERVAL: Millis = Millis(1000);
-/// A machine without a record that is silent for so long is forgotten: nothing was placed there.
+const HEALTH_REPORT_INTERVAL: Millis = Millis(1000);
+/// A machine without a stored record that is unresponsive for this time is dropped: no task was
+/// placed there.
 const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
-/// While controllers can't reach each other a machine gets the time to find another one that
-/// relays its heartbeats: two tries that hang, and a second after each.
+/// Subtracted from the unresponsive time of machines while controllers can't reach each other. It
+/// lets a machine find another controller that relays its heartbeats: two attempts that time out,
+/// with a pause of a second after each.
 const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
 
 impl ShardOwner {
-    /// Whether nothing has shown for so long that a machine owned here can be used. One that obeys
-    /// a higher token is another shard owner's by now, and only seems silent from here.
+    /// Returns whether an owned machine has been unresponsive for at least `threshold`. A machine
+    /// that obeys a higher token already belongs to another shard owner and only appears
+    /// unresponsive here.
     pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
         id: &MachineId,
-        for_long: Millis,
+        threshold: Millis,
     ) -> bool {
         let tracker = self.trackers.get(id);
-        tracker.is_some_and(|tracker| !tracker.is_superseded() && tracker.silent(now) >= for_long)
+        tracker.is_some_and(|tracker| {
+            !tracker.is_superseded() && tracker.unresponsive_for(now) >= threshold
+        })
     }
 
-    /// Reports to the leader in their interval what is known of the machines.
+    /// Reports the health of the machines and misdirected heartbeats to the leader once per
+    /// [`HEALTH_REPORT_INTERVAL`].
     pub(super) fn report_health(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        if now < self.next_health {
+        if now < self.next_health_report {
             return;
         }
-        self.next_health = now + HEALTH_INTERVAL;
+        self.next_health_report = now + HEALTH_REPORT_INTERVAL;
         let machines = self.trackers.iter();
         let health: Vec<MachineHealth> = machines
             .map(|(id, tracker)| self.health_under_partition(id, tracker, now, cache))
@@ -71,8 +78,8 @@
         health
     }
 
-    /// Reports machines without a record that have been silent for too long.
-    pub(super) fn report_lost(
+    /// Reports machines without a stored record that have been unresponsive for too long.
+    pub(super) fn report_lost_machines(
         &self,
         now: MonotonicTime,
         cache: &WatchCache,
@@ -83,17 +90,18 @@
             machine.is_some_and(|machine| machine.revision == Revision(0))
         };
         let lost = self.trackers.iter().filter(|(id, tracker)| {
-            tracker.silent(now) >= UNRECORDED_MACHINE_TIMEOUT
+            tracker.unresponsive_for(now) >= UNRECORDED_MACHINE_TIMEOUT
                 && unrecorded(id)
                 && !tracker.writes().is_in_flight()
         });
         out.extend(lost.map(|(id, _)| Effect::UnrecordedMachineLost(id.clone())));
     }
 
-    /// Reports ends to the leader before they are written: the room can be given out again, so
-    /// that one change writes the end and the next placement; and a job whose tasks are all done
-    /// ends without waiting for records. A new leader gets all reports again.
-    pub(super) fn report_freed(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
+    /// Reports ended placements to the leader before their records are written. The leader can then
+    /// reuse the capacity, so that one write covers both the end and the next placement, and a job
+    /// whose tasks are all done completes without waiting for the writes. All ends are reported
+    /// again to a new leader.
+    pub(super) fn report_freed_placements(&mut self, cache: &WatchCache, out: &mut Vec<Effect>) {
         let leader = cache.leader.as_ref().map(|leader| leader.revision);
         if self.leader != leader {
             self.leader = leader;
@@ -113,7 +121,8 @@
     }
 }
 
-/// The ends on a machine that were not reported yet; they count as reported now.
+/// Returns the ended placements of a machine that were not reported yet, and marks them as
+/// reported.
 fn newly_freed(id: &MachineId, tracker: &mut MachineTracker) -> Vec<FreedAttempt> {
     let unwritten = tracker.writes().unwritten();
     let ended = unwritten.map_or_else(Vec::new, |unwritten| unwritten.ended().to_vec());
@@ -128,7 +137,7 @@
     .collect()
 }
 
-/// What is known of one machine.
+/// Returns the health report of one machine.
 pub(super) fn machine_health(
     id: &MachineId,
     tracker: &MachineTracker,
@@ -146,10 +155,10 @@
     MachineHealth {
         machine: id.clone(),
         fence: tracker.fence(),
-        unresponsive_for: tracker.silent(now),
+        unresponsive_for: tracker.unresponsive_for(now),
         since_direct_heartbeat: tracker.since_direct_heartbeat(now),
-        token_confirmed: tracker.obeys_us(),
-        until_interruption: tracker.notice().map(|at| at.since(now)),
+        token_confirmed: tracker.is_token_current(),
+        until_interruption: tracker.interruption_at().map(|at| at.since(now)),
         unstored_record: unrecorded.map(|machine| machine.record.clone()),
         gangs: tracker
             .seen_running()
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -1,4 +1,4 @@
-//! When machines' records are written, and the transactions that write them.
+//! Scheduling of machine record writes, and the transactions that perform them.
 
 use super::records::{attempt_outcome, needs_touch};
 use super::{Effect, ShardOwner};
@@ -11,20 +11,21 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::{EndedPlacement, MachineTracker, PendingTxn};
 
-/// While changes are scarce, whatever comes to a machine within this time shares one.
+/// While the write budget is not ample, changes to a machine's record within this time share one
+/// write.
 const WRITE_BATCH_DELAY: Millis = Millis(200);
-/// Priority of a write that is not limited by the rate of changes.
+/// Priority of a write that the write budget does not delay.
 const URGENT_PRIORITY: u64 = u64::MAX;
 
-/// A machine whose record may be written now.
+/// A machine whose record may be written now, and the priority of that write.
 struct WriteCandidate {
     priority: u64,
     machine: MachineId,
 }
 
 impl ShardOwner {
-    /// Writes records while there are changes for it, those that are worth most first. What
-    /// people or other decisions wait for goes at once.
+    /// Writes machine records within the write budget, highest priority first. Urgent writes, which
+    /// users or other decisions wait for, are sent even if the budget is exhausted.
     pub(super) fn flush(&mut self, now: MonotonicTime, cache: &WatchCache, out: &mut Vec<Effect>) {
         if !self.write_queue.begin_flush(now) {
             return;
@@ -41,10 +42,10 @@
         }
     }
 
-    /// The machines whose records may be written now.
+    /// Returns the machines whose records may be written now.
     fn write_candidates(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<WriteCandidate> {
-        let scarce = self.write_queue.is_exhausted(now);
-        let unhurried = self.write_queue.has_ample_budget(now);
+        let budget_exhausted = self.write_queue.is_exhausted(now);
+        let ample_budget = self.write_queue.has_ample_budget(now);
         let mut candidates = Vec::new();
         for id in self.write_queue.machines() {
             let Some(tracker) = self.trackers.get(id) else {
@@ -55,14 +56,15 @@
                 continue;
             };
             let may_write = writes.may_write(now, cache.revision) && !tracker.is_superseded();
-            let batched = unhurried || now.since(unwritten.since()) >= WRITE_BATCH_DELAY;
+            let batch_delay_over =
+                ample_budget || now.since(unwritten.since()) >= WRITE_BATCH_DELAY;
             let priority = if unwritten.is_urgent() {
                 URGENT_PRIORITY
             } else {
                 unwritten.write_priority(now)
             };
-            let affordable = unwritten.is_urgent() || (!scarce && priority > 0);
-            if may_write && batched && affordable {
+            let affordable = unwritten.is_urgent() || (!budget_exhausted && priority > 0);
+            if may_write && batch_delay_over && affordable {
                 candidates.push(WriteCandidate {
                     priority,
                     machine: id.clone(),
@@ -72,8 +74,9 @@
         candidates
     }
 
-    /// Drops what is proved gone, counts what is done, and adds what was allotted, all in one
-    /// change under the fence. Returns whether a transaction is sent.
+    /// Builds one transaction under the fence that removes the placements proved gone, adds
+    /// completed tasks to the done ranges, and adds the pending placements. Returns whether a
+    /// transaction is sent.
     fn commit(
         &mut self,
         now: MonotonicTime,
@@ -93,9 +96,9 @@
         txn.require(keys::shard(id.shard(self.shards)), tracker.fence());
         txn.require(keys::machine(id), machine.revision);
         let mut record = machine.record.clone();
-        drop_counted(&mut record, self.tasks_per_segment, cache);
+        remove_stored_done(&mut record, self.tasks_per_segment, cache);
         let ended = unwritten.ended().iter().map(|ended| &ended.attempt);
-        let ended = write_ends(&mut record, tracker, ended, cache);
+        let ended = remove_ended(&mut record, tracker, ended, cache);
         let placements = tracker.placements_mut();
         placements.add_to_record(&mut record, &mut txn, self.limits);
         let (size, value_bytes) = (record.size(), self.limits.value_bytes);
@@ -122,17 +125,18 @@
     }
 }
 
-/// Drops counted tasks that their jobs' own records show by now.
-fn drop_counted(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
+/// Removes done ranges that the completion records of their jobs fully contain, and those of jobs
+/// that are not in the watch cache any more.
+fn remove_stored_done(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
     record.done.retain(|done| {
         let job = cache.jobs.get(&done.job);
         job.is_some_and(|job| job.has_tasks_outside_segments(done, tasks_per_segment))
     });
 }
 
-/// Removes placements that are proved gone from a record and counts those that are done. Returns
-/// what was removed.
-fn write_ends<'a>(
+/// Removes placements that are proved gone from a record and adds the completed tasks to its done
+/// ranges. Returns the removed placements.
+fn remove_ended<'a>(
     record: &mut MachineRecord,
     tracker: &MachineTracker,
     attempts: impl Iterator<Item = &'a TaskAttempt>,
@@ -145,8 +149,8 @@
         };
         let job = cache.jobs.get(&attempt.task.job);
         if let (AttemptOutcome::Done, Some(job)) = (outcome, job) {
-            // The tasks of a gang complete together: when one is done, all are. So the loss
-            // of a machine just then does not leave the rest to be run again.
+            // The tasks of a gang complete together: when one is done, all are recorded as done. If
+            // a machine is lost at that moment, the remaining tasks are not run again.
             match job.spec.kind {
                 JobKind::Gang => record.add_done(&attempt.task.job, 0, job.spec.tasks - 1),
                 _ => record.add_done(&attempt.task.job, attempt.task.index, attempt.task.index),
