--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -1,5 +1,5 @@
-//! The leader's account of what the watch cache does not show yet: allotments that are under way,
-//! and placements that are known to be gone while they are still on their machines' records.
+//! The leader's record of changes that the watch cache does not show yet: allotments in flight, and
+//! placements that have been freed but are still on their machines' records.
 
 use super::pending_usage::PendingUsage;
 use super::quota_usage::QuotaUsage;
@@ -14,53 +14,55 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An allotment without an answer for so long is voided by rewriting its shard. Owners refuse
-/// what they can't write well before that.
+/// The time after which an unanswered allotment is voided by rewriting its shard's record. Shard
+/// owners refuse placements that they cannot write well before that.
 const ANSWER_TIMEOUT: Millis = Millis(8000);
 
-/// One task that was allotted and is not on record.
+/// A task that was allotted and is not on record yet.
 pub(super) struct AllottedTask {
     /// The shard that it was allotted to.
     pub shard: ShardId,
-    /// The fencing token of the shard's owner at that time.
+    /// The fencing token of the shard's owner at the time of the allotment.
     pub fence: Revision,
-    /// The machine that its resources are counted on.
+    /// The machine on which the task's resources are counted.
     pub machine: MachineId,
-    /// The team whose quota it is charged to.
+    /// The team whose quota the task is charged to.
     pub team: TeamId,
-    /// Its resources.
+    /// The resources of the task.
     pub need: Resources,
-    /// When it was allotted.
-    pub at: MonotonicTime,
+    /// The time of the allotment.
+    pub allotted_at: MonotonicTime,
 }
 
-/// The indices of the tasks of each job that are allotted, and their machines.
+/// The allotted tasks of each job: the index of each task and its machine.
 pub(super) type AllottedTasks<'a> = BTreeMap<&'a JobId, BTreeMap<u32, &'a MachineId>>;
 
-/// Allotments under way, and placements that are gone and still on record.
+/// Allotments in flight, and placements that have been freed but are still on record.
 #[derive(Default)]
 pub(super) struct AllotmentLedger {
     allotted: BTreeMap<TaskAttempt, AllottedTask>,
-    /// Known to be gone, and still on the record of this machine.
+    /// The freed attempts, with the machines whose records still hold them.
     freed: BTreeMap<TaskAttempt, MachineId>,
-    /// Shards that were rewritten since an answer was missing, and when.
-    renewed: BTreeMap<ShardId, MonotonicTime>,
+    /// The shards whose records were rewritten because of an unanswered allotment, with the time of
+    /// the rewrite.
+    fence_raised_at: BTreeMap<ShardId, MonotonicTime>,
 }
 
 impl AllotmentLedger {
-    /// Enters a task that is being allotted.
+    /// Adds a task that is being allotted.
     pub(super) fn add(&mut self, attempt: TaskAttempt, task: AllottedTask) {
         self.allotted.insert(attempt, task);
     }
 
-    /// Enters placements that a shard owner knows to be gone.
+    /// Adds placements that a shard owner has freed.
     pub(super) fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
         let attempts = attempts.into_iter();
         self.freed
             .extend(attempts.map(|freed| (freed.attempt, freed.machine)));
     }
 
-    /// Removes what a shard owner refuses to place, if it was allotted under this token.
+    /// Removes attempts that a shard owner refuses to place, if they were allotted under the
+    /// fencing token `fence`.
     pub(super) fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
         for attempt in attempts {
             if self.allotted.get(attempt).is_some_and(|a| a.fence == fence) {
@@ -71,58 +73,62 @@
 
     /// Removes an attempt that has ended.
     pub(super) fn on_ended(&mut self, ended: &EndedAttempt, cache: &WatchCache) {
-        // A gang's lost member is replaced under the same attempt. Once the watch cache shows the
-        // end, what is allotted under it is the replacement: without its entry the task would be
-        // started twice.
+        // A lost task of a gang is replaced under the same attempt number. If the watch cache
+        // already shows the end, the ledger's entry for the attempt belongs to the replacement, and
+        // removing it would start the task twice.
         let job = cache.jobs.get(&ended.attempt.task.job);
-        let reused = job.is_some_and(|j| j.spec.kind == JobKind::Gang);
+        let reuses_attempt = job.is_some_and(|j| j.spec.kind == JobKind::Gang);
         let machine = cache.machines.get(&ended.machine);
-        let shown = machine.is_none_or(|m| m.revision >= ended.revision);
-        if !(reused && shown) {
+        let end_is_cached = machine.is_none_or(|m| m.revision >= ended.revision);
+        if !(reuses_attempt && end_is_cached) {
             self.allotted.remove(&ended.attempt);
         }
     }
 
-    /// Begins another term: what was allotted in an earlier one failed at the shards' fences, or
-    /// is in the watch cache.
+    /// Clears the ledger for a new term. Allotments of an earlier term were either rejected by the
+    /// shards' fencing tokens or are in the watch cache.
     pub(super) fn begin_term(&mut self) {
         self.allotted.clear();
         self.freed.clear();
     }
 
-    /// Removes what the watch cache shows as placed, or what can no longer be placed. Returns the
-    /// shards that are to be rewritten, since allotments there have no answer.
+    /// Removes allotments that the watch cache shows as placed and those that can no longer be
+    /// placed. Returns the shards whose records must be rewritten because allotments to them are
+    /// unanswered.
     pub(super) fn reconcile(&mut self, now: MonotonicTime, cache: &WatchCache) -> Vec<ShardId> {
-        let mut unanswered = BTreeSet::new();
+        let mut timed_out_shards = BTreeSet::new();
         self.allotted.retain(|attempt, task| {
-            // Placements under the old fence were committed before the shard's new record, so
-            // the watch cache has them.
-            let fenced = cache
+            // Placements under the old fencing token were committed before the shard's new record,
+            // so the watch cache has them.
+            let is_fenced = cache
                 .shards
                 .get(&task.shard)
                 .is_none_or(|shard| shard.revision != task.fence);
-            if now.since(task.at) >= ANSWER_TIMEOUT {
-                unanswered.insert(task.shard);
+            if now.since(task.allotted_at) >= ANSWER_TIMEOUT {
+                timed_out_shards.insert(task.shard);
             }
-            !fenced && !is_placed(attempt, cache)
+            !is_fenced && !is_placed(attempt, cache)
         });
-        let renewed = &self.renewed;
-        let is_recent = |shard: &ShardId| {
-            renewed
+        let fence_raised_at = &self.fence_raised_at;
+        let is_recently_raised = |shard: &ShardId| {
+            fence_raised_at
                 .get(shard)
                 .is_some_and(|at| now.since(*at) < ANSWER_TIMEOUT)
         };
-        let to_renew: Vec<ShardId> = unanswered.into_iter().filter(|s| !is_recent(s)).collect();
-        self.renewed
-            .extend(to_renew.iter().map(|shard| (*shard, now)));
+        let shards_to_fence: Vec<ShardId> = timed_out_shards
+            .into_iter()
+            .filter(|s| !is_recently_raised(s))
+            .collect();
+        self.fence_raised_at
+            .extend(shards_to_fence.iter().map(|shard| (*shard, now)));
         self.freed.retain(|attempt, machine| {
             let machine = cache.machines.get(machine);
             machine.is_some_and(|m| m.record.holds(attempt))
         });
-        to_renew
+        shards_to_fence
     }
 
-    /// The tasks that are allotted.
+    /// Returns the allotted tasks of each job.
     pub(super) fn allotted_tasks(&self) -> AllottedTasks<'_> {
         let mut tasks = AllottedTasks::new();
         for (attempt, task) in &self.allotted {
@@ -132,8 +138,8 @@
         tasks
     }
 
-    /// Charges to the teams what the watch cache does not show as placed, and credits what it
-    /// still shows.
+    /// Charges allotted tasks that are not on record yet to their teams, and credits freed tasks
+    /// that are still on record.
     pub(super) fn adjust_quota_usage(&self, quota_usage: &mut QuotaUsage<'_>, cache: &WatchCache) {
         for task in self.allotted.values() {
             quota_usage.charge(&task.team, task.need);
@@ -145,7 +151,7 @@
         }
     }
 
-    /// What the watch cache does not show of the machines' usage.
+    /// Returns the machine usage that the watch cache does not show yet.
     pub(super) fn pending_usage(&self, cache: &WatchCache) -> PendingUsage<'_> {
         let mut pending = PendingUsage::default();
         let mut last_jobs: BTreeMap<&MachineId, &JobId> = BTreeMap::new();
@@ -164,25 +170,26 @@
         pending
     }
 
-    /// Whether a placement is known to be gone, and still on record.
+    /// Returns whether a placement has been freed and is still on record.
     pub(super) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         self.freed.contains_key(attempt)
     }
 
-    /// Whether something that was allotted to a shard before a time is still under way.
+    /// Returns whether an allotment that was sent to a shard at or before a time is still in
+    /// flight.
     pub(super) fn has_in_flight_allotment_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotted
             .values()
-            .any(|task| task.shard == shard && task.at <= at)
+            .any(|task| task.shard == shard && task.allotted_at <= at)
     }
 
-    /// How many tasks are allotted and not on record.
+    /// Returns the number of tasks that are allotted but not yet on record.
     pub(super) fn in_flight_task_count(&self) -> usize {
         self.allotted.len()
     }
 }
 
-/// The entry of an attempt's job on the record of a machine.
+/// Returns the entry of an attempt's job on a machine's record.
 fn placed_job<'a>(
     attempt: &TaskAttempt,
     machine: &MachineId,
@@ -192,7 +199,7 @@
     record.jobs.iter().find(|p| p.job == attempt.task.job)
 }
 
-/// Whether the watch cache shows a task as placed under this attempt.
+/// Returns whether the watch cache shows a task as placed under this attempt.
 fn is_placed(attempt: &TaskAttempt, cache: &WatchCache) -> bool {
     let job = cache.jobs.get(&attempt.task.job);
     let placed = job.and_then(|j| j.placed.get(&attempt.task.index));
--- a/src/placement/attempt_numbers.rs
+++ b/src/placement/attempt_numbers.rs
@@ -2,7 +2,8 @@
 
 use crate::ids::{AttemptNumber, Revision};
 
-/// Hands out attempt numbers. None is used twice: the number of the term is its leading part.
+/// Generates attempt numbers. The term forms the leading part of each number, so no number is used
+/// twice.
 #[derive(Default)]
 pub(super) struct AttemptNumbers {
     term: Revision,
@@ -10,17 +11,17 @@
 }
 
 impl AttemptNumbers {
-    /// Numbers for a new term.
+    /// Starts the numbering of a new term.
     pub(super) fn of_term(term: Revision) -> Self {
         Self { term, counter: 0 }
     }
 
-    /// The term that the numbers belong to.
+    /// Returns the term that the numbers belong to.
     pub(super) fn term(&self) -> Revision {
         self.term
     }
 
-    /// The next unused number.
+    /// Returns the next unused attempt number.
     pub(super) fn next(&mut self) -> AttemptNumber {
         self.counter += 1;
         AttemptNumber::of(self.term, self.counter)
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that tasks can be placed on in one scheduling pass.
+//! The machines on which one scheduling pass can place tasks.
 
 use super::pending_usage::PendingUsage;
 use super::record_capacity::RecordCapacity;
@@ -9,12 +9,12 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::collections::BTreeMap;
 
-/// The smallest rate that images are taken to be fetched at.
+/// The lower bound for a machine type's image fetch rate, so that fetch times stay finite.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// One machine in a scheduling pass.
+/// A machine in a scheduling pass.
 pub(super) struct Candidate<'a> {
-    /// The machine.
+    /// The machine's id.
     pub id: &'a MachineId,
     /// The shard that it belongs to.
     pub shard: ShardId,
@@ -22,25 +22,25 @@
     pub fence: Revision,
     /// The shard's owner.
     pub owner: &'a MemberId,
-    /// Its machine type.
+    /// The machine's type.
     pub type_name: &'a MachineTypeName,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: &'a Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The resources of the empty machine.
+    /// The total resources of the machine.
     pub capacity: Resources,
-    /// The resources that are free, less what this pass has allotted.
+    /// The free resources, excluding the allotments of this pass.
     pub free: Resources,
-    /// What is left of the machine's record, less what this pass has allotted.
+    /// The remaining capacity of the machine's record, excluding the allotments of this pass.
     pub record_capacity: RecordCapacity,
-    /// The images in its cache.
+    /// The images in the machine's cache.
     pub images: Vec<&'a str>,
-    /// The rate at which it fetches images: more than 0.
+    /// The rate at which the machine fetches images. Always above 0.
     pub fetch_gb_per_s: f64,
-    /// How many replicas of services it has.
+    /// The number of service replicas on the machine.
     pub replicas: usize,
-    /// The resources that these use.
+    /// The resources that these replicas use.
     pub replica_usage: Resources,
 }
 
@@ -83,12 +83,12 @@
         })
     }
 
-    /// Whether the job's image is in the machine's cache.
+    /// Returns whether the job's image is in the machine's cache.
     pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images.contains(&spec.image.as_str())
     }
 
-    /// Seconds that fetching the job's image takes: 0 if it is in the cache.
+    /// Returns how many seconds fetching the job's image takes; 0 if it is in the cache.
     pub(super) fn fetch_seconds(&self, spec: &JobSpec) -> f64 {
         if self.has_image(spec) {
             0.0
@@ -97,19 +97,20 @@
         }
     }
 
-    /// How many tasks of a job fit beside the resources that are reserved for others.
+    /// Returns how many tasks of a job fit in addition to the `reserved` resources.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec, reserved: Resources) -> u64 {
         let by_resources = spec.need().fit_count(self.free - reserved);
         by_resources.min(self.record_capacity.tasks_that_fit(spec))
     }
 
-    /// Whether the job may run on this type, in this zone, on this kind of machine.
+    /// Returns whether the job may run on this machine's type, in its zone, and on a spot machine
+    /// if it is one.
     pub(super) fn is_allowed(&self, spec: &JobSpec) -> bool {
         spec.allows(self.type_name, self.zone, self.spot)
     }
 }
 
-/// All machines that are usable, with their free capacity, in the order of their ids.
+/// Returns all usable machines with their free capacity, ordered by id.
 pub(super) fn collect<'a>(
     cache: &'a WatchCache,
     config: &Config,
@@ -122,13 +123,14 @@
         .collect()
 }
 
-/// The CPUs of the machines that have each image, whether free or in use.
-pub(super) fn cpus_by_image<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, u64> {
-    let mut cpus = BTreeMap::new();
+/// Returns, for each image, the total milli-CPUs of the machines that have it, whether free or in
+/// use.
+pub(super) fn milli_cpus_by_image<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, u64> {
+    let mut milli_cpus = BTreeMap::new();
     for candidate in candidates {
         for image in &candidate.images {
-            *cpus.entry(*image).or_default() += candidate.capacity.milli_cpus;
+            *milli_cpus.entry(*image).or_default() += candidate.capacity.milli_cpus;
         }
     }
-    cpus
+    milli_cpus
 }
--- a/src/placement/fault_tracking.rs
+++ b/src/placement/fault_tracking.rs
@@ -1,25 +1,28 @@
-//! Failures of tasks: machines that fail whatever they run are quarantined, and jobs that fail
-//! wherever they run are retried with a backoff.
+//! Task failures. Machines on which tasks of any job fail are quarantined, and jobs that fail on
+//! any machine are retried with a backoff.
 
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine on which so many different jobs failed, with no success since, is quarantined.
-const QUARANTINE_JOBS: usize = 2;
-/// So is one with so many failures, of whatever jobs.
-const QUARANTINE_FAILURES: usize = 3;
-/// How long a machine is quarantined after its last failure.
+/// The number of different jobs whose failures on a machine, with no success in between, cause its
+/// quarantine.
+const QUARANTINE_MIN_JOBS: usize = 2;
+/// The number of failures on a machine, of any jobs and with no success in between, that causes its
+/// quarantine.
+const QUARANTINE_MIN_FAILURES: usize = 3;
+/// How long a machine stays in quarantine after its last failure.
 const QUARANTINE_PERIOD: Millis = Millis(60_000);
-/// A job that failed on so many machines is retried with a backoff.
-const BACKOFF_MACHINES: usize = 2;
-/// The first backoff; it doubles with every second failure.
+/// The number of machines on which a job must have failed to be retried with a backoff.
+const BACKOFF_MIN_MACHINES: usize = 2;
+/// The shortest backoff, which is doubled with every second failure.
 const MIN_BACKOFF_MS: u64 = 1000;
 /// The longest backoff.
 const MAX_BACKOFF_MS: u64 = 60_000;
-/// A job that failed on so many machines may use any again.
+/// The number of machines on which a job must have failed for none of them to be excluded any
+/// longer.
 const MAX_EXCLUDED_MACHINES: usize = 4;
 
-/// Failures on a machine since its last success.
+/// The failures on a machine since its last success.
 #[derive(Debug, Default)]
 struct MachineFaults {
     jobs: BTreeSet<JobId>,
@@ -27,7 +30,7 @@
     quarantined_until: MonotonicTime,
 }
 
-/// Failures of a job since its last success.
+/// The failures of a job since its last success.
 #[derive(Debug, Default)]
 struct JobFaults {
     machines: BTreeSet<MachineId>,
@@ -35,7 +38,7 @@
     backoff_until: MonotonicTime,
 }
 
-/// The failures of a leader's term.
+/// The failures in a leader's term.
 #[derive(Debug, Default)]
 pub(super) struct FaultTracker {
     machines: BTreeMap<MachineId, MachineFaults>,
@@ -45,66 +48,67 @@
 impl FaultTracker {
     /// Records the failure of a task.
     pub(super) fn on_failure(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId) {
-        let elsewhere = self
+        let failed_elsewhere = self
             .jobs
             .get(job)
             .is_some_and(|j| j.machines.iter().any(|m| m != machine));
         let machine_faults = self.machines.entry(machine.clone()).or_default();
         machine_faults.jobs.insert(job.clone());
         machine_faults.count += 1;
-        let is_suspect = machine_faults.jobs.len() >= QUARANTINE_JOBS
-            || machine_faults.count >= QUARANTINE_FAILURES;
-        // Where a job fails on other machines too, the job is the likelier cause.
-        if !elsewhere && is_suspect {
+        let is_suspect = machine_faults.jobs.len() >= QUARANTINE_MIN_JOBS
+            || machine_faults.count >= QUARANTINE_MIN_FAILURES;
+        // If the job has also failed on other machines, the job is the more likely cause.
+        if !failed_elsewhere && is_suspect {
             machine_faults.quarantined_until = now + QUARANTINE_PERIOD;
         }
         let job_faults = self.jobs.entry(job.clone()).or_default();
         job_faults.machines.insert(machine.clone());
         job_faults.count += 1;
-        // One bad machine must not hold a job back; failing on several does, so that a job that
-        // fails everywhere does not use up the fleet.
-        if job_faults.machines.len() >= BACKOFF_MACHINES {
+        // Failures on a single machine must not delay a job. Failures on several machines do, so
+        // that a job that fails everywhere does not use up the fleet.
+        if job_faults.machines.len() >= BACKOFF_MIN_MACHINES {
             let doublings = (job_faults.count.min(20) / 2).saturating_sub(1).min(6);
             let backoff = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
             job_faults.backoff_until = now + Millis(backoff);
         }
     }
 
-    /// Forgets the failures of a job and a machine, since a task of it succeeded there.
+    /// Clears the failures of a job and a machine after a task of the job has succeeded there.
     pub(super) fn on_success(&mut self, job: &JobId, machine: &MachineId) {
         self.machines.remove(machine);
         self.jobs.remove(job);
     }
 
-    /// Whether a machine gets no work because of its failures.
+    /// Returns whether a machine is quarantined and receives no tasks.
     pub(super) fn is_quarantined(&self, now: MonotonicTime, machine: &MachineId) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|m| now < m.quarantined_until)
     }
 
-    /// Whether a machine is left out for a job, since it failed there. Once the job has failed on
-    /// many machines, none is.
+    /// Returns whether a machine is excluded for a job because the job has failed there. Once the
+    /// job has failed on `MAX_EXCLUDED_MACHINES` machines, no machine is excluded.
     pub(super) fn is_excluded(&self, job: &JobId, machine: &MachineId) -> bool {
         self.jobs.get(job).is_some_and(|j| {
             j.machines.len() < MAX_EXCLUDED_MACHINES && j.machines.contains(machine)
         })
     }
 
-    /// Whether a job waits for its next retry.
+    /// Returns whether a job's backoff has not expired yet.
     pub(super) fn is_backing_off(&self, now: MonotonicTime, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|j| now < j.backoff_until)
     }
 
-    /// How many tasks a job that has failed on several machines may have at a time: one.
+    /// Returns the limit on a job's simultaneous tasks: 1 for a job that has failed on several
+    /// machines, `None` for others.
     pub(super) fn task_limit(&self, job: &JobId) -> Option<usize> {
         self.jobs
             .get(job)
-            .filter(|j| j.machines.len() >= BACKOFF_MACHINES)
+            .filter(|j| j.machines.len() >= BACKOFF_MIN_MACHINES)
             .map(|_| 1)
     }
 
-    /// Keeps the failures of the jobs and machines that still exist.
+    /// Drops the failures of jobs and machines that no longer exist.
     pub(super) fn retain(
         &mut self,
         job_exists: impl Fn(&JobId) -> bool,
@@ -114,7 +118,7 @@
         self.machines.retain(|id, _| machine_exists(id));
     }
 
-    /// Forgets all failures.
+    /// Clears all failures.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -5,55 +5,56 @@
 use crate::store::watch_cache::LiveJob;
 use std::collections::BTreeMap;
 
-/// A replacement needs this much of the gang's waiting time to start before the other tasks give
-/// up.
+/// The time that a replacement task needs to start. A missing task is only replaced if more than
+/// this remains before the other tasks reach the gang's start timeout and exit.
 const REPLACEMENT_MARGIN: Millis = Millis(10_000);
 
-/// One launch of a gang.
+/// A launch of a gang.
 #[derive(Debug)]
 struct GangLaunch {
     attempt_number: AttemptNumber,
-    at: MonotonicTime,
-    /// All of its tasks have started, or one has ended: nothing is added to the attempt.
-    started: bool,
+    launched_at: MonotonicTime,
+    /// Whether all of its tasks have started or one has ended. No task is added to the attempt
+    /// after that.
+    is_closed: bool,
 }
 
-/// The gangs that the leader has launched in its term. After a change of leaders nothing is known
-/// of a gang that is placed only in part: its tasks give up by themselves.
+/// The gangs that the leader has launched in its term. A new leader knows nothing of a gang that is
+/// only partly placed; the gang's tasks reach their start timeout and exit.
 #[derive(Debug, Default)]
 pub(super) struct Gangs {
     launches: BTreeMap<JobId, GangLaunch>,
 }
 
-/// What is to be done next for a gang.
+/// The next action for a gang.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum GangAction {
     /// Launch all tasks under a new attempt.
     LaunchAll,
     /// Replace the missing tasks of a gang that has not started yet, under its attempt.
     ReplaceMissing(AttemptNumber),
-    /// Tasks of an attempt are still placed, and it can't be completed: wait until they are gone.
+    /// Wait until all tasks of the current attempt are gone, since it cannot be completed.
     Wait,
 }
 
 impl Gangs {
-    /// What is to be done for a gang of which `allotted` tasks are not on record yet. `wait`: how
-    /// long its tasks wait for one another.
+    /// Returns the next action for a gang of which `allotted` tasks are not on record yet.
+    /// `start_timeout` limits how long its tasks wait for one another.
     pub(super) fn next_action(
         &self,
         now: MonotonicTime,
         id: &JobId,
         job: &LiveJob,
         allotted: usize,
-        wait: Millis,
+        start_timeout: Millis,
     ) -> GangAction {
         if job.placed.is_empty() && allotted == 0 {
             return GangAction::LaunchAll;
         }
         match self.launches.get(id) {
             Some(launch)
-                if !launch.started
-                    && now.since(launch.at) + REPLACEMENT_MARGIN < wait
+                if !launch.is_closed
+                    && now.since(launch.launched_at) + REPLACEMENT_MARGIN < start_timeout
                     && job
                         .placed
                         .values()
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Remembers the launch of a gang.
+    /// Records the launch of a gang.
     pub(super) fn on_launched(
         &mut self,
         now: MonotonicTime,
@@ -74,27 +75,28 @@
     ) {
         let launch = GangLaunch {
             attempt_number,
-            at: now,
-            started: false,
+            launched_at: now,
+            is_closed: false,
         };
         self.launches.insert(id.clone(), launch);
     }
 
-    /// Takes from a machine's report which gangs have started.
+    /// Marks the gangs that a machine's report shows as started.
     pub(super) fn on_health(&mut self, health: &MachineHealth) {
         for (job, attempt_number) in &health.gangs {
             if let Some(launch) = self.launches.get_mut(job)
                 && launch.attempt_number == *attempt_number
             {
-                launch.started = true;
+                launch.is_closed = true;
             }
         }
     }
 
-    /// A task ended by itself: nothing is added to this attempt any more.
+    /// Closes the attempt of a gang, since one of its tasks has ended by itself. No task is added
+    /// to the attempt after that.
     pub(super) fn on_ended(&mut self, job: &JobId) {
         if let Some(launch) = self.launches.get_mut(job) {
-            launch.started = true;
+            launch.is_closed = true;
         }
     }
 
@@ -109,7 +111,7 @@
     }
 }
 
-/// The indices of a gang's tasks that are neither placed nor allotted.
+/// Returns the indices of a gang's tasks that are neither placed nor allotted.
 pub(super) fn missing_tasks<M>(job: &LiveJob, allotted: Option<&BTreeMap<u32, M>>) -> Vec<u32> {
     (0..job.spec.tasks)
         .filter(|i| !job.placed.contains_key(i) && allotted.is_none_or(|a| !a.contains_key(i)))
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's scheduling: quotas of teams, the order of the queue, where each task is allotted,
-//! and what is preempted.
+//! Scheduling on the leader: team quotas, queue order, allotment of tasks to machines, and
+//! preemption.
 
 mod allotment_ledger;
 mod attempt_numbers;
--- a/src/placement/pass_inputs.rs
+++ b/src/placement/pass_inputs.rs
@@ -1,4 +1,4 @@
-//! What a scheduling pass reads, and the scheduler's state that it changes.
+//! The inputs of a scheduling pass, and the scheduler state that it changes.
 
 use super::allotment_ledger::AllottedTasks;
 use super::attempt_numbers::AttemptNumbers;
@@ -10,37 +10,38 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a pass starts from.
+/// The inputs of a scheduling pass.
 pub(super) struct PassInputs<'a> {
-    /// The time of the pass on this controller's clock.
+    /// The time of the pass on this controller's monotonic clock.
     pub now: MonotonicTime,
-    /// The time of the pass, for comparison with times on jobs' records.
+    /// The wall-clock time of the pass, for comparison with the times on job records.
     pub unix_time: UnixTime,
     /// The controller's settings.
     pub config: &'a Config,
-    /// The state of the cluster as far as it is on record.
+    /// The state of the cluster that is on record.
     pub cache: &'a WatchCache,
-    /// Failures of jobs and machines.
+    /// The recent failures of jobs and machines.
     pub faults: &'a FaultTracker,
-    /// The jobs within their team's guaranteed quota.
+    /// The jobs that fit within their team's guaranteed quota.
     pub guaranteed_jobs: &'a BTreeSet<JobId>,
-    /// The tasks that were allotted in earlier passes and are not on record.
+    /// The tasks that were allotted in earlier passes and are not on record yet.
     pub allotted: AllottedTasks<'a>,
-    /// Resources that only replicas of services may take, by candidate.
+    /// The resources of each candidate that only service replicas may use, by candidate index.
     pub replica_reserve: Vec<Resources>,
-    /// The candidates whose records are to be written anyway: placing a task there costs no
-    /// further change.
-    pub record_is_written: Vec<bool>,
+    /// Whether each candidate's record is to be written anyway, by candidate index. Placing another
+    /// task there needs no additional write.
+    pub has_pending_write: Vec<bool>,
 }
 
-/// What a pass changes of the scheduler's state.
+/// The scheduler state that a pass changes.
 pub(super) struct PassState<'a> {
-    /// Launches of gangs in this term.
+    /// The gangs that were launched in this term.
     pub gangs: &'a mut Gangs,
     /// The source of attempt numbers.
     pub attempt_numbers: &'a mut AttemptNumbers,
-    /// How many changes of machines' records may be spent on arrays.
+    /// The budget of machine record writes for placing arrays.
     pub record_writes: &'a mut TokenBucket,
-    /// Services for which a place with their image is being made, and since when.
+    /// Services that wait for preemption on a machine that has their image, with the time at which
+    /// the wait began.
     pub awaiting_image: &'a mut BTreeMap<JobId, MonotonicTime>,
 }
--- a/src/placement/pending_allotment.rs
+++ b/src/placement/pending_allotment.rs
@@ -1,24 +1,24 @@
-//! An allotment that a pass has decided on.
+//! An allotment that a scheduling pass has decided on.
 
 use crate::ids::{MachineId, MemberId, Resources, TeamId};
 use crate::peers::Allotment;
 
-/// An allotment that is to be sent to a shard owner, with what the ledger counts it under.
+/// An allotment to send to a shard owner, and the attributes under which the ledger counts it.
 pub(super) struct PendingAllotment {
-    /// The owner of the shard: who it is sent to.
+    /// The shard owner to which the allotment is sent.
     pub owner: MemberId,
-    /// The machine that its resources are counted on.
+    /// The machine on which the allotment's resources are counted.
     pub machine: MachineId,
-    /// The team whose quota it is charged to.
+    /// The team whose quota the allotment is charged to.
     pub team: TeamId,
-    /// The resources of each of its tasks.
+    /// The resources of each task.
     pub need: Resources,
     /// The message to the shard owner.
     pub allotment: Allotment,
 }
 
 impl PendingAllotment {
-    /// How many tasks it places.
+    /// Returns the number of tasks that the allotment places.
     pub(super) fn task_count(&self) -> usize {
         self.allotment.attempts.len()
     }
--- a/src/placement/pending_usage.rs
+++ b/src/placement/pending_usage.rs
@@ -1,29 +1,30 @@
-//! Changes of machines' usage that the watch cache does not show yet.
+//! Changes in machine usage that the watch cache does not show yet.
 
 use crate::ids::{MachineId, Resources};
 use std::collections::BTreeMap;
 
-/// Usage that is not on machines' records, and usage that is still on them, by machine.
+/// For each machine, usage that is not on its record yet and freed usage that is still on it.
 #[derive(Default)]
 pub(super) struct PendingUsage<'a> {
     machines: BTreeMap<&'a MachineId, MachinePending>,
 }
 
-/// What is pending for one machine.
+/// The pending changes of one machine's usage.
 #[derive(Clone, Copy, Default)]
 pub(super) struct MachinePending {
-    /// Resources of tasks that are allotted and not on record; `None` if no task is.
+    /// The resources of tasks that are allotted and not on record yet; `None` if there are no such
+    /// tasks.
     pub allotted: Option<Resources>,
-    /// Resources of tasks that are known to be gone and still on record.
+    /// The resources of tasks that have been freed and are still on record.
     pub freed: Resources,
-    /// Bytes that the allotted tasks will add to the machine's record.
+    /// The bytes that the allotted tasks will add to the machine's record.
     pub allotted_bytes: usize,
-    /// Bytes that go from the machine's record together with the freed tasks.
+    /// The bytes that will be removed from the machine's record together with the freed tasks.
     pub freed_bytes: usize,
 }
 
 impl<'a> PendingUsage<'a> {
-    /// Counts a task that is allotted to a machine and not on its record.
+    /// Counts a task that is allotted to a machine and not on its record yet.
     pub(super) fn add_allotted(
         &mut self,
         machine: &'a MachineId,
@@ -35,7 +36,7 @@
         pending.allotted_bytes += record_bytes;
     }
 
-    /// Counts a task that is gone from a machine and still on its record.
+    /// Counts a task that has been freed on a machine and is still on its record.
     pub(super) fn add_freed(
         &mut self,
         machine: &'a MachineId,
@@ -47,13 +48,13 @@
         pending.freed_bytes += record_bytes;
     }
 
-    /// What is pending for one machine.
+    /// Returns the pending changes of one machine's usage.
     pub(super) fn of_machine(&self, machine: &MachineId) -> MachinePending {
         self.machines.get(machine).copied().unwrap_or_default()
     }
 
-    /// Whether tasks are allotted to a machine that are not on its record: the record is to be
-    /// written for them anyway.
+    /// Returns whether any task that is allotted to a machine is not on its record yet. The record
+    /// is then to be written anyway.
     pub(super) fn has_allotted(&self, machine: &MachineId) -> bool {
         self.of_machine(machine).allotted.is_some()
     }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which tasks are stopped so that others get their resources.
+//! Preemption: chooses tasks to stop so that other tasks can use their resources.
 
 mod evacuation;
 
@@ -16,12 +16,13 @@
 use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many times a pass looks through all machines for victims.
+/// The largest number of times that one pass scans all machines for victims.
 const MAX_MACHINE_SCANS: usize = 24;
-/// How many tasks of one job a pass makes room for.
+/// The largest number of tasks of one job for which one pass preempts.
 const MAX_TASKS_PER_JOB: u64 = 64;
-/// A job within a guarantee that has waited so long waits for work that does not end.
-const STALLED_AGE: Millis = Millis(120_000);
+/// The age from which a job within its team's guarantee is considered stalled: the tasks that it
+/// waits for do not end by themselves.
+const STALLED_JOB_AGE: Millis = Millis(120_000);
 
 /// A task to stop.
 pub(super) struct TaskStop {
@@ -31,34 +32,34 @@
     pub attempt: TaskAttempt,
 }
 
-/// What decides on stops in one pass.
+/// The inputs for the preemption decisions of one pass.
 pub(super) struct Preemption<'a> {
-    /// The time of the pass.
+    /// The wall-clock time of the pass.
     pub unix_time: UnixTime,
     /// The controller's settings.
     pub config: &'a Config,
-    /// The state of the cluster as far as it is on record.
+    /// The state of the cluster that is on record.
     pub cache: &'a WatchCache,
-    /// The usable machines, with what the pass has left of them.
+    /// The usable machines. Their free capacity excludes the allotments of this pass.
     pub candidates: &'a [Candidate<'a>],
-    /// Resources that only replicas may take, by candidate.
+    /// The resources of each candidate that only service replicas may use, by candidate index.
     pub replica_reserve: &'a [Resources],
-    /// What the teams use, with what the pass has allotted.
+    /// The resources that each team uses, including the allotments of this pass.
     pub quota_usage: &'a QuotaUsage<'a>,
-    /// The jobs within their team's guaranteed quota.
+    /// The jobs that fit within their team's guaranteed quota.
     pub guaranteed_jobs: &'a BTreeSet<JobId>,
-    /// Stopped already, and perhaps not gone yet.
+    /// Tasks that were preempted earlier and may still be running, with the time of preemption.
     pub preempted: &'a BTreeMap<TaskAttempt, MonotonicTime>,
-    /// The shard owners' reports on machines.
+    /// The latest health report of each machine from its shard owner.
     pub health: &'a BTreeMap<MachineId, ReportedHealth>,
-    /// Machines on their way out.
-    pub leaving: &'a BTreeSet<MachineId>,
+    /// Machines that are being drained.
+    pub draining: &'a BTreeSet<MachineId>,
 }
 
-/// The stops that are decided on, each once.
+/// The stops chosen so far, without duplicates.
 struct StopSet<'a> {
     cache: &'a WatchCache,
-    /// Stopped in this pass or before.
+    /// The attempts that were stopped in this pass or earlier.
     stopped: BTreeSet<TaskAttempt>,
     stops: Vec<TaskStop>,
 }
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Stops a task, and with a task of a gang all of them: they can only save together.
+    /// Adds a task. For a task of a gang it adds all tasks of the gang, since they can only save a
+    /// checkpoint together.
     fn add(&mut self, attempt: &TaskAttempt, machine: &MachineId) {
         let job = self.cache.jobs.get(&attempt.task.job);
         let Some(gang) = job.filter(|j| j.spec.kind == JobKind::Gang) else {
@@ -103,37 +105,37 @@
     }
 }
 
-/// The budget of one pass.
-struct Budget {
-    /// Resources that earlier stops are about to free.
-    coming: Resources,
-    /// How many more times all machines may be looked through.
+/// The remaining preemption budget of one pass.
+struct PassBudget {
+    /// The resources that earlier stops will free.
+    being_freed: Resources,
+    /// The number of times that all machines may still be scanned.
     scans: usize,
 }
 
-/// A job that victims are looked for.
-struct Claimant<'a> {
+/// A job for which victims are sought.
+struct Preemptor<'a> {
     demand: &'a UnmetDemand,
     job: &'a LiveJob,
-    /// Whether other teams' tasks beyond their guarantees may be stopped for it.
+    /// Whether tasks that other teams run beyond their guaranteed quota may be stopped for the job.
     is_guaranteed: bool,
 }
 
 impl Preemption<'_> {
-    /// Tasks to stop so that those of a higher priority, or within a guarantee, get their
-    /// resources.
+    /// Returns the tasks to stop so that tasks of a higher priority, or within their team's
+    /// guarantee, get their resources.
     pub(super) fn for_unmet_demands(&self, unmet_demands: &[UnmetDemand]) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
-        let mut budget = Budget {
-            coming: self.coming_resources(),
+        let mut budget = PassBudget {
+            being_freed: self.resources_being_freed(),
             scans: MAX_MACHINE_SCANS,
         };
         let lowest = self.lowest_placed_priority();
         for demand in unmet_demands {
-            let Some(claimant) = self.claimant(demand, lowest) else {
+            let Some(preemptor) = self.preemptor(demand, lowest) else {
                 continue;
             };
-            self.preempt_for(&claimant, &mut budget, &mut stops);
+            self.preempt_for(&preemptor, &mut budget, &mut stops);
             if budget.scans == 0 {
                 break;
             }
@@ -141,80 +143,89 @@
         stops.into_stops()
     }
 
-    /// The job of an unmet demand, if there may be something to stop for it: work of a `lowest`
-    /// priority below its own, or what other teams use beyond their guarantees.
-    fn claimant<'a>(
+    /// Returns the job of an unmet demand if there may be victims for it: placed tasks whose
+    /// priority (`lowest` is the lowest of all) is below the job's own, or tasks that other teams
+    /// run beyond their guaranteed quota.
+    fn preemptor<'a>(
         &'a self,
         demand: &'a UnmetDemand,
         lowest: Option<Priority>,
-    ) -> Option<Claimant<'a>> {
+    ) -> Option<Preemptor<'a>> {
         let job = self.cache.jobs.get(&demand.job)?;
-        // Tasks end all the time, and those of a guarantee are next in line: work is only
-        // thrown away for them once waiting won't do.
+        // Tasks end all the time, and jobs within a guarantee are next in line for the freed
+        // capacity. Running work is therefore preempted for such a job only when waiting is no
+        // longer sufficient.
         let age = Millis(self.unix_time.0.saturating_sub(job.eligible_at.0));
         let is_guaranteed =
             self.guaranteed_jobs.contains(&demand.job) && self.is_worth_preempting(age);
-        let mut others = self.config.teams.keys().filter(|t| **t != job.spec.team);
+        let mut other_teams = self.config.teams.keys().filter(|t| **t != job.spec.team);
         let quota_is_borrowed =
-            is_guaranteed && others.any(|t| self.quota_usage.exceeds_guarantee(t));
+            is_guaranteed && other_teams.any(|t| self.quota_usage.exceeds_guarantee(t));
         let has_victims = quota_is_borrowed || lowest.is_some_and(|p| p < job.priority());
-        has_victims.then_some(Claimant {
+        has_victims.then_some(Preemptor {
             demand,
             job,
             is_guaranteed,
         })
     }
 
-    /// Chooses victims for the tasks of one job.
-    fn preempt_for(&self, claimant: &Claimant<'_>, budget: &mut Budget, stops: &mut StopSet<'_>) {
-        let demand = claimant.demand;
-        // Resources that are about to come free need no look at the machines.
-        let covered = tasks_that_fit(demand.need, budget.coming).min(demand.tasks);
-        budget.coming = budget.coming - demand.need.times(covered);
-        let mut left = (demand.tasks - covered).min(MAX_TASKS_PER_JOB);
-        while left > 0 && budget.scans > 0 {
+    /// Chooses victims for the tasks of one job and adds them to `stops`.
+    fn preempt_for(
+        &self,
+        preemptor: &Preemptor<'_>,
+        budget: &mut PassBudget,
+        stops: &mut StopSet<'_>,
+    ) {
+        let demand = preemptor.demand;
+        // Tasks that fit into resources which earlier stops will free need no machine scan.
+        let covered = tasks_that_fit(demand.need, budget.being_freed).min(demand.tasks);
+        budget.being_freed = budget.being_freed - demand.need.times(covered);
+        let mut remaining = (demand.tasks - covered).min(MAX_TASKS_PER_JOB);
+        while remaining > 0 && budget.scans > 0 {
             budget.scans -= 1;
-            // Tasks of arrays are small and many: one look makes room for several.
-            let at_once = match claimant.job.spec.kind {
-                JobKind::Array => left,
+            // Array tasks are small and numerous, so one scan makes room for several of them.
+            let tasks_per_scan = match preemptor.job.spec.kind {
+                JobKind::Array => remaining,
                 JobKind::Service | JobKind::Gang => 1,
             };
-            let Some((machine, victims)) = self.cheapest_victims(claimant, at_once, &stops.stopped)
+            let Some((machine, victims)) =
+                self.cheapest_victims(preemptor, tasks_per_scan, &stops.stopped)
             else {
                 break;
             };
-            left -= victims.tasks;
+            remaining -= victims.tasks;
             for attempt in victims.attempts {
                 stops.add(&attempt, machine);
             }
         }
     }
 
-    /// Resources that earlier stops are about to free: they are not asked for twice.
-    fn coming_resources(&self) -> Resources {
+    /// Returns the resources that earlier stops will free, so that the same
+    /// demand does not preempt twice.
+    fn resources_being_freed(&self) -> Resources {
         let jobs = self.preempted.keys().map(|attempt| &attempt.task.job);
         let stopped = jobs.filter_map(|job| self.cache.jobs.get(job));
         stopped.fold(Resources::default(), |sum, job| sum + job.spec.need())
     }
 
-    /// The lowest priority of the placed tasks.
+    /// Returns the lowest priority of all placed tasks.
     fn lowest_placed_priority(&self) -> Option<Priority> {
         let placed = self.cache.jobs.values().filter(|j| !j.placed.is_empty());
         placed.map(LiveJob::priority).min()
     }
 
-    /// The machine where a task's resources cost the least, and the victims there for as many of
-    /// `tasks` as fit.
+    /// Returns the machine where freeing resources for a task costs the least, and the victims
+    /// there for as many of `tasks` as fit.
     fn cheapest_victims(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         tasks: u64,
         stopped: &BTreeSet<TaskAttempt>,
     ) -> Option<(&MachineId, Victims)> {
-        let spec = &claimant.job.spec;
-        let needs_image = claimant.demand.requires_cached_image || claimant.is_guaranteed;
+        let spec = &preemptor.job.spec;
+        let needs_image = preemptor.demand.requires_cached_image || preemptor.is_guaranteed;
         let preemptible = |attempt: &TaskAttempt, placed: &PlacedJob| {
-            let priority = self.preemptible_priority(claimant, attempt, placed)?;
+            let priority = self.preemptible_priority(preemptor, attempt, placed)?;
             (!stopped.contains(attempt)).then_some(priority)
         };
         let cheapest = self
@@ -228,26 +239,27 @@
                     JobKind::Array | JobKind::Gang => *reserve,
                 };
                 let victims = select_victims(c, spec, reserved, tasks, self.cache, preemptible)?;
-                // Where the image is, the start is at once.
-                let cost = (!c.has_image(spec), victims.cpus / victims.tasks);
+                // A task starts without a delay on a machine that has its image.
+                let cost = (!c.has_image(spec), victims.milli_cpus / victims.tasks);
                 Some((cost, c.id, victims))
             })
             .min_by(|a, b| a.0.cmp(&b.0));
         cheapest.map(|(_, machine, victims)| (machine, victims))
     }
 
-    /// The priority of a placed task, if it may be stopped for a job: it is lower, or the task's
-    /// team uses more than its guarantee while the job is within its own.
+    /// Returns the priority of a placed task if the task may be stopped for a job: its priority is
+    /// lower, or its team exceeds its guaranteed quota while the job is within its own team's
+    /// guarantee.
     fn preemptible_priority(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         attempt: &TaskAttempt,
         placed: &PlacedJob,
     ) -> Option<Priority> {
         let victim = self.cache.jobs.get(&attempt.task.job)?;
-        let priority = claimant.job.priority();
-        let uses_borrowed_quota = claimant.is_guaranteed
-            && victim.spec.team != claimant.job.spec.team
+        let priority = preemptor.job.priority();
+        let uses_borrowed_quota = preemptor.is_guaranteed
+            && victim.spec.team != preemptor.job.spec.team
             && victim.priority() <= priority
             && !self.guaranteed_jobs.contains(&victim.spec.id)
             && self.quota_usage.may_be_preempted(&placed.team, placed.need);
@@ -255,20 +267,23 @@
         is_preemptible.then_some(victim.priority())
     }
 
-    /// Whether work is stopped for a job within a guarantee that has waited so long: while a start
-    /// can still be as prompt as the operators are held to, and then not before it is clear that
-    /// capacity doesn't come free by itself. In between the job is first in line for whatever
-    /// does: on a fleet with a queue too much would be thrown away for jobs that are late already.
+    /// Returns whether tasks may be preempted for a job within its team's guarantee that has waited
+    /// for `age`. Preemption begins once the wait shows that capacity does not become free by
+    /// itself, and ends when a start would no longer meet the operators' objective for prompt
+    /// starts. After that the job is first in line for capacity that becomes free, since preempting
+    /// for jobs that are already late would discard too much work on a fleet with a queue. It
+    /// begins again at `STALLED_JOB_AGE`.
     fn is_worth_preempting(&self, age: Millis) -> bool {
-        let patience = self.config.guarantee_preemption_delay.0;
-        (patience..2 * patience).contains(&age.0) || age >= STALLED_AGE
+        let min_age_ms = self.config.guarantee_preemption_delay.0;
+        (min_age_ms..2 * min_age_ms).contains(&age.0) || age >= STALLED_JOB_AGE
     }
 }
 
-/// How many tasks of a need fit into resources that come free; none if no CPU does.
-fn tasks_that_fit(need: Resources, coming: Resources) -> u64 {
-    if coming.milli_cpus > 0 {
-        need.fit_count(coming)
+/// Returns how many tasks of a need fit into the resources that are being freed; 0 if they include
+/// no CPU.
+fn tasks_that_fit(need: Resources, being_freed: Resources) -> u64 {
+    if being_freed.milli_cpus > 0 {
+        need.fit_count(being_freed)
     } else {
         0
     }
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -1,22 +1,25 @@
-//! Stops on machines that are about to go: replicas move, and tasks with checkpoints save them.
+//! Preemption on machines that are about to go away: replicas move to other machines, and tasks
+//! with checkpoints save them.
 
 use super::{Preemption, StopSet, TaskStop};
 use crate::ids::{JobId, MachineId, Resources};
 use crate::placement::record_capacity::RecordCapacity;
 use crate::protocol::{JobKind, JobSpec};
 
-/// A task with a checkpoint is only stopped if this much time is left beyond what saving takes.
+/// A task with a checkpoint is only stopped if the time until the interruption exceeds the duration
+/// of a save by more than this many seconds.
 const SAVE_MARGIN_S: f64 = 1.0;
 
-/// What moved replicas leave of the machines that they move to, by candidate.
+/// The remaining capacity of the machines that replicas may move to, by candidate index.
 struct MoveTargets {
     free: Vec<Resources>,
     records: Vec<RecordCapacity>,
 }
 
 impl Preemption<'_> {
-    /// Replicas to stop on machines that are on their way out, where another machine has free
-    /// capacity and the image, so that they start there at once. One at a time for each service.
+    /// Returns the replicas to stop on machines that are draining or about to be interrupted. A
+    /// replica is stopped only if another machine has free capacity and the image, so that it
+    /// restarts there at once. At most one replica of each service moves at a time.
     pub(in crate::placement) fn replica_moves(&self) -> Vec<TaskStop> {
         let mut stops: Vec<TaskStop> = Vec::new();
         let candidates = self.candidates.iter();
@@ -24,11 +27,11 @@
             free: candidates.clone().map(|c| c.free).collect(),
             records: candidates.map(|c| c.record_capacity.clone()).collect(),
         };
-        let noticed = self
+        let interrupted = self
             .health
             .iter()
             .filter(|(_, h)| h.report.until_interruption.is_some());
-        for id in self.leaving.iter().chain(noticed.map(|(id, _)| id)) {
+        for id in self.draining.iter().chain(interrupted.map(|(id, _)| id)) {
             self.move_replicas_off(id, &mut targets, &mut stops);
         }
         stops
@@ -52,7 +55,7 @@
             if !is_movable || self.is_being_stopped(&spec.id, stops) {
                 continue;
             }
-            if self.take_target(spec, placed.need, targets) {
+            if self.try_reserve_target(spec, placed.need, targets) {
                 stops.push(TaskStop {
                     machine: id.clone(),
                     attempt,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Whether a task of a job is stopped already.
+    /// Returns whether a task of a job is being stopped already.
     fn is_being_stopped(&self, job: &JobId, stops: &[TaskStop]) -> bool {
         self.preempted
             .keys()
@@ -69,22 +72,32 @@
             || stops.iter().any(|stop| stop.attempt.task.job == *job)
     }
 
-    /// Takes the place of a replica on the first machine that has one. `false` if none has.
-    fn take_target(&self, spec: &JobSpec, need: Resources, targets: &mut MoveTargets) -> bool {
-        let target = self.candidates.iter().enumerate().position(|(at, c)| {
-            c.is_allowed(spec)
-                && c.has_image(spec)
-                && need.fits(targets.free[at])
-                && targets.records[at].try_reserve(spec)
-        });
-        if let Some(at) = target {
-            targets.free[at] = targets.free[at] - need;
+    /// Reserves capacity for a replica on the first machine that fits. Returns `false` if there is
+    /// none.
+    fn try_reserve_target(
+        &self,
+        spec: &JobSpec,
+        need: Resources,
+        targets: &mut MoveTargets,
+    ) -> bool {
+        let target = self
+            .candidates
+            .iter()
+            .enumerate()
+            .position(|(candidate_index, c)| {
+                c.is_allowed(spec)
+                    && c.has_image(spec)
+                    && need.fits(targets.free[candidate_index])
+                    && targets.records[candidate_index].try_reserve(spec)
+            });
+        if let Some(candidate_index) = target {
+            targets.free[candidate_index] = targets.free[candidate_index] - need;
         }
         target.is_some()
     }
 
-    /// Tasks with checkpoints on machines that are about to be taken: stopped in time, they go on
-    /// elsewhere from where they were.
+    /// Returns the tasks with checkpoints on machines that are about to be interrupted, if there is
+    /// time to save. They resume elsewhere from their checkpoint.
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -6,16 +6,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that is due later than this after it became eligible, or never, counts as due then: under
-/// lasting overload it would otherwise stay behind all jobs that come after it.
+/// The latest due time that the queue order uses for a job, in milliseconds after the job became
+/// eligible. It also applies to jobs without a deadline: under lasting overload they would
+/// otherwise stay behind all jobs that arrive later.
 const MAX_DUE_AFTER_ELIGIBLE_MS: u64 = 150_000;
-/// A job that has waited so long for its first task goes before everything else, one at a time:
-/// otherwise jobs of higher priority, other teams' guarantees or small jobs could keep it waiting
-/// for ever.
+/// The age in milliseconds at which a job that still waits for its first task is moved to the front
+/// of the queue, one job at a time. Without this, jobs of higher priority, other teams' guarantees
+/// or small jobs could keep it waiting indefinitely.
 const STARVATION_AGE_MS: u64 = 120_000;
 
-/// The jobs that fit into their team's guaranteed quota along with the team's earlier unfinished
-/// jobs.
+/// Returns the jobs that fit into their team's guaranteed quota together with the team's earlier
+/// unfinished jobs.
 pub(super) fn guaranteed_jobs<'a>(
     teams: &BTreeMap<TeamId, TeamQuota>,
     jobs: impl Iterator<Item = (&'a JobId, &'a LiveJob)>,
@@ -42,7 +43,7 @@
     guaranteed
 }
 
-/// All jobs in the order in which they are served.
+/// Returns all jobs in the order in which they are served.
 pub(crate) fn jobs_in_queue_order<'a>(
     config: &Config,
     cache: &'a WatchCache,
@@ -53,7 +54,7 @@
     jobs
 }
 
-/// Moves the oldest of the jobs that have waited too long for their first task to the front.
+/// Moves the oldest job that has exceeded `STARVATION_AGE_MS` without a first task to the front.
 pub(super) fn promote_starving(waiting: &mut [(&JobId, &LiveJob)], now: UnixTime) {
     let is_unstarted = |job: &LiveJob| job.placed.is_empty() && job.done_count() == 0;
     let starving = waiting
@@ -63,14 +64,14 @@
             is_unstarted(job) && now.0.saturating_sub(job.eligible_at.0) > STARVATION_AGE_MS
         })
         .min_by_key(|(_, (id, job))| (job.eligible_at, *id));
-    if let Some((at, _)) = starving {
-        waiting[..=at].rotate_right(1);
+    if let Some((oldest_index, _)) = starving {
+        waiting[..=oldest_index].rotate_right(1);
     }
 }
 
-/// The key that the queue is sorted by: priority first; then whether the job is within its team's
-/// guarantee; then the time when it is due; then its age. Priority and due time are those of the
-/// most urgent job that depends on it.
+/// Returns the sort key of a job in the queue: its priority, then whether it is within its team's
+/// guarantee, then its due time, then its age. Priority and due time are those of the most urgent
+/// job that depends on it.
 pub(super) fn queue_rank(id: &JobId, job: &LiveJob, is_guaranteed: bool) -> impl Ord + use<> {
     let latest = UnixTime(job.eligible_at.0.saturating_add(MAX_DUE_AFTER_ELIGIBLE_MS));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
--- a/src/placement/quota_usage.rs
+++ b/src/placement/quota_usage.rs
@@ -1,18 +1,18 @@
-//! Quota usage of teams: the resources of every placement that is not known to be gone, and of
-//! every allotment of this term that is not on record.
+//! Quota usage of teams: the resources of all placements that have not been freed, and of all
+//! allotments of this term that are not on record yet.
 
 use crate::config::TeamQuota;
 use crate::ids::{Resources, TeamId};
 use std::collections::BTreeMap;
 
-/// What each team uses, against its guaranteed quota and its limit.
+/// The resources that each team uses, compared with its guaranteed quota and its limit.
 pub(super) struct QuotaUsage<'a> {
     teams: &'a BTreeMap<TeamId, TeamQuota>,
     used: BTreeMap<TeamId, Resources>,
 }
 
 impl<'a> QuotaUsage<'a> {
-    /// Usage against the quotas of `teams`, with what is on record as used.
+    /// Creates the usage of `teams` from the resources `used` on record.
     pub(super) fn new(
         teams: &'a BTreeMap<TeamId, TeamQuota>,
         used: BTreeMap<TeamId, Resources>,
@@ -20,7 +20,7 @@
         Self { teams, used }
     }
 
-    /// Adds to a team's usage.
+    /// Adds resources to a team's usage.
     pub(super) fn charge(&mut self, team: &TeamId, resources: Resources) {
         match self.used.get_mut(team) {
             Some(sum) => *sum = *sum + resources,
@@ -30,19 +30,19 @@
         }
     }
 
-    /// Subtracts from a team's usage.
+    /// Subtracts resources from a team's usage.
     pub(super) fn credit(&mut self, team: &TeamId, resources: Resources) {
         if let Some(sum) = self.used.get_mut(team) {
             *sum = *sum - resources;
         }
     }
 
-    /// What a team uses.
+    /// Returns the resources that a team uses.
     pub(super) fn used(&self, team: &TeamId) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// How many tasks of a need the team's quota limit still allows. Memory has no limit.
+    /// Returns how many more tasks of a need the team's quota limit allows. Memory is not limited.
     pub(super) fn tasks_within_limit(&self, team: &TeamId, need: Resources) -> u64 {
         let Some(limits) = self.teams.get(team) else {
             return 0;
@@ -55,7 +55,7 @@
         .fit_count(free)
     }
 
-    /// Whether the team uses more of any resource than its guaranteed quota.
+    /// Returns whether the team uses more of any resource than its guaranteed quota.
     pub(super) fn exceeds_guarantee(&self, team: &TeamId) -> bool {
         let used = self.used(team);
         self.teams
@@ -63,8 +63,9 @@
             .is_none_or(|t| t.is_guarantee_exceeded(used))
     }
 
-    /// Whether the team's tasks of such a need may be preempted for other teams' guarantees: it
-    /// uses more than its guaranteed quota, or this doesn't cover the needed kind of resource.
+    /// Returns whether the team's tasks of this need may be preempted for other teams' guarantees:
+    /// the team exceeds its guaranteed quota, or its guarantee covers none of the kinds of resource
+    /// that the task needs.
     pub(super) fn may_be_preempted(&self, team: &TeamId, need: Resources) -> bool {
         let used = self.used(team);
         self.teams
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -1,4 +1,4 @@
-//! Which machines a job prefers.
+//! Ranking of machines for a job.
 
 use super::candidates::Candidate;
 use super::fault_tracking::FaultTracker;
@@ -9,50 +9,50 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Numbers of tasks that a machine takes at once are compared in steps of so many: a few tasks
-/// more or less don't outweigh an image that has to be fetched.
+/// The number of tasks that a machine can take is compared in steps of this size, so that a
+/// difference of a few tasks does not outweigh an image fetch.
 const TASKS_PER_STEP: u64 = 4;
-/// How many machines of a shard its owner may choose from.
+/// The largest number of a shard's machines among which its owner may choose.
 const MAX_PREFERRED_MACHINES: usize = 6;
 
-/// Where, and how, a job looks for free capacity.
+/// The parameters of a search for free capacity for a job.
 pub(super) struct CandidateSearch<'a> {
-    /// How many tasks the job has, while changes of machines' records are scarce: machines that
-    /// take most of them at once are preferred.
-    pub tasks_at_once: Option<u64>,
-    /// The candidates to look at; `None`: all.
-    pub among: Option<&'a [usize]>,
-    /// Resources that are reserved for others, by candidate.
+    /// The number of tasks to place, set while record writes are scarce: machines that can take
+    /// most of these tasks are then preferred.
+    pub tasks_to_pack: Option<u64>,
+    /// The indices of the candidates to search; `None` means all.
+    pub candidate_subset: Option<&'a [usize]>,
+    /// The resources of each candidate that are reserved for others, by candidate index.
     pub reserve: Option<&'a [Resources]>,
-    /// Only machines that have the job's image.
+    /// Whether only machines that have the job's image are searched.
     pub cached_only: bool,
 }
 
-/// A job that machines are searched for.
-struct Applicant<'a> {
+/// The requirements of the job for which machines are sought.
+struct JobRequirements<'a> {
     id: &'a JobId,
     spec: &'a JobSpec,
     need: Resources,
-    /// The machines of its placement group.
-    group: BTreeSet<&'a MachineId>,
-    /// The only zone that it may use; `None`: any.
+    /// The machines of the job's placement group.
+    placement_group: BTreeSet<&'a MachineId>,
+    /// The only zone that the job may use; `None` means any zone.
     zone: Option<Zone>,
 }
 
 impl CandidateSearch<'_> {
-    fn reserved(&self, at: usize) -> Resources {
+    fn reserved(&self, candidate_index: usize) -> Resources {
         self.reserve
-            .map_or(Resources::default(), |reserve| reserve[at])
+            .map_or(Resources::default(), |reserve| reserve[candidate_index])
     }
 
-    fn free(&self, candidates: &[Candidate<'_>], at: usize) -> Resources {
+    fn free(&self, candidates: &[Candidate<'_>], candidate_index: usize) -> Resources {
         match self.reserve {
-            Some(reserve) => candidates[at].free - reserve[at],
-            None => candidates[at].free,
+            Some(reserve) => candidates[candidate_index].free - reserve[candidate_index],
+            None => candidates[candidate_index].free,
         }
     }
 
-    /// The machines that a job may use, best first.
+    /// Returns the indices of the candidates that a job may use, best first.
     pub(super) fn ranked(
         &self,
         id: &JobId,
@@ -62,78 +62,97 @@
         candidates: &[Candidate<'_>],
     ) -> Vec<usize> {
         let spec = &job.spec;
-        let applicant = Applicant {
+        let requirements = JobRequirements {
             id,
             spec,
             need: spec.need(),
-            group: job.plan.iter().flat_map(|p| p.machines.iter()).collect(),
-            zone: zones.required_zone(spec, candidates, |at| self.free(candidates, at)),
+            placement_group: job.plan.iter().flat_map(|p| p.machines.iter()).collect(),
+            zone: zones.required_zone(spec, candidates, |candidate_index| {
+                self.free(candidates, candidate_index)
+            }),
         };
         let all: Vec<usize>;
-        let among = match self.among {
+        let searched = match self.candidate_subset {
             Some(among) => among,
             None => {
                 all = (0..candidates.len()).collect();
                 &all
             }
         };
-        let mut ranked: Vec<(_, usize)> = among
+        let mut ranked: Vec<(_, usize)> = searched
             .iter()
             .copied()
-            .filter(|at| self.is_feasible(&applicant, faults, candidates, *at))
-            .map(|at| (self.rank(&applicant, &candidates[at], at), at))
+            .filter(|candidate_index| {
+                self.is_feasible(&requirements, faults, candidates, *candidate_index)
+            })
+            .map(|candidate_index| {
+                (
+                    self.rank(&requirements, &candidates[candidate_index], candidate_index),
+                    candidate_index,
+                )
+            })
             .collect();
         ranked.sort();
-        ranked.into_iter().map(|(_, at)| at).collect()
+        ranked
+            .into_iter()
+            .map(|(_, candidate_index)| candidate_index)
+            .collect()
     }
 
-    /// Whether a job may use a machine, and at least one of its tasks fits.
+    /// Returns whether a job may use a machine and at least one of its tasks fits there.
     fn is_feasible(
         &self,
-        applicant: &Applicant<'_>,
+        requirements: &JobRequirements<'_>,
         faults: &FaultTracker,
         candidates: &[Candidate<'_>],
-        at: usize,
+        candidate_index: usize,
     ) -> bool {
-        let candidate = &candidates[at];
-        let spec = applicant.spec;
-        applicant.need.fits(self.free(candidates, at))
+        let candidate = &candidates[candidate_index];
+        let spec = requirements.spec;
+        requirements
+            .need
+            .fits(self.free(candidates, candidate_index))
             && candidate.record_capacity.tasks_that_fit(spec) > 0
             && (!self.cached_only || candidate.has_image(spec))
             && candidate.is_allowed(spec)
-            && !faults.is_excluded(applicant.id, candidate.id)
-            && applicant.zone.as_ref().is_none_or(|z| z == candidate.zone)
+            && !faults.is_excluded(requirements.id, candidate.id)
+            && requirements
+                .zone
+                .as_ref()
+                .is_none_or(|z| z == candidate.zone)
     }
 
-    /// The key that machines are sorted by: the smallest is the best.
+    /// Returns the sort key of a machine. The machine with the smallest key is the best.
     fn rank(
         &self,
-        applicant: &Applicant<'_>,
+        requirements: &JobRequirements<'_>,
         candidate: &Candidate<'_>,
-        at: usize,
+        candidate_index: usize,
     ) -> impl Ord + use<> {
-        let spec = applicant.spec;
-        // Machines with GPUs are few, and gangs wait for whole ones.
-        let wastes_gpus = applicant.need.milli_gpus == 0 && candidate.capacity.milli_gpus > 0;
-        let steps_at_once = self.tasks_at_once.map(|tasks| {
-            let fitting = candidate.tasks_that_fit(spec, self.reserved(at));
+        let spec = requirements.spec;
+        // Machines with GPUs are few, and gangs need whole ones.
+        let wastes_gpus = requirements.need.milli_gpus == 0 && candidate.capacity.milli_gpus > 0;
+        let fitting_steps = self.tasks_to_pack.map(|tasks| {
+            let fitting = candidate.tasks_that_fit(spec, self.reserved(candidate_index));
             Reverse(fitting.min(tasks) / TASKS_PER_STEP)
         });
-        // Whole seconds, so that small differences don't scatter the work.
+        // Fetch times are rounded up to whole seconds, so that small differences do not scatter the
+        // tasks.
         let fetch_s = candidate.fetch_seconds(spec).ceil() as u64;
-        // Replicas gather on few machines, so that the others can empty.
+        // Replicas are concentrated on few machines, so that the others can become empty.
         let replicas = match spec.kind {
             JobKind::Service => Reverse(candidate.replicas),
             JobKind::Array | JobKind::Gang => Reverse(0),
         };
-        // What may run on spot machines goes there first.
+        // Jobs that may run on spot machines use those first.
         let is_on_demand = !candidate.spot;
-        let is_outside_group = !applicant.group.contains(candidate.id);
-        // Bin packing: the fullest first, so that others empty and can be returned.
+        let is_outside_group = !requirements.placement_group.contains(candidate.id);
+        // Bin packing: the fullest machine comes first, so that others become empty and can be
+        // returned.
         let free_cpus = candidate.free.milli_cpus;
         (
             wastes_gpus,
-            steps_at_once,
+            fitting_steps,
             fetch_s,
             replicas,
             is_on_demand,
@@ -143,9 +162,10 @@
     }
 }
 
-/// The machines among which the owner of a candidate's shard chooses: the candidate first, then
-/// the shard's others in the job's order. With `only_candidate` it has no choice: where the zones
-/// of the job's tasks depend on one another, only the leader sees them all.
+/// Returns the machines among which the owner of a candidate's shard may choose: the candidate
+/// itself, then the shard's other machines in ranking order. With `only_candidate` the owner has no
+/// choice, because only the leader sees all zones when the zones of a job's tasks depend on one
+/// another.
 pub(super) fn preferred_machines(
     candidate: &Candidate<'_>,
     ranked: &[usize],
@@ -154,7 +174,7 @@
 ) -> Vec<MachineId> {
     let others = ranked
         .iter()
-        .map(|at| &candidates[*at])
+        .map(|candidate_index| &candidates[*candidate_index])
         .filter(|c| !only_candidate && c.shard == candidate.shard && c.id != candidate.id)
         .map(|c| c.id.clone());
     std::iter::once(candidate.id.clone())
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -1,24 +1,26 @@
-//! Capacity of machines' records: a record must fit into one value of the key-value store, which
-//! bounds the number of placements whatever the resources of the machine itself.
+//! The capacity of machine records. A record must fit into one value of the key-value store, which
+//! limits the number of placements independently of the machine's resources.
 
 use crate::ids::JobId;
 use crate::protocol::JobSpec;
 use crate::store::machine_record::{MachineRecord, size};
 
-/// Bytes of a job on a record, without its tasks, where the lengths of its names are not known.
+/// The estimated size of a job's entry on a record in bytes, without its tasks. Used where the
+/// lengths of the job's names are not known.
 pub(super) const ESTIMATED_JOB_BYTES: usize = 200;
 
-/// The bytes of one machine's record that are left for placements.
+/// The bytes of a machine's record that remain for placements.
 #[derive(Clone, Debug)]
 pub(super) struct RecordCapacity {
     free_bytes: usize,
-    /// The last job that was placed here: its next task takes less.
+    /// The job that was placed here last. Its next task takes fewer bytes, since the job's entry
+    /// exists already.
     last_job: Option<JobId>,
 }
 
 impl RecordCapacity {
-    /// `allotted_bytes`: what allotments under way will add. `freed_bytes`: what goes from the
-    /// record with its next change.
+    /// Computes the remaining capacity of a record. `allotted_bytes` is what allotments in flight
+    /// will add to it, and `freed_bytes` is what its next write will remove from it.
     pub(super) fn new(
         record: &MachineRecord,
         value_bytes: usize,
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Bytes that a job takes beside its tasks.
+    /// Returns the bytes that a job's entry takes in addition to its tasks.
     fn job_bytes(&self, spec: &JobSpec) -> usize {
         match self.last_job.as_ref() == Some(&spec.id) {
             true => 0,
@@ -41,18 +43,18 @@
         }
     }
 
-    /// How many tasks of a job fit.
+    /// Returns how many tasks of a job fit on the record.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec) -> u64 {
         let left = self.free_bytes.saturating_sub(self.job_bytes(spec));
         (left / size::MAX_TASK_BYTES) as u64
     }
 
-    /// How many jobs of `job_bytes` with one task each fit.
+    /// Returns how many jobs with one task each fit, if each job's entry takes `job_bytes`.
     pub(super) fn single_task_jobs(&self, job_bytes: usize) -> u64 {
         (self.free_bytes / (job_bytes + size::MAX_TASK_BYTES)) as u64
     }
 
-    /// Reserves the bytes of one more task. `false` if it does not fit.
+    /// Reserves the bytes of one more task. Returns `false` if it does not fit.
     pub(super) fn try_reserve(&mut self, spec: &JobSpec) -> bool {
         let fits = self.tasks_that_fit(spec) > 0;
         if fits {
@@ -62,7 +64,8 @@
         fits
     }
 
-    /// Releases what was reserved for so many tasks.
+    /// Releases the bytes that were reserved for `tasks` tasks. The bytes of the job's entry stay
+    /// reserved.
     pub(super) fn release(&mut self, tasks: u64) {
         self.free_bytes += tasks as usize * size::MAX_TASK_BYTES;
     }
--- a/src/placement/replica_reserve.rs
+++ b/src/placement/replica_reserve.rs
@@ -1,4 +1,4 @@
-//! Free capacity that is kept for the next replicas of services.
+//! Free capacity that is reserved for the next replicas of services.
 
 use super::candidates::Candidate;
 use super::record_capacity::ESTIMATED_JOB_BYTES;
@@ -7,20 +7,26 @@
 use crate::store::watch_cache::WatchCache;
 use std::cmp::Reverse;
 
-/// The resources that only replicas may take, by candidate, on the machines where most replicas
-/// are: there the next one starts at once, and nothing has to be preempted for it.
+/// Returns the resources of each candidate that only service replicas may use, by candidate index.
+/// They are reserved on the machines that have the most replicas, so that the next replica starts
+/// at once without preemption.
 pub(super) fn replica_reserve(cache: &WatchCache, candidates: &[Candidate<'_>]) -> Vec<Resources> {
     let mut reserve = vec![Resources::default(); candidates.len()];
     let Some((need, mut count)) = reserved_replicas(cache) else {
         return reserve;
     };
     let mut order: Vec<usize> = (0..candidates.len())
-        .filter(|at| !candidates[*at].spot)
+        .filter(|candidate_index| !candidates[*candidate_index].spot)
         .collect();
-    order.sort_by_key(|at| (Reverse(candidates[*at].replicas), candidates[*at].id));
-    for at in order {
-        let candidate = &candidates[at];
-        // Each is a job of its own on the machine's record.
+    order.sort_by_key(|candidate_index| {
+        (
+            Reverse(candidates[*candidate_index].replicas),
+            candidates[*candidate_index].id,
+        )
+    });
+    for candidate_index in order {
+        let candidate = &candidates[candidate_index];
+        // Each replica is counted as a separate job on the machine's record.
         let here = need
             .fit_count(candidate.capacity - candidate.replica_usage)
             .min(
@@ -29,7 +35,7 @@
                     .single_task_jobs(ESTIMATED_JOB_BYTES),
             )
             .min(count);
-        reserve[at] = need.times(here);
+        reserve[candidate_index] = need.times(here);
         count -= here;
     }
     reserve
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -1,14 +1,15 @@
-//! Replicas of services: how many machines have, and how many spare ones are provided for.
+//! The replicas of services on each machine, and the number of further replicas for which capacity
+//! is reserved.
 
 use crate::ids::Resources;
 use crate::protocol::JobKind;
 use crate::store::records::PlacedJob;
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 
-/// The smallest number of replicas for which capacity is kept.
-const MIN_SPARE_REPLICAS: u64 = 2;
+/// The smallest number of replicas for which capacity is reserved.
+const MIN_RESERVED_REPLICAS: u64 = 2;
 
-/// How many replicas of services a machine has, and the resources that they use.
+/// Returns the number of service replicas on a machine and the resources that they use.
 pub(crate) fn machine_replica_usage(
     machine: &LiveMachine,
     cache: &WatchCache,
@@ -28,8 +29,8 @@
     })
 }
 
-/// The replicas for which capacity is kept: the largest need among the services, and how many
-/// replicas of it. `None` without services.
+/// Returns the largest resource need of any service, and for how many replicas of that size
+/// capacity is reserved. `None` without services.
 pub(crate) fn reserved_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
     let (mut total, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
@@ -44,6 +45,6 @@
     let spare = (total as f64 * cache.settings().service_spare) as u64;
     let count = spare
         .checked_div(largest.milli_cpus)?
-        .max(MIN_SPARE_REPLICAS);
+        .max(MIN_RESERVED_REPLICAS);
     Some((largest, count))
 }
--- a/src/placement/reported_health.rs
+++ b/src/placement/reported_health.rs
@@ -1,12 +1,12 @@
-//! What shard owners report about machines.
+//! Health reports of machines from shard owners.
 
 use crate::ids::MonotonicTime;
 use crate::peers::MachineHealth;
 
-/// The last report of a machine's shard owner about it.
+/// The latest report on a machine from its shard owner.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedHealth {
-    /// When the report was received.
+    /// The time at which the report was received.
     pub received_at: MonotonicTime,
     /// The report.
     pub report: MachineHealth,
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -1,5 +1,6 @@
-//! The leader's scheduler. It counts every placement that is not known to be gone and every
-//! allotment of its term, and prefers each job's placement group; the shard owners place.
+//! The leader's scheduler. It counts every placement that has not been freed and every allotment of
+//! its term as used capacity, and prefers the machines of each job's placement group. The shard
+//! owners write the placements.
 
 mod dispatch;
 mod health;
@@ -23,53 +24,59 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What the leader does as a result of a pass.
+/// An action that the leader takes after a scheduling pass.
 #[derive(Debug)]
 pub(crate) enum Effect {
     /// Send a message to the owner of a shard.
     ToShardOwner(MemberId, Box<Message>),
-    /// An allotment has gone without an answer: rewriting the shard voids it.
+    /// Rewrite a shard's record to raise its fencing token, because an allotment to the shard was
+    /// not answered in time. The new token voids that allotment.
     RaiseShardFence(ShardId),
 }
 
-/// A preemption that has freed nothing by then is forgotten.
+/// The time after which a preemption that has not freed the task's resources is no longer counted.
 const PREEMPTION_TIMEOUT: Millis = Millis(10_000);
-/// A service's wait for a place with its image is forgotten after so long. Until then it does not
-/// wait again.
-const IMAGE_WAIT_MEMORY: Millis = Millis(10 * IMAGE_WAIT_LIMIT.0);
-/// The part of the key-value store's changes that arrays are placed with: each machine that is
-/// given tasks has its record written for them, and others need changes as well.
+/// The time for which the scheduler remembers that a service waited for a machine with its image.
+/// During that time the service does not wait again.
+const IMAGE_WAIT_RETENTION: Millis = Millis(10 * IMAGE_WAIT_LIMIT.0);
+/// The fraction of the key-value store's write rate that may be used for placing arrays. Each
+/// machine that is given tasks needs one write of its record, and other parts of the controller
+/// need writes too.
 pub(crate) const ARRAY_WRITE_SHARE: f64 = 0.65;
-/// Below this part of a second's worth changes are scarce.
-const SCARCE_FRACTION: f64 = 0.5;
+/// The write budget counts as low while less than this fraction of one second's writes is
+/// available.
+const LOW_WRITE_BUDGET_FRACTION: f64 = 0.5;
 
-/// The leader's decisions on placement, and what it remembers between passes.
+/// The leader's scheduler and the state that it keeps between passes.
 pub(crate) struct Scheduler {
     config: Rc<Config>,
     attempt_numbers: AttemptNumbers,
     allotment_ledger: AllotmentLedger,
-    /// The last reports of shard owners on their machines.
+    /// The latest health report of each machine from its shard owner.
     pub health: BTreeMap<MachineId, ReportedHealth>,
     faults: FaultTracker,
     gangs: Gangs,
-    /// The tasks that were preempted and may not be gone yet, and when.
+    /// Preempted tasks that may still be running, with the time of preemption.
     preempted: BTreeMap<TaskAttempt, MonotonicTime>,
-    /// Services for which a place with their image is being made, and since when.
+    /// Services that wait for preemption on a machine that has their image, with the time at which
+    /// the wait began.
     awaiting_image: BTreeMap<JobId, MonotonicTime>,
-    /// How many changes of machines' records may be spent on arrays.
+    /// The budget of machine record writes for placing arrays.
     record_writes: TokenBucket,
-    /// How many changes the key-value store takes in a second from all controllers.
+    /// The write rate that the key-value store allows for all controllers together, in writes per
+    /// second.
     store_write_rate: f64,
-    /// The tasks for which the last pass found no free capacity.
+    /// The tasks for which the latest pass found no free capacity.
     pub unmet_demands: Vec<UnmetDemand>,
-    /// The present time, for comparison with times on jobs' records. Set before each pass.
+    /// The current wall-clock time, for comparison with the times on job records. Set before each
+    /// pass.
     pub unix_time: UnixTime,
-    /// Machines on their way out: they get nothing new.
+    /// Machines that are being drained. They receive no new tasks.
     pub draining: BTreeSet<MachineId>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing of the cluster yet.
+    /// Creates a scheduler with no knowledge of the cluster.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             config: Rc::new(config.clone()),
@@ -88,27 +95,29 @@
         }
     }
 
-    /// Sets how many changes the key-value store takes in a second from all controllers.
-    pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
-        self.store_write_rate = changes;
+    /// Sets the write rate that the key-value store allows for all controllers together, in writes
+    /// per second.
+    pub(crate) fn set_store_write_rate(&mut self, writes_per_s: f64) {
+        self.store_write_rate = writes_per_s;
     }
 
-    /// Whether the changes that arrays may be placed with are used up at present.
+    /// Returns whether the write budget for placing arrays is nearly exhausted.
     pub(crate) fn is_write_budget_low(&mut self, now: MonotonicTime) -> bool {
-        self.record_writes.available_fraction(now) < SCARCE_FRACTION
+        self.record_writes.available_fraction(now) < LOW_WRITE_BUDGET_FRACTION
     }
 
-    /// Takes a shard owner's message that placements are gone.
+    /// Handles a shard owner's message that placements have been freed.
     pub(crate) fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
         self.allotment_ledger.on_freed(attempts);
     }
 
-    /// Takes a shard owner's message that it does not place what was allotted under a token.
+    /// Handles a shard owner's message that it refuses the attempts that were allotted under a
+    /// fencing token.
     pub(crate) fn on_refused(&mut self, fence: Revision, attempts: &[TaskAttempt]) {
         self.allotment_ledger.on_refused(fence, attempts);
     }
 
-    /// Takes a shard owner's message that an attempt has ended.
+    /// Handles a shard owner's message that an attempt has ended.
     pub(crate) fn on_ended(
         &mut self,
         now: MonotonicTime,
@@ -130,7 +139,8 @@
         }
     }
 
-    /// One step of the scheduler in a term: a pass over all waiting jobs, and what follows from it.
+    /// Runs one scheduling step in a term: a pass over all waiting jobs, then the messages that
+    /// result from it.
     pub(crate) fn step(
         &mut self,
         now: MonotonicTime,
@@ -141,15 +151,15 @@
         self.begin_term(term);
         self.record_writes
             .set_rate(now, self.store_write_rate * ARRAY_WRITE_SHARE);
-        let unanswered = self.allotment_ledger.reconcile(now, cache);
-        out.extend(unanswered.into_iter().map(Effect::RaiseShardFence));
+        let shards_to_fence = self.allotment_ledger.reconcile(now, cache);
+        out.extend(shards_to_fence.into_iter().map(Effect::RaiseShardFence));
         self.forget_stale(now, cache);
         let decisions = self.run_pass(now, cache);
         self.send_stops(now, decisions.stops, cache, out);
         self.send_allotments(now, decisions.allotments, out);
     }
 
-    /// Forgets what belongs to an earlier term, if this is another one.
+    /// Clears the state of the previous term if `term` is a new one.
     fn begin_term(&mut self, term: Revision) {
         if self.attempt_numbers.term() != term {
             self.attempt_numbers = AttemptNumbers::of_term(term);
@@ -161,14 +171,14 @@
         }
     }
 
-    /// Forgets what concerns jobs and machines that are gone, and what is too old to count.
+    /// Drops state of jobs and machines that no longer exist, and entries that have expired.
     fn forget_stale(&mut self, now: MonotonicTime, cache: &WatchCache) {
         self.preempted
             .retain(|_, at| now.since(*at) < PREEMPTION_TIMEOUT);
         self.health.retain(|id, _| cache.machines.contains_key(id));
         self.gangs.retain(&cache.jobs);
         self.awaiting_image.retain(|id, since| {
-            cache.jobs.contains_key(id) && now.since(*since) < IMAGE_WAIT_MEMORY
+            cache.jobs.contains_key(id) && now.since(*since) < IMAGE_WAIT_RETENTION
         });
         self.faults.retain(
             |job| cache.jobs.contains_key(job),
@@ -176,19 +186,19 @@
         );
     }
 
-    /// Whether a placement is known to be gone while it is still on its machine's record.
+    /// Returns whether a placement has been freed while it is still on its machine's record.
     pub(crate) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         self.allotment_ledger.is_freed(attempt)
     }
 
-    /// Whether something that was allotted to a shard before a time is still under way: only
-    /// that can come to a machine which has been leaving since.
+    /// Returns whether an allotment that was sent to a shard at or before a time is still in
+    /// flight. Only such an allotment can still reach a machine that has been draining since then.
     pub(crate) fn has_in_flight_allotment_before(&self, shard: ShardId, at: MonotonicTime) -> bool {
         self.allotment_ledger
             .has_in_flight_allotment_before(shard, at)
     }
 
-    /// How many tasks are allotted and not on record.
+    /// Returns the number of tasks that are allotted but not yet on record.
     pub(crate) fn in_flight_task_count(&self) -> usize {
         self.allotment_ledger.in_flight_task_count()
     }
--- a/src/placement/scheduler/dispatch.rs
+++ b/src/placement/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending what a pass has decided on to the shard owners.
+//! Sends the decisions of a pass to the shard owners.
 
 use super::{Effect, Scheduler};
 use crate::ids::{Millis, MonotonicTime};
@@ -9,7 +9,8 @@
 use crate::store::watch_cache::WatchCache;
 
 impl Scheduler {
-    /// Sends stops, each with the time that the task needs to save its checkpoint.
+    /// Sends the stops to the shard owners. Each carries the time that the task needs to save its
+    /// checkpoint.
     pub(super) fn send_stops(
         &mut self,
         now: MonotonicTime,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Sends allotments, and enters them in the ledger.
+    /// Sends the allotments to the shard owners and records them in the ledger.
     pub(super) fn send_allotments(
         &mut self,
         now: MonotonicTime,
@@ -53,7 +54,7 @@
                     machine: pending_allotment.machine.clone(),
                     team: pending_allotment.team.clone(),
                     need: pending_allotment.need,
-                    at: now,
+                    allotted_at: now,
                 };
                 self.allotment_ledger.add(attempt.clone(), task);
             }
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -1,4 +1,4 @@
-//! Health of machines, as their shard owners report it.
+//! The health of machines as reported by their shard owners.
 
 use super::Scheduler;
 use crate::ids::{MachineId, Millis, MonotonicTime};
@@ -6,15 +6,16 @@
 use crate::placement::reported_health::ReportedHealth;
 use crate::store::watch_cache::WatchCache;
 
-/// A report that is older says nothing of the present: the machine is not used.
+/// The age from which a health report is ignored. A machine without a newer report is not used.
 const MAX_REPORT_AGE: Millis = Millis(5000);
-/// A machine gets nothing new while its heartbeat is late by more than this.
+/// The delay beyond the heartbeat interval after which a machine with a late heartbeat receives no
+/// new tasks.
 const HEARTBEAT_TOLERANCE: Millis = Millis(2000);
 
 impl Scheduler {
-    /// Takes a shard owner's reports on its machines. An owner that only the key-value store does
-    /// not reach goes on reporting machines whose shards have other owners since, as silent: such
-    /// reports are left out.
+    /// Stores a shard owner's reports on its machines. An owner that has lost only its connection
+    /// to the key-value store keeps reporting machines as unresponsive after their shards have
+    /// moved to other owners. Reports with an outdated fencing token are therefore ignored.
     pub(crate) fn on_health(
         &mut self,
         now: MonotonicTime,
@@ -22,46 +23,46 @@
         cache: &WatchCache,
     ) {
         let shards = self.config.shard_count();
-        for last in health {
-            let shard_record = cache.shards.get(&last.machine.shard(shards));
-            if shard_record.is_some_and(|shard| shard.revision > last.fence) {
+        for report in health {
+            let shard_record = cache.shards.get(&report.machine.shard(shards));
+            if shard_record.is_some_and(|shard| shard.revision > report.fence) {
                 continue;
             }
-            self.gangs.on_health(&last);
+            self.gangs.on_health(&report);
             let reported = ReportedHealth {
                 received_at: now,
-                report: last,
+                report,
             };
             self.health
                 .insert(reported.report.machine.clone(), reported);
         }
     }
 
-    /// Whether a shard owner has reported on a machine lately.
+    /// Returns whether a shard owner has reported on a machine within `MAX_REPORT_AGE`.
     pub(crate) fn has_recent_health(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
         reported.is_some_and(|r| now.since(r.received_at) < MAX_REPORT_AGE)
     }
 
-    /// Whether a machine's present shard owner reports that no heartbeat has come from it for so
-    /// long.
+    /// Returns whether a machine's current shard owner reports that the machine has been
+    /// unresponsive for at least `timeout`.
     pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
         id: &MachineId,
-        for_long: Millis,
+        timeout: Millis,
         cache: &WatchCache,
     ) -> bool {
         let shard_record = cache.shards.get(&id.shard(self.config.shard_count()));
         self.health.get(id).is_some_and(|reported| {
             shard_record.is_some_and(|shard| shard.revision == reported.report.fence)
-                && reported.report.unresponsive_for >= for_long
+                && reported.report.unresponsive_for >= timeout
                 && now.since(reported.received_at) < MAX_REPORT_AGE
         })
     }
 
-    /// Whether a machine can take work: its shard owner tracks it, under the present fencing
-    /// token, and there is no interruption notice, quarantine or drain.
+    /// Returns whether a machine can be given tasks: its shard owner tracks it under the current
+    /// fencing token, and it has no interruption notice, quarantine or drain.
     pub(crate) fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
         let shard = id.shard(self.config.shard_count());
         let fence = cache.shards.get(&shard).map(|record| record.revision);
@@ -74,21 +75,22 @@
         is_healthy && !self.is_cordoned(now, id)
     }
 
-    /// Whether a machine counts as capacity. One whose shard owner has just changed is not usable
-    /// for a moment, but it is there: without it the autoscaler would rent another.
+    /// Returns whether a machine counts as capacity. A machine whose shard has just changed owners
+    /// is briefly unusable, but it still counts: otherwise the autoscaler would rent a replacement.
     pub(crate) fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
         let is_lost = reported.is_some_and(|r| self.is_lost(&r.report));
         !is_lost && !self.is_cordoned(now, id)
     }
 
-    /// Whether a machine is reported to be interrupted, or its heartbeat is late.
+    /// Returns whether a machine is about to be interrupted or its heartbeat is late.
     fn is_lost(&self, health: &MachineHealth) -> bool {
         health.until_interruption.is_some()
             || health.unresponsive_for >= self.config.heartbeat_interval + HEARTBEAT_TOLERANCE
     }
 
-    /// Whether the leader itself gives a machine nothing new.
+    /// Returns whether the leader withholds new tasks from a machine because it is quarantined or
+    /// draining.
     fn is_cordoned(&self, now: MonotonicTime, id: &MachineId) -> bool {
         self.faults.is_quarantined(now, id) || self.draining.contains(id)
     }
--- a/src/placement/scheduler/pass.rs
+++ b/src/placement/scheduler/pass.rs
@@ -1,4 +1,4 @@
-//! One scheduling pass and the preemption that follows from it, on the scheduler's state.
+//! Runs a scheduling pass, and the preemption that follows it, on the scheduler's state.
 
 use super::Scheduler;
 use crate::ids::{JobId, MachineId, MonotonicTime};
@@ -14,7 +14,7 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
-/// What is decided in one step of the scheduler.
+/// The decisions of one scheduling step.
 pub(super) struct Decisions {
     /// The tasks to stop.
     pub stops: Vec<TaskStop>,
@@ -23,7 +23,7 @@
 }
 
 impl Scheduler {
-    /// Decides what is allotted, and what is stopped.
+    /// Runs a scheduling pass and returns the tasks to start and to stop.
     pub(super) fn run_pass(&mut self, now: MonotonicTime, cache: &WatchCache) -> Decisions {
         let config = self.config.clone();
         let guaranteed_jobs = guaranteed_jobs(&config.teams, cache.jobs.iter());
@@ -33,7 +33,7 @@
         let pending = self.allotment_ledger.pending_usage(cache);
         let is_usable = |id: &MachineId| self.is_usable(now, id, cache);
         let candidates = candidates::collect(cache, &config, &pending, is_usable);
-        let record_is_written = candidates.iter().map(|c| pending.has_allotted(c.id));
+        let has_pending_write = candidates.iter().map(|c| pending.has_allotted(c.id));
         let inputs = PassInputs {
             now,
             unix_time: self.unix_time,
@@ -43,7 +43,7 @@
             guaranteed_jobs: &guaranteed_jobs,
             allotted: self.allotment_ledger.allotted_tasks(),
             replica_reserve: replica_reserve(cache, &candidates),
-            record_is_written: record_is_written.collect(),
+            has_pending_write: has_pending_write.collect(),
         };
         let state = PassState {
             gangs: &mut self.gangs,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The tasks that are stopped after a pass.
+    /// Chooses the tasks to stop after a pass.
     fn choose_stops(
         &self,
         cache: &WatchCache,
@@ -80,7 +80,7 @@
             guaranteed_jobs,
             preempted: &self.preempted,
             health: &self.health,
-            leaving: &self.draining,
+            draining: &self.draining,
         };
         let mut stops = preemption.for_unmet_demands(demands);
         stops.extend(preemption.replica_moves());
@@ -89,13 +89,15 @@
     }
 }
 
-/// The demands that tasks are stopped for.
+/// Returns the demands for which tasks may be preempted, and moves the image demands out of the
+/// pass result.
 fn preemption_demands(pass: &mut PassResult<'_>) -> Vec<UnmetDemand> {
     let mut demands = std::mem::take(&mut pass.image_demands);
-    // What waits for changes does not start sooner where something is stopped, and what is
-    // stopped has to be placed again, with changes that are lacking.
+    // When the write budget is exhausted, preemption would not start an array sooner, and the
+    // preempted tasks would need further writes to be placed again.
     let unmet_demands = pass.unmet_demands.iter().cloned();
-    demands
-        .extend(unmet_demands.filter(|demand| demand.must_run_concurrently || !pass.changes_spent));
+    demands.extend(
+        unmet_demands.filter(|demand| demand.must_run_concurrently || !pass.write_budget_exhausted),
+    );
     demands
 }
--- a/src/placement/scheduling_pass.rs
+++ b/src/placement/scheduling_pass.rs
@@ -1,4 +1,5 @@
-//! One scheduling pass: every waiting job in its order gets the free capacity that is left for it.
+//! A scheduling pass: gives each waiting job, in queue order, free capacity that the jobs before it
+//! have left.
 
 mod array_capacity;
 mod assignment;
@@ -22,50 +23,54 @@
 use request::TaskRequest;
 use std::collections::BTreeMap;
 
-/// While a smaller part of a second's worth of record changes is left, tasks go where one change
-/// places the most. Near the full: else single tasks on nearly full machines use up what a large
-/// array needs next.
-const AMPLE_BUDGET_FRACTION: f64 = 0.9;
-/// So they do for an array with more tasks than this part of the changes that are left.
+/// While less than this fraction of one second's record writes is available, tasks go to the
+/// machines where one write places the most tasks. The fraction is close to 1 because otherwise
+/// single tasks on nearly full machines would use up the writes that the next large array needs.
+const AMPLE_WRITE_BUDGET_FRACTION: f64 = 0.9;
+/// The same rule applies to an array whose task count exceeds this fraction of the available
+/// writes.
 const LARGE_ARRAY_FRACTION: f64 = 0.5;
 
-/// A pass under way.
+/// A running scheduling pass.
 pub(super) struct SchedulingPass<'a, 's> {
     input: PassInputs<'a>,
     state: PassState<'s>,
-    /// What the teams use, with what is allotted in the pass.
+    /// The resources that each team uses, including the allotments of this pass.
     quota_usage: QuotaUsage<'a>,
-    /// The usable machines, less what is allotted in the pass.
+    /// The usable machines. Their free capacity excludes the allotments of this pass.
     candidates: Vec<Candidate<'a>>,
     array_capacity: ArrayCapacity,
-    /// The tasks that each job was allotted in its turn on machines that have its image.
+    /// The number of tasks of each job that this pass has allotted to machines that have the job's
+    /// image.
     allotted_cached: BTreeMap<&'a JobId, usize>,
     unmet_demands: Vec<UnmetDemand>,
-    changes_spent: bool,
+    write_budget_exhausted: bool,
     image_demands: Vec<UnmetDemand>,
     allotments: Vec<PendingAllotment>,
 }
 
-/// What a pass has decided, and what it leaves.
+/// The decisions of a pass and the capacity that remains.
 pub(super) struct PassResult<'a> {
-    /// What is allotted.
+    /// The allotments to send.
     pub allotments: Vec<PendingAllotment>,
-    /// Tasks for which no machine has free capacity.
+    /// The tasks for which no machine has free capacity.
     pub unmet_demands: Vec<UnmetDemand>,
-    /// Arrays found free capacity on machines whose records no change could be spent on.
-    pub changes_spent: bool,
-    /// Replicas for which lower work is to be stopped where their image is.
+    /// Whether arrays found free capacity on machines whose records could not be written because
+    /// the write budget was exhausted.
+    pub write_budget_exhausted: bool,
+    /// Replicas for which tasks of lower priority are to be stopped on a machine that has their
+    /// image.
     pub image_demands: Vec<UnmetDemand>,
-    /// The usable machines, less what is allotted.
+    /// The usable machines. Their free capacity excludes the allotments of this pass.
     pub candidates: Vec<Candidate<'a>>,
-    /// Resources that only replicas may take, by candidate.
+    /// The resources of each candidate that only service replicas may use, by candidate index.
     pub replica_reserve: Vec<Resources>,
-    /// What the teams use, with what is allotted.
+    /// The resources that each team uses, including the allotments of this pass.
     pub quota_usage: QuotaUsage<'a>,
 }
 
 impl<'a, 's> SchedulingPass<'a, 's> {
-    /// A pass over these candidates.
+    /// Creates a pass over the given candidates.
     pub(super) fn new(
         input: PassInputs<'a>,
         state: PassState<'s>,
@@ -81,13 +86,13 @@
             array_capacity,
             allotted_cached: BTreeMap::new(),
             unmet_demands: Vec::new(),
-            changes_spent: false,
+            write_budget_exhausted: false,
             image_demands: Vec::new(),
             allotments: Vec::new(),
         }
     }
 
-    /// Gives every waiting job its turn.
+    /// Serves every waiting job in its turn.
     pub(super) fn run(mut self) -> PassResult<'a> {
         for turn in queue_turns(&self.input, &self.candidates) {
             self.serve(turn);
@@ -95,7 +100,7 @@
         PassResult {
             allotments: self.allotments,
             unmet_demands: self.unmet_demands,
-            changes_spent: self.changes_spent,
+            write_budget_exhausted: self.write_budget_exhausted,
             image_demands: self.image_demands,
             candidates: self.candidates,
             replica_reserve: self.input.replica_reserve,
@@ -120,7 +125,7 @@
         self.commit(turn, &request, assignment);
     }
 
-    /// The machines for a request, best first.
+    /// Returns the candidate indices of the machines that suit a request, best first.
     fn ranked_candidates(
         &mut self,
         turn: QueueTurn<'a>,
@@ -130,13 +135,13 @@
         let now = self.input.now;
         let is_array = turn.kind() == JobKind::Array;
         let tasks = request.indices.len();
-        let changes_are_scarce = self.state.record_writes.available_fraction(now)
-            < AMPLE_BUDGET_FRACTION
+        let writes_are_scarce = self.state.record_writes.available_fraction(now)
+            < AMPLE_WRITE_BUDGET_FRACTION
             || tasks as f64 > LARGE_ARRAY_FRACTION * self.state.record_writes.level(now);
         let reserve_applies = turn.kind() != JobKind::Service;
         let search = CandidateSearch {
-            tasks_at_once: (changes_are_scarce && is_array).then_some(tasks as u64),
-            among: is_array.then_some(self.array_capacity.candidates()),
+            tasks_to_pack: (writes_are_scarce && is_array).then_some(tasks as u64),
+            candidate_subset: is_array.then_some(self.array_capacity.candidates()),
             reserve: reserve_applies.then_some(self.input.replica_reserve.as_slice()),
             cached_only: turn.cached_only,
         };
@@ -144,13 +149,13 @@
         search.ranked(turn.id, turn.job, zones, faults, &self.candidates)
     }
 
-    /// Enters what was found for a job, and what was not.
+    /// Records the allotments of a job and its tasks that found no machine.
     fn commit(&mut self, turn: QueueTurn<'a>, request: &TaskRequest, assignment: Assignment) {
         let QueueTurn { id, job, .. } = turn;
-        if assignment.changes_spent {
-            self.changes_spent = true;
-            self.array_capacity.keep_written(
-                &self.input.record_is_written,
+        if assignment.write_budget_exhausted {
+            self.write_budget_exhausted = true;
+            self.array_capacity.drop_unwritable(
+                &self.input.has_pending_write,
                 &self.candidates,
                 &self.input.replica_reserve,
             );
@@ -183,12 +188,12 @@
         }
     }
 
-    /// Notes tasks for which there is no free capacity. What only waits for a machine's record to
-    /// be written lacks no machine.
+    /// Records tasks for which there is no free capacity. Tasks that only wait for a machine record
+    /// to be written are excluded, since they need no further machine.
     fn report_unmet_demand(&mut self, turn: QueueTurn<'a>, tasks: u64) {
         let waiting = self
             .array_capacity
-            .take_unwritable(tasks, turn.need().milli_cpus);
+            .take_unwritable_capacity(tasks, turn.need().milli_cpus);
         if tasks > waiting {
             let unmet_demand = UnmetDemand::for_job(turn.id, turn.job, tasks - waiting);
             self.unmet_demands.push(unmet_demand);
--- a/src/placement/scheduling_pass/assignment.rs
+++ b/src/placement/scheduling_pass/assignment.rs
@@ -1,4 +1,4 @@
-//! The assignment of a request's tasks to machines.
+//! Assignment of a request's tasks to machines.
 
 use super::SchedulingPass;
 use super::request::TaskRequest;
@@ -11,19 +11,20 @@
 use crate::protocol::JobKind;
 use crate::store::rate_limiter::RequestClass;
 
-/// What was found for a request.
+/// The machines that were found for a request.
 #[derive(Default)]
 pub(super) struct Assignment {
-    /// The allotments, each with the index of its candidate.
+    /// The allotments, each with its candidate index.
     pub allotments: Vec<(usize, PendingAllotment)>,
-    /// How many tasks found no machine.
+    /// The number of tasks that found no machine.
     pub unassigned: u64,
-    /// There was free capacity on machines whose records no change could be spent on.
-    pub changes_spent: bool,
+    /// Whether there was free capacity on machines whose records could not be written because the
+    /// write budget was exhausted.
+    pub write_budget_exhausted: bool,
 }
 
 impl Assignment {
-    /// How many tasks found a machine.
+    /// Returns the number of tasks that found a machine.
     pub(super) fn task_count(&self) -> usize {
         self.allotments
             .iter()
@@ -33,7 +34,7 @@
 }
 
 impl<'a> SchedulingPass<'a, '_> {
-    /// Takes free capacity on the ranked machines until all tasks of a request are assigned.
+    /// Reserves free capacity on the ranked machines until all tasks of a request are assigned.
     pub(super) fn assign(
         &mut self,
         turn: QueueTurn<'a>,
@@ -41,63 +42,66 @@
         ranked: &[usize],
         mut zones: ZoneConstraint,
     ) -> Assignment {
-        let mut open = request.indices.iter().copied().peekable();
+        let mut remaining = request.indices.iter().copied().peekable();
         let mut assignment = Assignment::default();
-        for (rank, at) in ranked.iter().copied().enumerate() {
-            if !self.may_change_record(turn, at) {
-                assignment.changes_spent = true;
+        for (rank, candidate_index) in ranked.iter().copied().enumerate() {
+            if !self.try_acquire_record_write(turn, candidate_index) {
+                assignment.write_budget_exhausted = true;
                 continue;
             }
             let mut indices = Vec::new();
-            while open.peek().is_some() && self.try_take_task(turn, at, &mut zones) {
-                indices.extend(open.next());
+            while remaining.peek().is_some()
+                && self.try_take_task(turn, candidate_index, &mut zones)
+            {
+                indices.extend(remaining.next());
             }
             if indices.is_empty() {
                 continue;
             }
-            let candidate = &self.candidates[at];
+            let candidate = &self.candidates[candidate_index];
             let only_candidate = zones.is_constrained();
             let preferred =
                 preferred_machines(candidate, &ranked[rank..], &self.candidates, only_candidate);
             let attempts = self.attempts(turn, indices, request.attempt_number);
-            let allotment = self.pending_allotment(turn, at, attempts, preferred);
-            assignment.allotments.push((at, allotment));
-            if open.peek().is_none() {
+            let allotment = self.pending_allotment(turn, candidate_index, attempts, preferred);
+            assignment.allotments.push((candidate_index, allotment));
+            if remaining.peek().is_none() {
                 break;
             }
         }
-        assignment.unassigned = open.count() as u64;
+        assignment.unassigned = remaining.count() as u64;
         assignment
     }
 
-    /// Whether a change of a machine's record can be spent, for an array. What must run at once
-    /// is never delayed for that.
-    fn may_change_record(&mut self, turn: QueueTurn<'a>, at: usize) -> bool {
-        if turn.kind() != JobKind::Array || self.input.record_is_written[at] {
+    /// Returns whether a machine's record may be written for a job. For an array, this takes a
+    /// write from the budget unless the record is to be written anyway. Services and gangs are
+    /// never delayed by the write budget.
+    fn try_acquire_record_write(&mut self, turn: QueueTurn<'a>, candidate_index: usize) -> bool {
+        if turn.kind() != JobKind::Array || self.input.has_pending_write[candidate_index] {
             return true;
         }
         let acquired =
             self.state
                 .record_writes
                 .try_acquire(self.input.now, 1.0, RequestClass::Place);
-        self.input.record_is_written[at] |= acquired;
+        self.input.has_pending_write[candidate_index] |= acquired;
         acquired
     }
 
-    /// Takes the resources of one more task on a machine, if they are free and the job's zones
-    /// allow it.
+    /// Reserves the resources of one more task on a machine. Returns `false` if the machine or its
+    /// record has no capacity left, or the job's zone constraint does not allow the machine.
     fn try_take_task(
         &mut self,
         turn: QueueTurn<'a>,
-        at: usize,
+        candidate_index: usize,
         zones: &mut ZoneConstraint,
     ) -> bool {
         let reserved = match turn.kind() {
             JobKind::Service => Resources::default(),
-            JobKind::Array | JobKind::Gang => self.input.replica_reserve[at],
+            JobKind::Array | JobKind::Gang => self.input.replica_reserve[candidate_index],
         };
         let need = turn.need();
-        let candidate = &mut self.candidates[at];
+        let candidate = &mut self.candidates[candidate_index];
         let is_taken = need.fits(candidate.free - reserved)
             && zones.allows(candidate.zone)
             && candidate.record_capacity.try_reserve(&turn.job.spec);
@@ -108,7 +112,8 @@
         is_taken
     }
 
-    /// Attempts of a job's tasks: under one number for a gang, each under its own for other jobs.
+    /// Creates the attempts of a job's tasks. All tasks of a gang share one attempt number; each
+    /// task of another job has its own.
     fn attempts(
         &mut self,
         turn: QueueTurn<'a>,
@@ -129,15 +134,15 @@
     fn pending_allotment(
         &self,
         turn: QueueTurn<'a>,
-        at: usize,
+        candidate_index: usize,
         attempts: Vec<TaskAttempt>,
         preferred: Vec<MachineId>,
     ) -> PendingAllotment {
         let QueueTurn { id, job, .. } = turn;
         let spec = &job.spec;
-        let candidate = &self.candidates[at];
+        let candidate = &self.candidates[candidate_index];
         let age_ms = self.input.unix_time.0.saturating_sub(job.eligible_at.0);
-        tracing::debug!(job = %id, kind = ?spec.kind, machine = %candidate.id, tasks = attempts.len(), image = %spec.image, cached = candidate.has_image(spec), age_ms, "allotted");
+        tracing::debug!(job = %id, kind = ?spec.kind, machine = %candidate.id, tasks = attempts.len(), image = %spec.image, cached = candidate.has_image(spec), age_ms, "tasks allotted to machine");
         PendingAllotment {
             owner: candidate.owner.clone(),
             machine: candidate.id.clone(),
@@ -153,11 +158,12 @@
         }
     }
 
-    /// Gives back what was taken for a part of a gang: all of its tasks are placed, or none is.
+    /// Releases the resources that were reserved for part of a gang, because either all of its
+    /// tasks are placed or none.
     pub(super) fn roll_back(&mut self, turn: QueueTurn<'a>, assignment: Assignment) {
-        for (at, pending_allotment) in assignment.allotments {
+        for (candidate_index, pending_allotment) in assignment.allotments {
             let count = pending_allotment.task_count() as u64;
-            let candidate = &mut self.candidates[at];
+            let candidate = &mut self.candidates[candidate_index];
             candidate.free = candidate.free + turn.need().times(count);
             candidate.record_capacity.release(count);
         }
--- a/src/placement/scheduling_pass/image_wait.rs
+++ b/src/placement/scheduling_pass/image_wait.rs
@@ -1,4 +1,4 @@
-//! Replicas that wait for a place where their image is.
+//! Replicas that wait for capacity on a machine that has their image.
 
 use super::SchedulingPass;
 use super::request::TaskRequest;
@@ -8,14 +8,16 @@
 use crate::placement::victims::select_victims;
 use crate::store::records::PlacedJob;
 
-/// A replica starts at once where fetching its image takes no longer than this.
+/// The longest image fetch, in seconds, for which a replica starts at once instead of waiting for a
+/// machine that has its image.
 const MAX_QUICK_FETCH_S: f64 = 0.8;
-/// How long a replica waits for the place that is being made where its image is.
+/// How long a replica waits for preemption to free capacity on a machine that has its image.
 pub(in crate::placement) const IMAGE_WAIT_LIMIT: Millis = Millis(1200);
 
 impl<'a> SchedulingPass<'a, '_> {
-    /// Whether a service waits: a replica that would have to fetch its image rather takes the place
-    /// of lower work where the image is, and waits a moment for that.
+    /// Returns whether a service waits for a machine that has its image. A replica that would have
+    /// to fetch its image preempts tasks of lower priority on a machine that has it, and waits up
+    /// to `IMAGE_WAIT_LIMIT` for their resources.
     pub(super) fn waits_for_image(
         &mut self,
         turn: QueueTurn<'a>,
@@ -23,7 +25,9 @@
         ranked: &[usize],
     ) -> bool {
         let QueueTurn { id, job, .. } = turn;
-        let best = ranked.first().map(|at| &self.candidates[*at]);
+        let best = ranked
+            .first()
+            .map(|candidate_index| &self.candidates[*candidate_index]);
         if best.is_none_or(|c| c.fetch_seconds(&job.spec) <= MAX_QUICK_FETCH_S) {
             return false;
         }
@@ -31,26 +35,29 @@
         if let Some(since) = self.state.awaiting_image.get(id) {
             return now.since(*since) < IMAGE_WAIT_LIMIT;
         }
-        let can_be_made = self.has_victims_with_image(turn);
-        if can_be_made {
+        let has_victims = self.has_victims_with_image(turn);
+        if has_victims {
             self.state.awaiting_image.insert(id.clone(), now);
             self.image_demands.push(UnmetDemand {
                 requires_cached_image: true,
                 ..UnmetDemand::for_job(id, job, request.indices.len() as u64)
             });
         }
-        can_be_made
+        has_victims
     }
 
-    /// Whether lower work can be stopped for one of a job's tasks on a machine that has its image.
+    /// Returns whether tasks of lower priority can be stopped for one of a job's tasks on a machine
+    /// that has the job's image.
     fn has_victims_with_image(&self, turn: QueueTurn<'a>) -> bool {
         let spec = &turn.job.spec;
         let cache = self.input.cache;
-        let lower = |attempt: &TaskAttempt, _: &PlacedJob| {
+        let lower_priority = |attempt: &TaskAttempt, _: &PlacedJob| {
             let victim = cache.jobs.get(&attempt.task.job)?.priority();
             (victim < turn.job.priority()).then_some(victim)
         };
         let mut candidates = self.candidates.iter().filter(|c| c.has_image(spec));
-        candidates.any(|c| select_victims(c, spec, Resources::default(), 1, cache, lower).is_some())
+        candidates.any(|c| {
+            select_victims(c, spec, Resources::default(), 1, cache, lower_priority).is_some()
+        })
     }
 }
--- a/src/placement/scheduling_pass/request.rs
+++ b/src/placement/scheduling_pass/request.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job that are to be placed in its turn.
+//! The tasks of a job that are to be placed in the job's turn.
 
 use super::SchedulingPass;
 use crate::ids::AttemptNumber;
@@ -14,12 +14,12 @@
 pub(super) struct TaskRequest {
     /// The indices of the tasks.
     pub indices: Vec<u32>,
-    /// The one attempt of all of a gang's tasks; `None` for other jobs.
+    /// The attempt number that all tasks of a gang share; `None` for other jobs.
     pub attempt_number: Option<AttemptNumber>,
 }
 
 impl<'a> SchedulingPass<'a, '_> {
-    /// The tasks of a job that may be placed now; `None` if nothing is to be done for it.
+    /// Returns the tasks of a job that may be placed now, or `None` if there is nothing to place.
     pub(super) fn request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
         match turn.kind() {
             JobKind::Gang => self.gang_request(turn),
@@ -27,29 +27,31 @@
         }
     }
 
-    /// The tasks of a job that were allotted, in this pass or before, and are not on record.
+    /// Returns the number of a job's tasks that were allotted, in this pass or earlier ones, and
+    /// are not on record yet.
     fn allotted_count(&self, turn: QueueTurn<'a>) -> usize {
-        let before = self.input.allotted.get(turn.id).map_or(0, BTreeMap::len);
-        before + self.allotted_cached_count(turn)
+        let in_earlier_passes = self.input.allotted.get(turn.id).map_or(0, BTreeMap::len);
+        in_earlier_passes + self.allotted_cached_count(turn)
     }
 
-    /// The tasks that the job was allotted in this pass, on machines that have its image.
+    /// Returns the number of tasks of the job that this pass has allotted to machines that have its
+    /// image.
     fn allotted_cached_count(&self, turn: QueueTurn<'a>) -> usize {
         self.allotted_cached.get(turn.id).copied().unwrap_or(0)
     }
 
-    /// All of a gang's tasks, or those that one which has not started yet has lost.
+    /// Returns all tasks of a gang, or the missing tasks of a gang that has not started yet.
     fn gang_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
         let allowed = self
             .quota_usage
             .tasks_within_limit(&turn.job.spec.team, turn.need());
         let indices = missing_tasks(turn.job, self.input.allotted.get(turn.id));
-        let (now, wait) = (self.input.now, self.input.config.gang_start_timeout);
+        let (now, start_timeout) = (self.input.now, self.input.config.gang_start_timeout);
         let allotted = self.allotted_count(turn);
         let action = self
             .state
             .gangs
-            .next_action(now, turn.id, turn.job, allotted, wait);
+            .next_action(now, turn.id, turn.job, allotted, start_timeout);
         if action == GangAction::Wait || indices.len() as u64 > allowed {
             return None;
         }
@@ -63,7 +65,7 @@
         })
     }
 
-    /// As many tasks of an array or a service as the team's quota limit allows.
+    /// Returns as many tasks of an array or a service as the team's quota limit allows.
     fn tasks_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
         let QueueTurn { id, job, .. } = turn;
         let within_limit = self
@@ -75,9 +77,9 @@
             allowed = allowed.min(limit.saturating_sub(job.placed.len() + allotted));
         }
         if turn.kind() == JobKind::Array && self.array_capacity.is_exhausted() {
-            let begun = job.done_count() as usize + job.placed.len() + allotted;
-            let open = (job.spec.tasks as usize).saturating_sub(begun);
-            self.report_unmet_demand(turn, open.min(allowed) as u64);
+            let started = job.done_count() as usize + job.placed.len() + allotted;
+            let remaining = (job.spec.tasks as usize).saturating_sub(started);
+            self.report_unmet_demand(turn, remaining.min(allowed) as u64);
             return None;
         }
         let allotted_before = self.input.allotted.get(id);
--- a/src/placement/unmet_demand.rs
+++ b/src/placement/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Demand without free capacity: the input for scaling out and for preemption.
+//! Demand without free capacity, the input for scaling out and for preemption.
 
 use crate::ids::{JobId, Resources};
 use crate::protocol::JobKind;
@@ -11,16 +11,16 @@
     pub job: JobId,
     /// The resources of each of the tasks.
     pub need: Resources,
-    /// How many tasks there are.
+    /// The number of tasks.
     pub tasks: u64,
-    /// All tasks at the same time: a service or a gang.
+    /// Whether all tasks must run at the same time, as for a service or a gang.
     pub must_run_concurrently: bool,
-    /// Only a machine that has the image will do.
+    /// Whether only a machine that has the job's image satisfies the demand.
     pub requires_cached_image: bool,
 }
 
 impl UnmetDemand {
-    /// The unmet demand for some of a job's tasks, on whatever machine it may use.
+    /// Creates the unmet demand for some of a job's tasks on any machine that the job may use.
     pub(super) fn for_job(id: &JobId, job: &LiveJob, tasks: u64) -> Self {
         let spec = &job.spec;
         Self {
--- a/src/placement/victims.rs
+++ b/src/placement/victims.rs
@@ -1,4 +1,4 @@
-//! The choice of preemption victims on one machine.
+//! Selection of preemption victims on one machine.
 
 use super::candidates::Candidate;
 use crate::ids::{Resources, TaskAttempt};
@@ -7,20 +7,20 @@
 use crate::store::watch_cache::WatchCache;
 use std::cmp::Reverse;
 
-/// Tasks to stop on one machine: at least one.
+/// The tasks to stop on one machine. There is at least one.
 pub(super) struct Victims {
-    /// The CPUs that they use.
-    pub cpus: u64,
-    /// How many tasks of the waiting job fit once they are gone: at least one.
+    /// The milli-CPUs that the victims use.
+    pub milli_cpus: u64,
+    /// The number of tasks of the waiting job that fit once the victims are gone. At least 1.
     pub tasks: u64,
     /// The attempts to stop.
     pub attempts: Vec<TaskAttempt>,
 }
 
-/// The tasks to stop on a machine so that up to `tasks` more of a job fit beside the resources
-/// that are `reserved` for others: those of the lowest priority first, and of these the ones that
-/// have run for the shortest time. `preemptible` gives the priority of a task that may be
-/// stopped.
+/// Selects the tasks to stop on a machine so that up to `tasks` more tasks of a job fit in addition
+/// to the `reserved` resources. Tasks of the lowest priority are selected first and, within a
+/// priority, those that have run for the shortest time. `preemptible` returns the priority of a
+/// task that may be stopped, or `None`.
 pub(super) fn select_victims(
     candidate: &Candidate<'_>,
     spec: &JobSpec,
@@ -51,7 +51,7 @@
         chosen.push((attempt, used));
     }
     let fitting = need.fit_count(free - reserved).min(tasks);
-    // The last ones may have made room for nothing more.
+    // Drop the last victims again if stopping them does not make room for another task.
     while let Some((_, used)) = chosen.last()
         && need.fit_count(free - *used - reserved) >= fitting
         && fitting > 0
@@ -60,7 +60,7 @@
         chosen.pop();
     }
     let victims = Victims {
-        cpus: chosen.iter().map(|(_, used)| used.milli_cpus).sum(),
+        milli_cpus: chosen.iter().map(|(_, used)| used.milli_cpus).sum(),
         tasks: fitting,
         attempts: chosen.into_iter().map(|(attempt, _)| attempt).collect(),
     };
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -1,4 +1,4 @@
-//! The zones that a job's tasks may run in, given where its others are.
+//! The zones in which a job's tasks may run, given the zones of its other tasks.
 
 use super::candidates::Candidate;
 use crate::ids::{MachineId, Resources, Zone};
@@ -6,17 +6,19 @@
 use crate::store::watch_cache::{LiveJob, WatchCache};
 use std::collections::BTreeMap;
 
-/// Keeps a job's tasks in one zone, or spread over zones, as its specification asks.
+/// The zone constraint of a job's specification: its tasks stay in one zone or are spread over
+/// zones.
 pub(super) struct ZoneConstraint {
     one_zone: bool,
-    /// The largest number of tasks that one zone may have.
+    /// The largest number of the job's tasks in one zone; `None` without a limit.
     max_per_zone: Option<u32>,
-    /// The job's placed and allotted tasks; empty for a job without a constraint.
+    /// The number of the job's placed and allotted tasks in each zone. Empty for a job without a
+    /// constraint.
     tasks_by_zone: BTreeMap<Zone, u32>,
 }
 
 impl ZoneConstraint {
-    /// The constraint of a job, with its tasks that are placed or `allotted` counted.
+    /// Creates the constraint of a job and counts its tasks that are placed or `allotted`.
     pub(super) fn new(
         job: &LiveJob,
         allotted: Option<&BTreeMap<u32, &MachineId>>,
@@ -40,9 +42,10 @@
         constraint
     }
 
-    /// The zone of a job that must stay in one: that of its other tasks, else the one with the
-    /// most free capacity on machines that the job may use. Capacity of other machines must not
-    /// count: it would draw the job away from the only zone that it can run in.
+    /// Returns the zone of a job that must stay in one zone: the zone of its other tasks or,
+    /// without any, the zone with the most free capacity on machines that the job may use. Other
+    /// machines are not counted, because their capacity could select a zone in which the job cannot
+    /// run.
     pub(super) fn required_zone(
         &self,
         spec: &JobSpec,
@@ -56,29 +59,29 @@
             return Some(zone.clone());
         }
         let mut tasks_that_fit: BTreeMap<&Zone, u64> = BTreeMap::new();
-        for (at, candidate) in candidates.iter().enumerate() {
+        for (candidate_index, candidate) in candidates.iter().enumerate() {
             if candidate.is_allowed(spec) {
                 let sum = tasks_that_fit.entry(candidate.zone).or_default();
-                *sum = sum.saturating_add(spec.need().fit_count(free(at)));
+                *sum = sum.saturating_add(spec.need().fit_count(free(candidate_index)));
             }
         }
         let most = tasks_that_fit.into_iter().max_by_key(|(_, tasks)| *tasks);
         most.map(|(zone, _)| zone.clone())
     }
 
-    /// Whether the zone of one of the job's tasks depends on those of the others.
+    /// Returns whether the zone of one of the job's tasks depends on the zones of the others.
     pub(super) fn is_constrained(&self) -> bool {
         self.one_zone || self.max_per_zone.is_some()
     }
 
-    /// Whether one more task may run in a zone.
+    /// Returns whether one more task may run in a zone.
     pub(super) fn allows(&self, zone: &Zone) -> bool {
         let here = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
         let elsewhere = self.tasks_by_zone.keys().any(|z| z != zone);
         !(self.one_zone && elsewhere) && self.max_per_zone.is_none_or(|max| here < max)
     }
 
-    /// Counts one more task in a zone.
+    /// Counts one more task in a zone, if the job has a constraint.
     pub(super) fn add_task(&mut self, zone: &Zone) {
         if self.is_constrained() {
             *self.tasks_by_zone.entry(zone.clone()).or_default() += 1;
