--- a/src/placement/fault_tracking/tests.rs
+++ b/src/placement/fault_tracking/tests.rs
@@ -21,7 +21,7 @@
         let machine = MachineId::from(format!("vm-{n}").as_str());
         faults.on_failure(MonotonicTime(0), &job, &machine);
         let backoff = (0..100).find(|s| !faults.is_backing_off(MonotonicTime(s * 1000), &job));
-        backoffs.push(backoff.expect("a bound"));
+        backoffs.push(backoff.expect("backoff is bounded"));
         assert!(!faults.is_quarantined(MonotonicTime(1), &machine));
     }
     assert_eq!(backoffs[0], 0);
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Keeps the launches of the jobs that still exist.
+    /// Drops the launches of jobs that no longer exist.
     pub(super) fn retain(&mut self, jobs: &BTreeMap<JobId, LiveJob>) {
         self.launches.retain(|id, _| jobs.contains_key(id));
     }
 
-    /// Forgets all launches.
+    /// Clears all launches.
     pub(super) fn clear(&mut self) {
         self.launches.clear();
     }
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -101,7 +101,7 @@
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
-            let (Some(left), Some(machine)) = (
+            let (Some(time_left), Some(machine)) = (
                 health.report.until_interruption,
                 self.cache.machines.get(id),
             ) else {
@@ -111,7 +111,7 @@
                 let job = self.cache.jobs.get(&attempt.task.job);
                 let can_save = job.is_some_and(|j| {
                     j.spec.checkpoint_interval_s > 0.0
-                        && j.spec.checkpoint_duration_s + SAVE_MARGIN_S < left.as_secs_f64()
+                        && j.spec.checkpoint_duration_s + SAVE_MARGIN_S < time_left.as_secs_f64()
                 });
                 if can_save {
                     stops.add(&attempt, id);
--- a/src/placement/quota_usage/tests.rs
+++ b/src/placement/quota_usage/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(21), failure_persistence: None, ..ProptestConfig::default() })]
-    /// The model admits one task at a time and adds everything up anew for each.
+    /// The model admits one task at a time and recomputes the team's usage for each.
     #[test]
     fn tasks_within_limit_agree_with_one_by_one_admission(
         steps in proptest::collection::vec((0usize..2, 1u64..9, 0u64..3), 1..30))
--- a/src/placement/record_capacity/tests.rs
+++ b/src/placement/record_capacity/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::ids::{AttemptNumber, TaskAttempt, TaskId};
 
-/// As many tasks as bytes were reserved for fit into the value together with their ends, however
-/// it is filled.
+/// The tasks for which bytes were reserved fit into the stored value together with their final
+/// states, whatever the mix of jobs.
 #[test]
 fn reserved_tasks_fit_into_the_value() {
     for (value_bytes, jobs) in [(2048, 1), (2048, 40), (8192, 3), (1024, 40)] {
--- a/src/placement/replica_reserve.rs
+++ b/src/placement/replica_reserve.rs
@@ -27,7 +27,7 @@
     for candidate_index in order {
         let candidate = &candidates[candidate_index];
         // Each replica is counted as a separate job on the machine's record.
-        let here = need
+        let count_here = need
             .fit_count(candidate.capacity - candidate.replica_usage)
             .min(
                 candidate
@@ -35,8 +35,8 @@
                     .single_task_jobs(ESTIMATED_JOB_BYTES),
             )
             .min(count);
-        reserve[candidate_index] = need.times(here);
-        count -= here;
+        reserve[candidate_index] = need.times(count_here);
+        count -= count_here;
     }
     reserve
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! The scheduler's decisions on small clusters.
+//! Tests of the scheduler's decisions on small clusters.
 
 mod gangs;
 mod limits;
@@ -6,4 +6,4 @@
 mod machine_health;
 mod preemption;
 mod queue_order;
-mod scene;
+mod test_cluster;
--- a/src/placement/tests/machine_health.rs
+++ b/src/placement/tests/machine_health.rs
@@ -1,40 +1,45 @@
-//! Which machines are usable, and which count as capacity.
+//! Tests of which machines are usable and which count as capacity.
 
-use super::scene::{NOW, Scene};
+use super::test_cluster::{NOW, TestCluster};
 use crate::ids::{Millis, Revision};
 use crate::peers::MachineHealth;
 use crate::store::keys;
 
-/// Otherwise the machines of a lost shard owner would be rented a second time (found in a simulated
-/// day with crashes).
+/// Guards against renting replacements for the machines of a lost shard owner. These are unusable
+/// until the new owner reports them, but they still count as capacity.
 #[test]
 fn machine_counts_as_capacity_while_its_shard_owner_changes() {
-    let mut scene = Scene::new();
-    let id = scene.machine(1, "a", false, &[]);
-    assert!(scene.scheduler.is_usable(NOW, &id, &scene.cache));
-    let shard = id.shard(scene.config.shard_count());
-    let record = scene.cache.shards[&shard].value.clone();
-    scene.put(keys::shard(shard), &record);
-    assert!(!scene.scheduler.is_usable(NOW, &id, &scene.cache));
-    assert!(scene.scheduler.counts_as_capacity(NOW, &id));
-    let mut silent = scene.health(&id);
-    silent.unresponsive_for = Millis(60_000);
-    scene.scheduler.on_health(NOW, vec![silent], &scene.cache);
-    assert!(!scene.scheduler.counts_as_capacity(NOW, &id));
+    let mut cluster = TestCluster::new();
+    let id = cluster.add_machine(1, "a", false, &[]);
+    assert!(cluster.scheduler.is_usable(NOW, &id, &cluster.cache));
+    let shard = id.shard(cluster.config.shard_count());
+    let record = cluster.cache.shards[&shard].value.clone();
+    cluster.put_record(keys::shard(shard), &record);
+    assert!(!cluster.scheduler.is_usable(NOW, &id, &cluster.cache));
+    assert!(cluster.scheduler.counts_as_capacity(NOW, &id));
+    let mut unresponsive = cluster.healthy_report(&id);
+    unresponsive.unresponsive_for = Millis(60_000);
+    cluster
+        .scheduler
+        .on_health(NOW, vec![unresponsive], &cluster.cache);
+    assert!(!cluster.scheduler.counts_as_capacity(NOW, &id));
 }
 
-/// A controller that has lost only the key-value store still believes to own its shards.
+/// A controller that has lost only its connection to the key-value store still acts as the owner of
+/// its shards and reports their machines as unresponsive.
 #[test]
 fn reports_of_an_earlier_shard_owner_are_ignored() {
-    let mut scene = Scene::new();
-    let id = scene.machine(1, "a", false, &[]);
+    let mut cluster = TestCluster::new();
+    let id = cluster.add_machine(1, "a", false, &[]);
     let earlier = MachineHealth {
-        fence: Revision(scene.health(&id).fence.0 - 1),
+        fence: Revision(cluster.healthy_report(&id).fence.0 - 1),
         unresponsive_for: Millis(60_000),
         token_confirmed: false,
-        ..scene.health(&id)
+        ..cluster.healthy_report(&id)
     };
-    scene.scheduler.on_health(NOW, vec![earlier], &scene.cache);
-    assert!(scene.scheduler.is_usable(NOW, &id, &scene.cache));
-    assert!(scene.scheduler.counts_as_capacity(NOW, &id));
+    cluster
+        .scheduler
+        .on_health(NOW, vec![earlier], &cluster.cache);
+    assert!(cluster.scheduler.is_usable(NOW, &id, &cluster.cache));
+    assert!(cluster.scheduler.counts_as_capacity(NOW, &id));
 }
--- a/src/placement/tests/preemption.rs
+++ b/src/placement/tests/preemption.rs
@@ -1,6 +1,6 @@
-//! What is stopped for others, and before interruptions.
+//! Tests of preemption for other jobs and before interruptions.
 
-use super::scene::{NOW, Scene, StepOutcome, TERM};
+use super::test_cluster::{NOW, StepOutcome, TERM, TestCluster};
 use crate::config::TeamQuota;
 use crate::ids::{JobId, Millis, Resources, UnixTime};
 use crate::peers::Message;
@@ -10,31 +10,42 @@
 
 #[test]
 fn only_tasks_with_checkpoints_are_stopped_before_an_interruption() {
-    let mut scene = Scene::new();
-    let saving = scene.job(1, |s| {
+    let mut cluster = TestCluster::new();
+    let with_checkpoint = cluster.add_job(1, |s| {
         s.tasks = 1;
         s.checkpoint_interval_s = 10.0;
         s.checkpoint_duration_s = 3.0;
     });
-    let plain = scene.job(2, |s| s.tasks = 1);
-    let id = scene.machine(1, "a", true, &[(&saving, 0, 1), (&plain, 0, 2)]);
-    let mut noticed = scene.health(&id);
-    noticed.until_interruption = Some(Millis(3500));
-    scene
+    let without_checkpoint = cluster.add_job(2, |s| s.tasks = 1);
+    let id = cluster.add_machine(
+        1,
+        "a",
+        true,
+        &[(&with_checkpoint, 0, 1), (&without_checkpoint, 0, 2)],
+    );
+    let mut interrupted = cluster.healthy_report(&id);
+    interrupted.until_interruption = Some(Millis(3500));
+    cluster
+        .scheduler
+        .on_health(NOW, vec![interrupted.clone()], &cluster.cache);
+    assert!(
+        cluster.run_step().stops.is_empty(),
+        "no time left to save a checkpoint"
+    );
+    interrupted.until_interruption = Some(Millis(8000));
+    cluster
         .scheduler
-        .on_health(NOW, vec![noticed.clone()], &scene.cache);
-    assert!(scene.step().stops.is_empty(), "too late to save");
-    noticed.until_interruption = Some(Millis(8000));
-    scene.scheduler.on_health(NOW, vec![noticed], &scene.cache);
-    let stops = scene.step().stops;
+        .on_health(NOW, vec![interrupted], &cluster.cache);
+    let stops = cluster.run_step().stops;
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].task.job, saving.id);
+    assert_eq!(stops[0].task.job, with_checkpoint.id);
 }
 
-/// Team blue uses borrowed quota: 8 CPUs are guaranteed to red, 16 to blue, and blue has 24 placed.
-fn borrowing() -> Scene {
-    let mut scene = Scene::new();
-    let blue = scene.job(1, |s| {
+/// Returns a cluster on which team blue uses borrowed quota: 8 CPUs are guaranteed to red and 16 to
+/// blue, and blue has 24 placed.
+fn cluster_with_borrowed_quota() -> TestCluster {
+    let mut cluster = TestCluster::new();
+    let blue = cluster.add_job(1, |s| {
         s.team = "blue".into();
         s.tasks = 12;
     });
@@ -42,46 +53,53 @@
         let attempts: Vec<_> = (0..4)
             .map(|i| (&blue, m * 4 + i, u64::from(m * 4 + i)))
             .collect();
-        scene.machine(m, "a", false, &attempts);
+        cluster.add_machine(m, "a", false, &attempts);
     }
-    scene
+    cluster
 }
 
 #[test]
 fn only_lower_priority_and_borrowed_quota_are_preempted() {
-    let mut scene = borrowing();
-    assert!(scene.step().stops.is_empty());
-    let red = scene.job(2, |s| s.tasks = 1);
-    assert!(scene.step().stops.is_empty(), "too late to be prompt");
-    scene.scheduler.unix_time = UnixTime(907_000);
-    let stops = scene.step().stops;
-    assert_eq!(stops.len(), 1, "red is within its guarantee, blue beyond");
+    let mut cluster = cluster_with_borrowed_quota();
+    assert!(cluster.run_step().stops.is_empty());
+    let red = cluster.add_job(2, |s| s.tasks = 1);
     assert!(
-        scene.step().stops.is_empty(),
+        cluster.run_step().stops.is_empty(),
+        "the job has waited too long for a prompt start"
+    );
+    cluster.scheduler.unix_time = UnixTime(907_000);
+    let stops = cluster.run_step().stops;
+    assert_eq!(
+        stops.len(),
+        1,
+        "red is within its guarantee, blue exceeds its own"
+    );
+    assert!(
+        cluster.run_step().stops.is_empty(),
         "nothing is preempted twice for the same demand"
     );
 
-    // Without its image on a machine a start could not be prompt anyway.
-    let mut scene = borrowing();
-    scene.job(2, |s| {
+    // No machine has the image, so preemption could not make the start prompt.
+    let mut cluster = cluster_with_borrowed_quota();
+    cluster.add_job(2, |s| {
         s.tasks = 1;
         s.image = "another".into();
     });
-    scene.scheduler.unix_time = UnixTime(907_000);
-    assert!(scene.step().stops.is_empty());
+    cluster.scheduler.unix_time = UnixTime(907_000);
+    assert!(cluster.run_step().stops.is_empty());
 
-    // The same team's work of the same priority is not preempted.
-    let mut scene = Scene::new();
-    let first = scene.job(1, |s| s.tasks = 4);
+    // Tasks of the same team and priority are not preempted.
+    let mut cluster = TestCluster::new();
+    let first = cluster.add_job(1, |s| s.tasks = 4);
     let attempts: Vec<_> = (0..4).map(|i| (&first, i, u64::from(i))).collect();
-    scene.machine(1, "a", false, &attempts);
-    scene.job(2, |s| s.tasks = 1);
-    assert!(scene.step().stops.is_empty());
-    scene.job(3, |s| {
+    cluster.add_machine(1, "a", false, &attempts);
+    cluster.add_job(2, |s| s.tasks = 1);
+    assert!(cluster.run_step().stops.is_empty());
+    cluster.add_job(3, |s| {
         s.tasks = 1;
         s.priority = Priority::High;
     });
-    let stops = scene.step().stops;
+    let stops = cluster.run_step().stops;
     assert_eq!(stops.len(), 1);
     assert_eq!(
         stops[0].task.index, 3,
@@ -90,98 +108,114 @@
     assert_eq!(red.tasks, 1);
 }
 
-/// Teams without limits, and machines that idle work fills.
-fn full_of_idle_work(machines: u32) -> Scene {
-    let mut scene = Scene::new();
-    for team in scene.config.teams.values_mut() {
+/// Returns a cluster whose machines are full of low-priority tasks, and whose teams have no limits.
+fn cluster_full_of_low_priority_tasks(machines: u32) -> TestCluster {
+    let mut cluster = TestCluster::new();
+    for team in cluster.config.teams.values_mut() {
         *team = TeamQuota::new(Resources::default(), Resources::default());
     }
-    scene.scheduler = Scheduler::new(&scene.config);
-    scene.scheduler.unix_time = UnixTime(901_000);
-    let idle = scene.job(1, |s| {
+    cluster.scheduler = Scheduler::new(&cluster.config);
+    cluster.scheduler.unix_time = UnixTime(901_000);
+    let low_priority = cluster.add_job(1, |s| {
         s.priority = Priority::Low;
         s.tasks = 4 * machines;
     });
     for n in 0..machines {
         let attempts: Vec<_> = (0..4)
-            .map(|i| (&idle, 4 * n + i, u64::from(4 * n + i)))
+            .map(|i| (&low_priority, 4 * n + i, u64::from(4 * n + i)))
             .collect();
-        scene.machine(n, "a", false, &attempts);
+        cluster.add_machine(n, "a", false, &attempts);
     }
-    scene
+    cluster
 }
 
-fn array(scene: &mut Scene, n: u32, tasks: u32) -> JobSpec {
-    scene.job(n, |s| s.tasks = tasks)
+fn add_array(cluster: &mut TestCluster, n: u32, tasks: u32) -> JobSpec {
+    cluster.add_job(n, |s| s.tasks = tasks)
 }
 
-/// On a fleet full of idle work short arrays must not wait for many passes: stops under way once
-/// used up the machine scans of every later pass (Altamaha dredging, steady, first minute).
+/// Guards against short arrays waiting for many passes on a fleet full of low-priority tasks. Stops
+/// in progress must not use up the machine scans of later passes.
 #[test]
-fn one_pass_preempts_for_many_tasks_whatever_is_coming_free() {
-    let mut scene = full_of_idle_work(30);
-    array(&mut scene, 2, 50);
-    assert_eq!(scene.step().stops.len(), 50);
+fn one_pass_preempts_for_many_tasks_while_earlier_stops_are_pending() {
+    let mut cluster = cluster_full_of_low_priority_tasks(30);
+    add_array(&mut cluster, 2, 50);
+    assert_eq!(cluster.run_step().stops.len(), 50);
     assert!(
-        scene.step().stops.is_empty(),
-        "their resources are coming free"
+        cluster.run_step().stops.is_empty(),
+        "the earlier stops free enough resources"
+    );
+    add_array(&mut cluster, 3, 40);
+    assert_eq!(
+        cluster.run_step().stops.len(),
+        40,
+        "in addition to the resources being freed"
     );
-    array(&mut scene, 3, 40);
-    assert_eq!(scene.step().stops.len(), 40, "beside what is coming free");
 }
 
 #[test]
 fn preemption_stops_no_more_than_it_needs() {
-    let mut scene = full_of_idle_work(3);
-    scene.job(2, |s| {
+    let mut cluster = cluster_full_of_low_priority_tasks(3);
+    cluster.add_job(2, |s| {
         s.tasks = 3;
         s.cpus = 3.0;
     });
-    // Two idle tasks of 2 CPUs for the first of 3, one more for the second.
-    let stops = scene.step().stops;
+    // The first task of 3 CPUs needs two low-priority tasks of 2 CPUs to stop, the second one more.
+    let stops = cluster.run_step().stops;
     assert_eq!(stops.len(), 5);
 }
 
-/// The replica reserve is not free for arrays: counted as such it would hide the idle work beside
-/// it.
+/// Guards against counting the replica reserve as free capacity for arrays: the array would then
+/// preempt none of the low-priority tasks on the same machine.
 #[test]
-fn lower_work_beside_the_replica_reserve_is_preempted() {
-    let mut scene = full_of_idle_work(1);
-    let service = scene.job(2, |s| {
+fn low_priority_tasks_beside_the_replica_reserve_are_preempted() {
+    let mut cluster = cluster_full_of_low_priority_tasks(1);
+    let service = cluster.add_job(2, |s| {
         s.kind = JobKind::Service;
         s.priority = Priority::Production;
         s.tasks = 1;
         s.cpus = 1.0;
     });
-    let idle = scene.job(3, |s| {
+    let low_priority = cluster.add_job(3, |s| {
         s.priority = Priority::Low;
         s.tasks = 1;
     });
-    scene.machine(7, "a", false, &[(&service, 0, 900), (&idle, 0, 901)]);
-    // Two spare replicas of 1 CPU are provided for there: of 8 CPUs 3 are free for others.
-    array(&mut scene, 4, 6);
-    let StepOutcome { allotments, stops } = scene.step();
-    let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
-    assert_eq!(given, 1);
+    cluster.add_machine(
+        7,
+        "a",
+        false,
+        &[(&service, 0, 900), (&low_priority, 0, 901)],
+    );
+    // Capacity for two further replicas of 1 CPU is reserved there, so 3 of 8 CPUs are free for
+    // others.
+    add_array(&mut cluster, 4, 6);
+    let StepOutcome { allotments, stops } = cluster.run_step();
+    let allotted: usize = allotments.iter().map(|a| a.attempts.len()).sum();
+    assert_eq!(allotted, 1);
     assert_eq!(stops.len(), 5);
-    assert!(stops.iter().any(|attempt| attempt.task.job == idle.id));
+    assert!(
+        stops
+            .iter()
+            .any(|attempt| attempt.task.job == low_priority.id)
+    );
 }
 
-/// A task with a checkpoint is stopped with the time that saving takes, any other at once.
+/// A task with a checkpoint is stopped with the time that saving takes, any other task at once.
 #[test]
 fn preempted_tasks_get_their_checkpoint_time() {
-    let mut scene = full_of_idle_work(1);
-    let saving = scene.job(2, |s| {
+    let mut cluster = cluster_full_of_low_priority_tasks(1);
+    let with_checkpoint = cluster.add_job(2, |s| {
         s.priority = Priority::Low;
         s.tasks = 4;
         s.checkpoint_interval_s = 15.0;
         s.checkpoint_duration_s = 4.0;
     });
-    let attempts: Vec<_> = (0..4).map(|i| (&saving, i, u64::from(100 + i))).collect();
-    scene.machine(5, "a", false, &attempts);
-    array(&mut scene, 3, 8);
+    let attempts: Vec<_> = (0..4)
+        .map(|i| (&with_checkpoint, i, u64::from(100 + i)))
+        .collect();
+    cluster.add_machine(5, "a", false, &attempts);
+    add_array(&mut cluster, 3, 8);
     let mut out = Vec::new();
-    scene.scheduler.step(NOW, TERM, &scene.cache, &mut out);
+    cluster.scheduler.step(NOW, TERM, &cluster.cache, &mut out);
     let mut graces: BTreeMap<JobId, Vec<Millis>> = BTreeMap::new();
     for effect in out {
         if let Effect::ToShardOwner(_, message) = effect
@@ -190,45 +224,46 @@
             graces.entry(attempt.task.job).or_default().push(grace);
         }
     }
-    assert_eq!(graces[&saving.id], [Millis(4000); 4]);
+    assert_eq!(graces[&with_checkpoint.id], [Millis(4000); 4]);
     assert_eq!(graces[&JobId::from("job-000001")], [Millis(0); 4]);
 }
 
-/// With few record changes left preemption starts nothing sooner, and what is stopped has to be
-/// placed again with changes that are lacking (Tramite next, rollout: a fifth of all tasks).
+/// Guards against preemption for arrays while the budget of record writes is nearly exhausted. It
+/// starts no task sooner, and the preempted tasks need further writes to be placed again. This once
+/// affected a fifth of all tasks.
 #[test]
-fn arrays_do_not_preempt_while_record_changes_are_scarce() {
-    let stops_at = |changes: f64| {
-        let mut scene = full_of_idle_work(20);
-        scene.scheduler.set_store_write_rate(changes);
+fn arrays_do_not_preempt_while_record_writes_are_scarce() {
+    let stops_at = |writes_per_s: f64| {
+        let mut cluster = cluster_full_of_low_priority_tasks(20);
+        cluster.scheduler.set_store_write_rate(writes_per_s);
         for n in 100..103 {
-            scene.machine(n, "a", false, &[]);
+            cluster.add_machine(n, "a", false, &[]);
         }
-        array(&mut scene, 2, 50);
-        let StepOutcome { allotments, stops } = scene.step();
-        let given: usize = allotments.iter().map(|a| a.attempts.len()).sum();
-        (given, stops.len())
+        add_array(&mut cluster, 2, 50);
+        let StepOutcome { allotments, stops } = cluster.run_step();
+        let allotted: usize = allotments.iter().map(|a| a.attempts.len()).sum();
+        (allotted, stops.len())
     };
     assert_eq!(stops_at(40.0), (12, 38));
     assert_eq!(stops_at(1.0), (4, 0));
-    // What must run at once preempts all the same.
-    let mut scene = full_of_idle_work(20);
-    scene.scheduler.set_store_write_rate(1.0);
+    // Services preempt even when record writes are scarce.
+    let mut cluster = cluster_full_of_low_priority_tasks(20);
+    cluster.scheduler.set_store_write_rate(1.0);
     for n in 100..103 {
-        scene.machine(n, "a", false, &[]);
+        cluster.add_machine(n, "a", false, &[]);
     }
-    array(&mut scene, 2, 50);
-    scene.job(3, |s| {
+    add_array(&mut cluster, 2, 50);
+    cluster.add_job(3, |s| {
         s.kind = JobKind::Service;
         s.priority = Priority::Low;
         s.tasks = 1;
         s.cpus = 8.0;
     });
-    scene.job(4, |s| {
+    cluster.add_job(4, |s| {
         s.kind = JobKind::Service;
         s.priority = Priority::Production;
         s.tasks = 4;
         s.cpus = 8.0;
     });
-    assert!(!scene.step().stops.is_empty());
+    assert!(!cluster.run_step().stops.is_empty());
 }
--- a/src/placement/tests/scene.rs
+++ b/src/placement/tests/test_cluster.rs
@@ -1,4 +1,4 @@
-//! The fixture of the scheduler's tests.
+//! The test fixture of the scheduler.
 
 use crate::config::Config;
 use crate::config::tests::sample_config;
@@ -16,8 +16,8 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// A scheduler on a small cluster whose records a test writes.
-pub(super) struct Scene {
+/// A scheduler on a small cluster whose records are written by the test.
+pub(super) struct TestCluster {
     /// The controller's settings.
     pub config: Config,
     /// The state of the cluster.
@@ -27,47 +27,47 @@
     revision: u64,
 }
 
-/// The time of every step.
+/// The time of every scheduling step.
 pub(super) const NOW: MonotonicTime = MonotonicTime(100_000);
-/// The term of the leader.
+/// The leader's term.
 pub(super) const TERM: Revision = Revision(1);
 
-/// What a step of the scheduler sends to the shard owners.
+/// The messages that one scheduling step sends to the shard owners.
 pub(super) struct StepOutcome {
     /// The allotments, in order.
     pub allotments: Vec<Allotment>,
-    /// The attempts that are to be stopped, in order.
+    /// The attempts to stop, in order.
     pub stops: Vec<TaskAttempt>,
 }
 
-impl Scene {
-    /// A cluster of one machine type with 8 CPUs, all of whose shards have an owner.
+impl TestCluster {
+    /// Creates a cluster of one machine type with 8 CPUs. All of its shards have an owner.
     pub(super) fn new() -> Self {
         let config = sample_config();
-        let mut scene = Self {
+        let mut cluster = Self {
             scheduler: Scheduler::new(&config),
             cache: WatchCache::new(&sample_config()),
             revision: 10,
             config,
         };
-        scene.scheduler.unix_time = UnixTime(1_000_000);
+        cluster.scheduler.unix_time = UnixTime(1_000_000);
         let catalog = json!({"hulls": [
             {"name": "t8", "cores": 8, "cards": 0, "memory_gb": 64, "cache_gb": 50, "fetch_gb_per_s": 1.0,
              "price": 1.0, "low_price": 0.5, "startup_s": 20, "berths": ["a", "b"]}]});
-        scene.put(keys::CATALOG.to_owned(), &catalog);
-        for shard in 0..scene.config.shard_count() {
+        cluster.put_record(keys::CATALOG.to_owned(), &catalog);
+        for shard in 0..cluster.config.shard_count() {
             let record = ShardRecord {
                 owner: "c0".into(),
                 incarnation: Incarnation(1),
                 term: TERM,
             };
-            scene.put(keys::shard(ShardId(shard)), &record);
+            cluster.put_record(keys::shard(ShardId(shard)), &record);
         }
-        scene
+        cluster
     }
 
-    /// Writes a record.
-    pub(super) fn put(&mut self, key: String, value: &impl Serialize) -> Revision {
+    /// Writes a record to the watch cache and returns its revision.
+    pub(super) fn put_record(&mut self, key: String, value: &impl Serialize) -> Revision {
         self.revision += 1;
         let revision = Revision(self.revision);
         let value = serde_json::to_value(value).expect("json");
@@ -80,8 +80,8 @@
         revision
     }
 
-    /// A report that a machine is healthy.
-    pub(super) fn health(&self, id: &MachineId) -> MachineHealth {
+    /// Returns a report that a machine is healthy.
+    pub(super) fn healthy_report(&self, id: &MachineId) -> MachineHealth {
         let shard = id.shard(self.config.shard_count());
         MachineHealth {
             machine: id.clone(),
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Adds a healthy machine with these tasks: job, index and attempt number.
-    pub(super) fn machine(
+    /// Adds a healthy machine with the given tasks: job, index and attempt number of each.
+    pub(super) fn add_machine(
         &mut self,
         n: u32,
         zone: &str,
@@ -118,23 +118,23 @@
                 spec,
             );
         }
-        self.put(keys::machine(&id), &record);
-        let health = self.health(&id);
+        self.put_record(keys::machine(&id), &record);
+        let health = self.healthy_report(&id);
         self.scheduler.on_health(NOW, vec![health], &self.cache);
         id
     }
 
     /// Adds a waiting job.
-    pub(super) fn job(&mut self, n: u32, change: impl FnOnce(&mut JobSpec)) -> JobSpec {
+    pub(super) fn add_job(&mut self, n: u32, change: impl FnOnce(&mut JobSpec)) -> JobSpec {
         let mut spec = crate::protocol::tests::spec(&format!("job-{n:06}"));
         change(&mut spec);
         let record = JobRecord::new(spec.clone(), UnixTime(900_000));
-        self.put(keys::job(&spec.id), &record);
+        self.put_record(keys::job(&spec.id), &record);
         spec
     }
 
-    /// Runs one step of the scheduler.
-    pub(super) fn step(&mut self) -> StepOutcome {
+    /// Runs one scheduling step and returns its messages.
+    pub(super) fn run_step(&mut self) -> StepOutcome {
         let mut out = Vec::new();
         self.scheduler.step(NOW, TERM, &self.cache, &mut out);
         let (mut allotments, mut stops) = (Vec::new(), Vec::new());
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -76,9 +76,10 @@
 
     /// Returns whether one more task may run in a zone.
     pub(super) fn allows(&self, zone: &Zone) -> bool {
-        let here = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
-        let elsewhere = self.tasks_by_zone.keys().any(|z| z != zone);
-        !(self.one_zone && elsewhere) && self.max_per_zone.is_none_or(|max| here < max)
+        let tasks_here = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
+        let has_tasks_elsewhere = self.tasks_by_zone.keys().any(|z| z != zone);
+        !(self.one_zone && has_tasks_elsewhere)
+            && self.max_per_zone.is_none_or(|max| tasks_here < max)
     }
 
     /// Counts one more task in a zone, if the job has a constraint.
