--- a/src/store/admission.rs
+++ b/src/store/admission.rs
@@ -60,7 +60,7 @@
 
     /// The service has refused a request because of its rates.
     pub(super) fn on_refused(&mut self, now: MonotonicTime) {
-        self.rate_selector.refused(now);
+        self.rate_selector.on_refused(now);
         self.requests.drain(now);
         self.writes.drain(now);
     }
--- a/src/store/bitmap.rs
+++ b/src/store/bitmap.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 
 /// The prefix of a bitmap in base64; not a hexadecimal digit.
-const BASE64_MARK: &str = "=";
+const BASE64_PREFIX: &str = "=";
 /// Bytes around a stored text.
-const QUOTES: usize = 2;
+const QUOTES_BYTES: usize = 2;
 
 /// A segment of a completion counter: which of its tasks are done. A task that reports twice counts
 /// once.
@@ -42,22 +42,22 @@
     /// The stored form, in a value of so many bytes: hexadecimal digits, as all versions read them,
     /// or base64 where these don't fit. `None`: neither fits.
     pub(crate) fn encode(&self, value_bytes: usize) -> Option<Value> {
-        let fits = |text: &String| text.len() + QUOTES <= value_bytes;
-        let text = Some(self.digits()).filter(fits);
-        let text = text.or_else(|| Some(self.base64()).filter(fits));
+        let fits = |text: &String| text.len() + QUOTES_BYTES <= value_bytes;
+        let text = Some(self.to_hex()).filter(fits);
+        let text = text.or_else(|| Some(self.to_base64()).filter(fits));
         text.map(Value::String)
     }
 
-    fn digits(&self) -> String {
+    fn to_hex(&self) -> String {
         self.words.iter().map(|w| format!("{w:016x}")).collect()
     }
 
-    fn base64(&self) -> String {
+    fn to_base64(&self) -> String {
         let bytes: Vec<u8> = self.words.iter().flat_map(|w| w.to_be_bytes()).collect();
-        format!("{BASE64_MARK}{}", STANDARD_NO_PAD.encode(bytes))
+        format!("{BASE64_PREFIX}{}", STANDARD_NO_PAD.encode(bytes))
     }
 
-    fn from_digits(text: &str) -> Option<Vec<u64>> {
+    fn from_hex(text: &str) -> Option<Vec<u64>> {
         let chunks = text.as_bytes().chunks(16);
         let word = |chunk| u64::from_str_radix(std::str::from_utf8(chunk).ok()?, 16).ok();
         chunks.map(word).collect()
@@ -73,16 +73,16 @@
 
 impl Serialize for Bitmap {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(&self.digits())
+        serializer.serialize_str(&self.to_hex())
     }
 }
 
 impl<'de> Deserialize<'de> for Bitmap {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        let words = match text.strip_prefix(BASE64_MARK) {
+        let words = match text.strip_prefix(BASE64_PREFIX) {
             Some(rest) => Self::from_base64(rest),
-            None => Self::from_digits(&text),
+            None => Self::from_hex(&text),
         };
         let words = words.ok_or_else(|| serde::de::Error::custom("not a bitmap"))?;
         Ok(Self { words })
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -38,10 +38,10 @@
 pub(crate) struct StoreClient {
     client: Client,
     addr: SocketAddr,
-    started: Instant,
+    started_at: Instant,
     admission: RefCell<Admission>,
     /// Calls that have failed one after another, up to now.
-    failures: Cell<u32>,
+    consecutive_failures: Cell<u32>,
     counters: RefCell<Counters>,
     refusals: RefCell<Refusals>,
 }
@@ -71,9 +71,9 @@
         Self {
             client,
             addr,
-            started,
+            started_at: started,
             admission: RefCell::new(Admission::new(limits, share)),
-            failures: Cell::new(0),
+            consecutive_failures: Cell::new(0),
             counters: RefCell::new(Counters::default()),
             refusals: RefCell::new(Refusals::default()),
         }
@@ -81,18 +81,18 @@
 
     /// The time since the client was made.
     pub(crate) fn now(&self) -> MonotonicTime {
-        let elapsed = runtime::now().saturating_duration_since(self.started);
+        let elapsed = runtime::now().saturating_duration_since(self.started_at);
         MonotonicTime(elapsed.as_millis() as u64)
     }
 
     /// Whether the last calls were answered.
     pub(crate) fn is_up(&self) -> bool {
-        self.failures.get() < DOWN_AFTER_FAILURES
+        self.consecutive_failures.get() < DOWN_AFTER_FAILURES
     }
 
     /// Whether the last call was answered.
     pub(crate) fn last_call_answered(&self) -> bool {
-        self.failures.get() == 0
+        self.consecutive_failures.get() == 0
     }
 
     /// What was counted of the calls.
@@ -158,10 +158,10 @@
             .call(self.addr, method, path, body, timeout)
             .await;
         let answered = matches!(&result, Ok(response) if response.status < 500);
-        self.failures.set(if answered {
+        self.consecutive_failures.set(if answered {
             0
         } else {
-            self.failures.get().saturating_add(1)
+            self.consecutive_failures.get().saturating_add(1)
         });
         match &result {
             Ok(response) if response.status == TOO_MANY_REQUESTS => {
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -7,7 +7,7 @@
 /// has. The watch cache is then read anew, page by page: the same request would get the same answer
 /// for ever, and the watch cache would stop (Savannah fleet, zone).
 #[test]
-fn watch_answer_over_the_size_limit_counts_as_gone() {
+fn watch_response_over_the_size_limit_is_reported_as_gone() {
     runtime::run(async {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -35,7 +35,7 @@
     /// How it is to run; none until a controller has planned it.
     pub plan: Option<PlanRecord>,
     /// Dependencies that are not known to be done.
-    unfinished: BTreeSet<JobId>,
+    unfinished_dependencies: BTreeSet<JobId>,
 }
 
 impl BlockedJob {
@@ -47,7 +47,7 @@
         plan: Option<PlanRecord>,
     ) -> Self {
         Self {
-            unfinished: spec.dependencies.iter().cloned().collect(),
+            unfinished_dependencies: spec.dependencies.iter().cloned().collect(),
             spec: Rc::new(spec),
             accepted_at: accepted,
             revision,
@@ -55,7 +55,7 @@
         }
     }
 
-    fn predicted(&self) -> Millis {
+    fn predicted_run_time(&self) -> Millis {
         let estimate = self.spec.estimate_s;
         Millis::from_secs(self.plan.as_ref().map_or(estimate, |p| p.predicted_s))
     }
@@ -72,7 +72,7 @@
     /// How jobs with dependents have ended, as far as that is known.
     outcomes: BTreeMap<JobId, JobOutcome>,
     /// Jobs with dependents that have ended, without it being known how.
-    with_unknown_outcome: BTreeSet<JobId>,
+    unknown_outcomes: BTreeSet<JobId>,
     /// Jobs with dependents that are known to be cancelled.
     cancelled: BTreeSet<JobId>,
     /// Blocked jobs without a plan.
@@ -80,7 +80,7 @@
     /// Blocked jobs all of whose dependencies are done.
     ready: BTreeSet<JobId>,
     /// Where the tasks of ended jobs with dependents ran.
-    ran_on: BTreeMap<JobId, Vec<MachineId>>,
+    machines_by_job: BTreeMap<JobId, Vec<MachineId>>,
 }
 
 impl DependencyGraph {
@@ -127,7 +127,7 @@
 
     /// Jobs with dependents that have ended, and whose final record has to be read.
     pub(crate) fn jobs_with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
-        self.with_unknown_outcome.iter()
+        self.unknown_outcomes.iter()
     }
 
     /// Cancelled jobs on which blocked jobs still depend.
@@ -149,7 +149,7 @@
     pub(crate) fn placement_group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
         let parent = plan.and_then(|p| p.placement_group_job.as_ref());
-        let ran_on = parent.and_then(|p| self.ran_on.get(p));
+        let ran_on = parent.and_then(|p| self.machines_by_job.get(p));
         ran_on.map_or(&[], Vec::as_slice)
     }
 
@@ -166,13 +166,13 @@
             let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.clone());
             match self.outcomes.get(dependency) {
-                Some(JobOutcome::Done) => drop(job.unfinished.remove(dependency)),
+                Some(JobOutcome::Done) => drop(job.unfinished_dependencies.remove(dependency)),
                 Some(JobOutcome::Cancelled) => {}
                 None if is_live(dependency) || self.jobs.contains_key(dependency) => {}
-                None => drop(self.with_unknown_outcome.insert(dependency.clone())),
+                None => drop(self.unknown_outcomes.insert(dependency.clone())),
             }
         }
-        if job.unfinished.is_empty() {
+        if job.unfinished_dependencies.is_empty() {
             self.ready.insert(id.clone());
         }
         if job.plan.is_none() {
@@ -196,7 +196,7 @@
             if let Some(dependents) = self.dependents.get_mut(dependency) {
                 dependents.remove(id);
                 if dependents.is_empty() {
-                    self.forget(dependency);
+                    self.remove_dependency(dependency);
                 }
             }
             if !self.has_ended(dependency) {
@@ -206,34 +206,34 @@
         self.recompute_inherited(lowered)
     }
 
-    fn forget(&mut self, id: &JobId) {
+    fn remove_dependency(&mut self, id: &JobId) {
         self.dependents.remove(id);
         self.outcomes.remove(id);
-        self.with_unknown_outcome.remove(id);
+        self.unknown_outcomes.remove(id);
         self.cancelled.remove(id);
-        self.ran_on.remove(id);
+        self.machines_by_job.remove(id);
     }
 
     fn has_ended(&self, id: &JobId) -> bool {
-        self.outcomes.contains_key(id) || self.with_unknown_outcome.contains(id)
+        self.outcomes.contains_key(id) || self.unknown_outcomes.contains(id)
     }
 
     /// Notes that a job is in the watch cache, blocked or not.
     pub(crate) fn mark_live(&mut self, id: &JobId) {
-        self.with_unknown_outcome.remove(id);
+        self.unknown_outcomes.remove(id);
     }
 
     /// Notes that a job has left the watch cache.
     pub(crate) fn mark_ended(&mut self, id: &JobId) {
         if self.has_dependents(id) && !self.outcomes.contains_key(id) {
-            self.with_unknown_outcome.insert(id.clone());
+            self.unknown_outcomes.insert(id.clone());
         }
     }
 
     /// Notes on which machines the tasks of a job ran that has ended, or is about to.
     pub(crate) fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
-            self.ran_on.insert(id.clone(), machines.to_vec());
+            self.machines_by_job.insert(id.clone(), machines.to_vec());
         }
     }
 
@@ -242,7 +242,7 @@
         let Some(dependents) = self.dependents.get(id) else {
             return;
         };
-        self.with_unknown_outcome.remove(id);
+        self.unknown_outcomes.remove(id);
         self.outcomes.insert(id.clone(), outcome);
         match outcome {
             JobOutcome::Cancelled => drop(self.cancelled.insert(id.clone())),
@@ -251,8 +251,8 @@
                     let Some(job) = self.jobs.get_mut(dependent) else {
                         continue;
                     };
-                    job.unfinished.remove(id);
-                    if job.unfinished.is_empty() {
+                    job.unfinished_dependencies.remove(id);
+                    if job.unfinished_dependencies.is_empty() {
                         self.ready.insert(dependent.clone());
                     }
                 }
--- a/src/store/dependency_graph/inherited_urgency.rs
+++ b/src/store/dependency_graph/inherited_urgency.rs
@@ -19,14 +19,14 @@
     /// How urgent a blocked job is, by itself and by its own dependents.
     pub(crate) fn urgency(&self, id: &JobId) -> Option<Urgency> {
         let job = self.jobs.get(id)?;
-        let own = Urgency::of(&job.spec, job.accepted_at);
+        let own = Urgency::from_spec(&job.spec, job.accepted_at);
         Some(self.merge_inherited(id, own))
     }
 
     /// What a blocked job passes back to each of its dependencies.
     pub(super) fn urgency_for_dependencies(&self, id: &JobId) -> Option<Urgency> {
-        let predicted = self.jobs.get(id)?.predicted();
-        Some(self.urgency(id)?.before(predicted))
+        let predicted = self.jobs.get(id)?.predicted_run_time();
+        Some(self.urgency(id)?.for_dependencies(predicted))
     }
 
     /// Passes a new job's urgency back along its ancestors, as far as it changes anything. Returns
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -103,9 +103,9 @@
         self.jobs[job].parents.iter().all(done)
     }
 
-    fn is_doomed(&self, job: usize) -> bool {
+    fn must_be_cancelled(&self, job: usize) -> bool {
         let mut parents = self.jobs[job].parents.iter();
-        self.jobs[job].state == ModelState::Cancelled || parents.any(|p| self.is_doomed(*p))
+        self.jobs[job].state == ModelState::Cancelled || parents.any(|p| self.must_be_cancelled(*p))
     }
 }
 
@@ -133,7 +133,7 @@
         self.graph.insert(id(job), blocked, |id| live.contains(id));
     }
 
-    fn leave(&mut self, job: usize) {
+    fn remove(&mut self, job: usize) {
         self.live.remove(&id(job));
         self.graph.remove(&id(job));
         self.graph.mark_ended(&id(job));
@@ -194,9 +194,9 @@
     // is read.
     if noted && job.is_multiple_of(2) {
         real.graph.record_outcome(&id(job), outcome);
-        real.leave(job);
+        real.remove(job);
     } else {
-        real.leave(job);
+        real.remove(job);
         if noted {
             real.graph.record_outcome(&id(job), outcome);
         }
@@ -217,7 +217,7 @@
 }
 
 /// Releases what is ready, cancels what is doomed: as the leader does it.
-fn lead(model: &mut Model, real: &mut Real) {
+fn release_and_cancel(model: &mut Model, real: &mut Real) {
     let ready: Vec<JobId> = real.graph.ready().cloned().collect();
     for released in ready {
         let job: usize = released.as_str()[4..].parse().expect("a number");
@@ -234,11 +234,11 @@
         for dependent in real.graph.descendants(&root) {
             let job: usize = dependent.as_str()[4..].parse().expect("a number");
             assert!(
-                model.is_doomed(job),
+                model.must_be_cancelled(job),
                 "{dependent} is cancelled without reason"
             );
             model.jobs[job].state = ModelState::Cancelled;
-            real.leave(job);
+            real.remove(job);
             real.graph.record_outcome(&dependent, JobOutcome::Cancelled);
         }
     }
@@ -313,16 +313,16 @@
                     }
                 }
             }
-            lead(&mut model, &mut real);
+            release_and_cancel(&mut model, &mut real);
             compare(&model, &real);
         }
         read(&model, &mut real);
-        lead(&mut model, &mut real);
+        release_and_cancel(&mut model, &mut real);
         compare(&model, &real);
         // No job is blocked that may start, or that has to be cancelled.
         for (job, known) in model.jobs.iter().enumerate() {
             let is_blocked = known.state == ModelState::Blocked;
-            prop_assert!(!is_blocked || (!model.may_start(job) && !model.is_doomed(job)));
+            prop_assert!(!is_blocked || (!model.may_start(job) && !model.must_be_cancelled(job)));
         }
         // Nothing is kept of jobs without dependents.
         if real.graph.len() == 0 {
@@ -361,7 +361,7 @@
         real.accept(JOBS + 1 + n, &job(vec![0], Some(1e6)));
     }
     assert_eq!(real.graph.descendants(&id(0)).len(), 2 * JOBS);
-    real.leave(0);
+    real.remove(0);
     real.graph.record_outcome(&id(0), JobOutcome::Done);
     assert_eq!(real.graph.ready().count(), JOBS + 1);
 }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -15,7 +15,7 @@
 pub(crate) const FINAL_STATE_PREFIX: &str = "over/";
 
 /// A mark that follows all digits in the order of keys.
-const AFTER_DIGITS: char = ':';
+const DIGIT_SUCCESSOR: char = ':';
 const MEMBER_PREFIX: &str = "live/cluster/member/";
 const SHARD_PREFIX: &str = "live/cluster/block/";
 const JOB_PREFIX: &str = "live/job/";
@@ -81,7 +81,7 @@
         let previous = char::from_u32(u32::from(last).saturating_sub(1));
         key.extend(previous);
     }
-    key.push(AFTER_DIGITS);
+    key.push(DIGIT_SUCCESSOR);
     key
 }
 
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn page_after_the_mark_begins_with_the_final_state_of_the_job() {
+fn page_after_the_predecessor_begins_with_the_final_state_of_the_job() {
     let ids = [
         "job-1", "job-10", "job-109", "job-1099", "job-11", "job-2", "job-20",
     ];
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -19,7 +19,7 @@
 
 /// An attempt on record that is not its task's latest.
 #[derive(Debug)]
-struct ShadowedPlacement {
+struct EarlierPlacement {
     index: u32,
     placement: Placement,
 }
@@ -49,18 +49,18 @@
     pub placed: BTreeMap<u32, Placement>,
     /// Earlier attempts that are on record as well: a repeated transaction can bring the record of
     /// a deleted machine back for a moment. When that record goes, the latest attempt has to stay.
-    shadowed: Vec<ShadowedPlacement>,
+    earlier_placements: Vec<EarlierPlacement>,
     /// How it is to run; none until a controller has planned it.
     pub plan: Option<PlanRecord>,
     /// The first machines that its tasks were placed on.
-    pub(super) ran_on: Vec<MachineId>,
+    pub(super) first_machines: Vec<MachineId>,
 }
 
 impl LiveJob {
     /// A job of which nothing is known but its record and its plan.
     pub(super) fn new(record: JobRecord, revision: Revision, plan: Option<PlanRecord>) -> Self {
         Self {
-            urgency: Urgency::of(&record.spec, record.accepted_at),
+            urgency: Urgency::from_spec(&record.spec, record.accepted_at),
             spec: Rc::new(record.spec),
             accepted_at: record.accepted_at,
             eligible_at: record.released_at.unwrap_or(record.accepted_at),
@@ -69,9 +69,9 @@
             done_outside_segments: BTreeSet::new(),
             reported_done: BTreeSet::new(),
             placed: BTreeMap::new(),
-            shadowed: Vec::new(),
+            earlier_placements: Vec::new(),
             plan,
-            ran_on: Vec::new(),
+            first_machines: Vec::new(),
         }
     }
 
@@ -82,7 +82,7 @@
 
     /// How urgent the job is by itself, without the jobs that depend on it.
     pub(super) fn own_urgency(&self) -> Urgency {
-        Urgency::of(&self.spec, self.accepted_at)
+        Urgency::from_spec(&self.spec, self.accepted_at)
     }
 
     /// How many of its tasks the records show as done.
@@ -106,8 +106,10 @@
     }
 
     fn place(&mut self, index: u32, machine: &MachineId, attempt: AttemptNumber) {
-        if self.ran_on.len() < PlanRecord::MAX_MACHINES && !self.ran_on.contains(machine) {
-            self.ran_on.push(machine.clone());
+        if self.first_machines.len() < PlanRecord::MAX_MACHINES
+            && !self.first_machines.contains(machine)
+        {
+            self.first_machines.push(machine.clone());
         }
         let new = Placement {
             machine: machine.clone(),
@@ -120,22 +122,23 @@
         };
         self.placed.insert(index, latest);
         if let Some(placement) = earlier {
-            self.shadowed.push(ShadowedPlacement { index, placement });
+            self.earlier_placements
+                .push(EarlierPlacement { index, placement });
         }
     }
 
     fn unplace(&mut self, index: u32, machine: &MachineId, attempt: AttemptNumber) {
         let is_here = |p: &Placement| p.machine == *machine && p.attempt == attempt;
         if !self.placed.get(&index).is_some_and(is_here) {
-            self.shadowed
+            self.earlier_placements
                 .retain(|s| s.index != index || !is_here(&s.placement));
             return;
         }
         self.placed.remove(&index);
-        let others = self.shadowed.iter().enumerate();
+        let others = self.earlier_placements.iter().enumerate();
         let of_task = others.filter(|(_, s)| s.index == index);
         if let Some((at, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
-            let next = self.shadowed.swap_remove(at);
+            let next = self.earlier_placements.swap_remove(at);
             self.placed.insert(index, next.placement);
         }
     }
@@ -168,7 +171,7 @@
         self.done_count() + more.count() as u32 >= self.spec.tasks
     }
 
-    fn is_folded(&self, index: u32, tasks_per_segment: u32) -> bool {
+    fn is_done_in_segment(&self, index: u32, tasks_per_segment: u32) -> bool {
         self.segments
             .get(&(index / tasks_per_segment))
             .is_some_and(|s| s.value.get(index % tasks_per_segment))
@@ -176,7 +179,8 @@
 
     /// Whether the records show a task as done.
     pub(crate) fn is_done(&self, index: u32, tasks_per_segment: u32) -> bool {
-        self.done_outside_segments.contains(&index) || self.is_folded(index, tasks_per_segment)
+        self.done_outside_segments.contains(&index)
+            || self.is_done_in_segment(index, tasks_per_segment)
     }
 
     /// Whether a machine's record has to go on saying that these tasks are done.
@@ -185,13 +189,14 @@
         done: &DoneTasks,
         tasks_per_segment: u32,
     ) -> bool {
-        done.tasks().any(|i| !self.is_folded(i, tasks_per_segment))
+        done.tasks()
+            .any(|i| !self.is_done_in_segment(i, tasks_per_segment))
     }
 
     /// Counts the tasks that a machine's record shows as done.
     pub(super) fn add_done(&mut self, done: &DoneTasks, tasks_per_segment: u32) {
         for index in done.tasks().take_while(|i| *i < self.spec.tasks) {
-            if !self.is_folded(index, tasks_per_segment) {
+            if !self.is_done_in_segment(index, tasks_per_segment) {
                 self.done_outside_segments.insert(index);
             }
         }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -102,7 +102,7 @@
 
     /// The stored size of what was counted here.
     pub(crate) fn done_size(&self) -> usize {
-        self.done.iter().map(size::done).sum()
+        self.done.iter().map(size::done_tasks).sum()
     }
 
     /// What the placed tasks use.
@@ -164,8 +164,8 @@
 
     /// The stored size, a few bytes too large at most, so that a record never outgrows its value.
     pub(crate) fn size(&self) -> usize {
-        let placed: usize = self.jobs.iter().map(size::placed).sum();
-        size::head(self) + placed + self.done_size()
+        let placed: usize = self.jobs.iter().map(size::placed_job).sum();
+        size::record_base(self) + placed + self.done_size()
     }
 
     /// What a placement adds to the stored size.
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -7,17 +7,18 @@
 use crate::protocol::JobSpec;
 
 /// The keys and punctuation of a record without its texts, jobs and finished tasks.
-const HEAD: usize = r#"{"addr":,"type_name":,"zone":,"spot":false,"jobs":[],"done":[]}"#.len();
-const PLACED: usize = r#"{"job":,"team":,"need":,"image":,"tasks":[]},"#.len();
-const NEED: usize = r#"{"cpus":,"gpus":,"memory":}"#.len();
-const PAIR: usize = "[,],".len();
-const DONE: usize = r#"{"job":,"ranges":[]},"#.len();
-const QUOTES: usize = 2;
+const RECORD_BASE_BYTES: usize =
+    r#"{"addr":,"type_name":,"zone":,"spot":false,"jobs":[],"done":[]}"#.len();
+const JOB_BASE_BYTES: usize = r#"{"job":,"team":,"need":,"image":,"tasks":[]},"#.len();
+const RESOURCES_BASE_BYTES: usize = r#"{"cpus":,"gpus":,"memory":}"#.len();
+const PAIR_BASE_BYTES: usize = "[,],".len();
+const DONE_BASE_BYTES: usize = r#"{"job":,"ranges":[]},"#.len();
+const QUOTES_BYTES: usize = 2;
 
 /// A placed task whose attempt number has up to sixteen digits. Attempt numbers begin with a revision
 /// of the key-value store, so they get there after billions of changes; the shard owner counts
 /// exactly.
-pub(crate) const MAX_TASK_BYTES: usize = PAIR + "99999".len() + "9999999999999999".len();
+pub(crate) const MAX_TASK_BYTES: usize = PAIR_BASE_BYTES + "99999".len() + "9999999999999999".len();
 
 fn number(value: u64) -> usize {
     value.checked_ilog10().unwrap_or(0) as usize + 1
@@ -29,36 +30,39 @@
         0..0x20 => 6,
         _ => 1,
     };
-    QUOTES + text.bytes().map(escaped).sum::<usize>()
+    QUOTES_BYTES + text.bytes().map(escaped).sum::<usize>()
 }
 
 fn need(need: Resources) -> usize {
-    NEED + number(need.milli_cpus) + number(need.milli_gpus) + number(need.memory_mb)
+    RESOURCES_BASE_BYTES
+        + number(need.milli_cpus)
+        + number(need.milli_gpus)
+        + number(need.memory_mb)
 }
 
 /// A record without jobs.
-pub(crate) fn head(record: &MachineRecord) -> usize {
+pub(crate) fn record_base(record: &MachineRecord) -> usize {
     let texts = [
         record.addr.as_str(),
         record.type_name.as_str(),
         record.zone.as_str(),
     ];
-    HEAD + texts.into_iter().map(text).sum::<usize>()
+    RECORD_BASE_BYTES + texts.into_iter().map(text).sum::<usize>()
 }
 
 /// A job on a record, without its tasks.
 pub(crate) fn job(spec: &JobSpec) -> usize {
     let texts = [spec.id.as_str(), spec.team.as_str(), spec.image.as_str()];
-    PLACED + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
+    JOB_BASE_BYTES + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
 }
 
 /// A placed task.
 pub(crate) fn task(index: u32, attempt_number: AttemptNumber) -> usize {
-    PAIR + number(index.into()) + number(attempt_number.0)
+    PAIR_BASE_BYTES + number(index.into()) + number(attempt_number.0)
 }
 
 /// A job on a record, with its tasks.
-pub(crate) fn placed(placed: &PlacedJob) -> usize {
+pub(crate) fn placed_job(placed: &PlacedJob) -> usize {
     let names = [
         placed.job.as_str(),
         placed.team.as_str(),
@@ -69,13 +73,14 @@
     let tasks: usize = tasks
         .map(|(index, attempt_number)| task(*index, *attempt_number))
         .sum();
-    PLACED + need(placed.need) + names + tasks
+    JOB_BASE_BYTES + need(placed.need) + names + tasks
 }
 
 /// A job's finished tasks.
-pub(crate) fn done(done: &DoneTasks) -> usize {
-    let range =
-        |(first, last): &(u32, u32)| PAIR + number((*first).into()) + number((*last).into());
+pub(crate) fn done_tasks(done: &DoneTasks) -> usize {
+    let range = |(first, last): &(u32, u32)| {
+        PAIR_BASE_BYTES + number((*first).into()) + number((*last).into())
+    };
     let ranges: usize = done.ranges.iter().map(range).sum();
-    DONE + text(done.job.as_str()) + ranges
+    DONE_BASE_BYTES + text(done.job.as_str()) + ranges
 }
--- a/src/store/machine_record/tests.rs
+++ b/src/store/machine_record/tests.rs
@@ -6,7 +6,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default() })]
     /// The model is a set; ranges stay ascending, apart, and as few as possible.
     #[test]
-    fn counted_ranges_are_a_set(steps in proptest::collection::vec((0u32..80, 0u32..6), 1..60)) {
+    fn done_ranges_match_a_set(steps in proptest::collection::vec((0u32..80, 0u32..6), 1..60)) {
         let mut done = DoneTasks { job: "job-1".into(), ranges: Vec::new() };
         let mut model = BTreeSet::new();
         for (first, more) in steps {
@@ -40,7 +40,7 @@
 
 /// The size that is announced for a placement is the one that it adds.
 #[test]
-fn size_of_adding_is_what_a_placement_adds() {
+fn added_size_equals_the_growth_of_the_record() {
     let mut spec = crate::protocol::tests::spec("job-000001");
     spec.team = "a\\\"team".into();
     let mut record = MachineRecord::new("10.0.0.1:9000", &"t".into(), &"z".into(), true);
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -5,7 +5,7 @@
 
 /// A refused request that users wait for is made again within this: by the leader at once, by users
 /// after a second.
-const RETRIED_WITHIN: Millis = Millis(1500);
+const RETRY_WINDOW: Millis = Millis(1500);
 
 /// What a call is for; earlier classes may use what later ones must leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
@@ -26,7 +26,7 @@
 
 impl RequestClass {
     /// The part of a full bucket that this class leaves to those before it.
-    fn reserve(self) -> f64 {
+    fn reserved_fraction(self) -> f64 {
         match self {
             Self::Lease => f64::NEG_INFINITY,
             // Owners and leader keep to a part of the changes by themselves, so users come first.
@@ -49,12 +49,12 @@
     level: f64,
     updated_at: MonotonicTime,
     /// What was refused to the class that users wait for.
-    awaited: Option<AwaitedTokens>,
+    reservation: Option<TokenReservation>,
 }
 
 /// Tokens that a refused request needs when it is made again.
 #[derive(Clone, Copy, Debug)]
-struct AwaitedTokens {
+struct TokenReservation {
     amount: f64,
     until: MonotonicTime,
 }
@@ -68,7 +68,7 @@
             burst,
             level: burst,
             updated_at: MonotonicTime::default(),
-            awaited: None,
+            reservation: None,
         }
     }
 
@@ -98,10 +98,10 @@
         if amount == 0.0 {
             return true;
         }
-        let needed = (amount + self.reserve(now, class)).min(self.burst);
+        let needed = (amount + self.reserved_tokens(now, class)).min(self.burst);
         let allowed = self.level(now) >= needed;
         if class == RequestClass::Accept {
-            self.note_awaited(now, amount, allowed);
+            self.update_reservation(now, amount, allowed);
         }
         allowed
     }
@@ -109,9 +109,9 @@
     /// The tokens that a class leaves to those before it. A part of a small bucket may be less than
     /// one of their requests needs: without what they wait for, smaller requests of this class would
     /// take each token before there are enough.
-    fn reserve(&self, now: MonotonicTime, class: RequestClass) -> f64 {
-        let reserve = class.reserve() * self.burst;
-        match self.awaited {
+    fn reserved_tokens(&self, now: MonotonicTime, class: RequestClass) -> f64 {
+        let reserve = class.reserved_fraction() * self.burst;
+        match self.reservation {
             Some(awaited) if class > RequestClass::Accept && now < awaited.until => {
                 reserve.max(awaited.amount)
             }
@@ -120,14 +120,14 @@
     }
 
     /// Notes what a request needs that was refused, until it is allowed.
-    fn note_awaited(&mut self, now: MonotonicTime, amount: f64, allowed: bool) {
-        let awaited = self.awaited.filter(|awaited| now < awaited.until);
-        let awaited_amount = awaited.map_or(0.0, |awaited| awaited.amount);
-        self.awaited = match allowed {
-            true => awaited.filter(|awaited| awaited.amount > amount),
-            false => Some(AwaitedTokens {
-                amount: amount.max(awaited_amount),
-                until: now + RETRIED_WITHIN,
+    fn update_reservation(&mut self, now: MonotonicTime, amount: f64, allowed: bool) {
+        let reservation = self.reservation.filter(|awaited| now < awaited.until);
+        let reserved_amount = reservation.map_or(0.0, |awaited| awaited.amount);
+        self.reservation = match allowed {
+            true => reservation.filter(|awaited| awaited.amount > amount),
+            false => Some(TokenReservation {
+                amount: amount.max(reserved_amount),
+                until: now + RETRY_WINDOW,
             }),
         };
     }
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -32,7 +32,7 @@
 /// a second. Evidence: at the rate of a small deployment (10.8) an end waited 59 of 60 seconds here, as
 /// placements took each token before there were two; at the rate of that incident (20.8) 1.1 s.
 #[test]
-fn ends_of_jobs_are_admitted_before_placements() {
+fn job_completions_are_admitted_before_placements() {
     for rate in [5.0, 10.8, 20.8, 34.7] {
         let mut bucket = TokenBucket::new(rate);
         let (mut longest, mut waiting_since) = (0, None);
--- a/src/store/rate_selector.rs
+++ b/src/store/rate_selector.rs
@@ -14,53 +14,53 @@
 
 /// The time for which the smaller rates apply.
 #[derive(Clone, Copy, Debug)]
-struct Lowered {
+struct LoweredPeriod {
     until: MonotonicTime,
-    pause: Millis,
+    delay: Millis,
 }
 
 /// Chooses between the larger and the least of the rates that the service has announced.
 #[derive(Debug)]
 pub(super) struct RateSelector {
-    larger: StoreRates,
-    least: StoreRates,
-    lowered: Option<Lowered>,
+    max_rates: StoreRates,
+    min_rates: StoreRates,
+    lowered_period: Option<LoweredPeriod>,
 }
 
 impl RateSelector {
     /// Starts with the larger rates; nothing is chosen where both are the same.
     pub(super) fn new(larger: StoreRates, least: StoreRates) -> Self {
         Self {
-            larger,
-            least,
-            lowered: None,
+            max_rates: larger,
+            min_rates: least,
+            lowered_period: None,
         }
     }
 
     fn is_lowered(&self, now: MonotonicTime) -> bool {
-        self.lowered.is_some_and(|l| now < l.until)
+        self.lowered_period.is_some_and(|l| now < l.until)
     }
 
     /// The rates that apply now.
     pub(super) fn current(&self, now: MonotonicTime) -> StoreRates {
         match self.is_lowered(now) {
-            true => self.least,
-            false => self.larger,
+            true => self.min_rates,
+            false => self.max_rates,
         }
     }
 
     /// The service has refused for the rate, or for a size that only the later limits refuse.
-    pub(super) fn refused(&mut self, now: MonotonicTime) {
-        if self.larger == self.least || self.is_lowered(now) {
+    pub(super) fn on_refused(&mut self, now: MonotonicTime) {
+        if self.max_rates == self.min_rates || self.is_lowered(now) {
             return;
         }
-        let pause = match self.lowered {
+        let delay = match self.lowered_period {
             None => FIRST_RETRY_DELAY,
-            Some(last) => Millis(2 * last.pause.0).min(MAX_RETRY_DELAY),
+            Some(last) => Millis(2 * last.delay.0).min(MAX_RETRY_DELAY),
         };
-        self.lowered = Some(Lowered {
-            until: now + pause,
-            pause,
+        self.lowered_period = Some(LoweredPeriod {
+            until: now + delay,
+            delay,
         });
     }
 }
--- a/src/store/rate_selector/tests.rs
+++ b/src/store/rate_selector/tests.rs
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn larger_rate_holds_until_a_refusal_and_is_retried_ever_later() {
+fn larger_rate_holds_until_refused_and_is_retried_with_growing_delays() {
     let mut choice = RateSelector::new(rates(50.0), rates(35.0));
     let mut refusals = 0;
     for second in 0..3600 {
         let now = MonotonicTime(second * 1000);
         let limited = second >= 100;
         if limited && choice.current(now).writes > 35.0 {
-            choice.refused(now);
+            choice.on_refused(now);
             refusals += 1;
         }
         let expected = if limited { 35.0 } else { 50.0 };
@@ -27,6 +27,6 @@
 #[test]
 fn equal_rates_are_not_affected_by_a_refusal() {
     let mut choice = RateSelector::new(rates(50.0), rates(50.0));
-    choice.refused(MonotonicTime(1));
+    choice.on_refused(MonotonicTime(1));
     assert_eq!(choice.current(MonotonicTime(2)), rates(50.0));
 }
--- a/src/store/refusals.rs
+++ b/src/store/refusals.rs
@@ -6,9 +6,9 @@
 use crate::ids::{Millis, MonotonicTime};
 
 /// Shorter episodes are not logged.
-const ANNOUNCE_AFTER: Millis = Millis(1000);
+const MIN_LOGGED_DURATION: Millis = Millis(1000);
 /// Refusals further apart than this are different episodes.
-const QUIET_AFTER: Millis = Millis(30_000);
+const EPISODE_GAP: Millis = Millis(30_000);
 /// All classes and the store itself.
 const MAX_EPISODES: usize = 8;
 
@@ -27,7 +27,11 @@
 
 impl Default for Refusals {
     fn default() -> Self {
-        Self(Episodes::new(ANNOUNCE_AFTER, QUIET_AFTER, MAX_EPISODES))
+        Self(Episodes::new(
+            MIN_LOGGED_DURATION,
+            EPISODE_GAP,
+            MAX_EPISODES,
+        ))
     }
 }
 
--- a/src/store/urgency.rs
+++ b/src/store/urgency.rs
@@ -15,11 +15,11 @@
 
 impl Urgency {
     /// By itself: as the job's owner has specified it.
-    pub(crate) fn of(spec: &JobSpec, accepted: UnixTime) -> Self {
+    pub(crate) fn from_spec(spec: &JobSpec, accepted_at: UnixTime) -> Self {
         let deadline = spec.deadline_s.map(Millis::from_secs);
         Self {
             priority: spec.priority,
-            finish_by: deadline.map(|span| UnixTime(accepted.0.saturating_add(span.0))),
+            finish_by: deadline.map(|span| UnixTime(accepted_at.0.saturating_add(span.0))),
         }
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// What a job passes back to those that it depends on: they have to be done before it starts.
-    pub(crate) fn before(self, predicted: Millis) -> Self {
+    pub(crate) fn for_dependencies(self, predicted: Millis) -> Self {
         let earlier = |at: UnixTime| UnixTime(at.0.saturating_sub(predicted.0));
         Self {
             finish_by: self.finish_by.map(earlier),
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -50,9 +50,9 @@
     /// Machines with a record, and those that answer before they have one.
     pub machines: BTreeMap<MachineId, LiveMachine>,
     /// Segments that came before the job they belong to, or outlived it.
-    early_segments: BTreeMap<SegmentKey, Versioned<Bitmap>>,
+    segments_without_job: BTreeMap<SegmentKey, Versioned<Bitmap>>,
     /// Plans that came before the job they belong to.
-    early_plans: BTreeMap<JobId, PlanRecord>,
+    plans_without_job: BTreeMap<JobId, PlanRecord>,
     /// The jobs of each batch of plans, by the batch's name.
     plan_batches: BTreeMap<String, Vec<JobId>>,
     /// Jobs that are known to be cancelled, by that change, before the stream has reached it.
@@ -74,8 +74,8 @@
             jobs: BTreeMap::new(),
             dependency_graph: DependencyGraph::default(),
             machines: BTreeMap::new(),
-            early_segments: BTreeMap::new(),
-            early_plans: BTreeMap::new(),
+            segments_without_job: BTreeMap::new(),
+            plans_without_job: BTreeMap::new(),
             plan_batches: BTreeMap::new(),
             cancelled: BTreeMap::new(),
         }
@@ -104,7 +104,7 @@
 
     /// At most `limit` keys of records that ended jobs left behind; nobody waits for their removal.
     pub(crate) fn orphaned_keys(&self, limit: usize) -> Vec<String> {
-        let segments = self.early_segments.keys();
+        let segments = self.segments_without_job.keys();
         let live = |id: &JobId| self.job_revision(id).is_some();
         let plans = self.plan_batches.iter();
         segments
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -52,7 +52,8 @@
     /// Notes a job's outcome from its final record, which the stream may not have brought yet.
     pub(crate) fn record_job_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         if let Some(job) = self.jobs.get(id) {
-            self.dependency_graph.record_machines(id, &job.ran_on);
+            self.dependency_graph
+                .record_machines(id, &job.first_machines);
         }
         self.dependency_graph.record_outcome(id, outcome);
     }
@@ -93,7 +94,8 @@
         let changed = self.dependency_graph.remove(id);
         self.update_urgency(&changed);
         if let Some(job) = self.jobs.remove(id) {
-            self.dependency_graph.record_machines(id, &job.ran_on);
+            self.dependency_graph
+                .record_machines(id, &job.first_machines);
         }
         self.dependency_graph.mark_ended(id);
     }
@@ -104,14 +106,14 @@
         match self.jobs.get_mut(&key.job) {
             Some(job) => job.put_segment(key.segment, bits, self.tasks_per_segment),
             None => {
-                self.early_segments.insert(key, bits);
+                self.segments_without_job.insert(key, bits);
             }
         }
     }
 
     /// Takes a segment out, whether its job is here or not.
     pub(super) fn delete_segment(&mut self, key: &SegmentKey) {
-        self.early_segments.remove(key);
+        self.segments_without_job.remove(key);
         if let Some(job) = self.jobs.get_mut(&key.job) {
             job.segments.remove(&key.segment);
         }
@@ -123,7 +125,7 @@
             .insert(name, batch.keys().cloned().collect());
         for (id, record) in batch {
             if !self.set_plan(&id, record.clone()) {
-                self.early_plans.insert(id, record);
+                self.plans_without_job.insert(id, record);
             }
         }
     }
@@ -131,14 +133,14 @@
     /// Forgets a batch of plans, and those of its plans whose jobs have not come.
     pub(super) fn delete_plan_batch(&mut self, name: &str) {
         for id in self.plan_batches.remove(name).unwrap_or_default() {
-            self.early_plans.remove(&id);
+            self.plans_without_job.remove(&id);
         }
     }
 
     /// Takes a job's record from the stream, or from a transaction that was just committed.
     pub(crate) fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
         if record.is_blocked() {
-            let plan = self.early_plans.remove(&id);
+            let plan = self.plans_without_job.remove(&id);
             let job = BlockedJob::new(record.spec, record.accepted_at, revision, plan);
             let jobs = &self.jobs;
             let is_live = |id: &JobId| jobs.contains_key(id);
@@ -150,7 +152,7 @@
         let known_plan = blocked.and_then(|job| job.plan.clone());
         let changed = self.dependency_graph.remove(&id);
         self.update_urgency(&changed);
-        let plan = known_plan.or_else(|| self.early_plans.remove(&id));
+        let plan = known_plan.or_else(|| self.plans_without_job.remove(&id));
         self.put_live_job(id, record, revision, plan);
     }
 
@@ -162,7 +164,7 @@
         plan: Option<PlanRecord>,
     ) {
         let mut job = LiveJob::new(record, revision, plan);
-        job.segments = self.take_early_segments(&id);
+        job.segments = self.take_segments_without_job(&id);
         job.urgency = self.dependency_graph.merge_inherited(&id, job.urgency);
         for (machine, live) in &self.machines {
             for placed in live.record.jobs.iter().filter(|p| p.job == id) {
@@ -177,16 +179,16 @@
         self.jobs.insert(id, job);
     }
 
-    fn take_early_segments(&mut self, job: &JobId) -> BTreeMap<u32, Versioned<Bitmap>> {
+    fn take_segments_without_job(&mut self, job: &JobId) -> BTreeMap<u32, Versioned<Bitmap>> {
         let key = |segment| SegmentKey {
             job: job.clone(),
             segment,
         };
-        let early = self.early_segments.range(key(0)..=key(u32::MAX));
+        let early = self.segments_without_job.range(key(0)..=key(u32::MAX));
         let early: Vec<SegmentKey> = early.map(|(key, _)| key.clone()).collect();
         let mut segments = BTreeMap::new();
         for key in early {
-            if let Some(bits) = self.early_segments.remove(&key) {
+            if let Some(bits) = self.segments_without_job.remove(&key) {
                 segments.insert(key.segment, bits);
             }
         }
--- a/src/store/watch_cache/machines.rs
+++ b/src/store/watch_cache/machines.rs
@@ -30,15 +30,15 @@
     /// the stream brings that one again, later, and is then ignored.
     pub(crate) fn put_machine(&mut self, id: MachineId, record: MachineRecord, revision: Revision) {
         let Some(old) = self.machines.remove(&id) else {
-            self.place(id, record, revision, Vec::new());
+            self.insert_machine(id, record, revision, Vec::new());
             return;
         };
         if old.revision >= revision {
             self.machines.insert(id, old);
             return;
         }
-        self.unplace(&id, &old.record);
-        self.place(id, record, revision, old.images);
+        self.remove_placements(&id, &old.record);
+        self.insert_machine(id, record, revision, old.images);
     }
 
     /// Takes a machine out, unless its record was written after this deletion.
@@ -47,14 +47,14 @@
         if current.is_some_and(|m| m.revision < revision)
             && let Some(old) = self.machines.remove(id)
         {
-            self.unplace(id, &old.record);
+            self.remove_placements(id, &old.record);
         }
     }
 
     /// Adds a machine that answers and has no record yet.
     pub(crate) fn insert_unrecorded_machine(&mut self, id: MachineId, record: MachineRecord) {
         if !self.machines.contains_key(&id) {
-            self.place(id, record, Revision(0), Vec::new());
+            self.insert_machine(id, record, Revision(0), Vec::new());
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    fn place(
+    fn insert_machine(
         &mut self,
         id: MachineId,
         record: MachineRecord,
@@ -95,7 +95,7 @@
         self.machines.insert(id, machine);
     }
 
-    fn unplace(&mut self, id: &MachineId, record: &MachineRecord) {
+    fn remove_placements(&mut self, id: &MachineId, record: &MachineRecord) {
         for placed in &record.jobs {
             if let Some(job) = self.jobs.get_mut(&placed.job) {
                 job.unplace_tasks(id, placed);
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -68,7 +68,7 @@
 /// followed by another. When that record goes again, the task must not count as waiting, or it is
 /// started a second time (simulated seed 47, all faults at once).
 #[test]
-fn deletion_of_a_returned_record_leaves_the_latest_placement() {
+fn deletion_of_a_restored_record_keeps_the_latest_placement() {
     let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
     cache.apply(
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn plans_and_segments_that_come_before_their_job_are_kept_for_it() {
+fn plans_and_segments_received_before_their_job_are_applied_to_it() {
     let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
     let mut bits = Bitmap::default();
@@ -146,7 +146,7 @@
 
 /// A task that is done stays done, whichever of its records comes or goes first.
 #[test]
-fn done_tasks_count_once_in_whichever_records_they_are() {
+fn done_tasks_count_once_across_records_and_segments() {
     let mut cache = WatchCache::new(&sample_config());
     let id = JobId::from("job-1");
     let machine = MachineId::from("vm-1");
