--- a/src/store/admission.rs
+++ b/src/store/admission.rs
@@ -1,22 +1,22 @@
-//! Admission of requests: keeps this controller within its share of the service's rates.
+//! Admission control, which keeps this controller's requests within its share of the service's rates.
 
 use super::rate_limiter::{RequestClass, TokenBucket};
 use super::rate_selector::RateSelector;
 use crate::config::{StoreLimits, StoreRates};
 use crate::ids::MonotonicTime;
 
-/// The tokens in the buckets.
+/// The number of tokens in each bucket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenLevels {
-    /// For requests.
+    /// Tokens for requests.
     pub requests: f64,
-    /// For changes of keys.
+    /// Tokens for writes and deletions of keys.
     pub writes: f64,
 }
 
-/// One bucket of tokens for requests and one for changes of keys, at the rates that apply now.
+/// The rate limiter of the store client: one token bucket for requests and one for changes of keys.
 pub(super) struct Admission {
-    /// This controller's part of the rates.
+    /// This controller's fraction of the service's rates, at most 1.
     share: f64,
     requests: TokenBucket,
     writes: TokenBucket,
@@ -24,7 +24,7 @@
 }
 
 impl Admission {
-    /// `share`: this controller's part of the rates, at most 1.
+    /// Creates full buckets. `share` is this controller's fraction of the rates, at most 1.
     pub(super) fn new(limits: &StoreLimits, share: f64) -> Self {
         Self {
             share,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes the tokens for a request of so many changes, if its class may have them.
+    /// Takes the tokens for a request with this number of changes. Returns whether it is admitted.
     pub(super) fn try_admit(
         &mut self,
         now: MonotonicTime,
@@ -58,24 +58,24 @@
         self.writes.set_rate(now, rates.writes * self.share);
     }
 
-    /// The service has refused a request because of its rates.
+    /// Empties both buckets and adjusts the rates after the service refused a request because of them.
     pub(super) fn on_refused(&mut self, now: MonotonicTime) {
         self.rate_selector.on_refused(now);
         self.requests.drain(now);
         self.writes.drain(now);
     }
 
-    /// What the service takes in a second from all controllers, as far as it is known.
+    /// Returns the rates that are assumed to apply to all controllers together, per second.
     pub(super) fn rates(&self, now: MonotonicTime) -> StoreRates {
         self.rate_selector.current(now)
     }
 
-    /// This controller's share of the requests in a second.
+    /// Returns the number of requests that this controller may send per second.
     pub(super) fn own_request_rate(&self, now: MonotonicTime) -> f64 {
         self.rates(now).requests * self.share
     }
 
-    /// The tokens that are left.
+    /// Returns the number of tokens in each bucket.
     pub(super) fn token_levels(&mut self, now: MonotonicTime) -> TokenLevels {
         TokenLevels {
             requests: self.requests.level(now),
@@ -83,7 +83,8 @@
         }
     }
 
-    /// The part of a second's requests that is unused, from 0 to 1; negative when overdrawn.
+    /// Returns the tokens for requests as a fraction of the bucket's capacity, from 0 to 1. It is
+    /// negative while the bucket is overdrawn.
     pub(super) fn available_fraction(&mut self, now: MonotonicTime) -> f64 {
         self.requests.available_fraction(now)
     }
--- a/src/store/bitmap.rs
+++ b/src/store/bitmap.rs
@@ -1,17 +1,17 @@
-//! Segments of completion counters, as sets of bits.
+//! Segments of completion counters, represented as bitmaps.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The prefix of a bitmap in base64; not a hexadecimal digit.
+/// The prefix of a bitmap in base64. It is not a hexadecimal digit, so the two formats are distinct.
 const BASE64_PREFIX: &str = "=";
-/// Bytes around a stored text.
+/// The size of the quotes around a JSON string.
 const QUOTES_BYTES: usize = 2;
 
-/// A segment of a completion counter: which of its tasks are done. A task that reports twice counts
-/// once.
+/// A segment of a completion counter, with one bit for each of its tasks that is done. A task that is
+/// reported twice counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Bitmap {
     words: Vec<u64>,
@@ -27,20 +27,20 @@
         self.words[word] |= 1 << (bit % 64);
     }
 
-    /// Whether a task of this segment is done.
+    /// Returns whether a task of this segment is done.
     pub(crate) fn get(&self, bit: u32) -> bool {
         self.words
             .get((bit / 64) as usize)
             .is_some_and(|w| w & (1 << (bit % 64)) != 0)
     }
 
-    /// How many tasks are done.
+    /// Returns the number of done tasks.
     pub(crate) fn count(&self) -> u32 {
         self.words.iter().map(|w| w.count_ones()).sum()
     }
 
-    /// The stored form, in a value of so many bytes: hexadecimal digits, as all versions read them,
-    /// or base64 where these don't fit. `None`: neither fits.
+    /// Returns the stored form for a value of at most `value_bytes` bytes: hexadecimal digits, which all
+    /// versions can read, or base64 if these do not fit. Returns `None` if neither fits.
     pub(crate) fn encode(&self, value_bytes: usize) -> Option<Value> {
         let fits = |text: &String| text.len() + QUOTES_BYTES <= value_bytes;
         let text = Some(self.to_hex()).filter(fits);
@@ -84,7 +84,9 @@
             Some(rest) => Self::from_base64(rest),
             None => Self::from_hex(&text),
         };
-        let words = words.ok_or_else(|| serde::de::Error::custom("not a bitmap"))?;
+        let words = words.ok_or_else(|| {
+            serde::de::Error::custom("bitmap is neither hexadecimal nor valid base64")
+        })?;
         Ok(Self { words })
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,5 +1,5 @@
-//! The client of the key-value store. It keeps to the service's rates, and says of each call
-//! without an answer what may be concluded from it.
+//! The client of the key-value store. It obeys the service's rate limits, and for each failed call
+//! reports whether the request may have been executed.
 
 use super::admission::{Admission, TokenLevels};
 use super::counters::Counters;
@@ -21,57 +21,58 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Usual answers take some ms, a few take some hundred.
+/// Most responses arrive within a few ms, some take several hundred.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The service refuses larger transactions.
 const MAX_TXN_BYTES: usize = 64 * 1024;
-/// After so many failed calls in a row the service counts as down.
+/// The number of consecutive failed calls after which the service counts as down.
 const DOWN_AFTER_FAILURES: u32 = 2;
-/// The least part of the longest delay between two watch requests.
+/// The minimum delay between two watch requests, as a fraction of the maximum delay.
 const MIN_WATCH_DELAY_FRACTION: f64 = 0.25;
 
-/// A token for one read: of a record, or of a page of them.
+/// A permit for one read of a record or of a page of records. Its tokens are already spent.
 #[derive(Debug)]
 pub(crate) struct ReadPermit(());
 
-/// The client of the service at one address.
+/// A client of the key-value store at one address.
 pub(crate) struct StoreClient {
     client: Client,
     addr: SocketAddr,
     started_at: Instant,
     admission: RefCell<Admission>,
-    /// Calls that have failed one after another, up to now.
+    /// The number of consecutive calls without a response or with a status of 500 or above.
     consecutive_failures: Cell<u32>,
     counters: RefCell<Counters>,
     refusals: RefCell<Refusals>,
 }
 
 impl StoreClient {
-    /// `share`: this controller's part of the service's rates. `max_response_bytes`: the largest
-    /// answer that is read. Pages of a list are bounded by the service, an answer of changes is not.
+    /// Creates a client. `share` is this controller's fraction of the service's rates.
+    /// `max_response_bytes` is the size of the largest response that is read: the service limits the
+    /// size of a list page, but not that of a watch response.
     pub(crate) fn new(
         addr: SocketAddr,
         limits: &StoreLimits,
         share: f64,
         max_response_bytes: usize,
-        started: Instant,
+        started_at: Instant,
     ) -> Self {
         let client = Client::new(max_response_bytes, 1);
-        Self::with_client(client, addr, limits, share, started)
+        Self::with_client(client, addr, limits, share, started_at)
     }
 
-    /// The same with an HTTP client that the caller has made.
+    /// Creates a client that sends its requests through the given HTTP client.
     pub(crate) fn with_client(
         client: Client,
         addr: SocketAddr,
         limits: &StoreLimits,
         share: f64,
-        started: Instant,
+        started_at: Instant,
     ) -> Self {
         Self {
             client,
             addr,
-            started_at: started,
+            started_at,
             admission: RefCell::new(Admission::new(limits, share)),
             consecutive_failures: Cell::new(0),
             counters: RefCell::new(Counters::default()),
@@ -79,50 +80,51 @@
         }
     }
 
-    /// The time since the client was made.
+    /// Returns the time since `started_at`.
     pub(crate) fn now(&self) -> MonotonicTime {
         let elapsed = runtime::now().saturating_duration_since(self.started_at);
         MonotonicTime(elapsed.as_millis() as u64)
     }
 
-    /// Whether the last calls were answered.
+    /// Returns whether fewer than [`DOWN_AFTER_FAILURES`] calls in a row have failed.
     pub(crate) fn is_up(&self) -> bool {
         self.consecutive_failures.get() < DOWN_AFTER_FAILURES
     }
 
-    /// Whether the last call was answered.
+    /// Returns whether the last call got a response with a status below 500.
     pub(crate) fn last_call_answered(&self) -> bool {
         self.consecutive_failures.get() == 0
     }
 
-    /// What was counted of the calls.
+    /// Returns the request counters that `/admin/status` shows.
     pub(crate) fn counters(&self) -> Ref<'_, Counters> {
         self.counters.borrow()
     }
 
-    /// The tokens that are left of this controller's rates.
+    /// Returns the tokens left in this controller's rate limiter.
     pub(crate) fn token_levels(&self) -> TokenLevels {
         self.admission.borrow_mut().token_levels(self.now())
     }
 
-    /// Logs the episodes of refused requests that are over.
+    /// Logs the episodes of refused requests that have ended.
     pub(crate) fn log_ended_refusals(&self) {
         self.refusals.borrow_mut().log_ended(self.now());
     }
 
-    /// A pause that grows up to `longest` as the requests are used up. Never far below: the
-    /// controllers' watches alone would take nearly half of all requests.
+    /// Returns the delay before the next watch request. It grows up to `longest` as the request
+    /// tokens are used up. It has a lower bound, because without one the controllers' watches alone
+    /// would take nearly half of all requests.
     pub(crate) fn watch_delay(&self, longest: Duration) -> Duration {
         let available = self.admission.borrow_mut().available_fraction(self.now());
         longest.mul_f64((1.0 - available).clamp(MIN_WATCH_DELAY_FRACTION, 1.0))
     }
 
-    /// What the service takes in a second from all controllers, as far as it is known.
+    /// Returns the rates that are assumed to apply to all controllers together, per second.
     pub(crate) fn rates(&self) -> StoreRates {
         self.admission.borrow().rates(self.now())
     }
 
-    /// The requests that this controller may make in a second.
+    /// Returns the number of requests that this controller may send per second.
     pub(crate) fn own_request_rate(&self) -> f64 {
         self.admission.borrow().own_request_rate(self.now())
     }
@@ -140,7 +142,7 @@
         admitted
     }
 
-    /// Takes a token for a request that is never held back.
+    /// Takes a token for a request of the class `Lease`, which is always admitted.
     fn admit_lease_request(&self) {
         self.try_admit(RequestClass::Lease, 0);
     }
@@ -178,7 +180,7 @@
         result
     }
 
-    /// Runs a transaction if its class has a token for it.
+    /// Runs a transaction if the rate limiter admits it.
     pub(crate) async fn txn(&self, class: RequestClass, txn: &Txn) -> TxnOutcome {
         if !self.try_admit(class, txn.changes.len()) {
             return TxnOutcome::Refused(Refusal::RateLimiter);
@@ -189,118 +191,117 @@
         };
         let result = self.call(Method::Post, path::TXN, &body, CALL_TIMEOUT);
         match result.await {
-            Ok(answer) => txn_outcome(&answer),
+            Ok(response) => txn_outcome(&response),
             Err(CallError::NotSent) => TxnOutcome::Refused(Refusal::StoreUnavailable),
             Err(CallError::Unknown | CallError::TooLarge) => TxnOutcome::Unknown,
         }
     }
 
-    /// Reads one record, if there is one, when its class has a token for it.
+    /// Reads one record if the rate limiter admits the read. Returns `None` if the key does not exist.
     pub(crate) async fn get(
         &self,
         class: RequestClass,
         key: &str,
     ) -> Result<Option<KeyValue>, StoreError> {
-        let admitted = self.admit_read(class).ok_or(StoreError::HeldBack)?;
-        self.get_admitted(admitted, key).await
+        let permit = self.admit_read(class).ok_or(StoreError::HeldBack)?;
+        self.get_admitted(permit, key).await
     }
 
-    /// Takes a token for one read, if its class has one.
+    /// Takes the tokens for one read. Returns `None` if the rate limiter does not admit it.
     pub(crate) fn admit_read(&self, class: RequestClass) -> Option<ReadPermit> {
         self.try_admit(class, 0).then_some(ReadPermit(()))
     }
 
-    /// Reads one record, if there is one, for a token that was taken.
+    /// Reads one record with a permit. Returns `None` if the key does not exist.
     pub(crate) async fn get_admitted(
         &self,
-        _admitted: ReadPermit,
+        _permit: ReadPermit,
         key: &str,
     ) -> Result<Option<KeyValue>, StoreError> {
         let path = key_path(key);
         match self.call(Method::Get, &path, b"", CALL_TIMEOUT).await {
-            Ok(answer) if answer.status == 200 => decode(&answer).map(Some),
-            Ok(answer) if answer.status == 404 => Ok(None),
+            Ok(response) if response.status == 200 => decode(&response).map(Some),
+            Ok(response) if response.status == 404 => Ok(None),
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Reads the first so many records under a prefix that follow the key `after`, for a token that
-    /// was taken.
+    /// Reads with a permit at most `max_items` records under a prefix, starting behind the key `after`.
     pub(crate) async fn page_admitted(
         &self,
-        _admitted: ReadPermit,
+        _permit: ReadPermit,
         prefix: &str,
         after: &str,
         max_items: usize,
     ) -> Result<Page, StoreError> {
         let path = page_path(prefix, Some(after), max_items);
         match self.call(Method::Get, &path, b"", CALL_TIMEOUT).await {
-            Ok(answer) if answer.status == 200 => decode(&answer),
+            Ok(response) if response.status == 200 => decode(&response),
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Reads a page of the records under a prefix, behind the key `after`.
+    /// Reads a page of the records under a prefix, starting behind the key `after`. Always admitted.
     pub(crate) async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
         self.admit_lease_request();
         let path = page_path(prefix, after, MAX_PAGE_ITEMS);
         match self.call(Method::Get, &path, b"", 2 * CALL_TIMEOUT).await {
-            Ok(answer) if answer.status == 200 => decode(&answer),
+            Ok(response) if response.status == 200 => decode(&response),
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Waits for changes under a prefix after a revision. `Gone`: the records have to be read
-    /// again, page by page.
+    /// Waits up to `max_wait` for changes under a prefix after a revision. Returns `Gone` if the
+    /// records have to be read again page by page.
     pub(crate) async fn watch(
         &self,
         prefix: &str,
         after: Revision,
-        wait_up_to: Duration,
+        max_wait: Duration,
     ) -> Result<WatchResponseBody, StoreError> {
         self.admit_lease_request();
-        let path = watch_path(prefix, after, wait_up_to.as_millis() as u64);
-        let timeout = wait_up_to + CALL_TIMEOUT;
+        let path = watch_path(prefix, after, max_wait.as_millis() as u64);
+        let timeout = max_wait + CALL_TIMEOUT;
         match self.call(Method::Get, &path, b"", timeout).await {
-            Ok(answer) if answer.status == 200 => decode(&answer),
-            Ok(answer) if answer.status == 410 => Err(StoreError::Gone),
-            // The same request would get the same answer for ever, and the watch cache would stop.
-            // Pages are bounded, however many records there are.
+            Ok(response) if response.status == 200 => decode(&response),
+            Ok(response) if response.status == 410 => Err(StoreError::Gone),
+            // Retrying the same request would fail in the same way each time, and the watch cache
+            // would not advance any more. The size of a page is limited, however many records exist.
             Err(CallError::TooLarge) => Err(StoreError::Gone),
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Creates a lease that ends when it is not renewed for so long.
+    /// Creates a lease that expires if it is not renewed within `ttl`.
     pub(crate) async fn create_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         self.admit_lease_request();
         let body = lease_request(ttl.as_millis() as u64);
         let result = self.call(Method::Post, path::LEASES, &body, CALL_TIMEOUT);
         match result.await {
-            Ok(answer) if answer.status == 200 => {
-                decode::<LeaseResponseBody>(&answer).map(|lease| lease.id)
+            Ok(response) if response.status == 200 => {
+                decode::<LeaseResponseBody>(&response).map(|lease| lease.id)
             }
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Extends a lease by its full time from now. `Gone`: it has ended.
+    /// Renews a lease for its full time to live, counted from now. Returns `Gone` if it has expired.
     pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.admit_lease_request();
         let path = renewal_path(lease);
         match self.call(Method::Post, &path, b"", CALL_TIMEOUT).await {
-            Ok(answer) if answer.status == 200 => Ok(()),
-            Ok(answer) if answer.status == 404 => Err(StoreError::Gone),
+            Ok(response) if response.status == 200 => Ok(()),
+            Ok(response) if response.status == 404 => Err(StoreError::Gone),
             result => Err(failed_call(&result)),
         }
     }
 
-    /// Ends a lease, and with it the records attached to it.
+    /// Revokes a lease, which deletes the records attached to it.
     pub(crate) async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.admit_lease_request();
         let path = lease_path(lease);
         match self.call(Method::Delete, &path, b"", CALL_TIMEOUT).await {
-            Ok(answer) if matches!(answer.status, 200 | 204 | 404) => Ok(()),
+            Ok(response) if matches!(response.status, 200 | 204 | 404) => Ok(()),
             result => Err(failed_call(&result)),
         }
     }
--- a/src/store/counters.rs
+++ b/src/store/counters.rs
@@ -1,36 +1,36 @@
-//! What the client counts of its calls, for `/admin/status`.
+//! The client's request counters, shown by `/admin/status`.
 
 use super::rate_limiter::RequestClass;
 use std::collections::BTreeMap;
 
-/// Counts since the process began.
+/// Request counters since the process started.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Counters {
-    /// Requests that were sent, or tried.
+    /// Requests that were sent, including those that could not be delivered.
     pub calls: u64,
-    /// Requests that the service refused because of its rates.
+    /// Requests that the service refused because its rates were exceeded.
     pub refused: u64,
-    /// Requests without an answer.
+    /// Requests without a response, or with one that is too large to be read.
     pub unanswered: u64,
-    /// Requests that were not sent, to keep to the rates.
+    /// Requests that the rate limiter did not admit.
     pub held_back: u64,
-    /// What each class has asked for and been given.
+    /// The counters of each request class.
     pub classes: BTreeMap<RequestClass, ClassCounters>,
 }
 
-/// The requests of one class. Serialized as `/admin/status` shows it.
+/// The request counters of one class, serialized as they appear in `/admin/status`.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub(crate) struct ClassCounters {
-    /// Requests that were sent, or tried.
+    /// Requests that the rate limiter admitted.
     pub requests: u64,
-    /// Changes of keys within these.
+    /// Writes and deletions of keys in these requests.
     pub changes: u64,
-    /// Requests that were not sent, to keep to the rates.
+    /// Requests that the rate limiter did not admit.
     pub held_back: u64,
 }
 
 impl Counters {
-    /// Counts a request of so many changes, by whether it was admitted.
+    /// Counts a request with this number of changes as admitted or held back.
     pub(super) fn count_request(&mut self, class: RequestClass, changes: usize, admitted: bool) {
         let counters = self.classes.entry(class).or_default();
         if admitted {
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -1,9 +1,9 @@
-//! Blocked jobs: those that wait for others to be done. For each, the dependencies that are not done
-//! yet; for each dependency, how its end affects its dependents and how urgent they make it.
+//! The graph of blocked jobs, which wait for their dependencies to be done. It holds the unfinished
+//! dependencies of each blocked job, and the outcome and the inherited urgency of each dependency.
 //!
-//! A blocked job counts its open dependencies as the set of jobs whose final record has not been
-//! seen to say "done": a set, so that a repeat counts once. Final records never change, so what was
-//! once recorded stays true.
+//! The unfinished dependencies of a job are those for which no final record with the state "done" has
+//! been seen. They are a set, so that a repeated notification counts once. Final records never change,
+//! so a recorded outcome stays valid.
 
 mod inherited_urgency;
 
@@ -14,42 +14,42 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// How a job that others need has ended.
+/// The outcome of a job that has dependents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobOutcome {
-    /// All its tasks are done: its dependents may start.
+    /// All its tasks are done, so it no longer blocks its dependents.
     Done,
-    /// It was cancelled, so its dependents have to be cancelled too.
+    /// It was cancelled, so its dependents have to be cancelled as well.
     Cancelled,
 }
 
-/// A job none of whose tasks may start yet.
+/// A job whose tasks may not start because it has unfinished dependencies.
 #[derive(Debug)]
 pub(crate) struct BlockedJob {
-    /// What the job's owner asked for.
+    /// The job's specification, as its owner submitted it.
     pub spec: Rc<JobSpec>,
-    /// When the job was accepted.
+    /// The time when the job was accepted.
     pub accepted_at: UnixTime,
-    /// The change that wrote its record.
+    /// The revision that wrote its record.
     pub revision: Revision,
-    /// How it is to run; none until a controller has planned it.
+    /// The job's plan. It is `None` until a controller has planned the job.
     pub plan: Option<PlanRecord>,
     /// Dependencies that are not known to be done.
     unfinished_dependencies: BTreeSet<JobId>,
 }
 
 impl BlockedJob {
-    /// A job of whose dependencies none is known to be done.
+    /// Creates a blocked job with all its dependencies unfinished.
     pub(crate) fn new(
         spec: JobSpec,
-        accepted: UnixTime,
+        accepted_at: UnixTime,
         revision: Revision,
         plan: Option<PlanRecord>,
     ) -> Self {
         Self {
             unfinished_dependencies: spec.dependencies.iter().cloned().collect(),
             spec: Rc::new(spec),
-            accepted_at: accepted,
+            accepted_at,
             revision,
             plan,
         }
@@ -61,55 +61,55 @@
     }
 }
 
-/// The blocked jobs, and what is known of the jobs that they depend on.
+/// The blocked jobs and the state of their dependencies.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyGraph {
     jobs: BTreeMap<JobId, BlockedJob>,
-    /// The blocked jobs that need a job, by that job; never empty.
+    /// The blocked dependents of each dependency. The sets are never empty.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// What a job's dependents pass back to it, by that job.
+    /// The urgency that each dependency inherits from its dependents.
     inherited: BTreeMap<JobId, Urgency>,
-    /// How jobs with dependents have ended, as far as that is known.
+    /// The known outcomes of jobs with dependents.
     outcomes: BTreeMap<JobId, JobOutcome>,
-    /// Jobs with dependents that have ended, without it being known how.
+    /// Jobs with dependents that have ended with an unknown outcome.
     unknown_outcomes: BTreeSet<JobId>,
     /// Jobs with dependents that are known to be cancelled.
     cancelled: BTreeSet<JobId>,
     /// Blocked jobs without a plan.
     unplanned: BTreeSet<JobId>,
-    /// Blocked jobs all of whose dependencies are done.
+    /// Blocked jobs whose dependencies are all done.
     ready: BTreeSet<JobId>,
-    /// Where the tasks of ended jobs with dependents ran.
+    /// The machines that ran the tasks of ended jobs with dependents.
     machines_by_job: BTreeMap<JobId, Vec<MachineId>>,
 }
 
 impl DependencyGraph {
-    /// A blocked job.
+    /// Returns a blocked job.
     pub(crate) fn get(&self, id: &JobId) -> Option<&BlockedJob> {
         self.jobs.get(id)
     }
 
-    /// How many jobs are blocked.
+    /// Returns the number of blocked jobs.
     pub(crate) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether a job is blocked.
+    /// Returns whether a job is blocked.
     pub(crate) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Whether any blocked job needs this one.
+    /// Returns whether any blocked job depends on this one.
     pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependents.contains_key(id)
     }
 
-    /// The blocked jobs that name a job as one that they need.
+    /// Returns the blocked jobs that depend directly on a job.
     pub(crate) fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// All blocked jobs that need a job, directly or through others, nearest first.
+    /// Returns all blocked jobs that depend on a job, directly or indirectly, nearest first.
     pub(crate) fn descendants(&self, id: &JobId) -> Vec<JobId> {
         let mut seen = BTreeSet::new();
         let mut found = Vec::new();
@@ -125,36 +125,36 @@
         found
     }
 
-    /// Jobs with dependents that have ended, and whose final record has to be read.
+    /// Returns the ended jobs with dependents whose final record has to be read.
     pub(crate) fn jobs_with_unknown_outcome(&self) -> impl Iterator<Item = &JobId> {
         self.unknown_outcomes.iter()
     }
 
-    /// Cancelled jobs on which blocked jobs still depend.
+    /// Returns the cancelled jobs on which blocked jobs still depend.
     pub(crate) fn cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cancelled.iter()
     }
 
-    /// Blocked jobs without a plan.
+    /// Returns the blocked jobs without a plan.
     pub(crate) fn unplanned(&self) -> impl Iterator<Item = &JobId> {
         self.unplanned.iter()
     }
 
-    /// Blocked jobs all of whose dependencies are done.
+    /// Returns the blocked jobs whose dependencies are all done.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &JobId> {
         self.ready.iter()
     }
 
-    /// Where the job ran whose placement group a blocked job shares.
+    /// Returns the machines that ran the dependency whose placement group a blocked job shares.
     pub(crate) fn placement_group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
         let parent = plan.and_then(|p| p.placement_group_job.as_ref());
-        let ran_on = parent.and_then(|p| self.machines_by_job.get(p));
-        ran_on.map_or(&[], Vec::as_slice)
+        let machines = parent.and_then(|p| self.machines_by_job.get(p));
+        machines.map_or(&[], Vec::as_slice)
     }
 
-    /// Adds a blocked job. `is_live` says of any other job whether its tasks may run. Returns the
-    /// jobs that have become more urgent.
+    /// Adds a blocked job. `is_live` returns whether the tasks of another job may run. Returns the jobs
+    /// that have become more urgent.
     pub(crate) fn insert(
         &mut self,
         id: JobId,
@@ -183,8 +183,7 @@
         self.propagate_urgency(&id)
     }
 
-    /// Removes a job that is no longer blocked, or has ended. Returns the jobs whose urgency has
-    /// changed.
+    /// Removes a job that has been released or has ended. Returns the jobs whose urgency has changed.
     pub(crate) fn remove(&mut self, id: &JobId) -> Vec<JobId> {
         let Some(job) = self.jobs.remove(id) else {
             return Vec::new();
@@ -218,26 +217,26 @@
         self.outcomes.contains_key(id) || self.unknown_outcomes.contains(id)
     }
 
-    /// Notes that a job is in the watch cache, blocked or not.
+    /// Records that a job is in the watch cache, blocked or not.
     pub(crate) fn mark_live(&mut self, id: &JobId) {
         self.unknown_outcomes.remove(id);
     }
 
-    /// Notes that a job has left the watch cache.
+    /// Records that a job was removed from the watch cache.
     pub(crate) fn mark_ended(&mut self, id: &JobId) {
         if self.has_dependents(id) && !self.outcomes.contains_key(id) {
             self.unknown_outcomes.insert(id.clone());
         }
     }
 
-    /// Notes on which machines the tasks of a job ran that has ended, or is about to.
+    /// Records the machines that ran the tasks of a job which has ended or is about to end.
     pub(crate) fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
             self.machines_by_job.insert(id.clone(), machines.to_vec());
         }
     }
 
-    /// Notes what a job's final record says.
+    /// Records a job's outcome from its final record.
     pub(crate) fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         let Some(dependents) = self.dependents.get(id) else {
             return;
@@ -260,7 +259,7 @@
         }
     }
 
-    /// Sets the plan of a blocked job, which predicts how long it takes. Returns the jobs whose
+    /// Sets the plan of a blocked job, which contains its predicted run time. Returns the jobs whose
     /// urgency has changed.
     pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> Vec<JobId> {
         let before = self.urgency_for_dependencies(id);
--- a/src/store/dependency_graph/inherited_urgency.rs
+++ b/src/store/dependency_graph/inherited_urgency.rs
@@ -1,4 +1,4 @@
-//! How urgency passes from blocked jobs back to the jobs that they depend on.
+//! Propagates the urgency of blocked jobs to their dependencies.
 
 use super::DependencyGraph;
 use crate::ids::JobId;
@@ -6,31 +6,33 @@
 use std::collections::VecDeque;
 
 impl DependencyGraph {
-    /// What the dependents of a job pass back to it.
+    /// Returns the urgency that a job inherits from its dependents, if it has any.
     pub(crate) fn inherited(&self, id: &JobId) -> Option<Urgency> {
         self.inherited.get(id).copied()
     }
 
-    /// How urgent a job is that is as urgent as `own` by itself.
+    /// Returns a job's own urgency merged with the one that it inherits.
     pub(crate) fn merge_inherited(&self, id: &JobId, own: Urgency) -> Urgency {
         self.inherited(id).map_or(own, |other| own.merge(other))
     }
 
-    /// How urgent a blocked job is, by itself and by its own dependents.
+    /// Returns the urgency of a blocked job, including what it inherits. Returns `None` if the job is
+    /// not blocked.
     pub(crate) fn urgency(&self, id: &JobId) -> Option<Urgency> {
         let job = self.jobs.get(id)?;
         let own = Urgency::from_spec(&job.spec, job.accepted_at);
         Some(self.merge_inherited(id, own))
     }
 
-    /// What a blocked job passes back to each of its dependencies.
+    /// Returns the urgency that a blocked job passes on to each of its dependencies. Returns `None` if
+    /// the job is not blocked.
     pub(super) fn urgency_for_dependencies(&self, id: &JobId) -> Option<Urgency> {
         let predicted = self.jobs.get(id)?.predicted_run_time();
         Some(self.urgency(id)?.for_dependencies(predicted))
     }
 
-    /// Passes a new job's urgency back along its ancestors, as far as it changes anything. Returns
-    /// the jobs that have become more urgent.
+    /// Propagates a new job's urgency to its direct and indirect dependencies, until nothing changes.
+    /// Returns the jobs that have become more urgent.
     pub(super) fn propagate_urgency(&mut self, id: &JobId) -> Vec<JobId> {
         let mut raised = Vec::new();
         let mut queue = VecDeque::from([id.clone()]);
@@ -52,8 +54,8 @@
         raised
     }
 
-    /// Recomputes what these jobs inherit, and what changes with it along their ancestors. Returns
-    /// the jobs whose urgency has changed.
+    /// Recomputes the inherited urgency of these jobs, and that of their direct and indirect
+    /// dependencies until nothing changes. Returns the jobs whose inherited urgency has changed.
     pub(super) fn recompute_inherited(&mut self, jobs: Vec<JobId>) -> Vec<JobId> {
         let mut changed = Vec::new();
         let mut queue = VecDeque::from(jobs);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,20 +1,20 @@
-//! The keys of the records. Everything under `live/` is cached by every controller.
+//! The keys of the stored records. Every controller caches all records under `live/`.
 
 use crate::ids::{JobId, MachineId, MemberId, Pipeline, ShardId};
 
-/// The prefix of all records that are cached.
+/// The prefix of the keys of all cached records.
 pub(crate) const LIVE_PREFIX: &str = "live/";
-/// The leader's record.
+/// The key of the leader's record.
 pub(crate) const LEADER: &str = "live/cluster/leader";
-/// The cloud's machine types and zones.
+/// The key of the cloud's machine types and zones.
 pub(crate) const CATALOG: &str = "live/catalog";
-/// The administrators' settings.
+/// The key of the administrators' settings.
 pub(crate) const SETTINGS: &str = "live/settings";
 
-/// The prefix of all final states.
+/// The prefix of the keys of all final states.
 pub(crate) const FINAL_STATE_PREFIX: &str = "over/";
 
-/// A mark that follows all digits in the order of keys.
+/// The character that follows all digits in the sort order of keys.
 const DIGIT_SUCCESSOR: char = ':';
 const MEMBER_PREFIX: &str = "live/cluster/member/";
 const SHARD_PREFIX: &str = "live/cluster/block/";
@@ -23,58 +23,59 @@
 const MACHINE_PREFIX: &str = "live/machine/";
 const HISTORY_PREFIX: &str = "live/history/";
 
-/// A controller's record.
+/// Returns the key of a controller's record.
 pub(crate) fn member(member: &MemberId) -> String {
     format!("{MEMBER_PREFIX}{member}")
 }
 
-/// A shard's record.
+/// Returns the key of a shard's record.
 pub(crate) fn shard(shard: ShardId) -> String {
     format!("{SHARD_PREFIX}{shard}")
 }
 
-/// A live job's record.
+/// Returns the key of a job's record. It exists until the job ends.
 pub(crate) fn job(job: &JobId) -> String {
     format!("{JOB_PREFIX}{job}")
 }
 
-/// A segment of a job's completion counter.
+/// Returns the key of a segment of a job's completion counter.
 pub(crate) fn segment(job: &JobId, segment: u32) -> String {
     format!("{JOB_PREFIX}{job}/{segment}")
 }
 
-/// A batch of plans.
+/// Returns the key of a batch of plans.
 pub(crate) fn plans(batch: &str) -> String {
     format!("{PLANS_PREFIX}{batch}")
 }
 
-/// A machine's record.
+/// Returns the key of a machine's record.
 pub(crate) fn machine(machine: &MachineId) -> String {
     format!("{MACHINE_PREFIX}{machine}")
 }
 
-/// The machine whose record a key names.
+/// Returns the machine whose record has this key, or `None` for keys of other records.
 pub(crate) fn machine_from_key(key: &str) -> Option<MachineId> {
     key.strip_prefix(MACHINE_PREFIX).map(MachineId::from)
 }
 
-/// The run times of a pipeline.
+/// Returns the key of a pipeline's run time history.
 pub(crate) fn history(pipeline: &Pipeline) -> String {
     format!("{HISTORY_PREFIX}{pipeline}")
 }
 
-/// Where a finished or cancelled job's final state is kept for good.
+/// Returns the key of a job's final state, which is kept permanently.
 pub(crate) fn final_state(job: &JobId) -> String {
     format!("{FINAL_STATE_PREFIX}{job}")
 }
 
-/// The job whose final state a key names.
+/// Returns the job whose final state has this key, or `None` for keys of other records.
 pub(crate) fn job_from_final_state_key(key: &str) -> Option<JobId> {
     key.strip_prefix(FINAL_STATE_PREFIX).map(JobId::from)
 }
 
-/// A text after which no key of a final state comes before that of the job: ids end with a digit, and
-/// the mark follows all digits.
+/// Returns a text that sorts before the key of the job's final state, with no other final state's key
+/// between them. Job ids end with a digit. The text has the previous character in place of this digit,
+/// then [`DIGIT_SUCCESSOR`].
 pub(crate) fn final_state_predecessor(job: &JobId) -> String {
     let mut key = final_state(job);
     if let Some(last) = key.pop() {
@@ -85,16 +86,16 @@
     key
 }
 
-/// Names one segment of a job's completion counter.
+/// Identifies one segment of a job's completion counter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SegmentKey {
-    /// The job.
+    /// The job that the counter belongs to.
     pub job: JobId,
     /// The segment's number, from 0.
     pub segment: u32,
 }
 
-/// A key of a cached record, taken apart.
+/// The parsed key of a cached record.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum LiveKey {
     Leader,
@@ -112,7 +113,8 @@
 }
 
 impl LiveKey {
-    /// Takes a key apart; none for one that is not cached, or that another version wrote.
+    /// Parses a key. Returns `None` if the record is not cached, or if another version of this program
+    /// wrote it.
     pub(super) fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER => return Some(Self::Leader),
@@ -129,14 +131,14 @@
                 })),
             };
         }
-        let named = |prefix| key.strip_prefix(prefix);
-        named(MACHINE_PREFIX)
+        let strip = |prefix| key.strip_prefix(prefix);
+        strip(MACHINE_PREFIX)
             .map(|m| Self::Machine(m.into()))
-            .or_else(|| named(PLANS_PREFIX).map(|b| Self::Plans(b.to_owned())))
-            .or_else(|| named(HISTORY_PREFIX).map(|p| Self::History(p.into())))
-            .or_else(|| named(MEMBER_PREFIX).map(|m| Self::Member(m.into())))
+            .or_else(|| strip(PLANS_PREFIX).map(|b| Self::Plans(b.to_owned())))
+            .or_else(|| strip(HISTORY_PREFIX).map(|p| Self::History(p.into())))
+            .or_else(|| strip(MEMBER_PREFIX).map(|m| Self::Member(m.into())))
             .or_else(|| {
-                named(SHARD_PREFIX)?
+                strip(SHARD_PREFIX)?
                     .parse()
                     .ok()
                     .map(|n| Self::Shard(ShardId(n)))
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -1,4 +1,4 @@
-//! A job whose tasks may run, as the watch cache shows it.
+//! Jobs whose tasks may run, as held in the watch cache.
 
 use super::records::{Bitmap, DoneTasks, JobRecord, PlacedJob, PlanRecord};
 use super::urgency::Urgency;
@@ -8,56 +8,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Where one attempt of a task is placed.
+/// The placement of one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Placement {
-    /// The machine on whose record the attempt is.
+    /// The machine whose record contains the attempt.
     pub machine: MachineId,
-    /// The attempt's number, unique among all starts of all tasks.
+    /// The attempt's number, which is unique among all attempts of all tasks.
     pub attempt: AttemptNumber,
 }
 
-/// An attempt on record that is not its task's latest.
+/// A recorded attempt that is not the latest one of its task.
 #[derive(Debug)]
 struct EarlierPlacement {
     index: u32,
     placement: Placement,
 }
 
-/// A job whose tasks may run: its record, and what machines' records and counters say of it.
+/// A job whose tasks may run: its record, and its state from machine records and completion counters.
 #[derive(Debug)]
 pub(crate) struct LiveJob {
-    /// What the job's owner asked for.
+    /// The job's specification, as its owner submitted it.
     pub spec: Rc<JobSpec>,
-    /// When the job was accepted.
+    /// The time when the job was accepted.
     pub accepted_at: UnixTime,
-    /// Since when its tasks may run: its acceptance, or the end of the last job that it needed.
-    /// All times but the deadline count from here.
+    /// The time from which its tasks may run: its acceptance, or the completion of its last
+    /// dependency. All time spans except the deadline start here.
     pub eligible_at: UnixTime,
-    /// By itself and by the jobs that depend on it.
+    /// The job's own urgency merged with that of the jobs that depend on it.
     pub urgency: Urgency,
-    /// The change that wrote its record.
+    /// The revision that wrote its record.
     pub revision: Revision,
-    /// The segments of its completion counter, by their number.
+    /// The segments of its completion counter, by segment number.
     pub segments: BTreeMap<u32, Versioned<Bitmap>>,
-    /// Finished tasks that machines' records show and no segment yet. A task that was once done
-    /// stays done: none is ever taken out but by its segment.
+    /// Done tasks that a machine record contains and no segment does yet. A done task stays done, so
+    /// an entry is removed only when a segment contains it.
     pub done_outside_segments: BTreeSet<u32>,
-    /// Finished tasks that a shard owner has reported and no record shows yet.
+    /// Done tasks that a shard owner reported, whether a record contains them already or not.
     reported_done: BTreeSet<u32>,
-    /// Where each task's latest attempt is placed, by the task's index.
+    /// The placement of each task's latest attempt, by task index.
     pub placed: BTreeMap<u32, Placement>,
-    /// Earlier attempts that are on record as well: a repeated transaction can bring the record of
-    /// a deleted machine back for a moment. When that record goes, the latest attempt has to stay.
+    /// Earlier attempts that are recorded as well, because a repeated transaction can restore the
+    /// record of a deleted machine for a moment. When that record is deleted again, the latest attempt
+    /// must remain.
     earlier_placements: Vec<EarlierPlacement>,
-    /// How it is to run; none until a controller has planned it.
+    /// The job's plan. It is `None` until a controller has planned the job.
     pub plan: Option<PlanRecord>,
-    /// The first machines that its tasks were placed on.
+    /// The first machines that its tasks were placed on, at most [`PlanRecord::MAX_MACHINES`].
     pub(super) first_machines: Vec<MachineId>,
 }
 
 impl LiveJob {
-    /// A job of which nothing is known but its record and its plan.
+    /// Creates a job without any placements or done tasks.
     pub(super) fn new(record: JobRecord, revision: Revision, plan: Option<PlanRecord>) -> Self {
         Self {
             urgency: Urgency::from_spec(&record.spec, record.accepted_at),
@@ -75,30 +76,30 @@
         }
     }
 
-    /// The priority that it may be treated as having.
+    /// Returns the effective priority, which is raised by the jobs that depend on this one.
     pub(crate) fn priority(&self) -> Priority {
         self.urgency.priority
     }
 
-    /// How urgent the job is by itself, without the jobs that depend on it.
+    /// Returns the job's own urgency, without that of the jobs that depend on it.
     pub(super) fn own_urgency(&self) -> Urgency {
         Urgency::from_spec(&self.spec, self.accepted_at)
     }
 
-    /// How many of its tasks the records show as done.
+    /// Returns the number of tasks that are done according to the records.
     pub(crate) fn done_count(&self) -> u32 {
-        let folded: u32 = self.segments.values().map(|s| s.value.count()).sum();
-        folded + self.done_outside_segments.len() as u32
+        let in_segments: u32 = self.segments.values().map(|s| s.value.count()).sum();
+        in_segments + self.done_outside_segments.len() as u32
     }
 
-    /// Notes the tasks that a machine's record places there.
+    /// Adds the placements of this job from a machine's new record.
     pub(super) fn place_tasks(&mut self, machine: &MachineId, placed: &PlacedJob) {
         for (index, attempt) in &placed.tasks {
             self.place(*index, machine, *attempt);
         }
     }
 
-    /// Takes back the tasks that a machine's earlier record placed there.
+    /// Removes the placements of this job that came from a machine's previous record.
     pub(super) fn unplace_tasks(&mut self, machine: &MachineId, placed: &PlacedJob) {
         for (index, attempt) in &placed.tasks {
             self.unplace(*index, machine, *attempt);
@@ -137,13 +138,14 @@
         self.placed.remove(&index);
         let others = self.earlier_placements.iter().enumerate();
         let of_task = others.filter(|(_, s)| s.index == index);
-        if let Some((at, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
-            let next = self.earlier_placements.swap_remove(at);
+        if let Some((position, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
+            let next = self.earlier_placements.swap_remove(position);
             self.placed.insert(index, next.placement);
         }
     }
 
-    /// Takes a segment of the counter; tasks that it shows as done are no longer counted apart.
+    /// Stores a segment of the completion counter. Tasks that are done in it are removed from
+    /// `done_outside_segments`.
     pub(super) fn put_segment(
         &mut self,
         segment: u32,
@@ -155,7 +157,7 @@
         self.segments.insert(segment, bits);
     }
 
-    /// Notes that a shard owner has seen a task done. The tasks of a gang complete together.
+    /// Records that a shard owner reported a task as done. The tasks of a gang complete together.
     pub(crate) fn report_done(&mut self, index: u32) {
         match self.spec.kind {
             JobKind::Gang => self.reported_done.extend(0..self.spec.tasks),
@@ -163,12 +165,12 @@
         }
     }
 
-    /// Whether all tasks are done, by the counter and by what shard owners have reported.
+    /// Returns whether all tasks are done according to the records and the shard owners' reports.
     pub(crate) fn is_complete(&self, tasks_per_segment: u32) -> bool {
         let reported_done = self.reported_done.iter();
-        let more = reported_done
+        let unrecorded = reported_done
             .filter(|i| **i < self.spec.tasks && !self.is_done(**i, tasks_per_segment));
-        self.done_count() + more.count() as u32 >= self.spec.tasks
+        self.done_count() + unrecorded.count() as u32 >= self.spec.tasks
     }
 
     fn is_done_in_segment(&self, index: u32, tasks_per_segment: u32) -> bool {
@@ -177,13 +179,14 @@
             .is_some_and(|s| s.value.get(index % tasks_per_segment))
     }
 
-    /// Whether the records show a task as done.
+    /// Returns whether a task is done according to the records.
     pub(crate) fn is_done(&self, index: u32, tasks_per_segment: u32) -> bool {
         self.done_outside_segments.contains(&index)
             || self.is_done_in_segment(index, tasks_per_segment)
     }
 
-    /// Whether a machine's record has to go on saying that these tasks are done.
+    /// Returns whether any of these tasks is not in a segment yet, so that the machine's record must
+    /// keep them.
     pub(crate) fn has_tasks_outside_segments(
         &self,
         done: &DoneTasks,
@@ -193,7 +196,7 @@
             .any(|i| !self.is_done_in_segment(i, tasks_per_segment))
     }
 
-    /// Counts the tasks that a machine's record shows as done.
+    /// Adds the tasks that are done according to a machine's record.
     pub(super) fn add_done(&mut self, done: &DoneTasks, tasks_per_segment: u32) {
         for index in done.tasks().take_while(|i| *i < self.spec.tasks) {
             if !self.is_done_in_segment(index, tasks_per_segment) {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Tasks that are neither done nor placed, in their order.
+    /// Returns the indices of the tasks that are neither done nor placed, ascending.
     pub(crate) fn unplaced_tasks(&self, tasks_per_segment: u32) -> impl Iterator<Item = u32> {
         (0..self.spec.tasks)
             .filter(move |i| !self.placed.contains_key(i) && !self.is_done(*i, tasks_per_segment))
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -1,4 +1,4 @@
-//! The record of a machine: what is placed there, and what was completed there.
+//! The record of a machine, with the tasks that are placed and those that completed on it.
 
 pub(crate) mod size;
 
@@ -8,57 +8,57 @@
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// The part of a record's bytes that is kept for completions.
+/// One part in this many of a record's bytes is reserved for completed tasks.
 const COMPLETIONS_DIVISOR: usize = 4;
 
-/// A job's tasks on one machine. What they need is recorded here as well, so that a cancelled job's
-/// tasks still count while they are not proved gone.
+/// The tasks of one job on one machine. Their resource needs are recorded here as well, so that the
+/// tasks of a cancelled job still count until they are confirmed to have stopped.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlacedJob {
-    /// The job.
+    /// The job that the tasks belong to.
     pub job: JobId,
-    /// The team whose quotas the tasks use.
+    /// The team whose quota the tasks use.
     pub team: TeamId,
-    /// What each task needs.
+    /// The resources that each task needs.
     pub need: Resources,
     /// The image that the tasks run.
     pub image: Image,
-    /// The placed tasks: the index of each, and the number of its attempt. Pairs, because both the
-    /// stored form and the frames between controllers have them so.
+    /// The index and the attempt number of each placed task. They are pairs because the stored records
+    /// and the frames between controllers have this form.
     pub tasks: Vec<(u32, AttemptNumber)>,
 }
 
-/// A machine that is rented, and what its shard's owner has recorded of it.
+/// A rented machine and the tasks on it, as recorded by the owner of its shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MachineRecord {
-    /// The address of its worker, as host and port.
+    /// The address of its worker, as `host:port`.
     pub addr: String,
     /// Its machine type.
     pub type_name: MachineTypeName,
     /// The zone that it is in.
     pub zone: Zone,
-    /// Whether the cloud may take it back at short notice.
+    /// Whether it is a spot machine, which the cloud may reclaim at short notice.
     pub spot: bool,
-    /// The tasks that are placed there, by job.
+    /// The tasks that are placed on it, by job.
     pub jobs: Vec<PlacedJob>,
-    /// Tasks that completed here and may not be in their job's own counter yet: this record has to
-    /// be written for them anyway, so counting them costs no change of its own. Never skipped when
-    /// serialized: records are also sent between controllers, where fields go by position.
+    /// Tasks that completed here and may not be in their job's completion counter yet. A completion
+    /// requires a write of this record anyway, so storing it here costs no additional write. The field
+    /// is always serialized, because frames between controllers encode fields by position.
     #[serde(default)]
     pub done: Vec<DoneTasks>,
 }
 
-/// Finished tasks of one job, as ranges from first to last.
+/// Done tasks of one job, as ranges of task indices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DoneTasks {
-    /// The job.
+    /// The job that the tasks belong to.
     pub job: JobId,
-    /// Ranges of task indices, both ends included, ascending and apart.
+    /// Inclusive ranges of task indices, ascending, without overlap and not adjacent.
     pub ranges: Vec<(u32, u32)>,
 }
 
 impl DoneTasks {
-    /// The indices of the tasks, ascending.
+    /// Returns the indices of the tasks, ascending.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = u32> {
         self.ranges.iter().flat_map(|(first, last)| *first..=*last)
     }
@@ -77,7 +77,7 @@
 }
 
 impl MachineRecord {
-    /// A machine on which nothing was placed yet.
+    /// Creates the record of a machine without tasks.
     pub(crate) fn new(addr: &str, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> Self {
         Self {
             addr: addr.to_owned(),
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Counts finished tasks; those that are counted already change nothing.
+    /// Adds the done tasks from `first` to `last`, inclusive. Tasks that are recorded already are
+    /// ignored.
     pub(crate) fn add_done(&mut self, job: &JobId, first: u32, last: u32) {
         match self.done.iter_mut().find(|d| d.job == *job) {
             Some(done) => done.add(first, last),
@@ -100,19 +101,19 @@
         }
     }
 
-    /// The stored size of what was counted here.
+    /// Returns the stored size of the done tasks, in bytes.
     pub(crate) fn done_size(&self) -> usize {
         self.done.iter().map(size::done_tasks).sum()
     }
 
-    /// What the placed tasks use.
+    /// Returns the resources that the placed tasks use.
     pub(crate) fn used(&self) -> Resources {
         self.jobs.iter().fold(Resources::default(), |sum, j| {
             sum + j.need.times(j.tasks.len() as u64)
         })
     }
 
-    /// The placed attempts, each with the entry of its job.
+    /// Returns the placed attempts, each with the entry of its job.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = (TaskAttempt, &PlacedJob)> {
         self.jobs.iter().flat_map(|placed| {
             placed.tasks.iter().map(move |(index, attempt_number)| {
@@ -128,14 +129,14 @@
         })
     }
 
-    /// Whether an attempt is placed here.
+    /// Returns whether an attempt is placed on this machine.
     pub(crate) fn holds(&self, attempt: &TaskAttempt) -> bool {
         self.jobs.iter().any(|p| {
             p.job == attempt.task.job && p.tasks.contains(&(attempt.task.index, attempt.number))
         })
     }
 
-    /// Places an attempt here.
+    /// Adds the placement of an attempt.
     pub(crate) fn add(&mut self, attempt: &TaskAttempt, spec: &JobSpec) {
         let entry = (attempt.task.index, attempt.number);
         match self.jobs.iter_mut().find(|p| p.job == attempt.task.job) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Takes an attempt out.
+    /// Removes the placement of an attempt.
     pub(crate) fn remove(&mut self, attempt: &TaskAttempt) {
         for placed in &mut self.jobs {
             if placed.job == attempt.task.job {
@@ -162,21 +163,22 @@
         self.jobs.retain(|p| !p.tasks.is_empty());
     }
 
-    /// The stored size, a few bytes too large at most, so that a record never outgrows its value.
+    /// Returns the stored size in bytes. The result may be a few bytes too large but never too small, so
+    /// a record that fits by this size never exceeds the size limit of a value.
     pub(crate) fn size(&self) -> usize {
         let placed: usize = self.jobs.iter().map(size::placed_job).sum();
         size::record_base(self) + placed + self.done_size()
     }
 
-    /// What a placement adds to the stored size.
+    /// Returns the number of bytes that a placement adds to the stored size.
     pub(crate) fn added_size(&self, attempt: &TaskAttempt, spec: &JobSpec) -> usize {
         let task = size::task(attempt.task.index, attempt.number);
         let has_job = self.jobs.iter().any(|p| p.job == attempt.task.job);
         task + if has_job { 0 } else { size::job(spec) }
     }
 
-    /// The stored size up to which placements may be added to a record that may have so many bytes:
-    /// their completions need space as well.
+    /// Returns the stored size up to which placements may be added to a record, if a value may have
+    /// `value_bytes` bytes. The rest is reserved for the completions of the tasks.
     pub(crate) fn max_placement_bytes(value_bytes: usize) -> usize {
         value_bytes - value_bytes / COMPLETIONS_DIVISOR
     }
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -1,12 +1,12 @@
-//! The sizes of the parts of a machine's record as they are stored, as JSON.
+//! The sizes, in bytes of JSON, of the parts of a machine's stored record.
 //!
-//! Each part is counted with a comma after it, so a sum is a few bytes too large at most.
+//! Each part includes a trailing comma, so a sum may be a few bytes too large.
 
 use super::{DoneTasks, MachineRecord, PlacedJob};
 use crate::ids::{AttemptNumber, Resources};
 use crate::protocol::JobSpec;
 
-/// The keys and punctuation of a record without its texts, jobs and finished tasks.
+/// The size of the keys and punctuation of a record, without its texts, jobs and done tasks.
 const RECORD_BASE_BYTES: usize =
     r#"{"addr":,"type_name":,"zone":,"spot":false,"jobs":[],"done":[]}"#.len();
 const JOB_BASE_BYTES: usize = r#"{"job":,"team":,"need":,"image":,"tasks":[]},"#.len();
@@ -15,9 +15,9 @@
 const DONE_BASE_BYTES: usize = r#"{"job":,"ranges":[]},"#.len();
 const QUOTES_BYTES: usize = 2;
 
-/// A placed task whose attempt number has up to sixteen digits. Attempt numbers begin with a revision
-/// of the key-value store, so they get there after billions of changes; the shard owner counts
-/// exactly.
+/// The maximum size of a placed task whose attempt number has up to sixteen digits. Attempt numbers
+/// begin with a revision of the key-value store, so they become longer only after billions of changes.
+/// Shard owners use the exact size.
 pub(crate) const MAX_TASK_BYTES: usize = PAIR_BASE_BYTES + "99999".len() + "9999999999999999".len();
 
 fn number(value: u64) -> usize {
@@ -40,7 +40,7 @@
         + number(need.memory_mb)
 }
 
-/// A record without jobs.
+/// Returns the size of a record without placed jobs and done tasks.
 pub(crate) fn record_base(record: &MachineRecord) -> usize {
     let texts = [
         record.addr.as_str(),
@@ -50,18 +50,18 @@
     RECORD_BASE_BYTES + texts.into_iter().map(text).sum::<usize>()
 }
 
-/// A job on a record, without its tasks.
+/// Returns the size of a placed job without its tasks.
 pub(crate) fn job(spec: &JobSpec) -> usize {
     let texts = [spec.id.as_str(), spec.team.as_str(), spec.image.as_str()];
     JOB_BASE_BYTES + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
 }
 
-/// A placed task.
+/// Returns the size of a placed task.
 pub(crate) fn task(index: u32, attempt_number: AttemptNumber) -> usize {
     PAIR_BASE_BYTES + number(index.into()) + number(attempt_number.0)
 }
 
-/// A job on a record, with its tasks.
+/// Returns the size of a placed job with its tasks.
 pub(crate) fn placed_job(placed: &PlacedJob) -> usize {
     let names = [
         placed.job.as_str(),
@@ -76,7 +76,7 @@
     JOB_BASE_BYTES + need(placed.need) + names + tasks
 }
 
-/// A job's finished tasks.
+/// Returns the size of a job's done tasks.
 pub(crate) fn done_tasks(done: &DoneTasks) -> usize {
     let range = |(first, last): &(u32, u32)| {
         PAIR_BASE_BYTES + number((*first).into()) + number((*last).into())
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The key-value store: its client, the rate limits that the client keeps to, the records kept
-//! there, and the watch cache of the live ones.
+//! The key-value store: its client, the client's rate limiter, the stored records, and the watch
+//! cache of the records under `live/`.
 
 mod admission;
 mod bitmap;
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -1,61 +1,62 @@
-//! What became of calls of the key-value store, and what may be concluded from their answers.
+//! The outcomes of calls to the key-value store, derived from its HTTP responses.
 
 use crate::http::{CallError, Response};
 use crate::ids::Revision;
 use crate::protocol::store::TxnResponseBody;
 use serde::de::DeserializeOwned;
 
-/// The status of a request beyond the rates.
+/// The HTTP status of a request that exceeds the service's rates.
 pub(super) const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Who has refused a transaction.
+/// The reason why a transaction was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// This controller's rate limiter: it was not sent.
+    /// This controller's rate limiter did not admit it, so it was not sent.
     RateLimiter,
-    /// The store, since its rates are used up.
+    /// The store refused it because its rates were exceeded.
     StoreRate,
-    /// The store does not serve this controller, or could not be reached.
+    /// The store was unreachable or refused to serve this controller.
     StoreUnavailable,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TxnOutcome {
-    /// Executed as this revision.
+    /// Executed at this revision.
     Committed(Revision),
-    /// The conditions on these keys did not hold at this revision; nothing was changed.
+    /// Not executed, because the conditions on these keys did not hold at this revision.
     Failed(Vec<String>, Revision),
-    /// Certainly not executed.
+    /// Not executed. It may be retried.
     Refused(Refusal),
-    /// Certainly not executed, and never will be as it is: too large for the service, or under a
-    /// lease that has ended.
+    /// Not executed, and a retry would fail as well: the transaction is too large for the service, or
+    /// refers to a lease that has expired.
     Invalid,
-    /// May have been executed, or may still be.
+    /// It may have been executed, or may still be executed later.
     Unknown,
 }
 
 /// Why a call other than a transaction has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum StoreError {
-    /// Not sent: this controller's own rate limiter has no token for its class.
-    #[error("held back by the rate limiter")]
+    /// Not sent: this controller's rate limiter did not admit it.
+    #[error("rate limited by this controller")]
     HeldBack,
-    /// The store has refused it, since its rates are used up.
-    #[error("refused by the key-value store")]
+    /// The store refused it because its rates were exceeded.
+    #[error("rate limited by the key-value store")]
     Refused,
-    /// No answer, or one that the store does not serve this controller, as in an outage.
-    #[error("the key-value store did not answer, or does not serve")]
+    /// The store did not respond, or refused to serve this controller, as in an outage.
+    #[error("the key-value store did not respond or is not serving requests")]
     Unavailable,
-    /// An answer that this program can't read.
-    #[error("the answer of the key-value store can't be read")]
+    /// The body of the response could not be decoded.
+    #[error("cannot decode the response of the key-value store")]
     Unreadable,
-    /// What was asked for is no longer there; the same call never succeeds.
-    #[error("no such lease, or revisions too old")]
+    /// The lease or the revisions no longer exist, or the watch response is too large. A retry of the
+    /// same call would fail as well.
+    #[error("lease expired, or the requested revisions are no longer available")]
     Gone,
 }
 
-/// Why a call that has no usable result failed.
+/// Returns the error for a call without a usable result.
 pub(super) fn failed_call(result: &Result<Response, CallError>) -> StoreError {
     match result {
         Ok(response) if response.status == TOO_MANY_REQUESTS => StoreError::Refused,
@@ -63,30 +64,33 @@
     }
 }
 
-/// Reads the body of an answer.
-pub(super) fn decode<T: DeserializeOwned>(answer: &Response) -> Result<T, StoreError> {
-    serde_json::from_slice(&answer.body).map_err(|_| StoreError::Unreadable)
+/// Decodes the body of a response.
+pub(super) fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
+    serde_json::from_slice(&response.body).map_err(|_| StoreError::Unreadable)
 }
 
-/// What an answer to a transaction says of it.
-pub(super) fn txn_outcome(answer: &Response) -> TxnOutcome {
-    let text = || String::from_utf8_lossy(&answer.body);
-    match answer.status {
-        200 => match decode::<TxnResponseBody>(answer) {
+/// Returns the outcome of a transaction that the store responded to.
+pub(super) fn txn_outcome(response: &Response) -> TxnOutcome {
+    let text = || String::from_utf8_lossy(&response.body);
+    match response.status {
+        200 => match decode::<TxnResponseBody>(response) {
             Ok(committed) => TxnOutcome::Committed(committed.revision),
             Err(_) => TxnOutcome::Unknown,
         },
         409 => {
-            let failed: TxnResponseBody = decode(answer).unwrap_or_default();
+            let failed: TxnResponseBody = decode(response).unwrap_or_default();
             TxnOutcome::Failed(failed.failed, failed.revision)
         }
         400 => {
-            tracing::warn!(body = %text(), "transaction is malformed or too large");
+            tracing::warn!(
+                body = %text(),
+                "key-value store rejected a malformed or oversized transaction"
+            );
             TxnOutcome::Invalid
         }
         401..=499 | 503 => {
-            tracing::debug!(body = %text(), "transaction refused");
-            TxnOutcome::Refused(match answer.status {
+            tracing::debug!(body = %text(), "key-value store refused a transaction");
+            TxnOutcome::Refused(match response.status {
                 TOO_MANY_REQUESTS => Refusal::StoreRate,
                 _ => Refusal::StoreUnavailable,
             })
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,35 +1,37 @@
-//! Token buckets with classes of use: when more is asked for than the rates allow, leases and
-//! placements go on and the rest is refused at once.
+//! A token bucket with request classes. When the demand exceeds the rate, requests of later classes
+//! are refused at once, so that leases, users' requests and placements continue.
 
 use crate::ids::{Millis, MonotonicTime};
 
-/// A refused request that users wait for is made again within this: by the leader at once, by users
-/// after a second.
+/// How long tokens are reserved for a refused request of the class `Accept`. It is retried within
+/// this time: by the leader at once, by users after one second.
 const RETRY_WINDOW: Millis = Millis(1500);
 
-/// What a call is for; earlier classes may use what later ones must leave.
+/// The purpose of a request. Classes are ordered by priority, the highest first. A later class has to
+/// leave a larger reserve in the bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RequestClass {
-    /// Leases, the shards' fences and the watch cache: never held back.
+    /// Leases, the shards' fencing tokens and the watch cache. These are always admitted.
     #[serde(rename = "grant")]
     Lease,
-    /// Acceptance, cancellation, and the ends and releases of jobs: few, and waited for.
+    /// Acceptance, cancellation, completion and release of jobs: few requests, but users wait for them.
     Accept,
     /// Placements.
     Place,
     /// Reads of single records.
     Poll,
-    /// Plans, history and cleaning up.
+    /// Plans, history and cleanup.
     Record,
 }
 
 impl RequestClass {
-    /// The part of a full bucket that this class leaves to those before it.
+    /// The fraction of a full bucket that this class leaves to the classes before it.
     fn reserved_fraction(self) -> f64 {
         match self {
             Self::Lease => f64::NEG_INFINITY,
-            // Owners and leader keep to a part of the changes by themselves, so users come first.
+            // Shard owners and the leader limit their own writes to a fraction of the rate, so
+            // requests that users wait for may use all tokens.
             Self::Accept => 0.0,
             Self::Place => 0.05,
             Self::Poll => 0.3,
@@ -38,21 +40,21 @@
     }
 }
 
-/// A bucket of tokens that fills at a steady rate.
+/// A token bucket that refills at a constant rate.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
-    /// Tokens that come in a second.
+    /// The refill rate, in tokens per second.
     rate: f64,
-    /// The most that it holds.
+    /// The capacity, in tokens.
     burst: f64,
-    /// Tokens in it; negative after more was spent than there were.
+    /// The current number of tokens. It is negative while the bucket is overdrawn.
     level: f64,
     updated_at: MonotonicTime,
-    /// What was refused to the class that users wait for.
+    /// The tokens reserved for a refused request of the class `Accept`.
     reservation: Option<TokenReservation>,
 }
 
-/// Tokens that a refused request needs when it is made again.
+/// Tokens that a refused request needs for its retry.
 #[derive(Clone, Copy, Debug)]
 struct TokenReservation {
     amount: f64,
@@ -60,7 +62,8 @@
 }
 
 impl TokenBucket {
-    /// Holds one second's worth, as the services themselves allow.
+    /// Creates a full bucket. Its capacity is one second's worth of tokens, as in the services' own
+    /// rate limiters, but at least one token.
     pub(crate) fn new(rate: f64) -> Self {
         let burst = rate.max(1.0);
         Self {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Another share of a rate; what was saved up stays within the new bound.
+    /// Changes the refill rate. Tokens above the new capacity are discarded.
     pub(crate) fn set_rate(&mut self, now: MonotonicTime, rate: f64) {
         self.level(now);
         self.rate = rate;
@@ -80,12 +83,12 @@
         self.level = self.level.min(self.burst);
     }
 
-    /// The part of a second's worth that is unused.
+    /// Returns the tokens in the bucket as a fraction of its capacity.
     pub(crate) fn available_fraction(&mut self, now: MonotonicTime) -> f64 {
         self.level(now) / self.burst
     }
 
-    /// The tokens in it now.
+    /// Refills the bucket and returns the number of tokens in it.
     pub(crate) fn level(&mut self, now: MonotonicTime) -> f64 {
         self.level =
             (self.level + now.since(self.updated_at).as_secs_f64() * self.rate).min(self.burst);
@@ -93,7 +96,8 @@
         self.level
     }
 
-    /// Whether a class may take so many tokens. A full bucket allows any class any amount.
+    /// Returns whether a request of this class may take `amount` tokens. A full bucket allows any class
+    /// any amount.
     pub(crate) fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         if amount == 0.0 {
             return true;
@@ -106,25 +110,26 @@
         allowed
     }
 
-    /// The tokens that a class leaves to those before it. A part of a small bucket may be less than
-    /// one of their requests needs: without what they wait for, smaller requests of this class would
-    /// take each token before there are enough.
+    /// Returns the number of tokens that a class leaves to the classes before it. In a small bucket the
+    /// reserved fraction may be less than one refused `Accept` request needs. The reservation then
+    /// prevents smaller requests of later classes from taking each token before there are enough.
     fn reserved_tokens(&self, now: MonotonicTime, class: RequestClass) -> f64 {
         let reserve = class.reserved_fraction() * self.burst;
         match self.reservation {
-            Some(awaited) if class > RequestClass::Accept && now < awaited.until => {
-                reserve.max(awaited.amount)
+            Some(reservation) if class > RequestClass::Accept && now < reservation.until => {
+                reserve.max(reservation.amount)
             }
             _ => reserve,
         }
     }
 
-    /// Notes what a request needs that was refused, until it is allowed.
+    /// Reserves tokens for a refused request. An allowed request ends the reservation, unless the
+    /// reservation is for a larger request.
     fn update_reservation(&mut self, now: MonotonicTime, amount: f64, allowed: bool) {
-        let reservation = self.reservation.filter(|awaited| now < awaited.until);
-        let reserved_amount = reservation.map_or(0.0, |awaited| awaited.amount);
+        let reservation = self.reservation.filter(|r| now < r.until);
+        let reserved_amount = reservation.map_or(0.0, |r| r.amount);
         self.reservation = match allowed {
-            true => reservation.filter(|awaited| awaited.amount > amount),
+            true => reservation.filter(|r| r.amount > amount),
             false => Some(TokenReservation {
                 amount: amount.max(reserved_amount),
                 until: now + RETRY_WINDOW,
@@ -132,12 +137,12 @@
         };
     }
 
-    /// Takes tokens out. The debt is bounded by one second's worth.
+    /// Takes tokens out. The bucket can be overdrawn by at most its capacity.
     pub(crate) fn spend(&mut self, amount: f64) {
         self.level = (self.level - amount).max(-self.burst);
     }
 
-    /// Takes tokens out if the class may have them; returns whether it did.
+    /// Takes tokens out if the class is allowed to. Returns whether it did.
     pub(crate) fn try_acquire(
         &mut self,
         now: MonotonicTime,
@@ -151,7 +156,8 @@
         allowed
     }
 
-    /// Takes all tokens out after the service has refused: others use the rate as well.
+    /// Empties the bucket after the service refused a request, which shows that other clients have used
+    /// up the rate.
     pub(crate) fn drain(&mut self, now: MonotonicTime) {
         self.level = self.level(now).min(0.0);
     }
--- a/src/store/rate_selector.rs
+++ b/src/store/rate_selector.rs
@@ -1,25 +1,26 @@
-//! Which of the key-value store's rates is followed: the larger of the present and the later ones
-//! until the service refuses, then the smaller.
+//! Selects the rates of the key-value store that the client follows when a change of the rates is
+//! announced: the larger of the present and the announced rates until the service refuses a request,
+//! then the smaller ones.
 //!
-//! A refusal can have other causes, since controllers share the rates without asking one another.
-//! So the larger rates are tried again after a while, and after a longer one each time.
+//! A refusal can have other causes, because the controllers share the rates without coordination.
+//! The larger rates are therefore retried after a delay that doubles with each refusal.
 
 use crate::config::StoreRates;
 use crate::ids::{Millis, MonotonicTime};
 
-/// The larger rates are tried again after this at first.
+/// The delay before the larger rates are retried for the first time.
 const FIRST_RETRY_DELAY: Millis = Millis(30_000);
-/// Never later than this.
+/// The maximum delay before the larger rates are retried.
 const MAX_RETRY_DELAY: Millis = Millis(600_000);
 
-/// The time for which the smaller rates apply.
+/// A period in which the smaller rates apply.
 #[derive(Clone, Copy, Debug)]
 struct LoweredPeriod {
     until: MonotonicTime,
     delay: Millis,
 }
 
-/// Chooses between the larger and the least of the rates that the service has announced.
+/// Selects between the larger and the smaller of the present and the announced rates.
 #[derive(Debug)]
 pub(super) struct RateSelector {
     max_rates: StoreRates,
@@ -28,30 +29,31 @@
 }
 
 impl RateSelector {
-    /// Starts with the larger rates; nothing is chosen where both are the same.
-    pub(super) fn new(larger: StoreRates, least: StoreRates) -> Self {
+    /// Creates a selector that starts with the larger rates. If both are equal, refusals have no effect.
+    pub(super) fn new(max_rates: StoreRates, min_rates: StoreRates) -> Self {
         Self {
-            max_rates: larger,
-            min_rates: least,
+            max_rates,
+            min_rates,
             lowered_period: None,
         }
     }
 
-    fn is_lowered(&self, now: MonotonicTime) -> bool {
+    fn in_lowered_period(&self, now: MonotonicTime) -> bool {
         self.lowered_period.is_some_and(|l| now < l.until)
     }
 
-    /// The rates that apply now.
+    /// Returns the rates that apply now.
     pub(super) fn current(&self, now: MonotonicTime) -> StoreRates {
-        match self.is_lowered(now) {
+        match self.in_lowered_period(now) {
             true => self.min_rates,
             false => self.max_rates,
         }
     }
 
-    /// The service has refused for the rate, or for a size that only the later limits refuse.
+    /// Switches to the smaller rates after the service refused a request because of its rates, or
+    /// because of a size that only the announced limits refuse.
     pub(super) fn on_refused(&mut self, now: MonotonicTime) {
-        if self.max_rates == self.min_rates || self.is_lowered(now) {
+        if self.max_rates == self.min_rates || self.in_lowered_period(now) {
             return;
         }
         let delay = match self.lowered_period {
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,4 +1,4 @@
-//! The contents of the records, stored as JSON.
+//! The contents of the stored records, serialized as JSON.
 
 pub(crate) use super::bitmap::Bitmap;
 pub(crate) use super::machine_record::{DoneTasks, MachineRecord, PlacedJob};
@@ -10,30 +10,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Who leads; attached to the leader's lease. The record's revision is the leader's term.
+/// The current leader. The record is attached to the leader's lease, and its revision is the leader's
+/// term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaderRecord {
-    /// The controller.
+    /// The controller that leads.
     pub member: MemberId,
-    /// Its process: the leadership is not that of a restarted one.
+    /// The incarnation of its process. A restarted controller does not keep the leadership.
     pub incarnation: Incarnation,
 }
 
-/// A controller whose lease holds; attached to that lease.
+/// A controller whose lease has not expired. The record is attached to that lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MemberRecord {
-    /// The controller's process.
+    /// The incarnation of the controller's process.
     pub incarnation: Incarnation,
-    /// The lease, to which leaders attach the shards that they assign to the controller.
+    /// The controller's lease. Leaders attach the shards that they assign to the controller to it.
     #[serde(rename = "grant")]
     pub lease: LeaseId,
-    /// What the controller's program understands; 0 where it does not say so.
+    /// The version of the controller's program. It is 0 if the record has none.
     #[serde(default)]
     pub version: ProgramVersion,
 }
 
 impl MemberRecord {
-    /// The record of a controller that runs this program.
+    /// Creates the record of a controller that runs this program.
     pub(crate) fn new(incarnation: Incarnation, lease: LeaseId) -> Self {
         Self {
             incarnation,
@@ -43,93 +44,96 @@
     }
 }
 
-/// What a controller's program understands of records and requests. Bound to its incarnation: a
-/// controller that restarts as an earlier program writes its record without it.
+/// A version of the controller's program, by the records and requests that it supports. It belongs to
+/// an incarnation: a controller that is restarted with an earlier program writes its record without a
+/// version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct ProgramVersion(pub u32);
 
 impl ProgramVersion {
-    /// The first that knows dependent jobs.
+    /// The first version that supports job dependencies.
     pub(crate) const DEPENDENCIES: Self = Self(1);
-    /// This program's.
+    /// The version of this program.
     pub(crate) const CURRENT: Self = Self::DEPENDENCIES;
 }
 
-/// Who owns a shard; attached to the owner's lease. The record's revision is the shard's fence.
+/// The owner of a shard. The record is attached to the owner's lease, and its revision is the shard's
+/// fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ShardRecord {
     #[serde(rename = "holder")]
-    /// The controller that owns it.
+    /// The controller that owns the shard.
     pub owner: MemberId,
-    /// The owner's process: a restarted one has to be assigned the shard anew.
+    /// The incarnation of the owner's process. A restarted controller has to be assigned the shard
+    /// again.
     pub incarnation: Incarnation,
-    /// The leader's term in which it was assigned.
+    /// The leader's term in which the shard was assigned.
     pub term: Revision,
 }
 
-/// An accepted job, until it ends.
+/// An accepted job that has not ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct JobRecord {
-    /// What the job's owner asked for.
+    /// The job's specification, as its owner submitted it.
     pub spec: JobSpec,
-    /// When it was accepted.
+    /// The time when the job was accepted.
     #[serde(rename = "accepted")]
     pub accepted_at: UnixTime,
-    /// When the last job that this one depends on was done. `None` while it is blocked, and
-    /// for jobs that depend on nothing.
+    /// The time when the last dependency of the job was done. It is `None` while the job is blocked,
+    /// and for jobs without dependencies.
     #[serde(rename = "released", default, skip_serializing_if = "Option::is_none")]
     pub released_at: Option<UnixTime>,
 }
 
 impl JobRecord {
-    /// A job as it is accepted.
-    pub(crate) fn new(spec: JobSpec, accepted: UnixTime) -> Self {
+    /// Creates the record of a newly accepted job.
+    pub(crate) fn new(spec: JobSpec, accepted_at: UnixTime) -> Self {
         Self {
             spec,
-            accepted_at: accepted,
+            accepted_at,
             released_at: None,
         }
     }
 
-    /// Whether jobs that it depends on may not be done yet: none of its tasks may start.
+    /// Returns whether the job's tasks may not start because it has unfinished dependencies.
     pub(crate) fn is_blocked(&self) -> bool {
         !self.spec.dependencies.is_empty() && self.released_at.is_none()
     }
 }
 
-/// How a job ended; written once and never changed.
+/// The final state of a job. The record is written once and never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FinalRecord {
-    /// Done or cancelled.
+    /// Whether the job was done or cancelled.
     pub state: JobState,
-    /// How many tasks the job had.
+    /// The number of tasks that the job had.
     pub tasks: u32,
 }
 
-/// Plans that were made at about the same time: one change for all of them.
+/// Plans made at about the same time, which are written in a single change.
 pub(crate) type PlanBatch = BTreeMap<JobId, PlanRecord>;
 
-/// A job's plan, written once at acceptance. Its machines are preferred, not binding.
+/// A job's plan, written once at acceptance. Its machines are preferences, not assignments.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanRecord {
     /// The preferred machine type.
     pub type_name: Option<MachineTypeName>,
-    /// The preferred machines; at most [`Self::MAX_MACHINES`].
+    /// The preferred machines, at most [`Self::MAX_MACHINES`].
     pub machines: Vec<MachineId>,
-    /// How long each of its tasks is predicted to run, in seconds.
+    /// The predicted run time of each task, in seconds.
     pub predicted_s: f64,
-    /// The job whose placement group this one shares, among those that it needs.
+    /// The dependency whose placement group this job shares.
     #[serde(rename = "joins", default, skip_serializing_if = "Option::is_none")]
     pub placement_group_job: Option<JobId>,
 }
 
 impl PlanRecord {
-    /// Machines named in a plan; more would only make its record larger.
+    /// The maximum number of machines in a plan. It limits the size of the record.
     pub(crate) const MAX_MACHINES: usize = 12;
 }
 
-/// How long tasks of a pipeline's earlier jobs ran.
+/// The run times of tasks of a pipeline's earlier jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HistoryRecord {
     /// The run times on each machine type, as fractions of the estimates, oldest first.
--- a/src/store/refusals.rs
+++ b/src/store/refusals.rs
@@ -1,27 +1,27 @@
-//! The log of refused requests: when an episode of refusals began, and when it was over.
+//! Logs the beginning and the end of each episode of refused requests.
 
 use super::admission::TokenLevels;
 use super::rate_limiter::RequestClass;
 use crate::episodes::Episodes;
 use crate::ids::{Millis, MonotonicTime};
 
-/// Shorter episodes are not logged.
+/// The minimum duration of an episode that is logged.
 const MIN_LOGGED_DURATION: Millis = Millis(1000);
-/// Refusals further apart than this are different episodes.
+/// The time without a refusal after which an episode has ended.
 const EPISODE_GAP: Millis = Millis(30_000);
-/// All classes and the store itself.
+/// The maximum number of open episodes, enough for one of each class and one of the store.
 const MAX_EPISODES: usize = 8;
 
-/// Who has refused a request.
+/// The component that refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RefusedBy {
-    /// This controller's rate limiter, to a request of this class.
+    /// This controller's rate limiter, for a request of this class.
     RateLimiter(RequestClass),
-    /// The key-value store, since its rates were used up.
+    /// The key-value store, because its rates were exceeded.
     Store,
 }
 
-/// The episodes of refused requests.
+/// The episodes of refused requests, by the component that refused them.
 #[derive(Debug)]
 pub(super) struct Refusals(Episodes<RefusedBy>);
 
@@ -36,7 +36,8 @@
 }
 
 impl Refusals {
-    /// Counts a refused request; `levels`: what was left in the buckets.
+    /// Counts a refused request, and logs the beginning of an episode. `levels` are the tokens left at
+    /// this time.
     pub(super) fn record(&mut self, now: MonotonicTime, by: RefusedBy, levels: TokenLevels) {
         if let Some(episode) = self.0.record(now, &by) {
             tracing::info!(
@@ -44,19 +45,19 @@
                 count = episode.count,
                 requests_left = levels.requests,
                 changes_left = levels.writes,
-                "requests to the key-value store are refused"
+                "requests to the key-value store are being rate limited"
             );
         }
     }
 
-    /// Logs the episodes that are over.
+    /// Logs the episodes that have ended.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
         for (by, episode) in self.0.take_ended(now) {
             tracing::info!(
                 ?by,
                 count = episode.count,
                 lasted_ms = episode.duration().0,
-                "requests to the key-value store are no longer refused"
+                "requests to the key-value store are no longer rate limited"
             );
         }
     }
--- a/src/store/urgency.rs
+++ b/src/store/urgency.rs
@@ -1,20 +1,20 @@
-//! How urgent a job is: by itself, and by the jobs that depend on it.
+//! The urgency of a job, which depends on its own specification and on its dependents.
 
 use crate::ids::{Millis, UnixTime};
 use crate::protocol::{JobSpec, Priority};
 
-/// A priority, and the latest moment at which the job may be done so that everything which
-/// depends on it can still be in time.
+/// The priority and the latest finish time of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Urgency {
-    /// The highest priority that anything depends on.
+    /// The highest priority among the job and its dependents.
     pub priority: Priority,
-    /// That moment; none where there is no deadline.
+    /// The latest time at which the job may finish so that it and all its dependents can meet their
+    /// deadlines. It is `None` if none of them has a deadline.
     pub finish_by: Option<UnixTime>,
 }
 
 impl Urgency {
-    /// By itself: as the job's owner has specified it.
+    /// Returns a job's own urgency, from its specification.
     pub(crate) fn from_spec(spec: &JobSpec, accepted_at: UnixTime) -> Self {
         let deadline = spec.deadline_s.map(Millis::from_secs);
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whichever is more urgent, in priority and in time.
+    /// Combines the higher priority with the earlier finish time.
     pub(crate) fn merge(self, other: Self) -> Self {
         let times = [self.finish_by, other.finish_by];
         Self {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// What a job passes back to those that it depends on: they have to be done before it starts.
+    /// Returns the urgency that a job passes on to its dependencies. They have to be done before it
+    /// starts, so the finish time is earlier by the job's predicted run time.
     pub(crate) fn for_dependencies(self, predicted: Millis) -> Self {
         let earlier = |at: UnixTime| UnixTime(at.0.saturating_sub(predicted.0));
         Self {
--- a/src/store/versioned.rs
+++ b/src/store/versioned.rs
@@ -1,12 +1,12 @@
-//! A stored record together with the revision that wrote it.
+//! A stored record together with the revision at which it was written.
 
 use crate::ids::Revision;
 
-/// A record as one change of the store left it.
+/// A version of a stored record.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
     /// The record's contents.
     pub value: T,
-    /// The change that wrote it: the condition under which it may be overwritten.
+    /// The revision that wrote it. Transactions that overwrite the record compare against it.
     pub revision: Revision,
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,7 +1,8 @@
-//! Every controller's live watch cache of the records under `live/`, in the order of their changes.
+//! The watch cache of the records under `live/`, which every controller keeps. Changes are applied in
+//! the order in which they were committed.
 //!
-//! Because the watch cache follows one stream, whoever sees a shard's new record has also seen every
-//! placement that was committed before it: a new leader or shard owner needs no reads of its own.
+//! Because all changes come from a single stream, a controller that sees a shard's new record has also
+//! seen every placement committed before it. A new leader or shard owner therefore needs no reads.
 
 mod changes;
 mod jobs;
@@ -24,43 +25,45 @@
 use crate::protocol::{Catalog, MachineType};
 use std::collections::BTreeMap;
 
-/// The records under `live/` as the stream has brought them up to one revision.
+/// The records under `live/` at one revision of the store.
 #[derive(Debug)]
 pub(crate) struct WatchCache {
     /// The last revision whose changes are all applied.
     pub revision: Revision,
-    /// Tasks in one segment of a completion counter.
+    /// The number of tasks in one segment of a completion counter.
     tasks_per_segment: u32,
-    /// The leader's record; none while nobody leads.
+    /// The leader's record. It is `None` while there is no leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The controllers whose leases hold.
+    /// The controllers whose leases have not expired.
     pub members: BTreeMap<MemberId, MemberRecord>,
-    /// The shards that are leased to an owner.
+    /// The shards that have an owner.
     pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
-    /// The cloud's machine types and zones, as last written.
+    /// The cloud's machine types and zones. It is `None` until they are first stored.
     pub catalog: Option<Versioned<Catalog>>,
-    /// The administrators' settings; none while all are at their defaults.
+    /// The administrators' settings. It is `None` while all of them have their defaults.
     pub settings: Option<Versioned<Settings>>,
-    /// Run times of each pipeline's earlier jobs.
+    /// The run times of each pipeline's earlier jobs.
     pub history: BTreeMap<Pipeline, Versioned<HistoryRecord>>,
     /// Jobs whose tasks may run.
     pub jobs: BTreeMap<JobId, LiveJob>,
-    /// Blocked jobs. Nothing that counts or places work sees them.
+    /// The blocked jobs. They are kept apart from `jobs`, so that they are neither counted as demand nor
+    /// placed.
     pub dependency_graph: DependencyGraph,
-    /// Machines with a record, and those that answer before they have one.
+    /// The machines with a record, and those that respond before they have one.
     pub machines: BTreeMap<MachineId, LiveMachine>,
-    /// Segments that came before the job they belong to, or outlived it.
+    /// Segments that were received before their job, or that remain after it ended.
     segments_without_job: BTreeMap<SegmentKey, Versioned<Bitmap>>,
-    /// Plans that came before the job they belong to.
+    /// Plans that were received before their job.
     plans_without_job: BTreeMap<JobId, PlanRecord>,
     /// The jobs of each batch of plans, by the batch's name.
     plan_batches: BTreeMap<String, Vec<JobId>>,
-    /// Jobs that are known to be cancelled, by that change, before the stream has reached it.
+    /// Jobs whose cancellation is committed but not yet received from the stream, with the revision of
+    /// the cancellation.
     cancelled: BTreeMap<JobId, Revision>,
 }
 
 impl WatchCache {
-    /// An empty cache, before the first page of records.
+    /// Creates an empty cache.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             revision: Revision(0),
@@ -81,20 +84,20 @@
         }
     }
 
-    /// Whether every controller that takes part understands jobs that depend on others. One that
-    /// does not would start them at once.
+    /// Returns whether every live controller supports job dependencies. A controller without support
+    /// would start blocked jobs at once.
     pub(crate) fn all_members_support_dependencies(&self) -> bool {
         let mut members = self.members.values();
         members.all(|m| m.version >= ProgramVersion::DEPENDENCIES)
     }
 
-    /// The catalog's entry for a machine type.
+    /// Returns the catalog's entry for a machine type.
     pub(crate) fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         let catalog = self.catalog.as_ref()?;
         catalog.value.types.iter().find(|t| t.name == *name)
     }
 
-    /// The administrators' settings, or the defaults.
+    /// Returns the administrators' settings, or the defaults if none are stored.
     pub(crate) fn settings(&self) -> Settings {
         self.settings
             .as_ref()
@@ -102,7 +105,8 @@
             .unwrap_or_default()
     }
 
-    /// At most `limit` keys of records that ended jobs left behind; nobody waits for their removal.
+    /// Returns the keys of at most `limit` records that remain of ended jobs. Their removal is not
+    /// urgent.
     pub(crate) fn orphaned_keys(&self, limit: usize) -> Vec<String> {
         let segments = self.segments_without_job.keys();
         let live = |id: &JobId| self.job_revision(id).is_some();
@@ -118,7 +122,8 @@
             .collect()
     }
 
-    /// What each team's placed tasks use, cancelled ones that are not proved gone included.
+    /// Returns the resources that each team's placed tasks use, including cancelled tasks that are not
+    /// yet confirmed to have stopped.
     pub(crate) fn team_usage(&self) -> BTreeMap<TeamId, Resources> {
         let mut usage: BTreeMap<TeamId, Resources> = BTreeMap::new();
         for placed in self.machines.values().flat_map(|m| &m.record.jobs) {
--- a/src/store/watch_cache/changes.rs
+++ b/src/store/watch_cache/changes.rs
@@ -1,4 +1,4 @@
-//! Applies the stream's changes to the cache, each by the kind of its key.
+//! Applies stored records and changes from the watch stream to the cache, by the type of their keys.
 
 use super::WatchCache;
 use crate::ids::{JobId, Revision, ShardId};
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A record as a page or the stream brings it, not decoded yet.
+/// A record from a page or from the watch stream that is not decoded yet.
 struct StoredRecord<'a> {
     key: &'a str,
     value: Value,
@@ -17,12 +17,14 @@
 }
 
 impl StoredRecord<'_> {
-    /// The contents. An unreadable record is logged and left out: a controller of another version
-    /// may have written it, and everything else still has to be served.
+    /// Decodes the contents. An unreadable record is logged and ignored, because a controller of another
+    /// version may have written it, and the other records still have to be processed.
     fn decode<T: DeserializeOwned>(self) -> Option<T> {
         let key = self.key;
         serde_json::from_value(self.value)
-            .map_err(|error| tracing::error!(key, %error, "unreadable record ignored"))
+            .map_err(
+                |error| tracing::error!(key, %error, "cannot decode a stored record; ignoring it"),
+            )
             .ok()
     }
 
@@ -36,7 +38,7 @@
         current.is_none_or(|old| old.revision < self.revision)
     }
 
-    /// Takes the place of an older record.
+    /// Replaces the record in `slot` if that one is older.
     fn replace_older<T: DeserializeOwned>(self, slot: &mut Option<Versioned<T>>) {
         if self.is_newer_than(slot.as_ref())
             && let Some(versioned) = self.decode_versioned()
@@ -47,7 +49,7 @@
 }
 
 impl WatchCache {
-    /// Takes a record that a page of the whole list brings.
+    /// Stores a record from a page of the initial list.
     pub(crate) fn load(&mut self, item: KeyValue) {
         self.put(StoredRecord {
             key: &item.key,
@@ -56,7 +58,7 @@
         });
     }
 
-    /// Applies the next changes of the stream. Returns the ids of jobs that ended.
+    /// Applies the next changes from the stream. Returns the ids of jobs that ended.
     pub(crate) fn apply(&mut self, revision: Revision, events: Vec<Event>) -> Vec<JobId> {
         let mut ended = Vec::new();
         for event in events {
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -1,4 +1,4 @@
-//! The cached jobs, blocked and live: their records, plans and completion counters.
+//! The cached jobs, both blocked and live, with their records, plans and completion counters.
 
 use super::{LiveJob, WatchCache};
 use crate::ids::{JobId, Revision};
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 
 impl WatchCache {
-    /// Removes a job whose cancellation is committed, before the stream brings that change. Earlier
-    /// versions of its record that the stream still brings are ignored.
+    /// Removes a job whose cancellation is committed, before the change is received from the stream.
+    /// Earlier versions of its record that are still received are ignored.
     pub(crate) fn apply_cancellation(&mut self, job: &JobId, revision: Revision) {
         if revision > self.revision {
             self.cancelled.insert(job.clone(), revision);
@@ -22,13 +22,13 @@
             .record_outcome(job, JobOutcome::Cancelled);
     }
 
-    /// The revision of a job's record, blocked or not.
+    /// Returns the revision of the record of a job, blocked or live.
     pub(crate) fn job_revision(&self, id: &JobId) -> Option<Revision> {
         let live = self.jobs.get(id).map(|job| job.revision);
         live.or_else(|| self.dependency_graph.get(id).map(|job| job.revision))
     }
 
-    /// A job's plan, blocked or not.
+    /// Returns the plan of a job, blocked or live.
     pub(crate) fn plan(&self, id: &JobId) -> Option<&PlanRecord> {
         match self.jobs.get(id) {
             Some(job) => job.plan.as_ref(),
@@ -36,20 +36,21 @@
         }
     }
 
-    /// A job's specification, blocked or not.
+    /// Returns the specification of a job, blocked or live.
     pub(crate) fn job_spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
         let live = self.jobs.get(id).map(|job| &job.spec);
         live.or_else(|| self.dependency_graph.get(id).map(|job| &job.spec))
     }
 
-    /// Takes over from the cache that this one replaces which jobs are known to be cancelled.
+    /// Applies the cancellations that are known to the cache which this one replaces.
     pub(crate) fn copy_cancelled_from(&mut self, old: &Self) {
         for (job, revision) in &old.cancelled {
             self.apply_cancellation(job, *revision);
         }
     }
 
-    /// Notes a job's outcome from its final record, which the stream may not have brought yet.
+    /// Records a job's outcome from its final record. The deletion of the job's live record may not have
+    /// been received from the stream yet.
     pub(crate) fn record_job_outcome(&mut self, id: &JobId, outcome: JobOutcome) {
         if let Some(job) = self.jobs.get(id) {
             self.dependency_graph
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Sets the plan of a job, blocked or not. Returns whether there is such a job.
+    /// Sets the plan of a job, blocked or live. Returns whether the job is in the cache.
     pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> bool {
         if let Some(job) = self.jobs.get_mut(id) {
             job.plan = Some(plan);
@@ -81,7 +82,7 @@
         is_blocked
     }
 
-    /// Takes a job out and returns its id, unless its record was written after this deletion.
+    /// Removes a job and returns its id, unless its record was written after this deletion.
     pub(super) fn delete_job(&mut self, id: JobId, revision: Revision) -> Option<JobId> {
         if self.job_revision(&id).is_some_and(|r| r < revision) {
             self.remove_job(&id);
@@ -100,8 +101,8 @@
         self.dependency_graph.mark_ended(id);
     }
 
-    /// Takes a segment of a job's completion counter. Tasks that it shows as done need no longer be
-    /// counted from machines' records.
+    /// Stores a segment of a job's completion counter. Tasks that are done in it no longer need to be
+    /// counted from machine records.
     pub(super) fn put_segment(&mut self, key: SegmentKey, bits: Versioned<Bitmap>) {
         match self.jobs.get_mut(&key.job) {
             Some(job) => job.put_segment(key.segment, bits, self.tasks_per_segment),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes a segment out, whether its job is here or not.
+    /// Removes a segment, whether its job is in the cache or not.
     pub(super) fn delete_segment(&mut self, key: &SegmentKey) {
         self.segments_without_job.remove(key);
         if let Some(job) = self.jobs.get_mut(&key.job) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Takes a batch of plans; those whose jobs are still to come are kept for them.
+    /// Stores a batch of plans. Plans whose jobs are not in the cache yet are kept until they are.
     pub(super) fn put_plan_batch(&mut self, name: String, batch: PlanBatch) {
         self.plan_batches
             .insert(name, batch.keys().cloned().collect());
@@ -130,14 +131,14 @@
         }
     }
 
-    /// Forgets a batch of plans, and those of its plans whose jobs have not come.
+    /// Removes a batch of plans, including its plans whose jobs were not received.
     pub(super) fn delete_plan_batch(&mut self, name: &str) {
         for id in self.plan_batches.remove(name).unwrap_or_default() {
             self.plans_without_job.remove(&id);
         }
     }
 
-    /// Takes a job's record from the stream, or from a transaction that was just committed.
+    /// Stores a job's record from the stream, or from a transaction that was just committed.
     pub(crate) fn put_job(&mut self, id: JobId, record: JobRecord, revision: Revision) {
         if record.is_blocked() {
             let plan = self.plans_without_job.remove(&id);
@@ -184,10 +185,10 @@
             job: job.clone(),
             segment,
         };
-        let early = self.segments_without_job.range(key(0)..=key(u32::MAX));
-        let early: Vec<SegmentKey> = early.map(|(key, _)| key.clone()).collect();
+        let range = self.segments_without_job.range(key(0)..=key(u32::MAX));
+        let keys: Vec<SegmentKey> = range.map(|(key, _)| key.clone()).collect();
         let mut segments = BTreeMap::new();
-        for key in early {
+        for key in keys {
             if let Some(bits) = self.segments_without_job.remove(&key) {
                 segments.insert(key.segment, bits);
             }
--- a/src/store/watch_cache/machines.rs
+++ b/src/store/watch_cache/machines.rs
@@ -1,33 +1,34 @@
-//! The cached machines, and which jobs' tasks their records place there.
+//! The cached machines, and the placements of jobs' tasks from their records.
 
 use super::WatchCache;
 use crate::ids::{Image, JobId, MachineId, Revision};
 use crate::store::records::MachineRecord;
 
-/// Images remembered for a machine; which it still caches is a guess anyway.
+/// The maximum number of images remembered per machine. Which of them the machine still caches is only
+/// an estimate.
 const MAX_REMEMBERED_IMAGES: usize = 16;
 
-/// A machine's record, and what the cache remembers beside it.
+/// A machine's record with its revision, and the images that the machine has probably cached.
 #[derive(Debug)]
 pub(crate) struct LiveMachine {
-    /// What is placed and done there.
+    /// The machine's record, with its placed and done tasks.
     pub record: MachineRecord,
-    /// The change that wrote the record; 0 while there is none in the store.
+    /// The revision that wrote the record. It is 0 while the store has no record of the machine.
     pub revision: Revision,
-    /// Images that its tasks have needed, the latest last.
+    /// The images that its tasks have used, the most recent last.
     pub images: Vec<Image>,
 }
 
 impl WatchCache {
-    /// The machines on whose records a job is placed.
+    /// Returns the machines whose records contain tasks of a job.
     pub(crate) fn machines_with_job(&self, job: &JobId) -> impl Iterator<Item = &MachineId> {
         let is_placed = move |m: &LiveMachine| m.record.jobs.iter().any(|p| p.job == *job);
         let machines = self.machines.iter().filter(move |(_, m)| is_placed(m));
         machines.map(|(id, _)| id)
     }
 
-    /// Takes a machine's record from the stream, or from a transaction that was just committed:
-    /// the stream brings that one again, later, and is then ignored.
+    /// Stores a machine's record from the stream, or from a transaction that was just committed. The
+    /// record of a transaction is received again from the stream later, and is then ignored.
     pub(crate) fn put_machine(&mut self, id: MachineId, record: MachineRecord, revision: Revision) {
         let Some(old) = self.machines.remove(&id) else {
             self.insert_machine(id, record, revision, Vec::new());
@@ -41,7 +42,7 @@
         self.insert_machine(id, record, revision, old.images);
     }
 
-    /// Takes a machine out, unless its record was written after this deletion.
+    /// Removes a machine, unless its record was written after this deletion.
     pub(super) fn delete_machine(&mut self, id: &MachineId, revision: Revision) {
         let current = self.machines.get(id);
         if current.is_some_and(|m| m.revision < revision)
@@ -51,14 +52,14 @@
         }
     }
 
-    /// Adds a machine that answers and has no record yet.
+    /// Adds a machine that responds but has no record in the store yet.
     pub(crate) fn insert_unrecorded_machine(&mut self, id: MachineId, record: MachineRecord) {
         if !self.machines.contains_key(&id) {
             self.insert_machine(id, record, Revision(0), Vec::new());
         }
     }
 
-    /// Forgets a machine that has no record.
+    /// Removes a machine that has no record in the store.
     pub(crate) fn remove_unrecorded_machine(&mut self, id: &MachineId) {
         let current = self.machines.get(id);
         if current.is_some_and(|m| m.revision == Revision(0)) {
