--- a/src/store/bitmap/tests.rs
+++ b/src/store/bitmap/tests.rs
@@ -17,7 +17,7 @@
         prop_assert_eq!(bitmap.count() as usize, model.len());
         prop_assert!((0..8192).all(|b| bitmap.get(b) == model.contains(&b)));
         prop_assert!(text.len() <= 8192 / 4 + 2);
-        // Where the digits don't fit, it is stored in a shorter form and read the same.
+        // If the hexadecimal digits do not fit, a shorter form is stored, which decodes to the same bitmap.
         for value_bytes in [8192, 2048, 1400] {
             let stored = bitmap.encode(value_bytes).expect("a form that fits");
             prop_assert!(stored.to_string().len() <= value_bytes);
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -3,9 +3,9 @@
 use crate::runtime::{self, TcpListener};
 use crate::store::keys;
 
-/// Many changes at once, after half a minute without any, can take more memory than a controller
-/// has. The watch cache is then read anew, page by page: the same request would get the same answer
-/// for ever, and the watch cache would stop (Savannah fleet, zone).
+/// A watch response with many changes at once, after half a minute without any, can need more memory
+/// than a controller has. The watch cache must then be reloaded page by page: a retry of the same
+/// request would get the same response each time, and the watch cache would not advance any more.
 #[test]
 fn watch_response_over_the_size_limit_is_reported_as_gone() {
     runtime::run(async {
--- a/src/store/dependency_graph/tests.rs
+++ b/src/store/dependency_graph/tests.rs
@@ -1,15 +1,15 @@
-//! Compared with a slow plain model: lists of jobs, searched anew for each question.
+//! Compares the graph with a simple model, which searches its list of jobs for each query.
 
 use super::*;
 use crate::protocol::Priority;
 use proptest::prelude::*;
 
-/// One job of the model, by its number.
+/// A job of the model. Jobs are identified by their index in the model's list.
 #[derive(Clone, Debug)]
 struct ModelJob {
     parents: Vec<usize>,
     priority: Priority,
-    /// In seconds.
+    /// The deadline, in seconds after acceptance.
     deadline: Option<f64>,
     predicted: f64,
     state: ModelState,
@@ -25,20 +25,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A job with these parents, by their numbers modulo the jobs there are.
+    /// Accepts a job whose dependencies are `parents`, modulo the number of jobs.
     Accept {
         parents: Vec<usize>,
         priority: usize,
         deadline: Option<u32>,
         estimate: u32,
     },
-    /// The job's final record is seen, or only that it has left the watch cache.
+    /// Ends a job. `outcome_seen` tells whether its final record is seen, or only its removal from the
+    /// watch cache.
     End {
         job: usize,
         cancelled: bool,
-        noted: bool,
+        outcome_seen: bool,
     },
-    /// What has to be read is read.
+    /// Reads the final records of the jobs with an unknown outcome.
     Read,
     Plan {
         job: usize,
@@ -75,7 +76,7 @@
         (0..self.jobs.len()).filter(is_blocked_by_job).collect()
     }
 
-    /// By trying every path forward.
+    /// Returns the urgency of a job, computed by following every path to its dependents.
     fn urgency(&self, job: usize) -> Urgency {
         let own = &self.jobs[job];
         let own_deadline = own.deadline.map(|s| UnixTime((s * 1000.0) as u64));
@@ -109,14 +110,14 @@
     }
 }
 
-/// The real graph, with the jobs beside it that are live and not blocked.
+/// The graph under test and the live jobs, which the graph does not contain.
 #[derive(Default)]
-struct Real {
+struct GraphUnderTest {
     graph: DependencyGraph,
     live: BTreeSet<JobId>,
 }
 
-impl Real {
+impl GraphUnderTest {
     fn accept(&mut self, job: usize, model: &ModelJob) {
         if model.state == ModelState::Live {
             self.live.insert(id(job));
@@ -140,7 +141,7 @@
     }
 }
 
-fn accept(model: &mut Model, real: &mut Real, step: &Step) {
+fn accept(model: &mut Model, real: &mut GraphUnderTest, step: &Step) {
     let Step::Accept {
         parents,
         priority,
@@ -156,7 +157,7 @@
     parents.sort_unstable();
     parents.dedup();
     let state = |p: &usize| model.jobs[*p].state;
-    // As the API decides it.
+    // The API decides the initial state in the same way.
     let state = if parents.iter().any(|p| state(p) == ModelState::Cancelled) {
         ModelState::Cancelled
     } else if parents.iter().all(|p| state(p) == ModelState::Done) {
@@ -177,7 +178,13 @@
     model.jobs.push(job);
 }
 
-fn end(model: &mut Model, real: &mut Real, job: usize, cancelled: bool, noted: bool) {
+fn end(
+    model: &mut Model,
+    real: &mut GraphUnderTest,
+    job: usize,
+    cancelled: bool,
+    outcome_seen: bool,
+) {
     if model.jobs.is_empty() {
         return;
     }
@@ -190,34 +197,35 @@
         false => (ModelState::Done, JobOutcome::Done),
     };
     model.jobs[job].state = state;
-    // A final record may be known before the stream brings the change, or after, or only when it
-    // is read.
-    if noted && job.is_multiple_of(2) {
+    // The final record may be seen before or after the stream delivers the job's deletion, or only
+    // when it is read.
+    if outcome_seen && job.is_multiple_of(2) {
         real.graph.record_outcome(&id(job), outcome);
         real.remove(job);
     } else {
         real.remove(job);
-        if noted {
+        if outcome_seen {
             real.graph.record_outcome(&id(job), outcome);
         }
     }
 }
 
-fn read(model: &Model, real: &mut Real) {
-    let with_unknown_outcome: Vec<JobId> =
-        real.graph.jobs_with_unknown_outcome().cloned().collect();
-    for asked in with_unknown_outcome {
-        let job: usize = asked.as_str()[4..].parse().expect("a number");
+fn read(model: &Model, real: &mut GraphUnderTest) {
+    let unknown: Vec<JobId> = real.graph.jobs_with_unknown_outcome().cloned().collect();
+    for dependency in unknown {
+        let job: usize = dependency.as_str()[4..].parse().expect("a number");
         match model.jobs[job].state {
-            ModelState::Done => real.graph.record_outcome(&asked, JobOutcome::Done),
-            ModelState::Cancelled => real.graph.record_outcome(&asked, JobOutcome::Cancelled),
-            state => panic!("{asked} is {state:?} and was taken for over"),
+            ModelState::Done => real.graph.record_outcome(&dependency, JobOutcome::Done),
+            ModelState::Cancelled => real
+                .graph
+                .record_outcome(&dependency, JobOutcome::Cancelled),
+            state => panic!("{dependency} is {state:?}, but the graph treats it as ended"),
         }
     }
 }
 
-/// Releases what is ready, cancels what is doomed: as the leader does it.
-fn release_and_cancel(model: &mut Model, real: &mut Real) {
+/// Releases the ready jobs and cancels the dependents of cancelled jobs, as the leader does.
+fn release_and_cancel(model: &mut Model, real: &mut GraphUnderTest) {
     let ready: Vec<JobId> = real.graph.ready().cloned().collect();
     for released in ready {
         let job: usize = released.as_str()[4..].parse().expect("a number");
@@ -244,17 +252,17 @@
     }
 }
 
-fn compare(model: &Model, real: &Real) {
-    for (job, known) in model.jobs.iter().enumerate() {
-        let is_blocked = known.state == ModelState::Blocked;
+fn compare(model: &Model, real: &GraphUnderTest) {
+    for (job, model_job) in model.jobs.iter().enumerate() {
+        let is_blocked = model_job.state == ModelState::Blocked;
         assert_eq!(real.graph.contains(&id(job)), is_blocked, "{job}");
         if is_blocked {
             assert_eq!(real.graph.urgency(&id(job)), Some(model.urgency(job)));
         }
-        if known.state == ModelState::Live {
+        if model_job.state == ModelState::Live {
             let own = Urgency {
-                priority: known.priority,
-                finish_by: known.deadline.map(|s| UnixTime((s * 1000.0) as u64)),
+                priority: model_job.priority,
+                finish_by: model_job.deadline.map(|s| UnixTime((s * 1000.0) as u64)),
             };
             let inherited = real.graph.inherited(&id(job));
             let merged = inherited.map_or(own, |other| own.merge(other));
@@ -277,10 +285,10 @@
         estimate,
     });
     let end = (0usize..40, 0u32..4, any::<bool>());
-    let end = end.prop_map(|(job, kind, noted)| Step::End {
+    let end = end.prop_map(|(job, kind, outcome_seen)| Step::End {
         job,
         cancelled: kind == 0,
-        noted,
+        outcome_seen,
     });
     let plan = (0usize..40, 1u32..90).prop_map(|(job, seconds)| Step::Plan { job, seconds });
     prop_oneof![5 => accept, 4 => end, 2 => plan, 2 => Just(Step::Read)]
@@ -288,15 +296,16 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(22), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Who may start, who is cancelled, effective priority and latest finish.
+    /// Compares which jobs may start and which are cancelled, and each job's effective priority and
+    /// latest finish time.
     #[test]
     fn graph_agrees_with_the_model(steps in proptest::collection::vec(step(), 1..60)) {
-        let (mut model, mut real) = (Model::default(), Real::default());
+        let (mut model, mut real) = (Model::default(), GraphUnderTest::default());
         for step in &steps {
             match step {
                 Step::Accept { .. } => accept(&mut model, &mut real, step),
-                Step::End { job, cancelled, noted } => {
-                    end(&mut model, &mut real, *job, *cancelled, *noted);
+                Step::End { job, cancelled, outcome_seen } => {
+                    end(&mut model, &mut real, *job, *cancelled, *outcome_seen);
                 }
                 Step::Read => read(&model, &mut real),
                 Step::Plan { job, seconds } => {
@@ -319,12 +328,12 @@
         read(&model, &mut real);
         release_and_cancel(&mut model, &mut real);
         compare(&model, &real);
-        // No job is blocked that may start, or that has to be cancelled.
-        for (job, known) in model.jobs.iter().enumerate() {
-            let is_blocked = known.state == ModelState::Blocked;
+        // No blocked job may start or has to be cancelled.
+        for (job, model_job) in model.jobs.iter().enumerate() {
+            let is_blocked = model_job.state == ModelState::Blocked;
             prop_assert!(!is_blocked || (!model.may_start(job) && !model.must_be_cancelled(job)));
         }
-        // Nothing is kept of jobs without dependents.
+        // The graph keeps no state of jobs without dependents.
         if real.graph.len() == 0 {
             let kept = (&real.graph.dependents, &real.graph.inherited, &real.graph.outcomes);
             prop_assert!(kept.0.is_empty() && kept.1.is_empty() && kept.2.is_empty());
@@ -332,12 +341,13 @@
     }
 }
 
-/// A chain of thousands whose last job alone has a deadline costs a walk along it once, and a
-/// fan-out of thousands is not looked through for each of its jobs.
+/// Guards against quadratic cost. The deadline of the last job of a chain of thousands must be
+/// propagated along the chain only once, and adding one of thousands of dependents of the same job
+/// must not iterate over the others.
 #[test]
 fn urgency_and_outcome_reach_thousands_of_dependents() {
     const JOBS: usize = 5000;
-    let mut real = Real::default();
+    let mut real = GraphUnderTest::default();
     let job = |parents: Vec<usize>, deadline| ModelJob {
         parents,
         priority: Priority::Low,
--- a/src/store/machine_record/tests.rs
+++ b/src/store/machine_record/tests.rs
@@ -4,7 +4,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default() })]
-    /// The model is a set; ranges stay ascending, apart, and as few as possible.
+    /// Compares with a set of indices. The ranges must stay ascending, without overlap and not adjacent,
+    /// so that there are as few as possible.
     #[test]
     fn done_ranges_match_a_set(steps in proptest::collection::vec((0u32..80, 0u32..6), 1..60)) {
         let mut done = DoneTasks { job: "job-1".into(), ranges: Vec::new() };
@@ -38,7 +39,8 @@
     assert!(record.size() <= size + 8, "{size}");
 }
 
-/// The size that is announced for a placement is the one that it adds.
+/// Guards against records that exceed the size limit of a value because a placement adds more bytes
+/// than were checked before.
 #[test]
 fn added_size_equals_the_growth_of_the_record() {
     let mut spec = crate::protocol::tests::spec("job-000001");
@@ -52,10 +54,10 @@
             },
             number: AttemptNumber(u64::MAX >> (index % 60)),
         };
-        let announced = record.size() + record.added_size(&attempt, &spec);
+        let expected = record.size() + record.added_size(&attempt, &spec);
         record.add(&attempt, &spec);
         let size = serde_json::to_vec(&record).expect("json").len();
-        assert_eq!(record.size(), announced);
-        assert!((size..size + 8).contains(&announced), "{announced} {size}");
+        assert_eq!(record.size(), expected);
+        assert!((size..size + 8).contains(&expected), "{expected} {size}");
     }
 }
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -3,20 +3,20 @@
 #[test]
 fn leases_and_placements_are_admitted_under_overload() {
     let mut bucket = TokenBucket::new(20.0);
-    let (mut granted, mut placed, mut polled) = (0, 0, 0);
+    let (mut leases, mut placed, mut polls) = (0, 0, 0);
     for ms in 0..10_000 {
         let now = MonotonicTime(ms);
-        // Polls ask fifty times the rate; placements half of it.
-        polled += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Poll));
+        // Polls request fifty times the rate, placements half of it.
+        polls += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Poll));
         if ms % 100 == 0 {
             placed += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Place));
         }
         if ms % 1000 == 0 {
-            granted += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Lease));
+            leases += u32::from(bucket.try_acquire(now, 1.0, RequestClass::Lease));
         }
     }
-    assert_eq!((granted, placed), (10, 100));
-    assert!((80..=115).contains(&polled), "{polled}");
+    assert_eq!((leases, placed), (10, 100));
+    assert!((80..=115).contains(&polls), "{polls}");
 }
 
 #[test]
@@ -27,10 +27,9 @@
     assert!(bucket.try_acquire(MonotonicTime(200), 1.0, RequestClass::Place));
 }
 
-/// The end of a job writes its final record and deletes the live one: two changes. A placement is one.
-/// It was found while looking for what an end had waited for in an incident, of which it explains about
-/// a second. Evidence: at the rate of a small deployment (10.8) an end waited 59 of 60 seconds here, as
-/// placements took each token before there were two; at the rate of that incident (20.8) 1.1 s.
+/// A job completion writes the final record and deletes the live one, which takes two tokens. A
+/// placement takes one. Without a reservation, placements took each token before there were two: a
+/// completion waited 59 of 60 seconds at a rate of 10.8 writes per second, and 1.1 s at 20.8.
 #[test]
 fn job_completions_are_admitted_before_placements() {
     for rate in [5.0, 10.8, 20.8, 34.7] {
@@ -55,7 +54,7 @@
             }
         }
         assert!(longest < 1000 && ended >= 59, "{rate}: {longest} {ended}");
-        // Nothing is lost by it: placements take all the rest.
+        // The reservation wastes no tokens: placements use all the remaining ones.
         let used = f64::from(placed) + 2.0 * f64::from(ended);
         assert!(used >= 0.95 * rate * 60.0, "{rate}: {used}");
     }
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -64,9 +64,9 @@
     assert_eq!(cache.machines[&machine].images.len(), 1);
 }
 
-/// A repeated transaction brings a deleted machine's record back, with an attempt that was long
-/// followed by another. When that record goes again, the task must not count as waiting, or it is
-/// started a second time (simulated seed 47, all faults at once).
+/// A repeated transaction restores the record of a deleted machine, with an attempt that a later one
+/// has replaced. When that record is deleted again, the task must not count as unplaced, because it
+/// would be started a second time.
 #[test]
 fn deletion_of_a_restored_record_keeps_the_latest_placement() {
     let mut cache = WatchCache::new(&sample_config());
@@ -76,7 +76,7 @@
         vec![put(keys::job(&id), job_value("job-1"), 2)],
     );
     let spec = cache.jobs[&id].spec.clone();
-    let mut write = |machine: &str, attempt_number: u64, at: u64| {
+    let mut put_attempt = |machine: &str, attempt_number: u64, at: u64| {
         let task = TaskId {
             job: id.clone(),
             index: 2,
@@ -92,25 +92,25 @@
         );
         let key = keys::machine(&machine.into());
         let value = serde_json::to_value(&record).expect("json");
-        let gone = deletion(key.clone(), at + 1);
+        let delete_event = deletion(key.clone(), at + 1);
         cache.apply(Revision(at), vec![put(key, value, at)]);
-        let there = cache.jobs[&id].placed[&2].clone();
-        (gone, there)
+        let placement = cache.jobs[&id].placed[&2].clone();
+        (delete_event, placement)
     };
-    let (last, _) = write("vm-2", 9, 5);
-    let (ghost, there) = write("vm-1", 3, 7);
+    let (delete_latest, _) = put_attempt("vm-2", 9, 5);
+    let (delete_restored, placement) = put_attempt("vm-1", 3, 7);
     let latest = Placement {
         machine: "vm-2".into(),
         attempt: AttemptNumber(9),
     };
-    assert_eq!(there, latest);
-    cache.apply(Revision(8), vec![ghost]);
-    assert_eq!(cache.jobs[&id].placed[&2], there);
-    let last = Event {
+    assert_eq!(placement, latest);
+    cache.apply(Revision(8), vec![delete_restored]);
+    assert_eq!(cache.jobs[&id].placed[&2], placement);
+    let delete_latest = Event {
         revision: Revision(9),
-        ..last
+        ..delete_latest
     };
-    cache.apply(Revision(9), vec![last]);
+    cache.apply(Revision(9), vec![delete_latest]);
     assert!(cache.jobs[&id].placed.is_empty());
 }
 
@@ -139,12 +139,12 @@
     let job = &cache.jobs[&id];
     assert_eq!(job.unplaced_tasks(1024).collect::<Vec<_>>(), vec![0, 1, 2]);
     assert!(job.plan.is_some() && cache.orphaned_keys(4).is_empty());
-    let gone = deletion(keys::job(&id), 4);
-    assert_eq!(cache.apply(Revision(4), vec![gone]), vec![id]);
+    let delete_event = deletion(keys::job(&id), 4);
+    assert_eq!(cache.apply(Revision(4), vec![delete_event]), vec![id]);
     assert_eq!(cache.orphaned_keys(4), vec![keys::plans("1-1")]);
 }
 
-/// A task that is done stays done, whichever of its records comes or goes first.
+/// A done task stays done and counts once, whichever of its records is received or deleted first.
 #[test]
 fn done_tasks_count_once_across_records_and_segments() {
     let mut cache = WatchCache::new(&sample_config());
@@ -165,8 +165,8 @@
     cache.apply(Revision(3), vec![put(keys::segment(&id, 0), bits, 3)]);
     assert_eq!(cache.jobs[&id].done_count(), 2);
     assert!(cache.jobs[&id].has_tasks_outside_segments(&record.done[0], 8192));
-    let gone = deletion(keys::machine(&machine), 4);
-    cache.apply(Revision(4), vec![gone]);
+    let delete_event = deletion(keys::machine(&machine), 4);
+    cache.apply(Revision(4), vec![delete_event]);
     let job = &cache.jobs[&id];
     assert!(job.done_count() == 2 && job.is_done(1, 8192) && job.is_done(2, 8192));
 }
