--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -1,4 +1,4 @@
-//! A job whose tasks may run, as the watch cache shows it.
+//! Jobs whose tasks may run, as held in the watch cache.
 
 use super::records::{Bitmap, DoneTasks, JobRecord, PlacedJob, PlanRecord};
 use super::urgency::Urgency;
@@ -8,59 +8,60 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Where one attempt of a task is placed.
+/// The placement of one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Placement {
-    /// The machine on whose record the attempt is.
+    /// The machine whose record contains the attempt.
     pub machine: MachineId,
-    /// The attempt's number, unique among all starts of all tasks.
+    /// The attempt's number, which is unique among all attempts of all tasks.
     pub attempt: AttemptNumber,
 }
 
-/// An attempt on record that is not its task's latest.
+/// A recorded attempt that is not the latest one of its task.
 #[derive(Debug)]
-struct ShadowedPlacement {
+struct EarlierPlacement {
     index: u32,
     placement: Placement,
 }
 
-/// A job whose tasks may run: its record, and what machines' records and counters say of it.
+/// A job whose tasks may run: its record, and its state from machine records and completion counters.
 #[derive(Debug)]
 pub(crate) struct LiveJob {
-    /// What the job's owner asked for.
+    /// The job's specification, as its owner submitted it.
     pub spec: Rc<JobSpec>,
-    /// When the job was accepted.
+    /// The time when the job was accepted.
     pub accepted_at: UnixTime,
-    /// Since when its tasks may run: its acceptance, or the end of the last job that it needed.
-    /// All times but the deadline count from here.
+    /// The time from which its tasks may run: its acceptance, or the completion of its last
+    /// dependency. All time spans except the deadline start here.
     pub eligible_at: UnixTime,
-    /// By itself and by the jobs that depend on it.
+    /// The job's own urgency merged with that of the jobs that depend on it.
     pub urgency: Urgency,
-    /// The change that wrote its record.
+    /// The revision that wrote its record.
     pub revision: Revision,
-    /// The segments of its completion counter, by their number.
+    /// The segments of its completion counter, by segment number.
     pub segments: BTreeMap<u32, Versioned<Bitmap>>,
-    /// Finished tasks that machines' records show and no segment yet. A task that was once done
-    /// stays done: none is ever taken out but by its segment.
+    /// Done tasks that a machine record contains and no segment does yet. A done task stays done, so
+    /// an entry is removed only when a segment contains it.
     pub done_outside_segments: BTreeSet<u32>,
-    /// Finished tasks that a shard owner has reported and no record shows yet.
+    /// Done tasks that a shard owner reported, whether a record contains them already or not.
     reported_done: BTreeSet<u32>,
-    /// Where each task's latest attempt is placed, by the task's index.
+    /// The placement of each task's latest attempt, by task index.
     pub placed: BTreeMap<u32, Placement>,
-    /// Earlier attempts that are on record as well: a repeated transaction can bring the record of
-    /// a deleted machine back for a moment. When that record goes, the latest attempt has to stay.
-    shadowed: Vec<ShadowedPlacement>,
-    /// How it is to run; none until a controller has planned it.
+    /// Earlier attempts that are recorded as well, because a repeated transaction can restore the
+    /// record of a deleted machine for a moment. When that record is deleted again, the latest attempt
+    /// must remain.
+    earlier_placements: Vec<EarlierPlacement>,
+    /// The job's plan. It is `None` until a controller has planned the job.
     pub plan: Option<PlanRecord>,
-    /// The first machines that its tasks were placed on.
-    pub(super) ran_on: Vec<MachineId>,
+    /// The first machines that its tasks were placed on, at most [`PlanRecord::MAX_MACHINES`].
+    pub(super) first_machines: Vec<MachineId>,
 }
 
 impl LiveJob {
-    /// A job of which nothing is known but its record and its plan.
+    /// Creates a job without any placements or done tasks.
     pub(super) fn new(record: JobRecord, revision: Revision, plan: Option<PlanRecord>) -> Self {
         Self {
-            urgency: Urgency::of(&record.spec, record.accepted_at),
+            urgency: Urgency::from_spec(&record.spec, record.accepted_at),
             spec: Rc::new(record.spec),
             accepted_at: record.accepted_at,
             eligible_at: record.released_at.unwrap_or(record.accepted_at),
@@ -69,36 +70,36 @@
             done_outside_segments: BTreeSet::new(),
             reported_done: BTreeSet::new(),
             placed: BTreeMap::new(),
-            shadowed: Vec::new(),
+            earlier_placements: Vec::new(),
             plan,
-            ran_on: Vec::new(),
+            first_machines: Vec::new(),
         }
     }
 
-    /// The priority that it may be treated as having.
+    /// Returns the effective priority, which is raised by the jobs that depend on this one.
     pub(crate) fn priority(&self) -> Priority {
         self.urgency.priority
     }
 
-    /// How urgent the job is by itself, without the jobs that depend on it.
+    /// Returns the job's own urgency, without that of the jobs that depend on it.
     pub(super) fn own_urgency(&self) -> Urgency {
-        Urgency::of(&self.spec, self.accepted_at)
+        Urgency::from_spec(&self.spec, self.accepted_at)
     }
 
-    /// How many of its tasks the records show as done.
+    /// Returns the number of tasks that are done according to the records.
     pub(crate) fn done_count(&self) -> u32 {
-        let folded: u32 = self.segments.values().map(|s| s.value.count()).sum();
-        folded + self.done_outside_segments.len() as u32
+        let in_segments: u32 = self.segments.values().map(|s| s.value.count()).sum();
+        in_segments + self.done_outside_segments.len() as u32
     }
 
-    /// Notes the tasks that a machine's record places there.
+    /// Adds the placements of this job from a machine's new record.
     pub(super) fn place_tasks(&mut self, machine: &MachineId, placed: &PlacedJob) {
         for (index, attempt) in &placed.tasks {
             self.place(*index, machine, *attempt);
         }
     }
 
-    /// Takes back the tasks that a machine's earlier record placed there.
+    /// Removes the placements of this job that came from a machine's previous record.
     pub(super) fn unplace_tasks(&mut self, machine: &MachineId, placed: &PlacedJob) {
         for (index, attempt) in &placed.tasks {
             self.unplace(*index, machine, *attempt);
@@ -106,8 +107,10 @@
     }
 
     fn place(&mut self, index: u32, machine: &MachineId, attempt: AttemptNumber) {
-        if self.ran_on.len() < PlanRecord::MAX_MACHINES && !self.ran_on.contains(machine) {
-            self.ran_on.push(machine.clone());
+        if self.first_machines.len() < PlanRecord::MAX_MACHINES
+            && !self.first_machines.contains(machine)
+        {
+            self.first_machines.push(machine.clone());
         }
         let new = Placement {
             machine: machine.clone(),
@@ -120,27 +123,29 @@
         };
         self.placed.insert(index, latest);
         if let Some(placement) = earlier {
-            self.shadowed.push(ShadowedPlacement { index, placement });
+            self.earlier_placements
+                .push(EarlierPlacement { index, placement });
         }
     }
 
     fn unplace(&mut self, index: u32, machine: &MachineId, attempt: AttemptNumber) {
         let is_here = |p: &Placement| p.machine == *machine && p.attempt == attempt;
         if !self.placed.get(&index).is_some_and(is_here) {
-            self.shadowed
+            self.earlier_placements
                 .retain(|s| s.index != index || !is_here(&s.placement));
             return;
         }
         self.placed.remove(&index);
-        let others = self.shadowed.iter().enumerate();
+        let others = self.earlier_placements.iter().enumerate();
         let of_task = others.filter(|(_, s)| s.index == index);
-        if let Some((at, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
-            let next = self.shadowed.swap_remove(at);
+        if let Some((position, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
+            let next = self.earlier_placements.swap_remove(position);
             self.placed.insert(index, next.placement);
         }
     }
 
-    /// Takes a segment of the counter; tasks that it shows as done are no longer counted apart.
+    /// Stores a segment of the completion counter. Tasks that are done in it are removed from
+    /// `done_outside_segments`.
     pub(super) fn put_segment(
         &mut self,
         segment: u32,
@@ -152,7 +157,7 @@
         self.segments.insert(segment, bits);
     }
 
-    /// Notes that a shard owner has seen a task done. The tasks of a gang complete together.
+    /// Records that a shard owner reported a task as done. The tasks of a gang complete together.
     pub(crate) fn report_done(&mut self, index: u32) {
         match self.spec.kind {
             JobKind::Gang => self.reported_done.extend(0..self.spec.tasks),
@@ -160,44 +165,47 @@
         }
     }
 
-    /// Whether all tasks are done, by the counter and by what shard owners have reported.
+    /// Returns whether all tasks are done according to the records and the shard owners' reports.
     pub(crate) fn is_complete(&self, tasks_per_segment: u32) -> bool {
         let reported_done = self.reported_done.iter();
-        let more = reported_done
+        let unrecorded = reported_done
             .filter(|i| **i < self.spec.tasks && !self.is_done(**i, tasks_per_segment));
-        self.done_count() + more.count() as u32 >= self.spec.tasks
+        self.done_count() + unrecorded.count() as u32 >= self.spec.tasks
     }
 
-    fn is_folded(&self, index: u32, tasks_per_segment: u32) -> bool {
+    fn is_done_in_segment(&self, index: u32, tasks_per_segment: u32) -> bool {
         self.segments
             .get(&(index / tasks_per_segment))
             .is_some_and(|s| s.value.get(index % tasks_per_segment))
     }
 
-    /// Whether the records show a task as done.
+    /// Returns whether a task is done according to the records.
     pub(crate) fn is_done(&self, index: u32, tasks_per_segment: u32) -> bool {
-        self.done_outside_segments.contains(&index) || self.is_folded(index, tasks_per_segment)
+        self.done_outside_segments.contains(&index)
+            || self.is_done_in_segment(index, tasks_per_segment)
     }
 
-    /// Whether a machine's record has to go on saying that these tasks are done.
+    /// Returns whether any of these tasks is not in a segment yet, so that the machine's record must
+    /// keep them.
     pub(crate) fn has_tasks_outside_segments(
         &self,
         done: &DoneTasks,
         tasks_per_segment: u32,
     ) -> bool {
-        done.tasks().any(|i| !self.is_folded(i, tasks_per_segment))
+        done.tasks()
+            .any(|i| !self.is_done_in_segment(i, tasks_per_segment))
     }
 
-    /// Counts the tasks that a machine's record shows as done.
+    /// Adds the tasks that are done according to a machine's record.
     pub(super) fn add_done(&mut self, done: &DoneTasks, tasks_per_segment: u32) {
         for index in done.tasks().take_while(|i| *i < self.spec.tasks) {
-            if !self.is_folded(index, tasks_per_segment) {
+            if !self.is_done_in_segment(index, tasks_per_segment) {
                 self.done_outside_segments.insert(index);
             }
         }
     }
 
-    /// Tasks that are neither done nor placed, in their order.
+    /// Returns the indices of the tasks that are neither done nor placed, ascending.
     pub(crate) fn unplaced_tasks(&self, tasks_per_segment: u32) -> impl Iterator<Item = u32> {
         (0..self.spec.tasks)
             .filter(move |i| !self.placed.contains_key(i) && !self.is_done(*i, tasks_per_segment))
