--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -1,69 +1,73 @@
-//! Acknowledgement rounds: each asks the other controllers about one cancellation, and decides from
-//! their answers and the watch cache whether all of the job's tasks are gone.
+//! Acknowledgement rounds. A round sends one cancellation to the other controllers, and decides from their
+//! acknowledgements and the watch cache whether all of the job's tasks are gone.
 
 use crate::ids::{CancellationRoundId, JobId, MemberId, Revision, ShardFence, ShardId};
 use std::collections::BTreeMap;
 
-/// What the watch cache of the asking controller shows.
+/// The contents of the watch cache that a round needs, in the controller that runs the round.
 #[derive(Debug)]
 pub(crate) struct CacheView {
-    /// The revision that the cache has reached.
+    /// The revision of the last event in the cache.
     pub revision: Revision,
-    /// The shards with machines on whose records the job is placed, and the fence of each, if it
-    /// is owned at present.
+    /// The shards with machines whose records list the job, and the fence of each. `None` if the shard has
+    /// no owner.
     pub shards_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
 
-/// The cancellation that a round asks about, and who has answered.
+/// The state of one round.
 #[derive(Debug)]
 struct CancellationRound {
     job: JobId,
-    /// The change that cancelled it.
-    cancelled: Revision,
-    /// The shards that each controller has said to be clear of the job, and the highest fence
-    /// under which it said so.
-    answers: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
+    /// The revision of the transaction that cancelled the job.
+    cancelled_revision: Revision,
+    /// For each controller, the shards that it has acknowledged as cleared of the job's tasks, and the
+    /// highest fence of each acknowledgement.
+    acknowledged_fences: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
 }
 
-/// The rounds of one controller that are not closed yet.
+/// The open rounds of one controller.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationRounds {
     /// The number of the last round.
-    last: u64,
+    last_round: u64,
     open: BTreeMap<CancellationRoundId, CancellationRound>,
 }
 
 impl CancellationRounds {
-    /// Opens a round for a job that the change `cancelled` has cancelled.
-    pub(crate) fn open(&mut self, job: &JobId, cancelled: Revision) -> CancellationRoundId {
-        self.last += 1;
-        let id = CancellationRoundId(self.last);
+    /// Opens a round for a job that was cancelled at `cancelled_revision`.
+    pub(crate) fn open(
+        &mut self,
+        job: &JobId,
+        cancelled_revision: Revision,
+    ) -> CancellationRoundId {
+        self.last_round += 1;
+        let id = CancellationRoundId(self.last_round);
         let round = CancellationRound {
             job: job.clone(),
-            cancelled,
-            answers: BTreeMap::new(),
+            cancelled_revision,
+            acknowledged_fences: BTreeMap::new(),
         };
         self.open.insert(id, round);
         id
     }
 
-    /// Forgets a round; later answers to it count for nothing.
+    /// Closes a round. Later acknowledgements of it are ignored.
     pub(crate) fn close(&mut self, id: CancellationRoundId) {
         self.open.remove(&id);
     }
 
-    /// The job, and the change that cancelled it.
+    /// Returns the job of an open round, and the revision at which it was cancelled.
     pub(crate) fn pending_cancellation(
         &self,
         id: CancellationRoundId,
     ) -> Option<(&JobId, Revision)> {
-        self.open.get(&id).map(|r| (&r.job, r.cancelled))
+        self.open.get(&id).map(|r| (&r.job, r.cancelled_revision))
     }
 
-    /// Takes the answer of `from`, which knows of the cancellation. `cleared` names the shards that
-    /// it owns, with their fences, in which all of the job's tasks are proved gone. They never start
-    /// again, so a later answer can only add to an earlier one. An answer to an earlier process of
-    /// this controller may name another job under the same number, and is ignored.
+    /// Records the acknowledgement of the controller `from`, which knows of the cancellation. `cleared` lists
+    /// those of its shards, with their fences, in which all of the job's tasks are proved to be gone. The
+    /// tasks never start again, so acknowledgements add up. An acknowledgement meant for an earlier process
+    /// of this controller may have the same round number and another job; it is ignored.
     pub(crate) fn on_acknowledged(
         &mut self,
         id: CancellationRoundId,
@@ -72,27 +76,27 @@
         cleared: Vec<ShardFence>,
     ) {
         if let Some(round) = self.open.get_mut(&id).filter(|r| r.job == *job) {
-            let known = round.answers.entry(from.clone()).or_default();
+            let highest_fences = round.acknowledged_fences.entry(from.clone()).or_default();
             for ShardFence { shard, fence } in cleared {
-                let highest = known.entry(shard).or_default();
+                let highest = highest_fences.entry(shard).or_default();
                 *highest = fence.max(*highest);
             }
         }
     }
 
-    /// Whether all tasks are gone. After the cancellation nothing more of the job is committed, so
-    /// a watch cache that has reached it shows every shard in which any task can be; and whoever
-    /// owns such a shard under that record, or a later one, has seen all that was placed there.
+    /// Returns whether all tasks of the job are gone. No placement of the job is committed after the
+    /// cancellation, so a watch cache that has reached its revision shows every shard that can have tasks of
+    /// the job. An owner of such a shard under the cached fence, or a later one, knows every placement in it.
     pub(crate) fn is_complete(&self, id: CancellationRoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
         };
         let gone = |shard: &ShardId, fence: &Revision| {
-            let mut answers = round.answers.values();
-            answers.any(|cleared| cleared.get(shard).is_some_and(|f| f >= fence))
+            let mut acknowledged_fences = round.acknowledged_fences.values();
+            acknowledged_fences.any(|cleared| cleared.get(shard).is_some_and(|f| f >= fence))
         };
         let mut shards = view.shards_with_job.iter();
-        view.revision >= round.cancelled
+        view.revision >= round.cancelled_revision
             && shards.all(|(shard, fence)| fence.as_ref().is_some_and(|f| gone(shard, f)))
     }
 }
--- a/src/cancellation/deadlines.rs
+++ b/src/cancellation/deadlines.rs
@@ -1,27 +1,27 @@
-//! Tasks of cancelled jobs that could not be stopped in time. Where no command arrives, a task
-//! ends only with its machine: a controller inside a cut-off zone goes on answering its workers,
-//! so their leases never run out, and the machine has to be deleted.
+//! Finds tasks of cancelled jobs that could not be stopped in time, and the machines to delete for them. If
+//! a machine receives no commands, its tasks end only when it is deleted: a controller in the same
+//! partitioned zone continues to answer the workers there, so their leases do not expire.
 //!
-//! That a job is gone from the watch cache does not say how it ended, and most end done; deleting
-//! machines for those would throw away healthy work. So the key-value store is asked first.
+//! A job that has left the watch cache was either done or cancelled, and most were done. Deleting machines
+//! for a job that was done would lose healthy tasks of other jobs. So the job's final record is read first.
 
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime, TaskAttempt};
 use crate::protocol::JobState;
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of the time for a cancellation that is kept for asking and deleting: the cloud may be
-/// out, and a deletion be refused and asked again.
-const CLEANUP_DIVISOR: u64 = 2;
-/// An outcome that was asked for and not answered is asked for again after this.
+/// The last half of the cancellation timeout is reserved for reading final records and deleting machines:
+/// the cloud may be unavailable, or may refuse a deletion, which is then repeated.
+const DELETION_RESERVE_DIVISOR: u64 = 2;
+/// How long to wait for an outcome before it is queried again.
 const OUTCOME_QUERY_INTERVAL: Millis = Millis(2000);
 
-/// What is known of a job that has ended.
+/// A job that has ended and still has tasks on record.
 #[derive(Debug)]
 struct EndedJob {
-    /// Not known for those that had ended when this process began: that may be long ago.
+    /// When the job ended. `None` if it had ended before this process started, perhaps long before.
     since: Option<MonotonicTime>,
-    /// When its outcome was last asked for.
+    /// When the outcome was last queried.
     queried_at: Option<MonotonicTime>,
     state: Option<JobState>,
 }
@@ -39,38 +39,39 @@
         self.since.is_some_and(|at| now.since(at) < limit)
     }
 
-    /// Whether its outcome has to be asked for now.
+    /// Returns whether the outcome has to be queried now.
     fn needs_query(&self, now: MonotonicTime) -> bool {
         let is_due = |at| now.since(at) >= OUTCOME_QUERY_INTERVAL;
         self.state.is_none() && self.queried_at.is_none_or(is_due)
     }
 }
 
-/// Jobs that have ended and still have tasks on record, since when, and how they ended. Every
-/// controller keeps them, so that the next leader knows the times as well.
+/// Jobs that have ended and still have tasks on record, with the time and the outcome. Every controller
+/// tracks them, so that a new leader knows the times.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationDeadlines {
     ended: BTreeMap<JobId, EndedJob>,
-    /// Whether the jobs on record were looked through before.
+    /// Whether a scan has been done since the process started.
     has_scanned: bool,
 }
 
-/// What has to be done about tasks that did not stop in time.
+/// The actions that are due for tasks that did not stop in time.
 #[derive(Debug, Default)]
 pub(crate) struct DueActions {
-    /// How these jobs ended has to be read.
+    /// Jobs whose final records have to be read.
     pub unknown_outcomes: Vec<JobId>,
-    /// These machines have to go: their deletion is the proof that the tasks ended.
+    /// Machines to delete. Their deletion proves that the tasks have ended.
     pub decommission: Vec<MachineId>,
 }
 
 impl CancellationDeadlines {
-    /// Notes which jobs have ended. A process that has just begun can't know for how long.
+    /// Updates the jobs that have ended and still have tasks on record. For jobs that the first scan finds,
+    /// the time at which they ended is unknown.
     pub(crate) fn scan(&mut self, now: MonotonicTime, cache: &WatchCache) {
         let since = self.has_scanned.then_some(now);
         self.has_scanned = true;
-        let placed = cache.machines.values().flat_map(|m| &m.record.jobs);
-        let ended_jobs: BTreeSet<&JobId> = placed
+        let placements = cache.machines.values().flat_map(|m| &m.record.jobs);
+        let ended_jobs: BTreeSet<&JobId> = placements
             .map(|p| &p.job)
             .filter(|job| !cache.jobs.contains_key(*job))
             .collect();
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Notes that a job was cancelled so long ago: known for certain, with no need to ask.
-    pub(crate) fn cancelled(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
+    /// Records that a job was cancelled `age` ago. Its outcome is thus known and is not queried.
+    pub(crate) fn record_cancellation(&mut self, now: MonotonicTime, job: &JobId, age: Millis) {
         let at = now - age;
         let ended = self
             .ended
@@ -93,42 +94,44 @@
         ended.state = Some(JobState::Cancelled);
     }
 
-    /// How long ago a job was cancelled, if it is known and has tasks on record.
+    /// Returns how long ago a job was cancelled. `None` if that is unknown, or no tasks are on record.
     pub(crate) fn age(&self, now: MonotonicTime, job: &JobId) -> Option<Millis> {
         let ended = self.ended.get(job)?;
         let cancelled = ended.state == Some(JobState::Cancelled);
         ended.since.filter(|_| cancelled).map(|at| now.since(at))
     }
 
-    /// Notes what a job's final record says.
+    /// Records the state from a job's final record.
     pub(crate) fn record_outcome(&mut self, job: &JobId, state: JobState) {
         if let Some(ended) = self.ended.get_mut(job) {
             ended.state = Some(state);
         }
     }
 
-    /// The machines on which a cancelled job's time of `cancel` runs out, among those that have
-    /// been `silent` for so long that no command can be hoped to arrive. Tasks that are `freed`
-    /// are known to have ended.
-    pub(crate) fn due(
+    /// Returns the unresponsive machines with tasks of a cancelled job for which the part of
+    /// `cancellation_timeout` reserved for deletions has begun, and jobs whose outcome has to be read.
+    /// `is_unresponsive` tells on which machines commands can no longer be expected to arrive. `is_freed`
+    /// tells which attempts are known to have ended.
+    pub(crate) fn due_actions(
         &mut self,
         now: MonotonicTime,
-        cancel: Millis,
+        cancellation_timeout: Millis,
         cache: &WatchCache,
-        silent: impl Fn(&MachineId) -> bool,
-        freed: impl Fn(&TaskAttempt) -> bool,
+        is_unresponsive: impl Fn(&MachineId) -> bool,
+        is_freed: impl Fn(&TaskAttempt) -> bool,
     ) -> DueActions {
         let mut actions = DueActions::default();
-        let limit = Millis(cancel.0 - cancel.0 / CLEANUP_DIVISOR);
+        let stop_time_limit =
+            Millis(cancellation_timeout.0 - cancellation_timeout.0 / DELETION_RESERVE_DIVISOR);
         for (id, machine) in &cache.machines {
-            if self.ended.is_empty() || !silent(id) {
+            if self.ended.is_empty() || !is_unresponsive(id) {
                 continue;
             }
             for (attempt, _) in machine.record.attempts() {
                 let Some(ended) = self.ended.get_mut(&attempt.task.job) else {
                     continue;
                 };
-                if ended.has_ended_within(now, limit) || freed(&attempt) {
+                if ended.has_ended_within(now, stop_time_limit) || is_freed(&attempt) {
                     continue;
                 }
                 if ended.state == Some(JobState::Cancelled) {
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -1,12 +1,13 @@
-//! Cancellations: when a request to cancel a job may be answered.
+//! Decides when a request to cancel a job may be answered.
 //!
-//! That the cancellation is committed is not enough. A shard owner that can't reach the key-value
-//! store, or whose watch cache is behind, goes on answering its workers, and would keep tasks alive
-//! that it doesn't know to be cancelled, for longer than the users allow. That all controllers know
-//! is not enough either: they may all end while a machine hangs. So after the commit every controller
-//! is informed, and the user is answered once all of the job's tasks are proved gone: shard owners
-//! acknowledge it to the asking controller at once, and the watch cache shows it a little later even
-//! if no acknowledgement arrives.
+//! It is not enough that the cancellation is committed. A shard owner that can't reach the key-value store,
+//! or whose watch cache lags, does not know of the cancellation and continues to answer its workers. Their
+//! tasks would run for longer than the cancellation timeout allows. Nor is it enough that all controllers
+//! know of the cancellation: all of them may terminate while a machine hangs.
+//!
+//! So every controller is informed after the commit, and the user's request is answered once all of the
+//! job's tasks are proved to be gone. Shard owners acknowledge this at once to the controller that handles
+//! the request. If no acknowledgement arrives, the watch cache shows it a little later.
 
 mod acknowledgement;
 mod deadlines;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,8 +1,9 @@
-//! All decisions of one controller: its duties put together, without I/O, clock or randomness.
+//! The decision logic of one controller. It performs no I/O and reads neither a clock nor randomness.
 //!
-//! Inputs come as calls, what has to be done goes out as [`Effect`]s, and their outcomes come back
-//! as calls again. The daemon executes the effects; tests do so in simulated time. Each duty has its
-//! own state; the controller passes messages between them and says when they are due.
+//! Each input is a method call that returns the [`Effect`]s to execute. Outcomes of effects come back as
+//! further method calls. The daemon executes the effects; tests execute them in simulated time. Each
+//! duty, such as scheduling or autoscaling, has its own state. The controller passes messages between
+//! the duties and runs each of them when it is due.
 
 mod cancellation;
 mod catalog;
@@ -31,7 +32,7 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
 use crate::worker_control::{self, DirectCallOutcome, HeartbeatAnswer, HeartbeatPath, ShardOwner};
-use cancellation::CancellationDuty;
+use cancellation::CancellationState;
 use catalog::CatalogWriter;
 use cleanup::RecordCleanup;
 use completion::JobCompletions;
@@ -40,18 +41,18 @@
 use std::collections::BTreeSet;
 use timers::{PeriodicTimer, ScheduleTimer};
 
-/// How often all trackers are reconciled with the watch cache.
+/// How often all machine trackers are reconciled with the watch cache.
 const RECONCILE_INTERVAL: Millis = Millis(200);
-/// How often the autoscaler decides.
+/// How often the autoscaler runs.
 const AUTOSCALER_INTERVAL: Millis = Millis(400);
-/// How often jobs that are over are looked for among those that still have tasks on record.
+/// How often machine records are scanned for tasks of jobs that have ended.
 const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
-/// How often records that are no longer needed are looked for.
+/// How often the leader scans for records that are no longer needed.
 const CLEANUP_INTERVAL: Millis = Millis(2000);
-/// How often one pipeline's history is written.
+/// How often the history of one pipeline is written. The pipelines take turns.
 const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
 
-/// When each periodic duty is due next.
+/// The timers of the periodic duties.
 struct Timers {
     reconcile: PeriodicTimer,
     schedule: ScheduleTimer,
@@ -74,21 +75,21 @@
     }
 }
 
-/// One controller. Every controller owns shards and watches the store; one of them also leads.
+/// One controller. Every controller owns shards and watches the store; one of them is also the leader.
 pub(crate) struct Controller {
     config: Config,
-    /// The records of the key-value store, as this controller has seen them so far.
+    /// The records of the key-value store, up to the last event that this controller has received.
     pub cache: WatchCache,
     /// Leader election and the assignment of shards.
     pub leadership: Leadership,
     /// The machines of the shards that this controller owns.
     pub shard_owner: ShardOwner,
-    /// The leader's decisions on placement.
+    /// Task placement. Used by the leader only.
     pub scheduler: Scheduler,
-    /// The leader's decisions on the fleet's size.
+    /// The fleet's size: renting and deleting machines. Decisions are made by the leader only.
     pub autoscaler: Autoscaler,
     reachability: ReachabilityMonitor,
-    cancellation: CancellationDuty,
+    cancellation: CancellationState,
     dependents: DependentReleases,
     completions: JobCompletions,
     plans: PlanWriter,
@@ -96,12 +97,12 @@
     catalog: CatalogWriter,
     cleanup: RecordCleanup,
     timers: Timers,
-    /// This controller's lease holds at least until then.
+    /// The time until which this controller's lease is certainly valid.
     lease_valid_until: MonotonicTime,
 }
 
 impl Controller {
-    /// A controller at its start, with an empty watch cache and without a lease.
+    /// Creates a controller with an empty watch cache and without a lease.
     pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             config: config.clone(),
@@ -111,7 +112,7 @@
             scheduler: Scheduler::new(config),
             autoscaler: Autoscaler::new(config),
             reachability: ReachabilityMonitor::new(config),
-            cancellation: CancellationDuty::default(),
+            cancellation: CancellationState::default(),
             dependents: DependentReleases::default(),
             completions: JobCompletions::default(),
             plans: PlanWriter::default(),
@@ -123,19 +124,20 @@
         }
     }
 
-    /// The lease holds at least until then. A controller that can't say so may have been replaced
-    /// as leader without knowing: it stops nothing and leaves the cloud alone.
+    /// Sets the time until which the lease is certainly valid. After it, another controller may have become
+    /// leader without this one knowing, so this one performs none of the leader's duties: it places and
+    /// preempts no tasks, and neither rents nor lists machines.
     pub(crate) fn set_lease_deadline(&mut self, until: MonotonicTime) {
         self.lease_valid_until = until;
     }
 
-    /// This controller got a lease, or lost it.
+    /// Handles a new lease of this controller, or with `None` the loss of its lease.
     pub(crate) fn set_lease(&mut self, now: MonotonicTime, lease: Option<LeaseId>) -> Vec<Effect> {
         self.leadership.set_lease(lease, &self.cache);
         self.run_due_work(now)
     }
 
-    /// A watch cache that was read anew takes the old one's place.
+    /// Replaces the watch cache by one that was loaded from a new snapshot of the store.
     pub(crate) fn on_snapshot(&mut self, now: MonotonicTime, mut cache: WatchCache) -> Vec<Effect> {
         cache.copy_cancelled_from(&self.cache);
         self.cache = cache;
@@ -145,14 +147,14 @@
         self.run_due_work(now)
     }
 
-    /// The next changes of the store. Returns also the jobs that ended by them.
+    /// Applies the store's next events. Also returns the jobs that ended with these events.
     pub(crate) fn on_events(
         &mut self,
         now: MonotonicTime,
         revision: Revision,
         events: Vec<Event>,
     ) -> (Vec<Effect>, Vec<JobId>) {
-        let touched: BTreeSet<MachineId> = events
+        let changed_machines: BTreeSet<MachineId> = events
             .iter()
             .filter_map(|e| keys::machine_from_key(e.put.as_deref().or(e.delete.as_deref())?))
             .collect();
@@ -160,11 +162,11 @@
         self.timers.schedule.request();
         let mut out = Vec::new();
         self.shard_owner
-            .on_machines_changed(now, &touched, &self.cache, &mut out);
+            .on_machines_changed(now, &changed_machines, &self.cache, &mut out);
         (self.finish(now, out), ended)
     }
 
-    /// A worker's heartbeat, as its worker sent it here.
+    /// Handles a heartbeat that a worker sent directly to this controller.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -186,7 +188,8 @@
         (answer, self.finish(now, out))
     }
 
-    /// A heartbeat that another controller relays. `None`: its worker should try to bring it here.
+    /// Handles a heartbeat that another controller relayed. Returns `None` as the answer if the worker
+    /// should first try to send it to this controller directly.
     pub(crate) fn on_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -202,17 +205,18 @@
         (Some(answer), effects)
     }
 
-    /// Machines of owned shards without a direct heartbeat for so long that they may be cut off.
+    /// Returns the machines of owned shards that have sent no direct heartbeat recently and may be unable to
+    /// reach this controller.
     pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         self.shard_owner.machines_without_direct_heartbeats(now)
     }
 
-    /// Whether some controllers can't reach each other: machines may be cut off likewise.
+    /// Sets whether some controllers can't reach each other. If so, some machines may be cut off as well.
     pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
         self.shard_owner.set_partitioned(partitioned);
     }
 
-    /// The outcome of direct commands that were sent under a token.
+    /// Handles the outcome of direct commands that were sent to a worker with the fencing token `token`.
     pub(crate) fn on_direct_call_outcome(
         &mut self,
         now: MonotonicTime,
@@ -232,7 +236,7 @@
         self.finish(now, out)
     }
 
-    /// The outcome of a transaction.
+    /// Handles the outcome of a transaction.
     pub(crate) fn on_txn_outcome(
         &mut self,
         now: MonotonicTime,
@@ -248,8 +252,8 @@
             }
             TxnRequester::Leadership => self.leadership.on_txn_outcome(now, outcome),
             TxnRequester::Plans(jobs) => self.plans.on_outcome(now, jobs, outcome, &self.cache),
-            TxnRequester::JobCompletion(job) => self.on_completion(job, outcome),
-            TxnRequester::DependentRelease(job) => self.on_release(now, job, outcome),
+            TxnRequester::JobCompletion(job) => self.on_completion_outcome(job, outcome),
+            TxnRequester::DependentRelease(job) => self.on_release_outcome(now, job, outcome),
             TxnRequester::CancelledDependents(jobs) => {
                 if let TxnOutcome::Committed(revision) = outcome {
                     self.on_dependents_cancelled(jobs, *revision);
@@ -261,14 +265,14 @@
         self.finish(now, out)
     }
 
-    fn on_completion(&mut self, job: &JobId, outcome: &TxnOutcome) {
+    fn on_completion_outcome(&mut self, job: &JobId, outcome: &TxnOutcome) {
         self.completions.on_outcome(job, outcome);
         if matches!(outcome, TxnOutcome::Committed(_)) {
-            self.learn_outcome(job, JobState::Done);
+            self.apply_job_outcome(job, JobState::Done);
         }
     }
 
-    /// The cloud's machine types. `None`: it did not answer.
+    /// Handles the cloud's machine types. `None` means that the cloud did not answer.
     pub(crate) fn on_catalog(
         &mut self,
         now: MonotonicTime,
@@ -278,7 +282,7 @@
         self.run_due_work(now)
     }
 
-    /// The cloud's list of machines. `None`: it did not answer.
+    /// Handles the cloud's list of machines. `None` means that the cloud did not answer.
     pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
@@ -288,7 +292,7 @@
         self.run_due_work(now)
     }
 
-    /// The outcome of a request for machines.
+    /// Handles the outcome of a request to rent machines.
     pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
@@ -299,7 +303,7 @@
         self.run_due_work(now)
     }
 
-    /// Whether the cloud has deleted these machines.
+    /// Handles the outcome of a request to delete machines. `ok` says whether the cloud deleted them.
     pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
@@ -313,7 +317,7 @@
         effects
     }
 
-    /// How a job has ended, as its final record says.
+    /// Handles the state that was read from a job's final record.
     pub(crate) fn on_job_outcome(
         &mut self,
         now: MonotonicTime,
@@ -321,26 +325,26 @@
         state: JobState,
     ) -> Vec<Effect> {
         self.cancellation.deadlines.record_outcome(job, state);
-        self.learn_outcome(job, state);
+        self.apply_job_outcome(job, state);
         self.timers.cancellation_scan.expedite(now);
         self.run_due_work(now)
     }
 
-    /// Time has passed. `unix_time` is only as good as the settings' bound.
+    /// Runs the work that is due. `unix_time` may be off by as much as the settings allow.
     pub(crate) fn tick(&mut self, now: MonotonicTime, unix_time: UnixTime) -> Vec<Effect> {
         self.autoscaler.unix_time = unix_time;
         self.scheduler.unix_time = unix_time;
         self.run_due_work(now)
     }
 
-    /// How many changes the key-value store takes in a second from all controllers.
+    /// Sets how many changes per second the key-value store accepts from all controllers together.
     pub(crate) fn set_store_write_rate(&mut self, changes: f64) {
         self.shard_owner.set_store_write_rate(changes);
         self.scheduler.set_store_write_rate(changes);
         self.autoscaler.store_write_rate = changes;
     }
 
-    /// When the next tick is due; inputs may make an earlier one due.
+    /// Returns when the next tick is due. An input may make a tick due earlier.
     pub(crate) fn next_tick_at(&self, now: MonotonicTime) -> MonotonicTime {
         let schedule = self.timers.schedule.next(now);
         schedule.min(self.timers.reconcile.next())
@@ -353,13 +357,13 @@
         effects
     }
 
-    /// Does whatever is due. Called after every input.
+    /// Runs all work that is due. Called after every input.
     fn run_due_work(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.reconcile_shards(now, &mut effects);
         self.step_leadership(now, &mut effects);
         let scan_due = self.scan_cancellations(now);
-        match self.leadership.settled_term(&self.cache) {
+        match self.leadership.established_term(&self.cache) {
             Some(term) if now < self.lease_valid_until => {
                 if scan_due {
                     self.decommission_overdue(now, &mut effects);
@@ -367,7 +371,7 @@
                 }
                 self.step_leader(now, term, &mut effects);
             }
-            // Perhaps another controller leads by now.
+            // The lease may have expired, so another controller may be the leader.
             Some(_) => self.decommission_owned(now, scan_due, &mut effects),
             None => {
                 self.decommission_owned(now, scan_due, &mut effects);
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations: telling the other controllers, saying when all tasks are gone, and deleting
+//! Cancellations: announces them to the other controllers, decides when all tasks are gone, and deletes
 //! machines on which tasks can't be stopped.
 
 use super::Controller;
@@ -10,24 +10,24 @@
 use crate::peers::Message;
 use std::collections::BTreeMap;
 
-/// The deletion of a machine that was asked for without leading, and not executed, is asked for again
-/// after this.
+/// How long a controller that is not the leader waits before it requests the deletion of the same machine
+/// again.
 const DELETION_RETRY_INTERVAL: Millis = Millis(3000);
 
-/// What a controller keeps of cancellations.
+/// One controller's state about cancellations.
 #[derive(Debug, Default)]
-pub(super) struct CancellationDuty {
-    /// Until when the tasks of cancelled jobs have to be gone.
+pub(super) struct CancellationState {
+    /// Jobs that have ended while tasks remain on record, and the time limits for stopping those tasks.
     pub(super) deadlines: CancellationDeadlines,
-    /// The rounds in which this controller tells the others of a cancellation.
+    /// The rounds in which this controller announces a cancellation to the others.
     pub(super) rounds: CancellationRounds,
-    /// Machines whose deletion was asked for without leading, and when.
+    /// When this controller, not being the leader, last requested the deletion of each machine.
     requested_deletions: BTreeMap<MachineId, MonotonicTime>,
 }
 
 impl Controller {
-    /// Tells all controllers of a cancellation that is committed;
-    /// [`Self::is_cancellation_complete`] says when its user may hear of it.
+    /// Announces a committed cancellation to all controllers. The user's request may be answered once
+    /// [`Self::is_cancellation_complete`] returns `true`.
     pub(crate) fn announce_cancellation(
         &mut self,
         now: MonotonicTime,
@@ -36,15 +36,15 @@
         age: Millis,
     ) -> (CancellationRoundId, Vec<Effect>) {
         let mut effects = Vec::new();
-        self.learn_cancelled(now, job, revision, age, &mut effects);
+        self.apply_cancellation(now, job, revision, age, &mut effects);
         let round = self.cancellation.rounds.open(job, revision);
         effects.extend(self.run_due_work(now));
         effects.extend(self.send_cancellation(now, round));
         (round, effects)
     }
 
-    /// Asks the other controllers, once more if need be: what they answered first was perhaps not
-    /// proved yet.
+    /// Sends the round's cancellation to the other controllers. It is repeated, because their first
+    /// acknowledgements may come before they have proved that the tasks are gone.
     pub(crate) fn send_cancellation(
         &self,
         now: MonotonicTime,
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// Whether all tasks of a round's job are proved gone.
+    /// Returns whether all tasks of the round's job are proved to be gone.
     pub(crate) fn is_cancellation_complete(
         &mut self,
         now: MonotonicTime,
@@ -80,36 +80,37 @@
         let member = &self.config.member;
         let rounds = &mut self.cancellation.rounds;
         rounds.on_acknowledged(round, &job, member, cleared);
-        let carriers = self.cache.machines_with_job(&job).map(|id| {
+        let shards_with_job = self.cache.machines_with_job(&job).map(|id| {
             let shard = id.shard(self.config.shard_count());
             let record = self.cache.shards.get(&shard);
             (shard, record.map(|record| record.revision))
         });
         let view = CacheView {
             revision: self.cache.revision,
-            shards_with_job: carriers.collect(),
+            shards_with_job: shards_with_job.collect(),
         };
         self.cancellation.rounds.is_complete(round, &view)
     }
 
-    /// The owned shards in which a cancelled job's tasks are proved gone. Where neither a stop nor a
-    /// deletion was answered for as long as users allow, it suffices that this owner knows of the
-    /// cancellation: a user is not left without an answer for longer.
+    /// Returns the owned shards in which all tasks of a cancelled job are proved to be gone. If neither a
+    /// stop command nor a deletion has succeeded within the cancellation timeout, it is enough that this
+    /// owner knows of the cancellation, so that the user's request is answered.
     pub(super) fn cleared_shards(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation.deadlines.age(now, job);
-        let late = age.is_some_and(|age| age >= self.config.cancellation_timeout);
-        let deleted = |id: &MachineId| self.autoscaler.is_deleted(id);
+        let is_overdue = age.is_some_and(|age| age >= self.config.cancellation_timeout);
+        let is_deleted = |id: &MachineId| self.autoscaler.is_deleted(id);
         self.shard_owner
-            .cleared_shards(job, late, deleted, &self.cache)
+            .cleared_shards(job, is_overdue, is_deleted, &self.cache)
     }
 
-    /// Ends a round, whatever has come of it.
+    /// Closes a round, complete or not.
     pub(crate) fn close_cancellation_round(&mut self, round: CancellationRoundId) {
         self.cancellation.rounds.close(round);
     }
 
-    /// Acts on a cancellation before the store's events bring it: tasks are stopped, none is started.
-    pub(super) fn learn_cancelled(
+    /// Applies a cancellation before the store's events show it: the job's tasks are stopped, and none is
+    /// started.
+    pub(super) fn apply_cancellation(
         &mut self,
         now: MonotonicTime,
         job: &JobId,
@@ -119,7 +120,9 @@
     ) {
         self.cache.apply_cancellation(job, revision);
         let machines = self.cache.machines_with_job(job).cloned().collect();
-        self.cancellation.deadlines.cancelled(now, job, age);
+        self.cancellation
+            .deadlines
+            .record_cancellation(now, job, age);
         let mut out = Vec::new();
         self.shard_owner
             .on_machines_changed(now, &machines, &self.cache, &mut out);
@@ -127,7 +130,8 @@
         self.timers.schedule.request();
     }
 
-    /// Looks for jobs that are over and still have tasks on record. Returns whether that was due.
+    /// If a scan is due, updates the set of jobs that have ended and still have tasks on record. Returns
+    /// whether it was due.
     pub(super) fn scan_cancellations(&mut self, now: MonotonicTime) -> bool {
         let due = self.timers.cancellation_scan.take_due(now);
         if due {
@@ -136,21 +140,21 @@
         due
     }
 
-    /// As the leader, deletes machines on which a cancelled job's tasks did not stop in time.
+    /// As the leader, deletes machines on which tasks of a cancelled job did not stop in time.
     pub(super) fn decommission_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
-        let silent = |id: &MachineId| {
+        let unresponsive_timeout = self.autoscaler.unresponsive_timeout(&self.cache);
+        let is_unresponsive = |id: &MachineId| {
             self.scheduler
-                .is_unresponsive(now, id, patience, &self.cache)
+                .is_unresponsive(now, id, unresponsive_timeout, &self.cache)
         };
-        let freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
+        let is_freed = |attempt: &TaskAttempt| self.scheduler.is_freed(attempt);
         let deadlines = &mut self.cancellation.deadlines;
-        let due = deadlines.due(
+        let due = deadlines.due_actions(
             now,
             self.config.cancellation_timeout,
             &self.cache,
-            silent,
-            freed,
+            is_unresponsive,
+            is_freed,
         );
         effects.extend(
             due.unknown_outcomes
@@ -158,14 +162,15 @@
                 .map(Effect::QueryJobOutcome),
         );
         if !due.decommission.is_empty() {
-            tracing::info!(machines = ?due.decommission, "machines are deleted: tasks of a cancelled job did not stop in time");
+            tracing::info!(machines = ?due.decommission, "deleting machines: tasks of a cancelled job did not stop in time");
             self.autoscaler.decommission(now, due.decommission);
             self.timers.autoscaler.expedite(now);
         }
     }
 
-    /// The same by an owner that does not lead, or does not know whether it still does: a deletion
-    /// needs the cloud and no fence. In an outage of the store nobody leads for certain.
+    /// Does the same for owned machines, as a shard owner that is not certainly the leader. A deletion
+    /// needs only the cloud and no fencing token. This covers an outage of the store, in which no controller
+    /// can be certain that it is the leader.
     pub(super) fn decommission_owned(
         &mut self,
         now: MonotonicTime,
@@ -175,21 +180,22 @@
         if !due {
             return;
         }
-        let patience = self.autoscaler.unresponsive_timeout(&self.cache);
+        let unresponsive_timeout = self.autoscaler.unresponsive_timeout(&self.cache);
         let shard_owner = &self.shard_owner;
-        let silent = |id: &MachineId| shard_owner.is_unresponsive(now, id, patience);
-        let freed = |attempt: &TaskAttempt| shard_owner.is_freed(attempt);
-        let CancellationDuty {
+        let is_unresponsive =
+            |id: &MachineId| shard_owner.is_unresponsive(now, id, unresponsive_timeout);
+        let is_freed = |attempt: &TaskAttempt| shard_owner.is_freed(attempt);
+        let CancellationState {
             deadlines,
             requested_deletions,
             ..
         } = &mut self.cancellation;
-        let due = deadlines.due(
+        let due = deadlines.due_actions(
             now,
             self.config.cancellation_timeout,
             &self.cache,
-            silent,
-            freed,
+            is_unresponsive,
+            is_freed,
         );
         requested_deletions.retain(|_, at| now.since(*at) < DELETION_RETRY_INTERVAL);
         let autoscaler = &self.autoscaler;
@@ -197,7 +203,7 @@
             |id: &MachineId| !requested_deletions.contains_key(id) && !autoscaler.is_deleted(id);
         let ids: Vec<MachineId> = due.decommission.into_iter().filter(is_new).collect();
         if !ids.is_empty() {
-            tracing::info!(machines = ?ids, "owned machines are deleted: tasks of a cancelled job did not stop in time");
+            tracing::info!(machines = ?ids, "deleting owned machines: tasks of a cancelled job did not stop in time");
             requested_deletions.extend(ids.iter().map(|id| (id.clone(), now)));
             effects.push(Effect::DeleteMachines(ids));
         }
--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -1,4 +1,4 @@
-//! Storing the cloud's machine types, for controllers that the cloud does not answer.
+//! Stores the cloud's machine types, for controllers that get no answer from the cloud.
 
 use super::effects::{Effect, TxnRequester};
 use crate::cloud::Autoscaler;
@@ -8,10 +8,10 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
 
-/// Machine types that the key-value store refused for their size are written again after this.
+/// How long to wait before the catalog is written again after the store refused it for its size.
 const TOO_LARGE_RETRY_INTERVAL: Millis = Millis(60_000);
 
-/// Writes the catalog where the stored one is another.
+/// Writes the catalog if it differs from the stored one.
 #[derive(Debug, Default)]
 pub(super) struct CatalogWriter {
     in_flight: bool,
@@ -19,7 +19,7 @@
 }
 
 impl CatalogWriter {
-    /// The write that is due, if any.
+    /// Returns the write that is due, if any.
     pub(super) fn step(
         &mut self,
         now: MonotonicTime,
@@ -40,11 +40,13 @@
         })
     }
 
-    /// The outcome of the write.
+    /// Handles the outcome of the write.
     pub(super) fn on_outcome(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         if matches!(outcome, TxnOutcome::Invalid) {
-            tracing::error!("the machine types do not fit into a value of the key-value store");
+            tracing::error!(
+                "catalog of machine types not stored: it exceeds the store's value limit"
+            );
             self.retry_at = now + TOO_LARGE_RETRY_INTERVAL;
         }
     }
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -1,5 +1,6 @@
-//! The leader's clean-up: records of machines that are gone, machines without a record that nobody
-//! reports any more, counters that grow long, and records that ended jobs left behind.
+//! The leader's clean-up. It deletes the records of machines that are gone, removes machines without a
+//! record that no shard owner reports any more, shortens long lists of finished tasks, and deletes records
+//! left behind by jobs that have ended.
 
 use super::effects::Effect;
 use crate::config::Config;
@@ -12,31 +13,34 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The deletion of a machine's record is tried again after this.
+/// How long to wait before the deletion of a machine's record is tried again.
 const DELETION_RETRY_INTERVAL: Millis = Millis(1000);
-/// For so long at the most a machine's record waits for the jobs whose tasks are counted there.
-const MAX_COUNTED_WAIT: Millis = Millis(60_000);
-/// A machine without a record is forgotten once no shard owner has reported it for so long.
+/// Longest time that the deletion of a machine's record is deferred until the jobs end whose finished
+/// tasks it lists.
+const MAX_DELETION_DEFERRAL: Millis = Millis(60_000);
+/// How long a machine without a record stays in the watch cache after shard owners have stopped reporting
+/// it.
 const UNREPORTED_MACHINE_TIMEOUT: Millis = Millis(10_000);
-/// Jobs whose counters are brought up to date in one step.
-const MAX_COUNTERS_FOLDED: usize = 4;
+/// Limits the number of jobs whose counters are updated in one clean-up pass.
+const MAX_JOBS_FOLDED_PER_PASS: usize = 4;
 
-/// Records whose deletion is under way, and machines that are about to be forgotten.
+/// Deletions of machine records in flight or deferred, and machines without a record that may be removed.
 #[derive(Debug, Default)]
 pub(super) struct RecordCleanup {
-    /// When the deletion of a machine's record was asked for.
+    /// When the deletion of each machine's record was last requested.
     deletions: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when machines are gone whose records still stand.
+    /// When each machine that still has a record was first seen to be gone.
     gone_since: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when no shard owner has reported a machine without a record.
+    /// When each machine without a record was first seen without a recent report by a shard owner.
     unreported_since: BTreeMap<MachineId, MonotonicTime>,
 }
 
 impl RecordCleanup {
-    /// Forgets machines without a record that no shard owner has reported for a while: what is
-    /// there will be found again. Not at once: an owner reports a new machine only after a moment,
-    /// and one that was forgotten before that was never used (simulated seed 557).
-    pub(super) fn forget_unreported(
+    /// Removes machines without a record that no shard owner has reported for
+    /// [`UNREPORTED_MACHINE_TIMEOUT`]; a machine that still exists is discovered again. It waits that long
+    /// because an owner reports a new machine with a delay: a machine that was removed before its first
+    /// report was never used.
+    pub(super) fn expire_unreported_machines(
         &mut self,
         now: MonotonicTime,
         scheduler: &Scheduler,
@@ -57,7 +61,8 @@
         }
     }
 
-    /// Deletes the record of a machine that is gone.
+    /// Returns the transaction that deletes the record of a machine that is gone, unless the deletion is in
+    /// flight or deferred. Removes a machine without a record from the watch cache.
     pub(super) fn delete_machine_record(
         &mut self,
         now: MonotonicTime,
@@ -68,7 +73,8 @@
     ) -> Option<Effect> {
         self.deletions
             .retain(|_, at| now.since(*at) < DELETION_RETRY_INTERVAL);
-        if self.deletions.contains_key(id) || self.waits_for_jobs(now, id, scheduler, cache) {
+        if self.deletions.contains_key(id) || self.should_defer_deletion(now, id, scheduler, cache)
+        {
             return None;
         }
         let machine = cache.machines.get(id)?;
@@ -81,9 +87,9 @@
         Some(Effect::unattended_txn(RequestClass::Place, txn))
     }
 
-    /// Whether the record of a machine that is gone waits for the jobs that it still counts tasks
-    /// of: once they are over it goes with a single change, and those are scarce.
-    fn waits_for_jobs(
+    /// Returns whether to wait for the end of the jobs whose finished tasks the record lists. After their
+    /// end the record can be deleted by a single change, and the store accepts few changes per second.
+    fn should_defer_deletion(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -96,18 +102,19 @@
         let Some(record) = machines.get(id).map(|m| &m.record) else {
             return false;
         };
-        let mut counted = record.done.iter();
-        let counts_live_job = counted.any(|done| cache.jobs.contains_key(&done.job));
+        let mut done_records = record.done.iter();
+        let counts_live_job = done_records.any(|done| cache.jobs.contains_key(&done.job));
         counts_live_job
             && record.jobs.is_empty()
-            && now.since(since) < MAX_COUNTED_WAIT
+            && now.since(since) < MAX_DELETION_DEFERRAL
             && scheduler.is_write_budget_low(now)
     }
 }
 
-/// Deletes a machine's record once all tasks that it counts stand in their jobs' own counters: a
-/// leader that reads everything anew would run them again. If the shard owner has written the record
-/// meanwhile the transaction fails, and is built anew.
+/// Returns a transaction that moves the finished tasks in a machine's record to the counters of their
+/// jobs. It also deletes the record if no task is left in it: otherwise a leader that loads a new snapshot
+/// would run that task again. The transaction fails, and is built again, if the shard owner has written the
+/// record in the meantime.
 fn record_deletion(
     id: &MachineId,
     machine: &LiveMachine,
@@ -120,7 +127,13 @@
     for done in &machine.record.done {
         let max_changes = layout.txn_ops - 1 - txn.changes.len();
         if let Some(job) = cache.jobs.get(&done.job) {
-            all_folded &= completion_counter::fold(&mut txn, &done.job, job, layout, max_changes);
+            all_folded &= completion_counter::fold_into_segments(
+                &mut txn,
+                &done.job,
+                job,
+                layout,
+                max_changes,
+            );
         }
     }
     if all_folded {
@@ -129,18 +142,24 @@
     txn
 }
 
-/// Moves what machines' records count into the jobs' own counters where a record grows long.
-/// Elsewhere the counts cost nothing, and go when their jobs end.
+/// Moves finished tasks from large machine records into the counters of their jobs. In other records
+/// they cost nothing, and are removed when their jobs end.
 pub(super) fn fold_counters(cache: &WatchCache, config: &Config, effects: &mut Vec<Effect>) {
     let value_bytes = config.store_limits.value_bytes;
     let records = cache.machines.values().map(|m| &m.record);
     let full = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
     let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
     let layout = CounterLayout::new(config);
-    for id in jobs.into_iter().take(MAX_COUNTERS_FOLDED) {
+    for id in jobs.into_iter().take(MAX_JOBS_FOLDED_PER_PASS) {
         let mut txn = Txn::default();
         if let Some(job) = cache.jobs.get(id) {
-            completion_counter::fold(&mut txn, id, job, &layout, config.store_limits.txn_ops);
+            completion_counter::fold_into_segments(
+                &mut txn,
+                id,
+                job,
+                &layout,
+                config.store_limits.txn_ops,
+            );
         }
         if !txn.changes.is_empty() {
             effects.push(Effect::unattended_txn(RequestClass::Place, txn));
@@ -148,7 +167,7 @@
     }
 }
 
-/// Deletes records that ended jobs left behind.
+/// Deletes records left behind by jobs that have ended.
 pub(super) fn delete_orphans(cache: &WatchCache, config: &Config) -> Option<Effect> {
     let mut txn = Txn::default();
     for key in cache.orphaned_keys(config.store_limits.txn_ops) {
--- a/src/controller/completion.rs
+++ b/src/controller/completion.rs
@@ -1,4 +1,4 @@
-//! The completion of jobs all of whose tasks are counted as done.
+//! Completes jobs whose tasks are all counted as done.
 
 use super::effects::{Effect, TxnRequester};
 use crate::config::Config;
@@ -9,17 +9,17 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// A completion without an outcome is written again after this.
+/// How long to wait for the outcome of a completion before it is written again.
 const RETRY_INTERVAL: Millis = Millis(4000);
 
-/// Completions under way, and since when.
+/// When each completion in flight was started.
 #[derive(Debug, Default)]
 pub(super) struct JobCompletions {
     in_flight: BTreeMap<JobId, MonotonicTime>,
 }
 
 impl JobCompletions {
-    /// Forgets what is under way: another controller leads now.
+    /// Forgets all completions in flight. Called while this controller is not the leader.
     pub(super) fn clear(&mut self) {
         self.in_flight.clear();
     }
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The outcome of a job's completion. One that certainly was not written is tried again at once.
+    /// Handles the outcome of a job's completion. A completion that was certainly not written is retried in
+    /// the next scheduling pass.
     pub(super) fn on_outcome(&mut self, job: &JobId, outcome: &TxnOutcome) {
         match outcome {
             TxnOutcome::Refused(_) | TxnOutcome::Invalid | TxnOutcome::Failed(..) => {
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,4 +1,4 @@
-//! What a controller's decisions ask its process to do, and whom the outcome concerns.
+//! The effects that a controller asks its process to execute.
 
 use crate::ids::{JobId, MachineId, MemberId};
 use crate::peers::Message;
@@ -7,37 +7,38 @@
 use crate::store::rate_limiter::RequestClass;
 use crate::worker_control::DirectCall;
 
-/// Whom a transaction's outcome concerns.
+/// The duty that requested a transaction and receives its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TxnRequester {
-    /// The owner of a machine's shard, which writes the machine's record.
+    /// The shard owner, which writes the record of this machine.
     ShardOwner(MachineId),
     /// Leader election and the assignment of shards.
     Leadership,
-    /// A batch of plans, by their jobs.
+    /// The write of a batch with the plans of these jobs.
     Plans(Vec<JobId>),
     /// The completion of a job.
     JobCompletion(JobId),
     /// The release of a job whose dependencies are done.
     DependentRelease(JobId),
-    /// The cancellation of jobs that depend on a cancelled one.
+    /// The cancellation of these jobs, which depend on a cancelled one.
     CancelledDependents(Vec<JobId>),
-    /// The catalog of machine types.
+    /// The write of the catalog of machine types.
     Catalog,
-    /// Nobody: the write is built anew when it is still needed.
+    /// No duty needs the outcome: the transaction is built again if it is still needed.
     Nobody,
 }
 
-/// What the process has to do. Each outcome comes back as a call of the controller's `on_…` methods.
+/// An action for the process to execute. If it has an outcome, the process passes it to one of the
+/// controller's `on_…` methods.
 #[derive(Debug)]
 pub(crate) enum Effect {
     /// Run a transaction on the key-value store.
     Txn {
-        /// Whom the outcome concerns.
+        /// The duty that receives the outcome.
         requester: TxnRequester,
-        /// How important it is when requests are scarce.
+        /// The priority class for the rate limiter.
         class: RequestClass,
-        /// Its conditions and changes.
+        /// The conditions and changes.
         txn: Txn,
     },
     /// Send direct commands to a worker.
@@ -52,12 +53,12 @@
     ListMachines,
     /// Fetch the cloud's machine types.
     FetchCatalog,
-    /// Read how a job has ended.
+    /// Read the final record of a job.
     QueryJobOutcome(JobId),
 }
 
 impl Effect {
-    /// A transaction whose outcome concerns nobody.
+    /// Returns a transaction whose outcome no duty needs.
     pub(super) fn unattended_txn(class: RequestClass, txn: Txn) -> Self {
         Self::Txn {
             requester: TxnRequester::Nobody,
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's duties, in the order in which they have their turn.
+//! The leader's duties.
 
 use super::Controller;
 use super::cleanup::{delete_orphans, fold_counters};
@@ -10,7 +10,7 @@
 use crate::store::rate_limiter::RequestClass;
 
 impl Controller {
-    /// Does whatever the leader's duties have due.
+    /// Runs the leader's duties that are due.
     pub(super) fn step_leader(
         &mut self,
         now: MonotonicTime,
@@ -25,7 +25,7 @@
         self.clean_up(now, effects);
     }
 
-    /// Forgets what only a leader needs: another controller leads now, or none.
+    /// Clears the state that only a leader needs. Called while this controller is not the leader.
     pub(super) fn clear_leader_state(&mut self) {
         self.plans.clear();
         self.dependents.clear();
@@ -33,7 +33,7 @@
         self.history.clear();
     }
 
-    /// Plans new jobs, completes those that are done, and places what waits.
+    /// Plans new jobs, completes jobs whose tasks are all done, and places waiting tasks.
     fn step_scheduler(&mut self, now: MonotonicTime, term: Revision, effects: &mut Vec<Effect>) {
         let machines = self.cache.machines.len();
         if !self.timers.schedule.take_due(now, machines) {
@@ -52,8 +52,8 @@
         let unplanned = jobs.filter(|(_, job)| job.plan.is_none());
         let unplanned = unplanned.map(|(id, _)| id);
         let unplanned = unplanned.chain(self.cache.dependency_graph.unplanned());
-        let new: Vec<JobId> = unplanned.cloned().collect();
-        for id in new {
+        let unplanned_ids: Vec<JobId> = unplanned.cloned().collect();
+        for id in unplanned_ids {
             for (planned, plan) in plan_job(&id, &self.cache) {
                 self.cache.set_plan(&planned, plan.clone());
                 self.plans.add(now, planned, plan);
@@ -96,12 +96,12 @@
             return;
         }
         self.cleanup
-            .forget_unreported(now, &self.scheduler, &mut self.cache);
+            .expire_unreported_machines(now, &self.scheduler, &mut self.cache);
         fold_counters(&self.cache, &self.config, effects);
         effects.extend(delete_orphans(&self.cache, &self.config));
     }
 
-    /// Quarantines owners that miss machines whose heartbeats reach other controllers.
+    /// Quarantines shard owners that get no heartbeats of machines whose heartbeats reach other controllers.
     pub(super) fn evaluate_reachability(&mut self, now: MonotonicTime) {
         let health = self.scheduler.health.values().map(|h| &h.report);
         let shards = self.config.shard_count();
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from other controllers, and those between this controller's own duties.
+//! Routes messages from other controllers, and messages between this controller's own duties.
 
 use super::Controller;
 use super::effects::{Effect, TxnRequester};
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 
 impl Controller {
-    /// A message from another controller.
+    /// Handles a message from another controller.
     pub(crate) fn on_peer_message(
         &mut self,
         now: MonotonicTime,
@@ -26,7 +26,7 @@
                 revision,
                 age,
             } => {
-                self.learn_cancelled(now, &job, revision, age, &mut effects);
+                self.apply_cancellation(now, &job, revision, age, &mut effects);
                 let cleared_shards = self.cleared_shards(now, &job);
                 let acknowledgement = Message::CancellationAcknowledged {
                     round,
@@ -49,7 +49,7 @@
         effects
     }
 
-    /// Hands a message to the duty that it is for, from whichever controller it comes.
+    /// Passes a message to the duty that handles it. It may come from any controller, including this one.
     fn dispatch(&mut self, now: MonotonicTime, message: Message, effects: &mut Vec<Effect>) {
         match message {
             Message::Allot(allotment) => {
@@ -112,8 +112,8 @@
     }
 
     fn on_health(&mut self, now: MonotonicTime, health: Vec<MachineHealth>) {
-        // An owner reports a single machine when something has changed there.
-        let urgent = health.len() == 1;
+        // An owner reports a single machine only when its state has changed.
+        let is_urgent = health.len() == 1;
         for machine in &health {
             if let Some(record) = &machine.unstored_record {
                 self.cache
@@ -121,12 +121,12 @@
             }
         }
         self.scheduler.on_health(now, health, &self.cache);
-        if urgent {
+        if is_urgent {
             self.timers.schedule.request();
         }
     }
 
-    /// Carries the shard owner's messages to the leader, and turns the rest into effects.
+    /// Sends the shard owner's messages to the leader, and converts its other effects to the controller's.
     pub(super) fn apply_owner_effects(
         &mut self,
         now: MonotonicTime,
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Carries the scheduler's messages to the owners of shards.
+    /// Sends the scheduler's messages to the shard owners, and converts its other effects to the
+    /// controller's.
     pub(super) fn apply_scheduler_effects(
         &mut self,
         now: MonotonicTime,
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Turns what the autoscaler asks for into effects.
+    /// Converts the autoscaler's effects to the controller's.
     pub(super) fn apply_cloud_effects(
         &mut self,
         now: MonotonicTime,
--- a/src/controller/plans.rs
+++ b/src/controller/plans.rs
@@ -1,5 +1,5 @@
-//! Plans that are made and not yet written. A plan serves at once; its record follows, many in one
-//! change.
+//! Writes plans to the key-value store. A plan takes effect in memory at once and is stored later,
+//! together with other plans in one record.
 
 use super::effects::{Effect, TxnRequester};
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
@@ -10,43 +10,45 @@
 use crate::store::{TxnOutcome, keys};
 use std::collections::BTreeMap;
 
-/// Plans gather for so long, or until a record is half full, to be written in one change.
-const BATCH_DELAY: Millis = Millis(1000);
-/// Bytes that a plan takes at the most, as a guess while they gather.
-const LARGE_PLAN_BYTES: usize = 600;
-/// Bytes of a stored plan besides the names in it.
-const PLAN_BYTES: usize = 80;
-/// Bytes around the name of a machine in a stored plan.
-const MACHINE_BYTES: usize = 4;
-/// Bytes around the name of the job whose placement group a plan joins.
-const JOINED_JOB_BYTES: usize = 12;
+/// Longest time that plans are collected for a batch. A batch is written earlier once it is estimated to
+/// reach half the largest value size. Also the pause after the outcome of a batch.
+const MAX_BATCH_DELAY: Millis = Millis(1000);
+/// Estimated upper limit of the size of one stored plan, used while a batch is collected.
+const MAX_PLAN_BYTES_ESTIMATE: usize = 600;
+/// Bytes of a stored plan without the names in it.
+const PLAN_OVERHEAD_BYTES: usize = 80;
+/// Bytes that each machine adds to a stored plan besides its name.
+const MACHINE_OVERHEAD_BYTES: usize = 4;
+/// Bytes that the job whose placement group a plan joins adds to a stored plan besides its name.
+const JOINED_JOB_OVERHEAD_BYTES: usize = 12;
 
-/// Writes plans in batches, one at a time.
+/// Writes plans in batches, with at most one batch in flight.
 #[derive(Debug, Default)]
 pub(super) struct PlanWriter {
     unwritten: BTreeMap<JobId, PlanRecord>,
-    /// Since when plans gather for the next batch.
-    gathering_since: MonotonicTime,
+    /// When collecting the next batch began.
+    batch_started_at: MonotonicTime,
     in_flight: bool,
     retry_at: MonotonicTime,
-    batches: u64,
+    batch_count: u64,
 }
 
 impl PlanWriter {
-    /// Takes a plan that has to be written.
+    /// Adds a plan to the next batch.
     pub(super) fn add(&mut self, now: MonotonicTime, job: JobId, plan: PlanRecord) {
         if self.unwritten.is_empty() {
-            self.gathering_since = now;
+            self.batch_started_at = now;
         }
         self.unwritten.insert(job, plan);
     }
 
-    /// Drops what is not written: another controller leads now.
+    /// Drops all unwritten plans. Called while this controller is not the leader.
     pub(super) fn clear(&mut self) {
         self.unwritten.clear();
     }
 
-    /// The next batch, if one is due. Its record goes once all its jobs are over.
+    /// Returns the transaction that writes the next batch, if one is due. The batch's record is deleted once
+    /// all its jobs have ended.
     pub(super) fn next_batch(
         &mut self,
         now: MonotonicTime,
@@ -55,19 +57,19 @@
         value_bytes: usize,
     ) -> Option<Effect> {
         let capacity = value_bytes / 2;
-        let full = LARGE_PLAN_BYTES * self.unwritten.len() > capacity;
-        let due = full || now.since(self.gathering_since) >= BATCH_DELAY;
+        let full = MAX_PLAN_BYTES_ESTIMATE * self.unwritten.len() > capacity;
+        let due = full || now.since(self.batch_started_at) >= MAX_BATCH_DELAY;
         let blocked = self.in_flight || now < self.retry_at;
         if self.unwritten.is_empty() || blocked || !due {
             return None;
         }
         let batch = self.take_batch(capacity, cache);
-        self.gathering_since = now;
+        self.batch_started_at = now;
         if batch.is_empty() {
             return None;
         }
-        self.batches += 1;
-        let name = format!("{term}-{}", self.batches);
+        self.batch_count += 1;
+        let name = format!("{term}-{}", self.batch_count);
         let mut txn = Txn::default();
         txn.require(keys::LEADER, term);
         txn.require(keys::plans(&name), Revision(0));
@@ -80,7 +82,8 @@
         })
     }
 
-    /// Takes plans of jobs that are not over until so many bytes are reached.
+    /// Removes plans from the unwritten ones until their size reaches `capacity` bytes, and returns those
+    /// whose jobs have not ended. The last plan may exceed `capacity`.
     fn take_batch(&mut self, capacity: usize, cache: &WatchCache) -> PlanBatch {
         let mut batch = PlanBatch::new();
         let mut size = 0;
@@ -95,7 +98,7 @@
         batch
     }
 
-    /// The outcome of a batch with the plans of these jobs.
+    /// Handles the outcome of the batch with the plans of these jobs.
     pub(super) fn on_outcome(
         &mut self,
         now: MonotonicTime,
@@ -104,10 +107,10 @@
         cache: &WatchCache,
     ) {
         self.in_flight = false;
-        // A refusal by the rate limiter comes back at once: without a pause it would be repeated
-        // without end (entry 37769b7d).
-        self.retry_at = now + BATCH_DELAY;
-        // Under any other outcome the plans are written, or another controller leads.
+        // The rate limiter refuses at once: without a pause, refusals and retries would follow each
+        // other in an endless loop.
+        self.retry_at = now + MAX_BATCH_DELAY;
+        // With any other outcome the plans are written, or another controller is the leader.
         if !matches!(outcome, TxnOutcome::Refused(_)) {
             return;
         }
@@ -120,8 +123,10 @@
 
 fn stored_size(job: &JobId, plan: &PlanRecord) -> usize {
     let machines = plan.machines.iter();
-    let machines: usize = machines.map(|m| MACHINE_BYTES + m.as_str().len()).sum();
+    let machines: usize = machines
+        .map(|m| MACHINE_OVERHEAD_BYTES + m.as_str().len())
+        .sum();
     let joined = plan.placement_group_job.as_ref();
-    let joined = joined.map_or(0, |job| JOINED_JOB_BYTES + job.as_str().len());
-    PLAN_BYTES + job.as_str().len() + machines + joined
+    let joined = joined.map_or(0, |job| JOINED_JOB_OVERHEAD_BYTES + job.as_str().len());
+    PLAN_OVERHEAD_BYTES + job.as_str().len() + machines + joined
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -8,8 +8,8 @@
 use crate::protocol::store::KeyValue;
 use crate::store::records::{LeaderRecord, MachineRecord, MemberRecord, ShardRecord};
 
-/// A controller that leads and owns every shard, with a watch cache that never changes again.
-fn alone() -> Controller {
+/// Returns a controller that is the leader and owns every shard. Its watch cache gets no events.
+fn single_controller() -> Controller {
     let config = sample_config();
     let (me, incarnation) = (config.member.clone(), Incarnation(1));
     let mut cache = WatchCache::new(&config);
@@ -68,10 +68,11 @@
     }
 }
 
-/// Seen with real processes: nothing else changed, and the machine was never used.
+/// Guards against a new machine that is never used: it answered its first direct call, but no store event
+/// followed that would have led to its tracking.
 #[test]
-fn answering_machine_is_tracked_without_any_store_event() {
-    let mut controller = alone();
+fn machine_is_tracked_after_its_direct_call_without_a_store_event() {
+    let mut controller = single_controller();
     let (_, effects) = controller.on_heartbeat(MonotonicTime(1000), &heartbeat(0));
     let asked = effects.iter().any(|e| matches!(e, Effect::CallWorker(_)));
     assert!(asked && controller.shard_owner.tracked_count() == 0);
@@ -86,28 +87,29 @@
     assert_eq!(controller.shard_owner.tracked_count(), 1);
 }
 
-/// A leader that the key-value store refuses alone went on renting, and emptied machines that
-/// its successor had placed replicas on (Tramite grown, apart).
+/// Guards against a replaced leader that continues to make cloud calls. When only the leader could not
+/// reach the key-value store, it continued to rent machines, and drained machines on which its successor
+/// had placed replicas.
 #[test]
 fn leader_without_a_valid_lease_makes_no_cloud_calls() {
-    let mut controller = alone();
+    let mut controller = single_controller();
     let calls = |effects: Vec<Effect>| effects.iter().any(|e| matches!(e, Effect::ListMachines));
     controller.set_lease_deadline(MonotonicTime(2000));
     assert!(calls(
         controller.tick(MonotonicTime(1000), crate::ids::UnixTime(1000))
     ));
-    let mut later = alone();
-    later.set_lease_deadline(MonotonicTime(2000));
+    let mut expired = single_controller();
+    expired.set_lease_deadline(MonotonicTime(2000));
     assert!(!calls(
-        later.tick(MonotonicTime(3000), crate::ids::UnixTime(3000))
+        expired.tick(MonotonicTime(3000), crate::ids::UnixTime(3000))
     ));
 }
 
-/// A machine with a task of a job that is cancelled, held by a controller that the key-value store
-/// refuses from then on. Returns how many deletions are asked for in the time for a cancellation.
-/// `seen` is the token that a later heartbeat carries.
-fn deleted_while_refused(seen: Option<u64>) -> usize {
-    let mut controller = alone();
+/// Cancels a job with a task on a machine owned by a controller that can't reach the key-value store from
+/// then on. Returns how many deletions the controller requests within the cancellation timeout.
+/// `newer_token` is the fencing token of a later heartbeat, if one arrives.
+fn count_deletions_without_lease(newer_token: Option<u64>) -> usize {
+    let mut controller = single_controller();
     let spec = crate::protocol::tests::spec("job-000001");
     let task = TaskId {
         job: spec.id.clone(),
@@ -133,7 +135,7 @@
         age: Millis(0),
     };
     controller.on_peer_message(MonotonicTime(1200), &"c1".into(), cancelled);
-    if let Some(token) = seen {
+    if let Some(token) = newer_token {
         controller.on_heartbeat(MonotonicTime(2000), &heartbeat(token));
     }
     let cancel = sample_config().cancellation_timeout.0;
@@ -149,11 +151,12 @@
     deleted
 }
 
-/// A shard owner that the key-value store refuses deletes machines on which it can't stop what is
-/// cancelled. Those that another shard owner has taken over since only seem silent to it: deleted, they
-/// took healthy replicas along (Savannah fleet, apart: 9 machines in 20 s).
+/// A shard owner that can't reach the key-value store deletes machines on which it can't stop the tasks of a
+/// cancelled job. Guards against deleting machines that another owner has taken over in the meantime. These
+/// only seem silent to the old owner, and their deletion also ended healthy replicas (9 machines
+/// within 20 s).
 #[test]
-fn owner_refused_by_the_store_deletes_only_machines_that_no_other_owner_has_taken_over() {
-    assert!(deleted_while_refused(None) > 0);
-    assert_eq!(deleted_while_refused(Some(9)), 0);
+fn owner_without_a_lease_deletes_only_machines_that_no_other_owner_has_taken_over() {
+    assert!(count_deletions_without_lease(None) > 0);
+    assert_eq!(count_deletions_without_lease(Some(9)), 0);
 }
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -1,8 +1,8 @@
-//! When periodic work is due.
+//! Timers of periodic work.
 
 use crate::ids::{Millis, MonotonicTime};
 
-/// Work that is done once in an interval.
+/// A timer for work that is done once per interval.
 #[derive(Debug)]
 pub(super) struct PeriodicTimer {
     interval: Millis,
@@ -10,7 +10,7 @@
 }
 
 impl PeriodicTimer {
-    /// Due at once, and then once in `interval`.
+    /// Creates a timer that is due at once, and then once per `interval`.
     pub(super) fn new(interval: Millis) -> Self {
         Self {
             interval,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Whether the work is due now. The next time is an interval later.
+    /// Returns whether the work is due now. If so, it is due again one interval later.
     #[must_use]
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> bool {
         let due = now >= self.next;
@@ -33,7 +33,7 @@
         self.next = now;
     }
 
-    /// When the work is due next.
+    /// Returns when the work is due next.
     pub(super) fn next(&self) -> MonotonicTime {
         self.next
     }
@@ -43,47 +43,48 @@
 const MIN_SCHEDULE_INTERVAL: Millis = Millis(15);
 /// The longest time between two scheduling passes.
 const MAX_SCHEDULE_INTERVAL: Millis = Millis(500);
-/// A pass over a large fleet takes longer: for each so many machines its successor waits another
-/// millisecond.
-const MACHINES_PER_SCHEDULE_MS: usize = 4;
+/// Number of machines for which the next pass is delayed by another millisecond, since a pass over a
+/// large fleet takes longer.
+const MACHINES_PER_EXTRA_DELAY_MS: usize = 4;
 
-/// Scheduling passes: soon after anything that may change their result, and now and then anyway.
+/// The timer of scheduling passes. A pass is due soon after a change that may affect its result, and at
+/// least every [`MAX_SCHEDULE_INTERVAL`].
 #[derive(Debug, Default)]
 pub(super) struct ScheduleTimer {
-    needed: bool,
+    is_requested: bool,
     next: MonotonicTime,
-    last: MonotonicTime,
+    last_pass: MonotonicTime,
 }
 
 impl ScheduleTimer {
-    /// Something has changed that a pass depends on.
+    /// Requests a pass after a change that may affect its result.
     pub(super) fn request(&mut self) {
-        self.needed = true;
+        self.is_requested = true;
     }
 
-    /// Something has changed that is worth a pass at once.
+    /// Requests a pass without waiting for the shortest interval since the last one.
     pub(super) fn request_now(&mut self) {
-        self.needed = true;
+        self.is_requested = true;
         self.next = MonotonicTime::default();
     }
 
-    /// Whether a pass is due now; `machines` is the size of the fleet.
+    /// Returns whether a pass is due now. `machines` is the number of machines in the fleet.
     #[must_use]
     pub(super) fn take_due(&mut self, now: MonotonicTime, machines: usize) -> bool {
-        let due =
-            (self.needed && now >= self.next) || now.since(self.last) >= MAX_SCHEDULE_INTERVAL;
+        let due = (self.is_requested && now >= self.next)
+            || now.since(self.last_pass) >= MAX_SCHEDULE_INTERVAL;
         if due {
-            self.needed = false;
-            self.last = now;
-            let pause = Millis((machines / MACHINES_PER_SCHEDULE_MS) as u64);
-            self.next = now + MIN_SCHEDULE_INTERVAL + pause;
+            self.is_requested = false;
+            self.last_pass = now;
+            let extra_delay = Millis((machines / MACHINES_PER_EXTRA_DELAY_MS) as u64);
+            self.next = now + MIN_SCHEDULE_INTERVAL + extra_delay;
         }
         due
     }
 
-    /// When the next pass may be due, as far as is known now.
+    /// Returns when the next pass is due, or an estimate if none is requested.
     pub(super) fn next(&self, now: MonotonicTime) -> MonotonicTime {
-        match self.needed {
+        match self.is_requested {
             true => self.next,
             false => now + MAX_SCHEDULE_INTERVAL,
         }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -1,4 +1,4 @@
-//! The routine that keeps this process's lease and its member record.
+//! Maintains this process's lease and its member record.
 
 use crate::ids::{Incarnation, LeaseId, MemberId, Revision};
 use crate::protocol::store::Txn;
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How often a lease is renewed in the time after which it would end.
+/// Number of renewals within the lease's time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
-/// Ends the lease of an earlier process of this controller, then keeps one for ever. `ttl`: how
-/// long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None`
-/// when it is gone; `on_valid_until` with the time until which it holds for certain.
+/// Ends the lease of an earlier process of this controller, then keeps a lease without end. `ttl` returns
+/// how long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None` when a
+/// lease is gone. `on_valid_until` is called with the time until which the lease is certainly valid.
 pub(crate) async fn keep_lease(
     store: Rc<StoreClient>,
     member: MemberId,
@@ -26,7 +26,7 @@
 ) {
     let key = keys::member(&member);
     loop {
-        // Taken before the request leaves: the lease can't end sooner than this says.
+        // Taken before the request is sent, so the lease can't expire earlier than computed from it.
         let requested_at = Instant::now();
         let ttl_now = ttl();
         match acquire(&store, &key, incarnation, ttl_now).await {
@@ -48,10 +48,10 @@
     incarnation: Incarnation,
     ttl: Duration,
 ) -> Result<LeaseId, StoreError> {
-    let expected = end_previous_lease(store, key).await?;
+    let member_revision = end_previous_lease(store, key).await?;
     let lease = store.create_lease(ttl).await?;
     let mut txn = Txn::default();
-    txn.require(key, expected);
+    txn.require(key, member_revision);
     let record = MemberRecord::new(incarnation, lease);
     txn.put(key, &record, Some(lease));
     match store.txn(RequestClass::Lease, &txn).await {
@@ -63,14 +63,15 @@
     }
 }
 
-/// Ends the lease of an earlier process. Returns the revision that the member record has after it.
+/// Ends the lease of an earlier process. Returns the revision of the member record after that; 0 if
+/// there is no record.
 async fn end_previous_lease(store: &StoreClient, key: &str) -> Result<Revision, StoreError> {
     let Some(item) = store.get(RequestClass::Lease, key).await? else {
         return Ok(Revision(0));
     };
     let record: Option<MemberRecord> = serde_json::from_value(item.value).ok();
     match record.map(|r| r.lease).or(item.lease) {
-        // This removes the keys under the lease: the member's, the leader's and the shards'.
+        // This removes the records under the lease: the member's, the leader's and the shards'.
         Some(lease) => {
             store.revoke_lease(lease).await?;
             Ok(Revision(0))
@@ -96,9 +97,14 @@
                 on_valid_until(renewed_at + ttl);
             }
             Err(StoreError::Gone) => return,
-            // In an outage leases keep their time; only the service can say that one is gone.
+            // Leases keep their remaining time during an outage of the store, so only a response of the
+            // store tells that one is gone.
             Err(error) => {
-                tracing::debug!(late = ?renewed_at.elapsed(), %error, "lease not renewed");
+                tracing::debug!(
+                    late = ?renewed_at.elapsed(),
+                    %error,
+                    "lease renewal failed; retrying"
+                );
                 runtime::sleep(RETRY_DELAY).await;
             }
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Who leads, and who owns which shard: decided by compare-and-swap transactions on the key-value
-//! store, with records that are removed when their writer's lease ends.
+//! Leader election and shard assignment, by compare-and-swap transactions on the key-value store. Records
+//! are written under a lease, and are removed when it expires.
 
 mod lease;
 mod reachability;
@@ -16,42 +16,42 @@
 use crate::store::{TxnOutcome, keys};
 use std::collections::BTreeSet;
 
-/// The pause after a transaction that was not executed, or perhaps was.
+/// The pause after a transaction that was refused or whose outcome is unknown.
 const RETRY_DELAY: Millis = Millis(300);
 /// The pause after a transaction whose conditions did not hold.
 const CONFLICT_RETRY_DELAY: Millis = Millis(20);
-/// How long to wait for the watch cache to show the last transaction.
-const CACHE_WAIT: Millis = Millis(2000);
+/// How long to wait for the watch cache to show the last transaction before the next one is sent anyway.
+const CACHE_WAIT_TIMEOUT: Millis = Millis(2000);
 
-/// This controller's part in electing a leader and, where it leads, in assigning the shards.
+/// This controller's part in the leader election and, while it is the leader, in shard assignment.
 pub(crate) struct Leadership {
     member: MemberId,
     incarnation: Incarnation,
-    /// How many shards there are.
-    shards: u32,
-    /// The most changes that a transaction may have.
-    txn_ops: usize,
+    /// The number of shards.
+    shard_count: u32,
+    /// The largest number of changes in a transaction.
+    max_txn_ops: usize,
     lease: Option<LeaseId>,
-    /// Whether a transaction has no outcome yet.
+    /// Whether a transaction is in flight.
     in_flight: bool,
-    /// No transaction before this time,
+    /// The earliest time of the next transaction.
     retry_at: MonotonicTime,
-    /// nor before the watch cache shows this revision.
+    /// The revision that the watch cache must show before the next transaction.
     retry_revision: Revision,
-    /// The leader's record that was ours under a lease which has ended since.
+    /// The last term of this process that ended with its lease.
     ended_term: Revision,
-    /// Who is given no shards, while there is somebody else.
+    /// Controllers that are assigned no shards while there are others.
     quarantined: BTreeSet<MemberId>,
 }
 
 impl Leadership {
-    /// Starts without a lease: nothing is written before there is one.
+    /// Creates the state without a lease. No transaction is sent before there is one.
     pub(crate) fn new(config: &Config, incarnation: Incarnation) -> Self {
         Self {
             member: config.member.clone(),
             incarnation,
-            shards: config.shard_count(),
-            txn_ops: config.store_limits.txn_ops,
+            shard_count: config.shard_count(),
+            max_txn_ops: config.store_limits.txn_ops,
             lease: None,
             in_flight: false,
             retry_at: MonotonicTime::default(),
@@ -61,15 +61,15 @@
         }
     }
 
-    /// The incarnation of this process.
+    /// Returns the incarnation of this process.
     #[cfg(test)]
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Sets the lease that this process holds. A term ends with the lease it was claimed under: the
-    /// watch cache may still show it when the next lease is there already, and a leader that went
-    /// on would judge machines by a state that is long past.
+    /// Sets the lease that this process holds. A term ends with the lease under which it was claimed. The
+    /// watch cache may still show the term when the next lease has begun; a leader that continued then would
+    /// judge machines by outdated state.
     pub(crate) fn set_lease(&mut self, lease: Option<LeaseId>, cache: &WatchCache) {
         if self.lease != lease
             && let Some(term) = self.term(cache)
@@ -79,34 +79,34 @@
         self.lease = lease;
     }
 
-    /// The term, if this process leads as far as the watch cache knows. A leader that has been
-    /// replaced without knowing does no harm: its shard writes need the leader's record, and
-    /// its allotments fail at the shards' fences.
+    /// Returns the term if this process is the leader according to the watch cache. A leader that was
+    /// replaced without knowing does no harm: its shard writes have a condition on the leader's record, and
+    /// shard owners reject its allotments because of their outdated fences.
     pub(crate) fn term(&self, cache: &WatchCache) -> Option<Revision> {
         let leader = cache.leader.as_ref()?;
-        let mine =
+        let is_current_process =
             leader.value.member == self.member && leader.value.incarnation == self.incarnation;
-        (mine && leader.revision > self.ended_term).then_some(leader.revision)
+        (is_current_process && leader.revision > self.ended_term).then_some(leader.revision)
     }
 
-    /// The term, once every shard was rewritten in it: then the watch cache holds every placement
-    /// that any earlier term can have committed.
-    pub(crate) fn settled_term(&self, cache: &WatchCache) -> Option<Revision> {
+    /// Returns the term if this process is the leader and every shard record has been rewritten in the term.
+    /// The watch cache then contains every placement that was committed in earlier terms.
+    pub(crate) fn established_term(&self, cache: &WatchCache) -> Option<Revision> {
         let term = self.term(cache)?;
-        let all = (0..self.shards).all(|shard| {
+        let all_rewritten = (0..self.shard_count).all(|shard| {
             let record = cache.shards.get(&ShardId(shard));
             record.is_some_and(|r| r.value.term == term)
         });
-        all.then_some(term)
+        all_rewritten.then_some(term)
     }
 
-    /// The next transaction that leadership needs, if any.
+    /// Returns the next transaction for the election or the shard assignment, if any.
     pub(crate) fn step(&mut self, now: MonotonicTime, cache: &WatchCache) -> Option<Txn> {
         let lease = self.lease?;
         if self.in_flight || now < self.retry_at {
             return None;
         }
-        if cache.revision < self.retry_revision && now < self.retry_at + CACHE_WAIT {
+        if cache.revision < self.retry_revision && now < self.retry_at + CACHE_WAIT_TIMEOUT {
             return None;
         }
         let txn = match (&cache.leader, self.term(cache)) {
@@ -118,12 +118,12 @@
         Some(txn)
     }
 
-    /// Sets who is given no shards, while there is somebody else.
+    /// Sets the controllers that are assigned no shards while there are others.
     pub(crate) fn set_quarantined(&mut self, members: BTreeSet<MemberId>) {
         self.quarantined = members;
     }
 
-    /// Takes the outcome of the last transaction of [`Self::step`].
+    /// Handles the outcome of the last transaction of [`Self::step`].
     pub(crate) fn on_txn_outcome(&mut self, now: MonotonicTime, outcome: &TxnOutcome) {
         self.in_flight = false;
         match outcome {
@@ -152,40 +152,41 @@
         txn
     }
 
-    /// Rewrites shards that are of an earlier term, have lost their owner, or would balance the
-    /// load better elsewhere; at most as many as a transaction may change.
+    /// Returns the transaction that rewrites shards which are of an earlier term, have no eligible owner, or
+    /// move to another owner to balance the load. At most `max_txn_ops` shards are rewritten.
     fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
-        let owners = shard_assignment::required_owners(self.shards, term, cache, &self.quarantined);
+        let owners =
+            shard_assignment::required_owners(self.shard_count, term, cache, &self.quarantined);
         if owners.is_empty() {
             return None;
         }
         let mut txn = Txn::default();
         txn.require(keys::LEADER, term);
-        for (shard, member) in owners.into_iter().take(self.txn_ops) {
-            let live = cache.members.get(member)?;
+        for (shard, member) in owners.into_iter().take(self.max_txn_ops) {
+            let owner_record = cache.members.get(member)?;
             let record = ShardRecord {
                 owner: member.clone(),
-                incarnation: live.incarnation,
+                incarnation: owner_record.incarnation,
                 term,
             };
             let revision = cache.shards.get(&shard).map_or(Revision(0), |r| r.revision);
             txn.require(keys::shard(shard), revision);
-            txn.put(keys::shard(shard), &record, Some(live.lease));
+            txn.put(keys::shard(shard), &record, Some(owner_record.lease));
         }
         Some(txn)
     }
 
-    /// Rewrites a shard's record unchanged, to raise its fencing token. Its owner may, and the
-    /// leader.
+    /// Returns the transaction that rewrites a shard's record unchanged, which raises its fencing token. Both
+    /// the shard's owner and the leader may do so.
     pub(crate) fn raise_shard_fence(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
-        let live = cache.members.get(&record.value.owner)?;
-        if live.incarnation != record.value.incarnation {
+        let owner_record = cache.members.get(&record.value.owner)?;
+        if owner_record.incarnation != record.value.incarnation {
             return None;
         }
         let mut txn = Txn::default();
         txn.require(keys::shard(shard), record.revision);
-        txn.put(keys::shard(shard), &record.value, Some(live.lease));
+        txn.put(keys::shard(shard), &record.value, Some(owner_record.lease));
         Some(txn)
     }
 }
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -1,9 +1,11 @@
-//! Shard owners that hear nothing of machines which others hear. A controller that is cut off from
-//! its workers alone keeps its lease and its shards; its machines ask the others, are sent back, and
-//! lose all their work when their leases run out. Shards of such an owner are given to others, which
-//! only costs a rise of their fencing tokens.
+//! Finds shard owners that get no heartbeats from machines whose heartbeats reach other controllers. A
+//! controller that is cut off only from its workers keeps its lease and its shards. Its machines contact
+//! the other controllers, are redirected to the owner, and lose all their tasks when their worker leases
+//! expire. The shards of this owner are assigned to other controllers, which only raises the shards'
+//! fencing tokens.
 //!
-//! Silence alone says nothing of the sort: a zone may be cut off, and then nobody hears it.
+//! Missing heartbeats alone do not show this: a whole zone may be cut off, so that its heartbeats reach no
+//! controller.
 
 use crate::config::Config;
 use crate::ids::{MachineId, MemberId, Millis, MonotonicTime, ShardId};
@@ -11,69 +13,69 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Of a shard owner's machines, so many must be silent to it: one in this many.
-const MIN_SILENT_DIVISOR: usize = 2;
-/// And so many of those must be heard elsewhere.
-const MIN_HEARD_DIVISOR: usize = 4;
-/// One machine alone, heard elsewhere, proves nothing.
-const MIN_HEARD: usize = 2;
+/// An owner counts as unreachable only if more than 1 in 2 of its machines are silent to it.
+const SILENT_SHARE_DIVISOR: usize = 2;
+/// More than 1 in 4 of the silent machines must reach other controllers.
+const REACHABLE_ELSEWHERE_SHARE_DIVISOR: usize = 4;
+/// At least 2 machines must reach other controllers: a single machine may have a fault of its own.
+const MIN_REACHABLE_ELSEWHERE: usize = 2;
 
-/// Finds the shard owners that their machines can't reach, and quarantines them for a while.
+/// Finds the shard owners that their machines can't reach, and quarantines them for a limited time.
 pub(crate) struct ReachabilityMonitor {
     heartbeat_interval: Millis,
-    /// How long a shard owner gets no shards back: what cut it off may last.
+    /// How long a quarantined owner gets no shards, since it may stay cut off for a while.
     quarantine_period: Millis,
-    /// When a machine last sent its heartbeat to a controller that does not own it.
-    misdirected: BTreeMap<MachineId, MonotonicTime>,
-    /// Until when each owner is quarantined.
-    quarantined: BTreeMap<MemberId, MonotonicTime>,
+    /// When each machine last sent a heartbeat to a controller that does not own it.
+    misdirected_at: BTreeMap<MachineId, MonotonicTime>,
+    /// The end of each owner's quarantine.
+    quarantined_until: BTreeMap<MemberId, MonotonicTime>,
 }
 
-/// What a shard owner has reported of its machines.
+/// Counts of a shard owner's machines, by its own health reports.
 #[derive(Clone, Copy, Debug, Default)]
-struct OwnedMachines {
-    all: usize,
-    /// Those that don't reach it directly.
+struct OwnedMachineCounts {
+    total: usize,
+    /// Machines whose heartbeats don't reach the owner directly.
     silent: usize,
-    /// Those of the silent ones that reach another controller.
-    heard_elsewhere: usize,
+    /// Silent machines whose heartbeats reach another controller.
+    reachable_elsewhere: usize,
 }
 
-impl OwnedMachines {
+impl OwnedMachineCounts {
     fn is_owner_unreachable(self) -> bool {
-        self.silent * MIN_SILENT_DIVISOR > self.all
-            && self.heard_elsewhere * MIN_HEARD_DIVISOR > self.silent
-            && self.heard_elsewhere >= MIN_HEARD
+        self.silent * SILENT_SHARE_DIVISOR > self.total
+            && self.reachable_elsewhere * REACHABLE_ELSEWHERE_SHARE_DIVISOR > self.silent
+            && self.reachable_elsewhere >= MIN_REACHABLE_ELSEWHERE
     }
 }
 
 impl ReachabilityMonitor {
-    /// A monitor that has heard of no machine yet.
+    /// Creates a monitor without any observations.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             heartbeat_interval: config.heartbeat_interval,
             quarantine_period: Millis(2 * config.worker_lease.0),
-            misdirected: BTreeMap::new(),
-            quarantined: BTreeMap::new(),
+            misdirected_at: BTreeMap::new(),
+            quarantined_until: BTreeMap::new(),
         }
     }
 
-    /// Notes machines whose heartbeats have reached a controller that does not own them.
+    /// Records machines whose heartbeats have reached a controller that does not own them.
     pub(crate) fn on_misdirected_heartbeats(
         &mut self,
         now: MonotonicTime,
         machines: Vec<MachineId>,
     ) {
-        self.misdirected
+        self.misdirected_at
             .extend(machines.into_iter().map(|id| (id, now)));
     }
 
-    /// Owners that get no shards at present.
+    /// Returns the owners that get no shards at present.
     pub(crate) fn quarantined(&self) -> BTreeSet<MemberId> {
-        self.quarantined.keys().cloned().collect()
+        self.quarantined_until.keys().cloned().collect()
     }
 
-    /// Quarantines the owners that are unreachable by what they last reported of their machines.
+    /// Quarantines the owners that their last health reports show to be unreachable.
     pub(crate) fn evaluate<'a>(
         &mut self,
         now: MonotonicTime,
@@ -81,15 +83,15 @@
         health: impl Iterator<Item = &'a MachineHealth>,
         cache: &WatchCache,
     ) {
-        let fresh = Millis(2 * self.heartbeat_interval.0);
-        self.misdirected.retain(|_, at| now.since(*at) < fresh);
-        self.quarantined.retain(|_, until| now < *until);
+        let max_age = Millis(2 * self.heartbeat_interval.0);
+        self.misdirected_at.retain(|_, at| now.since(*at) < max_age);
+        self.quarantined_until.retain(|_, until| now < *until);
         let controllers = cache.members.len();
         for (member, machines) in self.count_by_owner(shards, health, cache) {
-            let others_remain = self.quarantined.len() + 1 < controllers;
+            let others_remain = self.quarantined_until.len() + 1 < controllers;
             if machines.is_owner_unreachable()
                 && others_remain
-                && !self.quarantined.contains_key(member)
+                && !self.quarantined_until.contains_key(member)
             {
                 self.quarantine(now, member, machines);
             }
@@ -101,39 +103,40 @@
         shards: u32,
         health: impl Iterator<Item = &'a MachineHealth>,
         cache: &'b WatchCache,
-    ) -> BTreeMap<&'b MemberId, OwnedMachines> {
-        let patience = self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
-        let mut owners: BTreeMap<&MemberId, OwnedMachines> = BTreeMap::new();
-        for last in health {
-            let shard: ShardId = last.machine.shard(shards);
+    ) -> BTreeMap<&'b MemberId, OwnedMachineCounts> {
+        let silence_timeout =
+            self.heartbeat_interval + Millis(self.heartbeat_interval.0 / 4 + 1000);
+        let mut owners: BTreeMap<&MemberId, OwnedMachineCounts> = BTreeMap::new();
+        for report in health {
+            let shard: ShardId = report.machine.shard(shards);
             let Some(shard_record) = cache.shards.get(&shard) else {
                 continue;
             };
-            if shard_record.revision != last.fence {
+            if shard_record.revision != report.fence {
                 continue;
             }
             let machines = owners.entry(&shard_record.value.owner).or_default();
-            machines.all += 1;
-            // An owner may hear of all its machines through others, and still can't command them.
-            if last.unresponsive_for.max(last.since_direct_heartbeat) >= patience {
+            machines.total += 1;
+            // An owner that gets heartbeats only through other controllers can't send commands.
+            if report.unresponsive_for.max(report.since_direct_heartbeat) >= silence_timeout {
                 machines.silent += 1;
-                let heard_elsewhere = self.misdirected.contains_key(&last.machine);
-                machines.heard_elsewhere += usize::from(heard_elsewhere);
+                let reachable_elsewhere = self.misdirected_at.contains_key(&report.machine);
+                machines.reachable_elsewhere += usize::from(reachable_elsewhere);
             }
         }
         owners
     }
 
-    fn quarantine(&mut self, now: MonotonicTime, member: &MemberId, machines: OwnedMachines) {
+    fn quarantine(&mut self, now: MonotonicTime, member: &MemberId, machines: OwnedMachineCounts) {
         tracing::info!(
             %member,
-            all = machines.all,
+            all = machines.total,
             silent = machines.silent,
-            heard = machines.heard_elsewhere,
-            "shard owner quarantined: heartbeats of its machines reach only others"
+            heard = machines.reachable_elsewhere,
+            "shard owner quarantined: heartbeats of its machines reach only other controllers"
         );
         let until = now + self.quarantine_period;
-        self.quarantined.insert(member.clone(), until);
+        self.quarantined_until.insert(member.clone(), until);
     }
 }
 
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -5,7 +5,7 @@
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ShardRecord};
 
-fn three_owners() -> (Config, WatchCache) {
+fn config_and_cache_with_three_owners() -> (Config, WatchCache) {
     let config = sample_config();
     let mut cache = WatchCache::new(&config);
     let mut put = |key: String, value: serde_json::Value| {
@@ -46,11 +46,11 @@
     }
 }
 
-/// Relayed heartbeats keep a shard owner informed, and leave it unable to command: counting silence
-/// alone let availability fall from 0.83 to 0.73 (Savannah fleet, apart).
+/// An owner that gets only relayed heartbeats is informed, but can't send commands. Guards against counting
+/// only machines without any heartbeat as silent, which lowered availability from 0.83 to 0.73.
 #[test]
-fn owner_that_hears_its_machines_only_through_others_is_quarantined() {
-    let (config, cache) = three_owners();
+fn owner_that_gets_only_relayed_heartbeats_is_quarantined() {
+    let (config, cache) = config_and_cache_with_three_owners();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| MachineHealth {
@@ -58,8 +58,8 @@
             ..health(n, 100)
         })
         .collect();
-    let of_c1 = (0..60).filter(|n| n % 3 == 1);
-    let misdirected = of_c1.map(|n| health(n, 0).machine).collect();
+    let machines_of_c1 = (0..60).filter(|n| n % 3 == 1);
+    let misdirected = machines_of_c1.map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(1000), misdirected);
     reachability.evaluate(
         MonotonicTime(1100),
@@ -71,10 +71,10 @@
     assert_eq!(unreachable, ["c1".into()]);
 }
 
-/// Machine n belongs to shard n mod 6, which c(n mod 3) owns.
+/// Machine `n` belongs to shard `n % 6`, which `c{n % 3}` owns.
 #[test]
-fn only_an_owner_whose_silent_machines_others_hear_is_quarantined() {
-    let (config, cache) = three_owners();
+fn owner_is_quarantined_only_if_its_silent_machines_reach_other_controllers() {
+    let (config, cache) = config_and_cache_with_three_owners();
     let mut reachability = ReachabilityMonitor::new(&config);
     let all: Vec<MachineHealth> = (0..60)
         .map(|n| health(n, if n % 3 == 1 { 9000 } else { 100 }))
@@ -85,14 +85,14 @@
     };
     assert!(
         evaluate(&mut reachability, 1000).is_empty(),
-        "perhaps a zone is cut off"
+        "a zone may be cut off"
     );
     let of = |m: u32| (0..60).filter(move |n| n % 3 == m);
     let named = |m: u32| of(m).map(|n| health(n, 0).machine).collect();
     reachability.on_misdirected_heartbeats(MonotonicTime(2000), named(2));
     assert!(
         evaluate(&mut reachability, 2100).is_empty(),
-        "those are not silent"
+        "those machines are not silent to their owner"
     );
     reachability.on_misdirected_heartbeats(MonotonicTime(3000), named(1));
     let unreachable: Vec<MemberId> = evaluate(&mut reachability, 3100).into_iter().collect();
@@ -106,6 +106,6 @@
     );
     assert!(
         reachability.quarantined().is_empty(),
-        "and tried again later"
+        "the quarantine must end"
     );
 }
--- a/src/leadership/shard_assignment.rs
+++ b/src/leadership/shard_assignment.rs
@@ -1,14 +1,14 @@
-//! Which controller should own which shard.
+//! Chooses the owner of each shard.
 
 use crate::ids::{MemberId, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A shard moves to another live owner only where that one has so many fewer.
+/// A shard moves from its live owner only to a controller that owns at least this many shards fewer.
 const MIN_IMBALANCE: usize = 2;
 
-/// The shards that have to be rewritten in this term, and who is to own each: those that are of an
-/// earlier term, have no owner that may keep them, or would balance the load better elsewhere.
+/// Returns the shards that have to be rewritten in this term, with the owner of each. These are shards that
+/// are of an earlier term, have no eligible owner, or move to another owner to balance the load.
 pub(super) fn required_owners<'a>(
     shards: u32,
     term: Revision,
@@ -16,11 +16,11 @@
     quarantined: &'a BTreeSet<MemberId>,
 ) -> BTreeMap<ShardId, &'a MemberId> {
     let mut balance = ShardBalance::new(cache, quarantined);
-    let all: Vec<ShardId> = (0..shards).map(ShardId).collect();
-    balance.count_owned(&all);
-    // Shards without an owner first: assigning them mostly balances the loads, and then no shard
-    // has to change hands.
-    let (owned, orphaned): (Vec<ShardId>, Vec<ShardId>) = all
+    let shard_ids: Vec<ShardId> = (0..shards).map(ShardId).collect();
+    balance.count_owned(&shard_ids);
+    // Shards without an owner come first: assigning them usually balances the load, so that no owned
+    // shard has to move.
+    let (owned, orphaned): (Vec<ShardId>, Vec<ShardId>) = shard_ids
         .into_iter()
         .partition(|shard| balance.current_owner(*shard).is_some());
     let mut owners = BTreeMap::new();
@@ -32,7 +32,7 @@
     owners
 }
 
-/// How many shards each eligible controller owns, updated with each choice.
+/// The number of shards that each eligible controller owns, updated with each assignment.
 struct ShardBalance<'a> {
     cache: &'a WatchCache,
     quarantined: &'a BTreeSet<MemberId>,
@@ -51,17 +51,17 @@
         balance
     }
 
-    /// A quarantined controller gets shards only when there is no other.
+    /// Returns whether a controller may own shards. A quarantined one may only if it is the only controller.
     fn is_eligible(&self, member: &MemberId) -> bool {
         self.cache.members.len() <= 1 || !self.quarantined.contains(member)
     }
 
-    /// The shard's owner, if it may keep the shard: it lives, and has not restarted since.
+    /// Returns the shard's owner if it is live, eligible and has not restarted since it got the shard.
     fn current_owner(&self, shard: ShardId) -> Option<&'a MemberId> {
         let record = &self.cache.shards.get(&shard)?.value;
         let (member, live) = self.cache.members.get_key_value(&record.owner)?;
-        let same_process = live.incarnation == record.incarnation;
-        (same_process && self.is_eligible(member)).then_some(member)
+        let is_same_process = live.incarnation == record.incarnation;
+        (is_same_process && self.is_eligible(member)).then_some(member)
     }
 
     fn count_owned(&mut self, shards: &[ShardId]) {
@@ -90,7 +90,7 @@
         least.map(|(member, _)| *member)
     }
 
-    /// The owner that the shard's record has to be rewritten with, if it has to be.
+    /// Returns the owner to write into the shard's record, or `None` if the record needs no rewrite.
     fn choose_owner(&mut self, shard: ShardId, term: Revision) -> Option<&'a MemberId> {
         let least_loaded = self.least_loaded()?;
         let Some(owner) = self.current_owner(shard) else {
@@ -103,7 +103,7 @@
             return Some(least_loaded);
         }
         let record = self.cache.shards.get(&shard);
-        let is_of_term = record.is_some_and(|r| r.value.term == term);
-        (!is_of_term).then_some(owner)
+        let is_current_term = record.is_some_and(|r| r.value.term == term);
+        (!is_current_term).then_some(owner)
     }
 }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -13,14 +13,14 @@
     cache.apply(Revision(at), vec![event]);
 }
 
-fn join(cache: &mut WatchCache, at: u64, member: &str, incarnation: u64) {
+fn add_member(cache: &mut WatchCache, at: u64, member: &str, incarnation: u64) {
     let record = MemberRecord::new(Incarnation(incarnation), LeaseId(100 + incarnation));
     let value = serde_json::to_value(&record).expect("json");
     put(cache, at, keys::member(&member.into()), value);
 }
 
-/// Applies a transaction as committed; returns the owners it names.
-fn commit(cache: &mut WatchCache, at: u64, txn: &Txn) -> Vec<String> {
+/// Applies a transaction to the watch cache as committed. Returns the shard owners that it writes.
+fn apply_committed(cache: &mut WatchCache, at: u64, txn: &Txn) -> Vec<String> {
     let mut owners = Vec::new();
     for change in &txn.changes {
         if let Change::Put { key, value, .. } = change {
@@ -32,27 +32,27 @@
 }
 
 #[test]
-fn new_leader_assigns_every_shard_before_its_term_is_settled() {
+fn new_leader_assigns_every_shard_before_its_term_is_established() {
     let mut cache = WatchCache::new(&sample_config());
     let mut leadership = Leadership::new(&sample_config(), Incarnation(1));
     assert!(
         leadership.step(MonotonicTime(0), &cache).is_none(),
-        "no lease, no claim"
+        "no claim without a lease"
     );
     leadership.set_lease(Some(LeaseId(101)), &cache);
     for (n, member) in ["c0", "c1", "c2"].into_iter().enumerate() {
-        join(&mut cache, 2 + n as u64, member, 1 + n as u64);
+        add_member(&mut cache, 2 + n as u64, member, 1 + n as u64);
     }
     let claim = leadership.step(MonotonicTime(0), &cache).expect("claim");
     assert_eq!(claim.conditions[0].revision, Revision(0));
     assert!(
         leadership.step(MonotonicTime(1), &cache).is_none(),
-        "one at a time"
+        "only one transaction is in flight"
     );
-    commit(&mut cache, 10, &claim);
+    apply_committed(&mut cache, 10, &claim);
     leadership.on_txn_outcome(MonotonicTime(2), &TxnOutcome::Committed(Revision(10)));
     assert_eq!(leadership.term(&cache), Some(Revision(10)));
-    assert_eq!(leadership.settled_term(&cache), None);
+    assert_eq!(leadership.established_term(&cache), None);
     let lease = leadership.step(MonotonicTime(3), &cache).expect("lease");
     assert!(
         lease
@@ -60,15 +60,15 @@
             .iter()
             .any(|c| c.key == keys::LEADER && c.revision == Revision(10))
     );
-    let mut owners = commit(&mut cache, 11, &lease);
+    let mut owners = apply_committed(&mut cache, 11, &lease);
     owners.sort();
     assert_eq!(owners, ["c0", "c0", "c1", "c1", "c2", "c2"]);
-    assert_eq!(leadership.settled_term(&cache), Some(Revision(10)));
-    // The lease is lost and another one taken, and the watch cache is still behind. A leader that
-    // went on then deleted a third of the fleet, silent only to itself (Tramite fleet, apart).
+    assert_eq!(leadership.established_term(&cache), Some(Revision(10)));
+    // The lease is lost and a new one acquired while the watch cache lags. Guards against a leader
+    // that continues its old term: it deleted a third of the fleet, which was silent only to itself.
     leadership.set_lease(None, &cache);
     leadership.set_lease(Some(LeaseId(150)), &cache);
-    assert_eq!(leadership.settled_term(&cache), None);
+    assert_eq!(leadership.established_term(&cache), None);
 }
 
 #[test]
@@ -76,25 +76,25 @@
     let mut cache = WatchCache::new(&sample_config());
     let mut leadership = Leadership::new(&sample_config(), Incarnation(1));
     leadership.set_lease(Some(LeaseId(101)), &cache);
-    join(&mut cache, 2, "c0", 1);
-    join(&mut cache, 3, "c1", 2);
+    add_member(&mut cache, 2, "c0", 1);
+    add_member(&mut cache, 3, "c1", 2);
     for at in [10, 11] {
         let txn = leadership.step(MonotonicTime(at), &cache).expect("txn");
-        commit(&mut cache, at, &txn);
+        apply_committed(&mut cache, at, &txn);
         leadership.on_txn_outcome(MonotonicTime(at), &TxnOutcome::Committed(Revision(at)));
     }
     assert!(
         leadership.step(MonotonicTime(12), &cache).is_none(),
         "nothing to change"
     );
-    join(&mut cache, 12, "c1", 7);
+    add_member(&mut cache, 12, "c1", 7);
     let txn = leadership.step(MonotonicTime(13), &cache).expect("txn");
     let rewritten = txn.changes.len();
-    commit(&mut cache, 13, &txn);
+    apply_committed(&mut cache, 13, &txn);
     assert_eq!(rewritten, 3);
     let stale = cache
         .shards
         .values()
         .any(|b| b.value.incarnation == Incarnation(2));
-    assert!(!stale && leadership.settled_term(&cache).is_some());
+    assert!(!stale && leadership.established_term(&cache).is_some());
 }
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -1,8 +1,7 @@
-//! Cancellation of dependents: a job that depends on a cancelled one can never run and is cancelled
-//! too.
+//! Cancellation of dependents: a job that depends on a cancelled one can never run, and is cancelled too.
 //!
-//! Such a job has no placed tasks, since the cancelled one was never done. So nothing has to be
-//! stopped: a final record is enough.
+//! Its tasks were never placed, since the cancelled job was never done. So no tasks have to be stopped, and
+//! writing a final record is enough.
 
 use crate::ids::JobId;
 use crate::protocol::JobState;
@@ -11,18 +10,18 @@
 use crate::store::records::FinalRecord;
 use crate::store::watch_cache::WatchCache;
 
-/// A final record and the deletion of the live one.
-const CHANGES_PER_JOB: usize = 2;
+/// Number of changes per cancelled job: the put of the final record and the deletion of the live record.
+const CHANGES_PER_CANCELLATION: usize = 2;
 
-/// The transaction that cancels the waiting jobs which depend on a cancelled one, as many as fit
-/// into `max_ops`, and these jobs. `None` without any.
+/// Returns the transaction that cancels blocked jobs which depend on a cancelled one, and these jobs: as
+/// many as fit into `max_ops` changes. Returns `None` if there are none.
 pub(crate) fn cancel_dependents(
     cancelled: &JobId,
     cache: &WatchCache,
     max_ops: usize,
 ) -> Option<(Txn, Vec<JobId>)> {
     let mut dependents = cache.dependency_graph.descendants(cancelled);
-    dependents.truncate((max_ops / CHANGES_PER_JOB).max(1));
+    dependents.truncate((max_ops / CHANGES_PER_CANCELLATION).max(1));
     let mut txn = Txn::default();
     for id in &dependents {
         let job = cache.dependency_graph.get(id)?;
--- a/src/planning/completion_counter.rs
+++ b/src/planning/completion_counter.rs
@@ -1,6 +1,6 @@
-//! The completion counter of a job in the key-value store: segments of finished tasks, and the
-//! tasks that machines' records count beside them. The leader moves the latter into the former, and
-//! the update that finds all tasks done gives the job its final state.
+//! The completion counter of a job in the key-value store. It consists of segments, which are bitmaps of
+//! finished tasks, and of finished tasks that are only listed in machine records so far. The leader moves
+//! these into the segments. Once all tasks are done, it gives the job its final state.
 
 use crate::config::Config;
 use crate::ids::{JobId, Revision};
@@ -12,14 +12,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Changes of a release beside the deletion of segments: the final record, and the deletion of the
-/// live one.
-const RELEASE_CHANGES: usize = 2;
+/// Number of changes in a completion besides the deletion of segments: the put of the final record and the
+/// deletion of the live record.
+const COMPLETION_CHANGES: usize = 2;
 
-/// How counters are stored.
+/// The sizes that determine how counters are stored.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterLayout {
-    /// Tasks in one segment: the same in all versions of the program.
+    /// The number of tasks in one segment. It must be the same in all versions of the program.
     pub tasks_per_segment: u32,
     /// The largest size of a value, in bytes.
     pub value_bytes: usize,
@@ -28,7 +28,7 @@
 }
 
 impl CounterLayout {
-    /// The layout that the settings give.
+    /// Returns the layout for the given settings.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             tasks_per_segment: config.tasks_per_segment(),
@@ -38,9 +38,9 @@
     }
 }
 
-/// Adds to a transaction the changes that move a job's counted tasks into its segments, up to
-/// `max_changes`. `true` if no task is left behind.
-pub(crate) fn fold(
+/// Adds to a transaction at most `max_changes` changes, which move a job's finished tasks from machine
+/// records into its segments. Returns `true` if these include all of the tasks.
+pub(crate) fn fold_into_segments(
     txn: &mut Txn,
     id: &JobId,
     job: &LiveJob,
@@ -66,7 +66,7 @@
             Some((segment, value?))
         });
     let stored: Vec<(u32, Value)> = stored.collect();
-    // Only while the job's record exists: a counter without one would be an orphan.
+    // The job's record must still exist: without it the segments would be orphans.
     if !stored.is_empty() {
         txn.require(keys::job(id), job.revision);
     }
@@ -79,10 +79,10 @@
     is_complete
 }
 
-/// The transaction that gives a job its final state once all of its tasks are done; `None` while
-/// some are not. It is the counter's last update: ends that owners have seen and not written yet are
-/// in it. Done and cancelled exclude each other by the condition on the job's record. Segments that
-/// don't fit into the transaction are deleted later.
+/// Returns the transaction that gives a job its final state, or `None` if some tasks are not done. Tasks
+/// whose end shard owners have reported but not written yet are counted as done. The condition on the
+/// job's record ensures that a job can't be both completed and cancelled. Segments that don't fit into the
+/// transaction are deleted later.
 pub(crate) fn completion_txn(id: &JobId, job: &LiveJob, layout: &CounterLayout) -> Option<Txn> {
     if !job.is_complete(layout.tasks_per_segment) {
         return None;
@@ -98,7 +98,7 @@
     for segment in job
         .segments
         .keys()
-        .take(layout.txn_ops.saturating_sub(RELEASE_CHANGES))
+        .take(layout.txn_ops.saturating_sub(COMPLETION_CHANGES))
     {
         txn.delete(keys::segment(id, *segment));
     }
--- a/src/planning/completion_counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -8,15 +8,15 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-/// A store of keys and revisions, and nothing else.
+/// A store that keeps only the revision of each key.
 #[derive(Default)]
-struct PlainStore {
+struct InMemoryStore {
     revision: u64,
     revisions: BTreeMap<String, Revision>,
-    largest: usize,
+    largest_value_bytes: usize,
 }
 
-impl PlainStore {
+impl InMemoryStore {
     fn run(&mut self, txn: &Txn, cache: &mut WatchCache) -> bool {
         let found = |key: &String| self.revisions.get(key).copied().unwrap_or(Revision(0));
         if txn.conditions.iter().any(|c| found(&c.key) != c.revision) {
@@ -28,7 +28,8 @@
         for change in &txn.changes {
             let (put, delete, value) = match change {
                 Change::Put { key, value, .. } => {
-                    self.largest = self.largest.max(value.to_string().len());
+                    self.largest_value_bytes =
+                        self.largest_value_bytes.max(value.to_string().len());
                     self.revisions.insert(key.clone(), revision);
                     (Some(key.clone()), None, value.clone())
                 }
@@ -49,7 +50,7 @@
     }
 }
 
-fn accept(store: &mut PlainStore, cache: &mut WatchCache, tasks: u32) -> JobId {
+fn accept(store: &mut InMemoryStore, cache: &mut WatchCache, tasks: u32) -> JobId {
     let mut spec = crate::protocol::tests::spec("job-000001");
     spec.tasks = tasks;
     let id = spec.id.clone();
@@ -60,9 +61,9 @@
     id
 }
 
-/// A shard owner's change of a machine's record: some tasks of the job have ended there.
-fn end(
-    store: &mut PlainStore,
+/// Writes a machine's record as its shard owner does when tasks of a job have finished there.
+fn record_done_tasks(
+    store: &mut InMemoryStore,
     cache: &mut WatchCache,
     machine: &MachineId,
     id: &JobId,
@@ -86,14 +87,15 @@
     assert!(store.run(&txn, cache));
 }
 
-/// Machines end the tasks of the largest array in any order and repeat some, the leader
-/// folds now and then, and machines go away. The plain model is a set.
+/// Machines finish the tasks of the largest array in random order and report some twice. The leader
+/// sometimes moves finished tasks into segments, and machines are then deleted. The reference model is a
+/// set of task indices.
 #[test]
-fn counter_of_the_largest_array_counts_each_task_once_and_releases_once() {
+fn counter_of_the_largest_array_counts_each_task_once_and_completes_once() {
     let config = sample_config();
     let layout = CounterLayout::new(&config);
     let ops = layout.txn_ops;
-    let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
+    let (mut store, mut cache) = (InMemoryStore::default(), WatchCache::new(&config));
     let id = accept(&mut store, &mut cache, crate::protocol::MAX_TASKS);
     let mut rng = StdRng::seed_from_u64(2);
     let mut order: Vec<u32> = (0..crate::protocol::MAX_TASKS).collect();
@@ -105,7 +107,7 @@
         let mut batch = order[at..at + n].to_vec();
         batch.push(order[rng.random_range(0..=at)]);
         let machine = MachineId::from(format!("vm-{}", rng.random_range(0..40)).as_str());
-        end(&mut store, &mut cache, &machine, &id, &batch);
+        record_done_tasks(&mut store, &mut cache, &machine, &id, &batch);
         model.extend(batch.iter().copied());
         assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         let long =
@@ -113,7 +115,7 @@
         if long || rng.random_range(0..50) == 0 {
             loop {
                 let mut txn = Txn::default();
-                let all = fold(&mut txn, &id, &cache.jobs[&id], &layout, ops - 1);
+                let all = fold_into_segments(&mut txn, &id, &cache.jobs[&id], &layout, ops - 1);
                 assert!(txn.changes.len() < ops && txn.conditions.len() <= 4 * ops);
                 folds += 1;
                 assert!(store.run(&txn, &mut cache));
@@ -122,22 +124,25 @@
                 }
             }
             assert!(cache.jobs[&id].done_outside_segments.is_empty());
-            // Folded, its record may go: nothing of the count goes with it.
+            // All its tasks are in segments, so deleting the machine's record loses none.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
             assert!(store.run(&txn, &mut cache));
             assert_eq!(cache.jobs[&id].done_count() as usize, model.len());
         }
         at += n;
-        let release = completion_txn(&id, &cache.jobs[&id], &layout);
-        assert_eq!(release.is_some(), model.len() == order.len());
-        if let Some(txn) = release {
+        let completion = completion_txn(&id, &cache.jobs[&id], &layout);
+        assert_eq!(completion.is_some(), model.len() == order.len());
+        if let Some(txn) = completion {
             assert!(txn.changes.len() <= ops);
             assert!(store.run(&txn, &mut cache));
-            assert!(!store.run(&txn, &mut cache), "released once");
+            assert!(!store.run(&txn, &mut cache), "a job completes only once");
         }
     }
-    assert!(!cache.jobs.contains_key(&id) && store.largest <= config.store_limits.value_bytes);
+    assert!(
+        !cache.jobs.contains_key(&id)
+            && store.largest_value_bytes <= config.store_limits.value_bytes
+    );
     assert!(folds > 20 && store.revisions.contains_key(&keys::final_state(&id)));
 }
 
@@ -145,16 +150,28 @@
 fn update_from_a_lagging_watch_cache_fails_and_loses_no_task() {
     let config = sample_config();
     let layout = CounterLayout::new(&config);
-    let (mut store, mut cache) = (PlainStore::default(), WatchCache::new(&config));
+    let (mut store, mut cache) = (InMemoryStore::default(), WatchCache::new(&config));
     let id = accept(&mut store, &mut cache, 4);
     let machine = MachineId::from("vm-1");
-    end(&mut store, &mut cache, &machine, &id, &[0]);
-    let mut late = Txn::default();
-    assert!(fold(&mut late, &id, &cache.jobs[&id], &layout, 11));
-    end(&mut store, &mut cache, &machine, &id, &[1]);
-    let mut first = Txn::default();
-    assert!(fold(&mut first, &id, &cache.jobs[&id], &layout, 11));
-    assert!(store.run(&first, &mut cache));
-    assert!(!store.run(&late, &mut cache));
+    record_done_tasks(&mut store, &mut cache, &machine, &id, &[0]);
+    let mut stale_txn = Txn::default();
+    assert!(fold_into_segments(
+        &mut stale_txn,
+        &id,
+        &cache.jobs[&id],
+        &layout,
+        11
+    ));
+    record_done_tasks(&mut store, &mut cache, &machine, &id, &[1]);
+    let mut current_txn = Txn::default();
+    assert!(fold_into_segments(
+        &mut current_txn,
+        &id,
+        &cache.jobs[&id],
+        &layout,
+        11
+    ));
+    assert!(store.run(&current_txn, &mut cache));
+    assert!(!store.run(&stale_txn, &mut cache));
     assert_eq!(cache.jobs[&id].done_count(), 2);
 }
--- a/src/planning/graph.rs
+++ b/src/planning/graph.rs
@@ -1,50 +1,51 @@
-//! The planner on general job graphs: placement groups (the paper's Algorithm 1), and weaker
-//! machine types for the groups off the critical path (its Algorithm 2).
+//! The planner for general job graphs. It assigns placement groups, as Algorithm 1 of the paper does, and
+//! weaker machine types to the groups off the critical path, as Algorithm 2 of the paper does.
 
 mod critical_path;
 mod grouping;
-mod step_down;
+mod type_downgrade;
 
-use super::history::Predicted;
+use super::history::Prediction;
 
-/// A job as the planner sees it.
+/// A job of the graph.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
-    /// Jobs that must be done first; all of them are earlier in the graph.
+    /// The indices of the jobs that this one depends on. All of them come earlier in the graph.
     pub parents: Vec<usize>,
-    /// The size of its output, read as its task count.
+    /// The size of the output, approximated by the number of tasks.
     pub output: u32,
-    /// Predicted run time on each allowed type, strongest first.
-    pub times: Vec<Predicted>,
+    /// The predicted run time on each allowed machine type, strongest first.
+    pub times: Vec<Prediction>,
 }
 
 impl Node {
-    /// Predicted seconds on the strongest type.
+    /// Returns the predicted run time on the strongest type, in seconds.
     fn shortest_s(&self) -> f64 {
         self.times.first().map_or(0.0, |t| t.seconds)
     }
 }
 
-/// Jobs in an order in which parents come first.
+/// Jobs, sorted so that parents come before their children.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Graph {
-    /// The jobs; others refer to them by their index.
+    /// The jobs. They refer to each other by their indices here.
     pub nodes: Vec<Node>,
 }
 
-/// What is planned for the jobs of a graph.
+/// The plan of a graph's jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Plan {
-    /// Each job's placement group.
+    /// The placement group of each job.
     pub groups: Vec<usize>,
-    /// Each job's type, as an index into its times.
+    /// The machine type of each job, as an index into its times.
     pub types: Vec<usize>,
 }
 
-/// Plans a graph, with groups of up to `cap` jobs that fan out together.
-pub(super) fn plan(graph: &Graph, cap: usize) -> Plan {
-    let groups = grouping::placement_groups(graph, cap.max(1));
-    let types = step_down::machine_types(graph, &groups);
+/// Plans a graph. At most `max_group_size` jobs that become ready at the same time share a group, or join
+/// their parent's group.
+pub(super) fn plan(graph: &Graph, max_group_size: usize) -> Plan {
+    let groups = grouping::placement_groups(graph, max_group_size.max(1));
+    let types = type_downgrade::machine_types(graph, &groups);
     Plan { groups, types }
 }
 
--- a/src/planning/graph/critical_path.rs
+++ b/src/planning/graph/critical_path.rs
@@ -1,17 +1,17 @@
-//! The critical path of a graph whose jobs have machine types.
+//! The critical path of a graph in which each job has a machine type.
 
 use super::Graph;
 
-/// When jobs are finished, counted from the start of the first.
+/// The finish times of a graph's jobs, counted from the start of the first job.
 pub(super) struct Schedule {
-    /// Seconds until each job is finished.
+    /// The finish time of each job, in seconds.
     finish_s: Vec<f64>,
-    /// The parent that each job waits for last.
+    /// The parent of each job that finishes last; `None` for jobs without parents.
     last_parent: Vec<Option<usize>>,
 }
 
 impl Schedule {
-    /// The schedule of a graph with each job on its type, an index into its times.
+    /// Computes the schedule with the given machine type of each job, an index into its times.
     pub(super) fn new(graph: &Graph, types: &[usize]) -> Self {
         let mut finish_s: Vec<f64> = Vec::with_capacity(graph.nodes.len());
         let mut last_parent = Vec::with_capacity(graph.nodes.len());
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Seconds until all jobs are finished.
+    /// Returns the number of seconds until all jobs are finished.
     pub(super) fn total_s(&self) -> f64 {
         self.finish_s.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Whether each job is on the critical path.
+    /// Returns for each job whether it is on the critical path.
     pub(super) fn critical_jobs(&self) -> Vec<bool> {
         let count = self.finish_s.len();
         let mut is_critical = vec![false; count];
--- a/src/planning/graph/grouping.rs
+++ b/src/planning/graph/grouping.rs
@@ -1,17 +1,17 @@
-//! Placement groups: jobs that share their data run on the same machines.
+//! Placement groups: the jobs of a group share data and run on the same machines.
 
 use super::Graph;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// The groups that jobs have been given so far.
+/// The groups that have been assigned so far.
 struct Groups {
     by_node: Vec<Option<usize>>,
     next: usize,
 }
 
 impl Groups {
-    /// The group of a job that has one.
+    /// Returns the group of a job that has one.
     fn group_of(&self, node: usize) -> usize {
         self.by_node[node].unwrap_or(0)
     }
@@ -34,8 +34,8 @@
     }
 }
 
-/// Each job's group.
-pub(super) fn placement_groups(graph: &Graph, cap: usize) -> Vec<usize> {
+/// Returns the group of each job.
+pub(super) fn placement_groups(graph: &Graph, max_group_size: usize) -> Vec<usize> {
     let count = graph.nodes.len();
     let children = children(graph);
     let mut groups = Groups {
@@ -51,19 +51,19 @@
                 let roots: Vec<usize> = (0..count)
                     .filter(|n| graph.nodes[*n].parents.is_empty() && !groups.is_assigned(*n))
                     .collect();
-                fan_out(graph, None, &roots, cap, &mut groups);
+                fan_out(graph, None, &roots, max_group_size, &mut groups);
             }
             [parent] if children[*parent].len() == 1 => {
                 groups.join(&[id], groups.group_of(*parent));
             }
             [parent] => {
-                // Only children of this one parent: others join their largest input.
+                // Only children with a single parent: others join the parent with the largest output.
                 let siblings: Vec<usize> = children[*parent]
                     .iter()
                     .copied()
                     .filter(|c| !groups.is_assigned(*c) && graph.nodes[*c].parents.len() == 1)
                     .collect();
-                fan_out(graph, Some(*parent), &siblings, cap, &mut groups);
+                fan_out(graph, Some(*parent), &siblings, max_group_size, &mut groups);
             }
             parents => {
                 let largest = parents
@@ -78,7 +78,7 @@
     (0..count).map(|id| groups.group_of(id)).collect()
 }
 
-/// The jobs that depend on each job.
+/// Returns for each job the jobs that depend on it.
 fn children(graph: &Graph) -> Vec<Vec<usize>> {
     let mut children = vec![Vec::new(); graph.nodes.len()];
     for (id, node) in graph.nodes.iter().enumerate() {
@@ -89,9 +89,16 @@
     children
 }
 
-/// Groups jobs that become eligible together: the short ones with the largest outputs join their
-/// parent, then each long one gets short ones beside it, and the rest form groups of their own.
-fn fan_out(graph: &Graph, parent: Option<usize>, jobs: &[usize], cap: usize, groups: &mut Groups) {
+/// Groups jobs that become ready at the same time. The short jobs with the largest outputs join their
+/// parent's group. Then each long job forms a group with some of the remaining short ones, and jobs left
+/// over form groups with others of their kind.
+fn fan_out(
+    graph: &Graph,
+    parent: Option<usize>,
+    jobs: &[usize],
+    max_group_size: usize,
+    groups: &mut Groups,
+) {
     let time = |n: usize| graph.nodes[n].shortest_s();
     let Some(median) = median(jobs.iter().map(|n| time(*n)).collect()) else {
         return;
@@ -101,20 +108,20 @@
     short.sort_by_key(|n| Reverse(graph.nodes[*n].output));
     let (mut long, mut short) = (VecDeque::from(long), VecDeque::from(short));
     if let Some(group) = parent.and_then(|p| groups.by_node[p]) {
-        let joining = take(&mut short, cap);
+        let joining = take(&mut short, max_group_size);
         groups.join(&joining, group);
     }
     while !long.is_empty() && !short.is_empty() {
         let mut members = take(&mut long, 1);
-        members.extend(take(&mut short, cap - 1));
+        members.extend(take(&mut short, max_group_size - 1));
         groups.create(&members);
     }
     while !short.is_empty() {
-        let members = take(&mut short, cap);
+        let members = take(&mut short, max_group_size);
         groups.create(&members);
     }
     while !long.is_empty() {
-        let members = take(&mut long, (cap / 2).max(1));
+        let members = take(&mut long, (max_group_size / 2).max(1));
         groups.create(&members);
     }
 }
@@ -125,7 +132,7 @@
     queue.drain(..count).collect()
 }
 
-/// The middle of some times, or the mean of the two in the middle; `None` without any.
+/// Returns the median, or `None` if there are no times.
 fn median(mut times: Vec<f64>) -> Option<f64> {
     times.sort_by(f64::total_cmp);
     let middle = times.len() / 2;
--- a/src/planning/graph/tests.rs
+++ b/src/planning/graph/tests.rs
@@ -1,37 +1,37 @@
-//! A slow, plain model of the planner, which the real one is compared with on random graphs.
+//! Compares the planner with a slow and simple reference model on random graphs.
 
-use super::{Graph, Node, Predicted, plan};
+use super::{Graph, Node, Prediction, plan};
 use proptest::prelude::*;
 
-/// Seconds of the longest path to the end of `node`, by trying every path.
-fn longest(graph: &Graph, types: &[usize], node: usize) -> f64 {
+/// Returns the length in seconds of the longest path to the end of `node`, by trying every path.
+fn longest_path_s(graph: &Graph, types: &[usize], node: usize) -> f64 {
     let own = graph.nodes[node].times[types[node]].seconds;
     let before = graph.nodes[node].parents.iter();
     own + before
-        .map(|p| longest(graph, types, *p))
+        .map(|p| longest_path_s(graph, types, *p))
         .fold(0.0, f64::max)
 }
 
-fn total(graph: &Graph, types: &[usize]) -> f64 {
+fn total_s(graph: &Graph, types: &[usize]) -> f64 {
     (0..graph.nodes.len())
-        .map(|n| longest(graph, types, n))
+        .map(|n| longest_path_s(graph, types, n))
         .fold(0.0, f64::max)
 }
 
-/// The groups, one by one, with lists and linear searches only.
+/// A reference model of the grouping, with lists and linear searches only.
 struct GroupModel<'a> {
     graph: &'a Graph,
-    cap: usize,
+    max_group_size: usize,
     groups: Vec<Option<usize>>,
     next: usize,
 }
 
 impl GroupModel<'_> {
-    fn groups(graph: &Graph, cap: usize) -> Vec<usize> {
+    fn groups(graph: &Graph, max_group_size: usize) -> Vec<usize> {
         let count = graph.nodes.len();
         let mut model = GroupModel {
             graph,
-            cap,
+            max_group_size,
             groups: vec![None; count],
             next: 0,
         };
@@ -60,7 +60,7 @@
         nodes.filter(|node| node.parents.contains(&parent)).count()
     }
 
-    /// Of several with the largest output the first.
+    /// Returns the parent with the largest output; the first one of several.
     fn largest_output(&self, parents: &[usize]) -> usize {
         let count = self.graph.nodes.len();
         let key = |p: usize| (self.graph.nodes[p].output, count - p);
@@ -94,14 +94,17 @@
         short.sort_by(|a, b| graph.nodes[*b].output.cmp(&graph.nodes[*a].output));
         if let Some(parent) = parents.first() {
             let group = self.groups[*parent];
-            self.take(&mut short, self.cap, group);
+            self.take(&mut short, self.max_group_size, group);
         }
         while !long.is_empty() && !short.is_empty() {
             self.take(&mut long, 1, Some(self.next));
-            self.take(&mut short, self.cap - 1, Some(self.next));
+            self.take(&mut short, self.max_group_size - 1, Some(self.next));
             self.next += 1;
         }
-        for (list, size) in [(&mut short, self.cap), (&mut long, (self.cap / 2).max(1))] {
+        for (list, size) in [
+            (&mut short, self.max_group_size),
+            (&mut long, (self.max_group_size / 2).max(1)),
+        ] {
             while !list.is_empty() {
                 self.take(list, size, Some(self.next));
                 self.next += 1;
@@ -130,7 +133,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn plans_agree_with_a_plain_model(raw in proptest::collection::vec(node(), 1..10), cap in 1usize..6) {
+    fn plans_match_the_reference_model(raw in proptest::collection::vec(node(), 1..10), cap in 1usize..6) {
         let mut graph = Graph::default();
         for (id, (parents, output, times)) in raw.into_iter().enumerate() {
             let mut parents: Vec<usize> =
@@ -138,15 +141,15 @@
             parents.sort_unstable();
             parents.dedup();
             let times = times.into_iter()
-                .map(|(s, sampled)| Predicted { seconds: f64::from(s), sampled }).collect();
+                .map(|(s, is_sampled)| Prediction { seconds: f64::from(s), is_sampled }).collect();
             graph.nodes.push(Node { parents, output, times });
         }
         let made = plan(&graph, cap);
         prop_assert_eq!(&made.groups, &GroupModel::groups(&graph, cap));
         let best = vec![0; graph.nodes.len()];
-        prop_assert_eq!(total(&graph, &made.types), total(&graph, &best));
+        prop_assert_eq!(total_s(&graph, &made.types), total_s(&graph, &best));
         for (id, t) in made.types.iter().enumerate() {
-            prop_assert!(*t == 0 || graph.nodes[id].times[*t].sampled);
+            prop_assert!(*t == 0 || graph.nodes[id].times[*t].is_sampled);
             for other in 0..made.types.len() {
                 prop_assert!(made.groups[id] != made.groups[other] || *t == made.types[other]);
             }
--- a/src/planning/graph/step_down.rs
+++ b/src/planning/graph/type_downgrade.rs
@@ -1,10 +1,10 @@
-//! Weaker machine types for jobs that have time to spare.
+//! Chooses weaker machine types for jobs that are not on the critical path.
 
 use super::Graph;
 use super::critical_path::Schedule;
 
-/// Each job's type, as an index into its times: the strongest, and for the groups off the critical
-/// path the weakest with which the whole graph takes no longer.
+/// Returns each job's machine type as an index into its times. It is the strongest type, except that groups
+/// off the critical path get weaker types as far as this does not lengthen the whole graph's run time.
 pub(super) fn machine_types(graph: &Graph, groups: &[usize]) -> Vec<usize> {
     let count = graph.nodes.len();
     let mut types = vec![0; count];
@@ -12,12 +12,12 @@
     let total_s = schedule.total_s();
     for group in groups_off_path(groups, &schedule.critical_jobs()) {
         let members: Vec<usize> = (0..count).filter(|n| groups[*n] == group).collect();
-        step_down(graph, &members, total_s, &mut types);
+        downgrade_group(graph, &members, total_s, &mut types);
     }
     types
 }
 
-/// The groups without a job on the critical path.
+/// Returns the groups without a job on the critical path.
 fn groups_off_path(groups: &[usize], is_critical: &[bool]) -> Vec<usize> {
     let mut off_path: Vec<usize> = groups.to_vec();
     off_path.sort_unstable();
@@ -26,16 +26,16 @@
     off_path
 }
 
-/// Moves a group to weaker types as long as the whole graph takes no longer than `total_s`.
-fn step_down(graph: &Graph, members: &[usize], total_s: f64, types: &mut [usize]) {
+/// Moves a group to weaker and weaker types while the whole graph takes at most `total_s` seconds.
+fn downgrade_group(graph: &Graph, members: &[usize], total_s: f64, types: &mut [usize]) {
     let type_count = members
         .iter()
         .map(|n| graph.nodes[*n].times.len())
         .min()
         .unwrap_or(0);
     for weaker in 1..type_count {
-        // Only to a type with enough samples: the step rests on its predictions.
-        let is_sampled = |n: &usize| graph.nodes[*n].times[weaker].sampled;
+        // The predictions decide, so types with too few samples are skipped.
+        let is_sampled = |n: &usize| graph.nodes[*n].times[weaker].is_sampled;
         if !members.iter().all(is_sampled) {
             continue;
         }
--- a/src/planning/history/tests.rs
+++ b/src/planning/history/tests.rs
@@ -12,9 +12,9 @@
     history.add(&"p".into(), &b, 10.0, Millis(50_000));
     assert_eq!(
         predict(None, &a, &settings, 7.0),
-        Predicted {
+        Prediction {
             seconds: 7.0,
-            sampled: false
+            is_sampled: false
         }
     );
     let (_, record) = history
@@ -23,12 +23,12 @@
     let on_a = predict(Some(&record), &a, &settings, 7.0);
     assert_eq!(
         on_a,
-        Predicted {
+        Prediction {
             seconds: 14.0,
-            sampled: true
+            is_sampled: true
         }
     );
-    assert!(!predict(Some(&record), &b, &settings, 7.0).sampled);
+    assert!(!predict(Some(&record), &b, &settings, 7.0).is_sampled);
     assert!(
         history
             .next(&WatchCache::new(&sample_config()), 8192)
@@ -36,7 +36,7 @@
     );
 }
 
-/// Samples of many types, written under a larger limit, are cut to a smaller one.
+/// A record with samples of many types, written under a larger value limit, must fit into a smaller one.
 #[test]
 fn record_shrinks_to_the_value_limit() {
     let mut record = HistoryRecord::default();
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -1,5 +1,5 @@
-//! Planning: run times predicted from a pipeline's own history, plans of jobs that are accepted,
-//! completion counters, and the cancellation of dependents.
+//! Planning of accepted jobs: run times predicted from a pipeline's history, plans, completion counters, and
+//! the cancellation of dependents.
 
 mod cancel_dependents;
 pub(crate) mod completion_counter;
@@ -13,7 +13,7 @@
 
 use crate::store::watch_cache::LiveJob;
 
-/// The predicted run time of one task of a job, in seconds.
+/// Returns the predicted run time of one task of a job, in seconds.
 pub(crate) fn predicted_s(job: &LiveJob) -> f64 {
     let plan = job.plan.as_ref();
     plan.map_or(job.spec.estimate_s, |p| p.predicted_s)
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -1,8 +1,8 @@
-//! Plans of accepted jobs: each is planned within the part of its pipeline that is known and not
-//! finished (the paper's II.D).
+//! Plans accepted jobs. A job is planned together with the jobs of its pipeline that are known and not
+//! finished, as section II.D of the paper describes.
 //!
-//! Children are accepted after their parents were planned, so the plan of a pipeline is made anew
-//! with each of them. Jobs that already run keep theirs.
+//! Children are accepted after their parents were planned, so a pipeline is planned again with each new
+//! child. Jobs that already run keep their plans.
 
 use super::graph::{Graph, Node, plan};
 use super::history::predict;
@@ -13,18 +13,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Jobs of one pipeline that are planned together; of a larger one those nearest to the new job.
-/// Enough for any plan to be as good, and few enough for planning to cost the same each time.
-const MAX_MEMBERS: usize = 64;
+/// Limits the jobs of one pipeline that are planned together. Of a larger pipeline, the jobs nearest to the
+/// new one are used. These are enough for a good plan, and the limit bounds the time that planning takes.
+const MAX_JOBS_PER_PLAN: usize = 64;
 
-/// The plan of a job that was just accepted, and the changed ones of jobs that wait with it.
+/// Returns the plan of a new job, and the changed plans of blocked jobs of the same pipeline.
 pub(crate) fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
-    let members = members(id, cache);
+    let pipeline_members = members(id, cache);
     let settings = cache.settings();
-    let graph = graph(&members, cache);
+    let graph = graph(&pipeline_members, cache);
     let plan = plan(&graph, settings.group_cap as usize);
     let mut plans = Vec::new();
-    for (at, member) in members.iter().enumerate() {
+    for (at, member) in pipeline_members.iter().enumerate() {
         let Some(spec) = cache.job_spec(member) else {
             continue;
         };
@@ -33,7 +33,7 @@
         }
         let joined = joined_parent(at, &graph, &plan.groups);
         let record = PlanRecord {
-            placement_group_job: joined.map(|parent| members[parent].clone()),
+            placement_group_job: joined.map(|parent| pipeline_members[parent].clone()),
             ..plan_record(spec, &graph.nodes[at], plan.types[at], cache)
         };
         let is_changed = |old: &PlanRecord| {
@@ -47,7 +47,7 @@
     plans
 }
 
-/// The plan of a job with one of its allowed types, without a parent to join.
+/// Returns the plan of a job with one of its allowed types, and without a placement group to join.
 fn plan_record(spec: &JobSpec, node: &Node, type_index: usize, cache: &WatchCache) -> PlanRecord {
     let allowed = allowed_types(spec, cache);
     let predicted = node.times.get(type_index);
@@ -59,8 +59,8 @@
     }
 }
 
-/// The jobs of a pipeline that have no final state, parents first: up to a number of them, those
-/// nearest to `id`.
+/// Returns the jobs of a pipeline that have no final state, parents first: at most
+/// [`MAX_JOBS_PER_PLAN`], those nearest to `id`.
 fn members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
     let mut found = BTreeSet::from([id.clone()]);
     let mut queue = VecDeque::from([id.clone()]);
@@ -70,7 +70,7 @@
         let parents = parents.filter(|p| cache.job_spec(p).is_some());
         let neighbors = parents.chain(cache.dependency_graph.dependents(&next).cloned());
         for neighbor in neighbors {
-            if found.len() < MAX_MEMBERS && found.insert(neighbor.clone()) {
+            if found.len() < MAX_JOBS_PER_PLAN && found.insert(neighbor.clone()) {
                 queue.push_back(neighbor);
             }
         }
@@ -78,29 +78,34 @@
     parents_first(found, cache)
 }
 
-/// Jobs in an order in which parents come before their children.
-fn parents_first(mut open: BTreeSet<JobId>, cache: &WatchCache) -> Vec<JobId> {
-    let mut ordered = Vec::with_capacity(open.len());
-    while !open.is_empty() {
-        let has_no_open_parent = |id: &&JobId| {
+/// Sorts jobs so that parents come before their children.
+fn parents_first(mut remaining: BTreeSet<JobId>, cache: &WatchCache) -> Vec<JobId> {
+    let mut ordered = Vec::with_capacity(remaining.len());
+    while !remaining.is_empty() {
+        let has_no_remaining_parent = |id: &&JobId| {
             let spec = cache.job_spec(id);
             let mut parents = spec.into_iter().flat_map(|s| &s.dependencies);
-            !parents.any(|p| open.contains(p))
+            !parents.any(|p| remaining.contains(p))
         };
-        let mut next: Vec<JobId> = open.iter().filter(has_no_open_parent).cloned().collect();
+        let mut next: Vec<JobId> = remaining
+            .iter()
+            .filter(has_no_remaining_parent)
+            .cloned()
+            .collect();
         if next.is_empty() {
-            // Only accepted jobs can be named, so there is no cycle.
-            next = open.iter().cloned().collect();
+            // A job can depend only on jobs that were accepted before, so there is no cycle. Taking all
+            // remaining jobs here ensures that the loop ends.
+            next = remaining.iter().cloned().collect();
         }
         for id in next {
-            open.remove(&id);
+            remaining.remove(&id);
             ordered.push(id);
         }
     }
     ordered
 }
 
-/// The graph of some jobs that are listed parents first.
+/// Builds the graph of jobs that are listed parents first.
 fn graph(members: &[JobId], cache: &WatchCache) -> Graph {
     let mut graph = Graph::default();
     for (at, id) in members.iter().enumerate() {
@@ -116,7 +121,8 @@
     graph
 }
 
-/// A job by itself, with its predicted times on the types that it may use, strongest first.
+/// Returns the node of a job without its parents, with its predicted times on the types that it may use,
+/// strongest first.
 fn node(spec: &JobSpec, cache: &WatchCache) -> Node {
     let settings = cache.settings();
     let history = cache.history.get(&spec.pipeline).map(|h| &h.value);
@@ -130,7 +136,7 @@
     }
 }
 
-/// The types that a job may use, strongest first.
+/// Returns the machine types that a job may use and that its tasks fit on, strongest first.
 fn allowed_types<'a>(spec: &JobSpec, cache: &'a WatchCache) -> Vec<&'a MachineType> {
     let mut allowed: Vec<&MachineType> = cache
         .catalog
@@ -151,14 +157,16 @@
     allowed
 }
 
-/// The parent whose placement group a job shares: the one with the largest output.
+/// Returns the parent whose placement group a job joins: of the parents in the job's group, the one with
+/// the largest output.
 fn joined_parent(at: usize, graph: &Graph, groups: &[usize]) -> Option<usize> {
     let parents = graph.nodes[at].parents.iter().copied();
     let in_same_group = parents.filter(|parent| groups[*parent] == groups[at]);
     in_same_group.max_by_key(|parent| (graph.nodes[*parent].output, Reverse(*parent)))
 }
 
-/// The placement group of a job: the machines that have its image, up to a number of them.
+/// Returns the machines that a job may use and that have its image, most recently used image first, at most
+/// [`PlanRecord::MAX_MACHINES`].
 fn machines_with_image(spec: &JobSpec, cache: &WatchCache) -> Vec<MachineId> {
     let mut machines: Vec<(usize, &MachineId)> = cache
         .machines
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -7,12 +7,12 @@
 use crate::store::records::{HistoryRecord, JobRecord};
 use serde_json::json;
 
-struct Scene {
+struct PipelineFixture {
     cache: WatchCache,
     revision: u64,
 }
 
-impl Scene {
+impl PipelineFixture {
     fn new() -> Self {
         let mut scene = Self {
             cache: WatchCache::new(&sample_config()),
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Accepts a job and plans it. Its pipeline has its own name.
+    /// Accepts a job and plans it. The name of its pipeline is derived from its id.
     fn accept(&mut self, id: &str, tasks: u32, parents: &[&str]) -> Vec<(JobId, PlanRecord)> {
         let mut spec = crate::protocol::tests::spec(id);
         spec.pipeline = format!("p-{id}").as_str().into();
@@ -54,7 +54,7 @@
         plans
     }
 
-    /// Writes the history of a job's pipeline: run times as fractions of the estimate on each type.
+    /// Writes the history of a job's pipeline: ratios of run time to estimate on each machine type.
     fn history(&mut self, id: &str, small: f32, large: f32) {
         let mut record = HistoryRecord::default();
         record
@@ -68,31 +68,34 @@
     }
 }
 
-fn joins(plans: &[(JobId, PlanRecord)], id: &str) -> Option<String> {
+fn joined_parent_id(plans: &[(JobId, PlanRecord)], id: &str) -> Option<String> {
     let plan = plans.iter().find(|(planned, _)| planned.as_str() == id);
     let joined = plan.and_then(|(_, p)| p.placement_group_job.as_ref());
     joined.map(|parent| parent.as_str().to_owned())
 }
 
 #[test]
-fn child_joins_its_parent_or_the_largest_of_several() {
-    let mut scene = Scene::new();
-    assert_eq!(joins(&scene.accept("job-1", 3, &[]), "job-1"), None);
+fn child_joins_the_group_of_its_parent_with_the_largest_output() {
+    let mut scene = PipelineFixture::new();
+    assert_eq!(
+        joined_parent_id(&scene.accept("job-1", 3, &[]), "job-1"),
+        None
+    );
     let only = scene.accept("job-2", 9, &["job-1"]);
-    assert_eq!(joins(&only, "job-2").as_deref(), Some("job-1"));
+    assert_eq!(joined_parent_id(&only, "job-2").as_deref(), Some("job-1"));
     scene.accept("job-3", 2, &[]);
     let joined = scene.accept("job-4", 1, &["job-2", "job-3"]);
-    assert_eq!(joins(&joined, "job-4").as_deref(), Some("job-2"));
-    // Jobs that have a final state, or are unknown, take no part.
+    assert_eq!(joined_parent_id(&joined, "job-4").as_deref(), Some("job-2"));
+    // Unknown jobs, and jobs that have a final state, are ignored.
     let late = scene.accept("job-5", 1, &["job-9"]);
-    assert_eq!(joins(&late, "job-5"), None);
+    assert_eq!(joined_parent_id(&late, "job-5"), None);
 }
 
-/// The strongest type first; off the critical path a weaker one, and again the stronger one when a
-/// later child makes the path critical. Jobs that run already keep their plan.
+/// A job gets the strongest type while it is on the critical path, and a weaker one once a later child
+/// makes another path critical. Jobs that already run keep their plans.
 #[test]
-fn jobs_off_the_critical_path_get_weaker_types_and_waiting_ones_are_replanned() {
-    let mut scene = Scene::new();
+fn jobs_off_the_critical_path_get_weaker_types_and_waiting_jobs_are_replanned() {
+    let mut scene = PipelineFixture::new();
     scene.history("job-2", 4.0, 2.0);
     scene.history("job-4", 9.0, 5.0);
     let short_ones = ["job-3", "job-5", "job-6", "job-7", "job-8", "job-9"];
@@ -106,37 +109,43 @@
     scene.accept("job-1", 1, &[]);
     let long = scene.accept("job-2", 1, &["job-1"]);
     assert_eq!(name(&long, "job-2").as_deref(), Some("large"));
-    // At a fan-out the longer child leaves its parent's group.
+    // With two children, the longer one no longer joins its parent's group.
     let short = scene.accept("job-3", 1, &["job-1"]);
     assert_eq!(name(&short, "job-3").as_deref(), Some("large"));
-    assert_eq!(joins(&short, "job-3").as_deref(), Some("job-1"));
+    assert_eq!(joined_parent_id(&short, "job-3").as_deref(), Some("job-1"));
     assert_eq!(
-        joins(&short, "job-2"),
+        joined_parent_id(&short, "job-2"),
         None,
         "replanned: it is the longer one"
     );
     for id in &short_ones[1..] {
         scene.accept(id, 1, &["job-1"]);
     }
-    // A longer path through another child: the group of job 2 and the short ones that found no
-    // place in their parent's is no longer critical, and steps down.
+    // A longer path through another child: the group of job 2 and of the short jobs that did not fit
+    // into their parent's group is no longer on the critical path, and gets the weaker type.
     let longest = scene.accept("job-4", 1, &["job-1"]);
     assert_eq!(name(&longest, "job-4").as_deref(), Some("large"));
     assert_eq!(name(&longest, "job-2").as_deref(), Some("small"));
     let planned: Vec<&str> = longest.iter().map(|(id, _)| id.as_str()).collect();
-    assert!(!planned.contains(&"job-1"), "it does not wait");
+    assert!(
+        !planned.contains(&"job-1"),
+        "job-1 is running, so it is not replanned"
+    );
 }
 
-/// However large a pipeline is, a bounded part of it is planned with each job.
+/// Only a limited part of a large pipeline is planned with each job.
 #[test]
 fn planning_is_bounded_for_a_large_pipeline() {
-    let mut scene = Scene::new();
+    let mut scene = PipelineFixture::new();
     scene.accept("job-0", 1, &[]);
     for n in 1..300 {
         let (id, parent) = (format!("job-{n}"), format!("job-{}", n - 1));
         scene.accept(&id, 1, &[&parent]);
     }
-    assert_eq!(members(&"job-299".into(), &scene.cache).len(), MAX_MEMBERS);
+    assert_eq!(
+        members(&"job-299".into(), &scene.cache).len(),
+        MAX_JOBS_PER_PLAN
+    );
     let plan = scene.cache.plan(&"job-299".into()).expect("plan");
     assert_eq!(
         plan.placement_group_job.as_ref().map(|j| j.as_str()),
