--- a/src/controller.rs
+++ b/src/controller.rs
@@ -211,7 +211,7 @@
         self.shard_owner.machines_without_direct_heartbeats(now)
     }
 
-    /// Sets whether some controllers can't reach each other. If so, some machines may be cut off as well.
+    /// Sets whether some controllers can't reach each other. If so, some machines may be unreachable as well.
     pub(crate) fn set_partitioned(&mut self, partitioned: bool) {
         self.shard_owner.set_partitioned(partitioned);
     }
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -133,11 +133,11 @@
     /// If a scan is due, updates the set of jobs that have ended and still have tasks on record. Returns
     /// whether it was due.
     pub(super) fn scan_cancellations(&mut self, now: MonotonicTime) -> bool {
-        let due = self.timers.cancellation_scan.take_due(now);
-        if due {
+        let is_scan_due = self.timers.cancellation_scan.take_due(now);
+        if is_scan_due {
             self.cancellation.deadlines.scan(now, &self.cache);
         }
-        due
+        is_scan_due
     }
 
     /// As the leader, deletes machines on which tasks of a cancelled job did not stop in time.
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -173,6 +173,6 @@
     for key in cache.orphaned_keys(config.store_limits.txn_ops) {
         txn.delete(key);
     }
-    let found = !txn.changes.is_empty();
-    found.then(|| Effect::unattended_txn(RequestClass::Record, txn))
+    let has_orphans = !txn.changes.is_empty();
+    has_orphans.then(|| Effect::unattended_txn(RequestClass::Record, txn))
 }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's duties.
+//! The leader's duties, in the order in which they run.
 
 use super::Controller;
 use super::cleanup::{delete_orphans, fold_counters};
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -68,12 +68,12 @@
                     .on_stop(now, &machine, attempt, grace, &self.cache, &mut out);
                 self.apply_owner_effects(now, out, effects);
             }
-            Message::Freed(attempts) => self.on_freed(attempts),
+            Message::Freed(attempts) => self.on_attempts_freed(attempts),
             Message::Refused { fence, attempts } => {
                 self.scheduler.on_refused(fence, &attempts);
                 self.timers.schedule.request();
             }
-            Message::EndedAttempt(ended) => self.on_ended(now, &ended),
+            Message::EndedAttempt(ended) => self.on_attempt_ended(now, &ended),
             Message::MisdirectedHeartbeats(machines) => {
                 self.reachability.on_misdirected_heartbeats(now, machines);
             }
@@ -89,7 +89,7 @@
         }
     }
 
-    fn on_freed(&mut self, attempts: Vec<FreedAttempt>) {
+    fn on_attempts_freed(&mut self, attempts: Vec<FreedAttempt>) {
         for freed in attempts.iter().filter(|freed| freed.done) {
             let task = &freed.attempt.task;
             if let Some(job) = self.cache.jobs.get_mut(&task.job) {
@@ -100,7 +100,7 @@
         self.timers.schedule.request();
     }
 
-    fn on_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt) {
+    fn on_attempt_ended(&mut self, now: MonotonicTime, ended: &EndedAttempt) {
         if ended.outcome == AttemptOutcome::Done
             && let (Some(pipeline), Some(ran)) = (&ended.pipeline, ended.run_time)
         {
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -23,7 +23,7 @@
 /// Finds the shard owners that their machines can't reach, and quarantines them for a limited time.
 pub(crate) struct ReachabilityMonitor {
     heartbeat_interval: Millis,
-    /// How long a quarantined owner gets no shards, since it may stay cut off for a while.
+    /// How long a quarantined owner gets no shards, since it may stay unreachable for a while.
     quarantine_period: Millis,
     /// When each machine last sent a heartbeat to a controller that does not own it.
     misdirected_at: BTreeMap<MachineId, MonotonicTime>,
--- a/src/leadership/shard_assignment.rs
+++ b/src/leadership/shard_assignment.rs
@@ -59,8 +59,8 @@
     /// Returns the shard's owner if it is live, eligible and has not restarted since it got the shard.
     fn current_owner(&self, shard: ShardId) -> Option<&'a MemberId> {
         let record = &self.cache.shards.get(&shard)?.value;
-        let (member, live) = self.cache.members.get_key_value(&record.owner)?;
-        let is_same_process = live.incarnation == record.incarnation;
+        let (member, member_record) = self.cache.members.get_key_value(&record.owner)?;
+        let is_same_process = member_record.incarnation == record.incarnation;
         (is_same_process && self.is_eligible(member)).then_some(member)
     }
 
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -19,12 +19,12 @@
 
 /// Returns the plan of a new job, and the changed plans of blocked jobs of the same pipeline.
 pub(crate) fn plan_job(id: &JobId, cache: &WatchCache) -> Vec<(JobId, PlanRecord)> {
-    let pipeline_members = members(id, cache);
+    let members = pipeline_members(id, cache);
     let settings = cache.settings();
-    let graph = graph(&pipeline_members, cache);
+    let graph = graph(&members, cache);
     let plan = plan(&graph, settings.group_cap as usize);
     let mut plans = Vec::new();
-    for (at, member) in pipeline_members.iter().enumerate() {
+    for (at, member) in members.iter().enumerate() {
         let Some(spec) = cache.job_spec(member) else {
             continue;
         };
@@ -33,7 +33,7 @@
         }
         let joined = joined_parent(at, &graph, &plan.groups);
         let record = PlanRecord {
-            placement_group_job: joined.map(|parent| pipeline_members[parent].clone()),
+            placement_group_job: joined.map(|parent| members[parent].clone()),
             ..plan_record(spec, &graph.nodes[at], plan.types[at], cache)
         };
         let is_changed = |old: &PlanRecord| {
@@ -61,7 +61,7 @@
 
 /// Returns the jobs of a pipeline that have no final state, parents first: at most
 /// [`MAX_JOBS_PER_PLAN`], those nearest to `id`.
-fn members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
+fn pipeline_members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
     let mut found = BTreeSet::from([id.clone()]);
     let mut queue = VecDeque::from([id.clone()]);
     while let Some(next) = queue.pop_front() {
--- a/src/planning/pipeline/tests.rs
+++ b/src/planning/pipeline/tests.rs
@@ -14,7 +14,7 @@
 
 impl PipelineFixture {
     fn new() -> Self {
-        let mut scene = Self {
+        let mut fixture = Self {
             cache: WatchCache::new(&sample_config()),
             revision: 0,
         };
@@ -25,8 +25,8 @@
         };
         let catalog = json!({"hulls": [machine_type("small", 4), machine_type("large", 16)]});
         let catalog: Catalog = serde_json::from_value(catalog).expect("catalog");
-        scene.put(keys::CATALOG.to_owned(), json!(catalog));
-        scene
+        fixture.put(keys::CATALOG.to_owned(), json!(catalog));
+        fixture
     }
 
     fn put(&mut self, key: String, value: serde_json::Value) {
@@ -76,18 +76,18 @@
 
 #[test]
 fn child_joins_the_group_of_its_parent_with_the_largest_output() {
-    let mut scene = PipelineFixture::new();
+    let mut fixture = PipelineFixture::new();
     assert_eq!(
-        joined_parent_id(&scene.accept("job-1", 3, &[]), "job-1"),
+        joined_parent_id(&fixture.accept("job-1", 3, &[]), "job-1"),
         None
     );
-    let only = scene.accept("job-2", 9, &["job-1"]);
+    let only = fixture.accept("job-2", 9, &["job-1"]);
     assert_eq!(joined_parent_id(&only, "job-2").as_deref(), Some("job-1"));
-    scene.accept("job-3", 2, &[]);
-    let joined = scene.accept("job-4", 1, &["job-2", "job-3"]);
+    fixture.accept("job-3", 2, &[]);
+    let joined = fixture.accept("job-4", 1, &["job-2", "job-3"]);
     assert_eq!(joined_parent_id(&joined, "job-4").as_deref(), Some("job-2"));
     // Unknown jobs, and jobs that have a final state, are ignored.
-    let late = scene.accept("job-5", 1, &["job-9"]);
+    let late = fixture.accept("job-5", 1, &["job-9"]);
     assert_eq!(joined_parent_id(&late, "job-5"), None);
 }
 
@@ -95,22 +95,22 @@
 /// makes another path critical. Jobs that already run keep their plans.
 #[test]
 fn jobs_off_the_critical_path_get_weaker_types_and_waiting_jobs_are_replanned() {
-    let mut scene = PipelineFixture::new();
-    scene.history("job-2", 4.0, 2.0);
-    scene.history("job-4", 9.0, 5.0);
+    let mut fixture = PipelineFixture::new();
+    fixture.history("job-2", 4.0, 2.0);
+    fixture.history("job-4", 9.0, 5.0);
     let short_ones = ["job-3", "job-5", "job-6", "job-7", "job-8", "job-9"];
     for id in short_ones {
-        scene.history(id, 0.8, 0.4);
+        fixture.history(id, 0.8, 0.4);
     }
     let name = |plans: &[(JobId, PlanRecord)], id: &str| {
         let plan = plans.iter().find(|(planned, _)| planned.as_str() == id);
         plan.and_then(|(_, p)| p.type_name.as_ref().map(|t| t.as_str().to_owned()))
     };
-    scene.accept("job-1", 1, &[]);
-    let long = scene.accept("job-2", 1, &["job-1"]);
+    fixture.accept("job-1", 1, &[]);
+    let long = fixture.accept("job-2", 1, &["job-1"]);
     assert_eq!(name(&long, "job-2").as_deref(), Some("large"));
     // With two children, the longer one no longer joins its parent's group.
-    let short = scene.accept("job-3", 1, &["job-1"]);
+    let short = fixture.accept("job-3", 1, &["job-1"]);
     assert_eq!(name(&short, "job-3").as_deref(), Some("large"));
     assert_eq!(joined_parent_id(&short, "job-3").as_deref(), Some("job-1"));
     assert_eq!(
@@ -119,11 +119,11 @@
         "replanned: it is the longer one"
     );
     for id in &short_ones[1..] {
-        scene.accept(id, 1, &["job-1"]);
+        fixture.accept(id, 1, &["job-1"]);
     }
     // A longer path through another child: the group of job 2 and of the short jobs that did not fit
     // into their parent's group is no longer on the critical path, and gets the weaker type.
-    let longest = scene.accept("job-4", 1, &["job-1"]);
+    let longest = fixture.accept("job-4", 1, &["job-1"]);
     assert_eq!(name(&longest, "job-4").as_deref(), Some("large"));
     assert_eq!(name(&longest, "job-2").as_deref(), Some("small"));
     let planned: Vec<&str> = longest.iter().map(|(id, _)| id.as_str()).collect();
@@ -136,17 +136,17 @@
 /// Only a limited part of a large pipeline is planned with each job.
 #[test]
 fn planning_is_bounded_for_a_large_pipeline() {
-    let mut scene = PipelineFixture::new();
-    scene.accept("job-0", 1, &[]);
+    let mut fixture = PipelineFixture::new();
+    fixture.accept("job-0", 1, &[]);
     for n in 1..300 {
         let (id, parent) = (format!("job-{n}"), format!("job-{}", n - 1));
-        scene.accept(&id, 1, &[&parent]);
+        fixture.accept(&id, 1, &[&parent]);
     }
     assert_eq!(
-        members(&"job-299".into(), &scene.cache).len(),
+        pipeline_members(&"job-299".into(), &fixture.cache).len(),
         MAX_JOBS_PER_PLAN
     );
-    let plan = scene.cache.plan(&"job-299".into()).expect("plan");
+    let plan = fixture.cache.plan(&"job-299".into()).expect("plan");
     assert_eq!(
         plan.placement_group_job.as_ref().map(|j| j.as_str()),
         Some("job-298")
