--- a/src/planning/completion_counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -8,12 +8,12 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-/// A store that keeps only the revision of each key.
+/// A store that keeps only the revision of each key, and the size of the largest value written.
 #[derive(Default)]
 struct InMemoryStore {
     revision: u64,
     revisions: BTreeMap<String, Revision>,
-    largest_value_bytes: usize,
+    max_bytes: usize,
 }
 
 impl InMemoryStore {
@@ -28,8 +28,7 @@
         for change in &txn.changes {
             let (put, delete, value) = match change {
                 Change::Put { key, value, .. } => {
-                    self.largest_value_bytes =
-                        self.largest_value_bytes.max(value.to_string().len());
+                    self.max_bytes = self.max_bytes.max(value.to_string().len());
                     self.revisions.insert(key.clone(), revision);
                     (Some(key.clone()), None, value.clone())
                 }
@@ -139,10 +138,7 @@
             assert!(!store.run(&txn, &mut cache), "a job completes only once");
         }
     }
-    assert!(
-        !cache.jobs.contains_key(&id)
-            && store.largest_value_bytes <= config.store_limits.value_bytes
-    );
+    assert!(!cache.jobs.contains_key(&id) && store.max_bytes <= config.store_limits.value_bytes);
     assert!(folds > 20 && store.revisions.contains_key(&keys::final_state(&id)));
 }
 
