--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -1,8 +1,8 @@
 //! Finds shard owners that get no heartbeats from machines whose heartbeats reach other controllers. A
 //! controller that is cut off only from its workers keeps its lease and its shards. Its machines contact
 //! the other controllers, are redirected to the owner, and lose all their tasks when their worker leases
-//! expire. The shards of this owner are assigned to other controllers, which only raises the shards'
-//! fencing tokens.
+//! expire. So the shards of this owner are assigned to other controllers. This costs little: only the
+//! shards' fencing tokens are raised.
 //!
 //! Missing heartbeats alone do not show this: a whole zone may be cut off, so that its heartbeats reach no
 //! controller.
