--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -25,22 +25,22 @@
     /// By job; those that have ended by now count as well.
     arrivals: BTreeMap<JobId, Arrival>,
     /// From when on all arrivals were seen.
-    since: Option<UnixTime>,
+    observed_since: Option<UnixTime>,
 }
 
 impl ArrivalRate {
     /// Records new arrivals, and forgets those that are older than the window. What arrived before
     /// the first call is left out: a new leader knows only what is unfinished of it.
     pub(super) fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
-        let since = *self.since.get_or_insert(now);
-        let old = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
-        self.arrivals.retain(|_, arrival| !old(arrival.at));
+        let observed_since = *self.observed_since.get_or_insert(now);
+        let is_expired = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
+        self.arrivals.retain(|_, arrival| !is_expired(arrival.at));
         for (id, job) in &cache.jobs {
             let spec = &job.spec;
-            let before = job.eligible_at < since;
+            let arrived_before_start = job.eligible_at < observed_since;
             if spec.kind != JobKind::Array
-                || before
-                || old(job.eligible_at)
+                || arrived_before_start
+                || is_expired(job.eligible_at)
                 || self.arrivals.contains_key(id)
             {
                 continue;
@@ -54,8 +54,10 @@
 
     /// The CPUs (in thousandths) that keep up with the arrivals; 0 until a whole window was seen.
     pub(super) fn cpus(&self, now: UnixTime) -> u64 {
-        let seen = self.since.map_or(0, |at| now.0.saturating_sub(at.0));
-        if seen < WINDOW.0 {
+        let observed_ms = self
+            .observed_since
+            .map_or(0, |at| now.0.saturating_sub(at.0));
+        if observed_ms < WINDOW.0 {
             return 0;
         }
         let work: f64 = self.arrivals.values().map(|arrival| arrival.work).sum();
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -54,7 +54,7 @@
     rentals: Rentals,
     deletions: Deletions,
     /// Since when each draining machine gets nothing new.
-    leaving_since: BTreeMap<MachineId, MonotonicTime>,
+    draining_since: BTreeMap<MachineId, MonotonicTime>,
     load_history: LoadHistory,
     /// What the machines that are there can hold.
     capacity: FleetCapacity,
@@ -80,7 +80,7 @@
             failed: BTreeSet::new(),
             rentals: Rentals::default(),
             deletions: Deletions::default(),
-            leaving_since: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
             load_history: LoadHistory::default(),
             capacity: FleetCapacity::default(),
             service_reserve: 0,
@@ -131,7 +131,7 @@
     ) {
         if let Some(rented) = self.rentals.on_outcome(now, &request.request, outcome) {
             self.boots
-                .on_rented(now, rented.machines, &rented.offer, rented.since);
+                .on_rented(now, rented.machines, &rented.offer, rented.decided_at);
         }
     }
 
@@ -170,8 +170,8 @@
         self.boots.prune(now, cache);
         self.deletions.expire_confirmed(now);
         self.rentals.expire_refusals(now);
-        let given_up = self.machines_to_decommission(now, cache, scheduler);
-        self.decommission(now, given_up);
+        let unresponsive_machines = self.machines_to_decommission(now, cache, scheduler);
+        self.decommission(now, unresponsive_machines);
         let drained = self.scale_in(now, cache, scheduler);
         self.decommission(now, drained);
         self.delete_machines(now, cache, scheduler, out);
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Boot {
     offer: MachineOffer,
-    rented: MonotonicTime,
+    rented_at: MonotonicTime,
     /// When the cloud last answered or listed it.
     last_listed: MonotonicTime,
 }
@@ -42,7 +42,7 @@
     pub(super) fn on_listed(&mut self, now: MonotonicTime, machine: ListedMachine) {
         let boot = Boot {
             offer: MachineOffer::of_listed(&machine),
-            rented: now - Millis::from_secs(machine.age_s),
+            rented_at: now - Millis::from_secs(machine.age_s),
             last_listed: now,
         };
         self.machines
@@ -57,12 +57,12 @@
         now: MonotonicTime,
         machines: Vec<MachineId>,
         offer: &MachineOffer,
-        rented: MonotonicTime,
+        rented_at: MonotonicTime,
     ) {
         for id in machines {
             let boot = Boot {
                 offer: offer.clone(),
-                rented,
+                rented_at,
                 last_listed: now,
             };
             self.machines.entry(id).or_insert(boot);
@@ -94,7 +94,7 @@
     ) -> impl Iterator<Item = &MachineOffer> {
         let in_time = move |boot: &&Boot| {
             let late = LATE_BOOT_FACTOR * boot_s(&boot.offer.type_name, cache);
-            now.since(boot.rented) < Millis::from_secs(late)
+            now.since(boot.rented_at) < Millis::from_secs(late)
         };
         let boots = self.machines.values().filter(in_time);
         boots.map(|boot| &boot.offer)
@@ -109,7 +109,7 @@
         let late = self
             .machines
             .iter()
-            .filter(|(_, boot)| now.since(boot.rented) > limit(boot));
+            .filter(|(_, boot)| now.since(boot.rented_at) > limit(boot));
         late.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/src/cloud/autoscaler/cheapest_offer.rs
+++ b/src/cloud/autoscaler/cheapest_offer.rs
@@ -14,7 +14,7 @@
     /// What to ask the cloud for.
     pub(super) offer: MachineOffer,
     /// The price of one task.
-    cost: f64,
+    cost_per_task: f64,
     /// Machines in its zone already.
     machines_in_zone: usize,
 }
@@ -22,7 +22,7 @@
 impl CheapestOffer<'_> {
     /// Cheaper, or as cheap in a zone with fewer machines.
     fn is_better_than(&self, other: &Self) -> bool {
-        (self.cost, self.machines_in_zone) < (other.cost, other.machines_in_zone)
+        (self.cost_per_task, self.machines_in_zone) < (other.cost_per_task, other.machines_in_zone)
     }
 }
 
@@ -55,7 +55,7 @@
             }
             let candidate = CheapestOffer {
                 machine_type,
-                cost: offer.price(machine_type) * machines as f64 / tasks as f64,
+                cost_per_task: offer.price(machine_type) * machines as f64 / tasks as f64,
                 machines_in_zone: machines_in(&offer.zone, cache),
                 offer,
             };
--- a/src/cloud/autoscaler/deletions/tests.rs
+++ b/src/cloud/autoscaler/deletions/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn deleted_machine_is_not_deleted_again_until_it_is_forgotten() {
+fn deleted_machine_is_not_deleted_again_until_its_confirmation_expires() {
     let mut deletions = Deletions::default();
     let id = machine(1);
     deletions.confirm(NOW, &id);
--- a/src/cloud/autoscaler/polls/tests.rs
+++ b/src/cloud/autoscaler/polls/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn only_one_list_is_asked_for_at_a_time() {
+fn only_one_machine_list_request_is_in_flight() {
     let mut poll = MachineListPoll::default();
     assert!(poll.start_if_due(NOW));
     assert!(!poll.start_if_due(NOW + LIST_INTERVAL));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn catalog_is_asked_for_again_sooner_after_a_failure() {
+fn failed_catalog_request_is_retried_sooner() {
     let mut poll = CatalogPoll::default();
     assert!(poll.start_if_due(NOW));
     assert!(!poll.start_if_due(NOW));
--- a/src/cloud/autoscaler/rentals.rs
+++ b/src/cloud/autoscaler/rentals.rs
@@ -41,7 +41,7 @@
     /// When it may be sent, if it is not.
     retry_at: MonotonicTime,
     /// When it was decided.
-    since: MonotonicTime,
+    decided_at: MonotonicTime,
 }
 
 /// Machines that a rental has brought.
@@ -52,7 +52,7 @@
     /// What they are.
     pub(super) offer: MachineOffer,
     /// When the rental was decided.
-    pub(super) since: MonotonicTime,
+    pub(super) decided_at: MonotonicTime,
 }
 
 /// The rentals of one term of leadership, in the order in which they were decided.
@@ -84,7 +84,7 @@
             count,
             sent: false,
             retry_at: now,
-            since: now,
+            decided_at: now,
         });
     }
 
@@ -136,7 +136,7 @@
                 return Some(RentedMachines {
                     machines,
                     offer: rental.offer,
-                    since: rental.since,
+                    decided_at: rental.decided_at,
                 });
             }
             RentOutcome::NoCapacity => {
@@ -158,7 +158,7 @@
         let rental = &mut self.pending[index];
         rental.sent = false;
         rental.retry_at = now + RENTAL_RETRY_DELAY;
-        if now.since(rental.since) > RENTAL_EXPIRY {
+        if now.since(rental.decided_at) > RENTAL_EXPIRY {
             self.pending.remove(index);
         }
     }
--- a/src/cloud/autoscaler/rentals/tests.rs
+++ b/src/cloud/autoscaler/rentals/tests.rs
@@ -11,7 +11,7 @@
 }
 
 /// Rentals of a term with one request that was sent.
-fn with_one_sent() -> (Rentals, String) {
+fn rentals_with_one_sent_request() -> (Rentals, String) {
     let mut rentals = Rentals::default();
     rentals.begin_term(Revision(7));
     rentals.add(NOW, offer("a"), 3);
@@ -21,20 +21,20 @@
 }
 
 #[test]
-fn request_is_sent_once_and_brings_its_machines() {
-    let (mut rentals, name) = with_one_sent();
+fn request_is_sent_once_and_returns_its_machines() {
+    let (mut rentals, name) = rentals_with_one_sent_request();
     assert!(rentals.take_due(NOW + RENTAL_EXPIRY).is_empty());
     assert!(!rentals.may_request(&offer("a")));
     let outcome = RentOutcome::Rented(vec!["vm-1".into()]);
     let rented = rentals.on_outcome(NOW, &name, outcome).expect("rented");
     assert_eq!(rented.machines, ["vm-1".into()]);
-    assert_eq!((rented.offer, rented.since), (offer("a"), NOW));
+    assert_eq!((rented.offer, rented.decided_at), (offer("a"), NOW));
     assert!(rentals.may_request(&offer("a")));
 }
 
 #[test]
-fn request_that_was_put_off_is_repeated_by_its_name_until_it_expires() {
-    let (mut rentals, name) = with_one_sent();
+fn refused_request_is_retried_under_the_same_name_until_it_expires() {
+    let (mut rentals, name) = rentals_with_one_sent_request();
     assert!(rentals.on_outcome(NOW, &name, RentOutcome::Again).is_none());
     assert!(rentals.take_due(NOW).is_empty());
     let repeated = rentals.take_due(NOW + RENTAL_RETRY_DELAY);
@@ -50,7 +50,7 @@
 
 #[test]
 fn offer_without_capacity_is_not_requested_until_its_backoff_is_over() {
-    let (mut rentals, name) = with_one_sent();
+    let (mut rentals, name) = rentals_with_one_sent_request();
     rentals.on_outcome(NOW, &name, RentOutcome::NoCapacity);
     rentals.expire_refusals(NOW + Millis(NO_CAPACITY_BACKOFF.0 - 1));
     assert!(!rentals.may_request(&offer("a")));
@@ -61,7 +61,7 @@
 
 #[test]
 fn names_differ_between_terms_and_answers_to_earlier_terms_are_ignored() {
-    let (mut rentals, first) = with_one_sent();
+    let (mut rentals, first) = rentals_with_one_sent_request();
     rentals.begin_term(Revision(8));
     rentals.add(NOW, offer("a"), 1);
     let second = rentals.take_due(NOW)[0].request.clone();
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -7,7 +7,7 @@
 use crate::store::watch_cache::WatchCache;
 
 /// At most one in so many machines begins to drain at a time.
-const SCALE_IN_DIVISOR: usize = 50;
+const CANDIDATES_PER_DRAIN: usize = 50;
 /// The time between two rounds of scale-in.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
 
@@ -54,7 +54,7 @@
 }
 
 /// Whether something that waits for capacity may run on a machine.
-fn may_serve_waiting(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+fn may_run_unmet_demand(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
     };
@@ -93,7 +93,7 @@
             let demand_is_unmet = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
             if !demand_is_unmet {
                 self.drain_idle(now, candidates, scheduler);
-            } else if self.is_blocked(cache, scheduler) {
+            } else if self.has_blocked_demand(cache, scheduler) {
                 self.drain_unusable(now, candidates, cache, scheduler);
             }
         }
@@ -138,17 +138,17 @@
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        self.leaving_since
+        self.draining_since
             .retain(|id, _| scheduler.draining.contains(id));
         for id in &scheduler.draining {
-            self.leaving_since.entry(id.clone()).or_insert(now);
+            self.draining_since.entry(id.clone()).or_insert(now);
         }
         let empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
             let shard = id.shard(self.config.shard_count());
-            let leaving_since = self.leaving_since.get(*id);
+            let draining_since = self.draining_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && leaving_since
+                && draining_since
                     .is_some_and(|at| !scheduler.has_in_flight_allotment_before(shard, *at))
         };
         scheduler
@@ -171,16 +171,16 @@
         let peak = self.load_history.peak();
         let reserve = self.service_reserve;
         let mut remaining = self.capacity;
-        let mut most = max_drains(&candidates);
+        let mut drains_left = max_drains(&candidates);
         candidates.sort();
         for machine in candidates {
             let cpus = machine.cpus;
-            let is_needless = remaining.total >= peak.total() + reserve + cpus
+            let is_surplus = remaining.total >= peak.total() + reserve + cpus
                 && (machine.spot || remaining.on_demand >= peak.services + reserve + cpus);
-            if !is_needless || most == 0 {
+            if !is_surplus || drains_left == 0 {
                 continue;
             }
-            most -= 1;
+            drains_left -= 1;
             remaining.subtract(machine.spot, cpus);
             self.next_scale_in = now + SCALE_IN_INTERVAL;
             scheduler.draining.insert(machine.id);
@@ -189,21 +189,21 @@
 
     /// Stops draining machines when they are needed again after all, until `cpu_shortfall` (in
     /// thousandths of a CPU) is covered or none is left.
-    pub(super) fn reclaim_leaving(
+    pub(super) fn cancel_drains(
         &mut self,
         cpu_shortfall: &mut u64,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        let none_waits = scheduler.unmet_demands.is_empty();
+        let no_unmet_demand = scheduler.unmet_demands.is_empty();
         while *cpu_shortfall > 0 {
-            let back = scheduler
+            let candidate = scheduler
                 .draining
                 .iter()
                 .filter(|id| !self.deletions.is_pending(id) && cache.machines.contains_key(*id))
-                .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
+                .find(|id| no_unmet_demand || may_run_unmet_demand(id, cache, scheduler))
                 .cloned();
-            let Some(id) = back else { return };
+            let Some(id) = candidate else { return };
             scheduler.draining.remove(&id);
             let machine = cache.machines.get(&id);
             let cpus = machine.map_or(0, |m| machine_cpus(&m.record.type_name, cache));
@@ -213,15 +213,15 @@
 
     /// Whether something that must run all at once waits for a machine that the cloud has not got,
     /// with none on its way.
-    fn is_blocked(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+    fn has_blocked_demand(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
-        let mut all_at_once = scheduler
+        let mut concurrent_demands = scheduler
             .unmet_demands
             .iter()
             .filter(|s| s.must_run_concurrently);
-        all_at_once.any(|unmet_demand| {
+        concurrent_demands.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
             };
@@ -243,24 +243,24 @@
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        let is_useless = |machine: &DrainCandidate| {
-            machine.used_cpus == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
+        let is_unusable = |machine: &DrainCandidate| {
+            machine.used_cpus == 0 && !may_run_unmet_demand(&machine.id, cache, scheduler)
         };
-        let most = max_drains(&candidates);
-        let useless: Vec<MachineId> = candidates
+        let drain_limit = max_drains(&candidates);
+        let unusable: Vec<MachineId> = candidates
             .into_iter()
-            .filter(is_useless)
+            .filter(is_unusable)
             .map(|machine| machine.id)
-            .take(most)
+            .take(drain_limit)
             .collect();
-        if !useless.is_empty() {
+        if !unusable.is_empty() {
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.draining.extend(useless);
+            scheduler.draining.extend(unusable);
         }
     }
 }
 
 /// How many machines may begin to drain at a time.
 fn max_drains(candidates: &[DrainCandidate]) -> usize {
-    1 + candidates.len() / SCALE_IN_DIVISOR
+    1 + candidates.len() / CANDIDATES_PER_DRAIN
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -40,7 +40,7 @@
             || cpu_shortfall > 0
         {
             let mut wanted = cpu_shortfall.max(1);
-            self.reclaim_leaving(&mut wanted, cache, scheduler);
+            self.cancel_drains(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
         tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "autoscaler step");
@@ -76,10 +76,10 @@
         let wanted = self.load_history.latest().services + self.service_reserve;
         // The next replicas must not wait for a machine to boot.
         if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
-            unmet_demands.extend(one_replica(cache));
+            unmet_demands.extend(one_replica_demand(cache));
         }
         unmet_demands.sort_by_key(|s| !s.must_run_concurrently);
-        merge_alike(unmet_demands, cache)
+        merge_compatible_demands(unmet_demands, cache)
     }
 
     /// Asks for machines for so many tasks, of the cheapest offers that the cloud may have. `Break`:
@@ -108,9 +108,12 @@
             let machines = left.div_ceil(tasks_per_machine);
             let count = machines.min(MAX_MACHINES_PER_RENTAL.into()) as u32;
             let covered = left.min(tasks_per_machine * u64::from(count));
-            let on_last = covered - tasks_per_machine * (u64::from(count) - 1);
+            let tasks_on_last = covered - tasks_per_machine * (u64::from(count) - 1);
             left -= covered;
-            incoming.add(offer.clone(), capacity - unmet_demand.need.times(on_last));
+            incoming.add(
+                offer.clone(),
+                capacity - unmet_demand.need.times(tasks_on_last),
+            );
             self.rentals.add(now, offer, count);
             if self.rentals.is_full() {
                 return ControlFlow::Break(());
@@ -121,7 +124,7 @@
 }
 
 /// The demand for one replica of some service, if there is any.
-fn one_replica(cache: &WatchCache) -> Option<UnmetDemand> {
+fn one_replica_demand(cache: &WatchCache) -> Option<UnmetDemand> {
     let mut jobs = cache.jobs.iter();
     let (id, job) = jobs.find(|(_, j)| j.spec.kind == JobKind::Service)?;
     Some(UnmetDemand {
@@ -146,7 +149,9 @@
         return 0;
     };
     let spec = &job.spec;
-    if unmet_demand.must_run_concurrently || !is_served(unmet_demand, spec, incoming, cache) {
+    if unmet_demand.must_run_concurrently
+        || !has_compatible_machine(unmet_demand, spec, incoming, cache)
+    {
         return incoming.place(unmet_demand, spec);
     }
     let cpus = unmet_demand.need.milli_cpus;
@@ -157,7 +162,7 @@
 
 /// Whether any machine, there or on its way, may run a demand's tasks, however busy it is.
 /// Otherwise the demand needs one, however idle the others are.
-fn is_served(
+fn has_compatible_machine(
     unmet_demand: &UnmetDemand,
     spec: &JobSpec,
     incoming: &IncomingMachines,
@@ -176,24 +181,27 @@
 
 /// Arrays that may use the same machines rent together: calls are few, and each may bring many
 /// machines. They keep the place of the first of them.
-fn merge_alike(unmet_demands: Vec<UnmetDemand>, cache: &WatchCache) -> Vec<UnmetDemand> {
+fn merge_compatible_demands(
+    unmet_demands: Vec<UnmetDemand>,
+    cache: &WatchCache,
+) -> Vec<UnmetDemand> {
     let mut merged: Vec<UnmetDemand> = Vec::new();
     for unmet_demand in unmet_demands {
         let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
-        let same = |other: &&mut UnmetDemand| {
-            let alike = match (spec(&unmet_demand), spec(other)) {
+        let is_mergeable = |other: &&mut UnmetDemand| {
+            let same_constraints = match (spec(&unmet_demand), spec(other)) {
                 (Some(a), Some(b)) => {
                     (&a.machine_types, &a.zone, a.allow_spot)
                         == (&b.machine_types, &b.zone, b.allow_spot)
                 }
                 _ => false,
             };
-            alike
+            same_constraints
                 && !unmet_demand.must_run_concurrently
                 && !other.must_run_concurrently
                 && other.need == unmet_demand.need
         };
-        match merged.iter_mut().find(same) {
+        match merged.iter_mut().find(is_mergeable) {
             Some(other) => other.tasks += unmet_demand.tasks,
             None => merged.push(unmet_demand),
         }
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -5,7 +5,7 @@
 use crate::protocol::store::KeyValue;
 use crate::store::keys;
 use crate::store::records::{MachineRecord, ShardRecord};
-use unresponsive::{HeartbeatCounts, OwnerSilence};
+use unresponsive::{HeartbeatCounts, OwnerHeartbeats};
 
 fn counts(machines: usize, missed: usize) -> HeartbeatCounts {
     HeartbeatCounts { machines, missed }
@@ -14,7 +14,7 @@
 #[test]
 fn shard_owner_that_alone_misses_many_machines_is_suspect_and_one_in_a_partitioned_zone_is_not() {
     let id = MachineId::from("vm-1");
-    let owner = |machines, missed, silent| OwnerSilence {
+    let owner = |machines, missed, silent| OwnerHeartbeats {
         counts: counts(machines, missed),
         silent: vec![&id; silent],
     };
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -15,7 +15,7 @@
 const SILENCE_MARGIN_MS: u64 = 2500;
 /// After so many times the limit a machine is given up even if its owner is suspect: most may
 /// really be gone, and their work would wait for ever.
-const SUSPECT_OWNER_FACTOR: u64 = 4;
+const SUSPECT_OWNER_TIMEOUT_FACTOR: u64 = 4;
 
 impl Autoscaler {
     /// How long a machine may be silent before it is given up.
@@ -52,33 +52,33 @@
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        let patience = self.unresponsive_timeout(cache);
-        let by_owner = self.silence_by_owner(now, cache, scheduler);
+        let timeout = self.unresponsive_timeout(cache);
+        let by_owner = self.heartbeats_by_owner(now, cache, scheduler);
         let all = by_owner
             .values()
             .fold(HeartbeatCounts::default(), |all, owner| all + owner.counts);
         let mut list = Vec::new();
         for owner in by_owner.into_values() {
             let is_suspect = owner.is_owner_suspect(all - owner.counts);
-            let given_up = owner.silent.into_iter().filter(|id| {
+            let unresponsive = owner.silent.into_iter().filter(|id| {
                 let silent = scheduler.health[*id].report.unresponsive_for;
-                !is_suspect || silent >= Millis(SUSPECT_OWNER_FACTOR * patience.0)
+                !is_suspect || silent >= Millis(SUSPECT_OWNER_TIMEOUT_FACTOR * timeout.0)
             });
-            list.extend(given_up.cloned());
+            list.extend(unresponsive.cloned());
         }
         list
     }
 
     /// What each shard owner reports of the machines that are still its own.
-    fn silence_by_owner<'a>(
+    fn heartbeats_by_owner<'a>(
         &self,
         now: MonotonicTime,
         cache: &'a WatchCache,
         scheduler: &'a Scheduler,
-    ) -> BTreeMap<&'a str, OwnerSilence<'a>> {
-        let patience = self.unresponsive_timeout(cache);
+    ) -> BTreeMap<&'a str, OwnerHeartbeats<'a>> {
+        let timeout = self.unresponsive_timeout(cache);
         let missed_after = self.interval_with_margin(MISSED_HEARTBEAT_MARGIN_MS);
-        let mut by_owner: BTreeMap<&str, OwnerSilence<'_>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<&str, OwnerHeartbeats<'_>> = BTreeMap::new();
         for (id, health) in &scheduler.health {
             let shard = cache.shards.get(&id.shard(self.config.shard_count()));
             let Some(shard) = shard.filter(|s| s.revision == health.report.fence) else {
@@ -88,7 +88,7 @@
             owner.counts.machines += 1;
             owner.counts.missed += usize::from(health.report.unresponsive_for >= missed_after);
             let is_recent = now.since(health.received_at) < HEALTH_REPORT_EXPIRY;
-            if health.report.unresponsive_for >= patience && is_recent {
+            if health.report.unresponsive_for >= timeout && is_recent {
                 owner.silent.push(id);
             }
         }
@@ -129,14 +129,14 @@
 
 /// What a shard owner reports of its machines.
 #[derive(Debug, Default)]
-pub(super) struct OwnerSilence<'a> {
+pub(super) struct OwnerHeartbeats<'a> {
     /// Of all its machines.
     pub(super) counts: HeartbeatCounts,
     /// Machines that are silent for so long that they would be given up.
     pub(super) silent: Vec<&'a MachineId>,
 }
 
-impl OwnerSilence<'_> {
+impl OwnerHeartbeats<'_> {
     /// Whether it is rather the shard owner that receives nothing: most of its machines are silent,
     /// or far more than of all others, though shards are dealt out over zones and types alike. The
     /// first of them are silent for long while the most have a moment left, so what is missed
@@ -145,11 +145,11 @@
     /// `others`: the machines of all other shard owners.
     pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
         let HeartbeatCounts { machines, missed } = self.counts;
-        let most = self.silent.len() > 1.max(machines / 2);
+        let majority_is_silent = self.silent.len() > 1.max(machines / 2);
         // More than an eighth, and more than three times the others' part.
-        let far_more = 8 * missed > machines
+        let far_more_than_others = 8 * missed > machines
             && missed > 3
             && missed * others.machines > 3 * others.missed * machines;
-        most || (far_more && others.machines > 0)
+        majority_is_silent || (far_more_than_others && others.machines > 0)
     }
 }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -55,50 +55,52 @@
 }
 
 /// The part of a task's time that is kept in hand.
-const TASK_MARGIN: f64 = 0.8;
+const DEADLINE_MARGIN_TASKS: f64 = 0.8;
 /// The part of a task's time that a batch takes at least.
-const MIN_TASK_PART: f64 = 0.7;
+const MIN_BATCH_TIME_TASKS: f64 = 0.7;
 /// Seconds that a batch takes at least.
-const MIN_TIME_S: f64 = 1.0;
+const MIN_BATCH_TIME_S: f64 = 1.0;
 /// What can't be in time any more is still to be done, within about this many seconds.
-const LATE_TIME_S: f64 = 15.0;
+const MIN_CATCH_UP_TIME_S: f64 = 15.0;
 /// Without a deadline or an objective, an array is due after so many task times, and a minute.
 const DEFAULT_DUE_TASKS: f64 = 4.0;
 /// The minute of it, in seconds.
 const DEFAULT_DUE_MARGIN_S: f64 = 60.0;
 
 /// How many seconds a batch may take: its last tasks end apart, and estimates err.
-fn time_s(batch: &Batch) -> f64 {
-    (batch.due_s - TASK_MARGIN * batch.task_s)
-        .max(MIN_TASK_PART * batch.task_s)
-        .max(MIN_TIME_S)
+fn available_time_s(batch: &Batch) -> f64 {
+    (batch.due_s - DEADLINE_MARGIN_TASKS * batch.task_s)
+        .max(MIN_BATCH_TIME_TASKS * batch.task_s)
+        .max(MIN_BATCH_TIME_S)
 }
 
 /// The CPUs (in thousandths) that are lacking beside `capacity`, when machines that are rented now
 /// help only after `boot_s` seconds.
 pub(super) fn cpu_shortfall(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
-    let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
+    let (mut work, mut width, mut shortfall) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
         width += batch.width;
-        let time_s = time_s(batch);
-        let open = work - capacity * time_s;
-        most = most.max((open / (time_s - boot_s).max(LATE_TIME_S)).min(width - capacity));
+        let time_s = available_time_s(batch);
+        let remaining_work = work - capacity * time_s;
+        shortfall = shortfall.max(
+            (remaining_work / (time_s - boot_s).max(MIN_CATCH_UP_TIME_S)).min(width - capacity),
+        );
     }
-    most
+    shortfall
 }
 
 /// The CPUs (in thousandths) that finish every batch in time when they are served in this order: the work up to
 /// each, spread over the time that is left for it. A team's guaranteed quota may go before what is
 /// due sooner.
 pub(super) fn required_cpus(batches: &[Batch]) -> f64 {
-    let (mut work, mut width, mut most) = (0.0, 0.0, 0.0f64);
+    let (mut work, mut width, mut required) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
         width += batch.width;
-        most = most.max((work / time_s(batch)).min(width));
+        required = required.max((work / available_time_s(batch)).min(width));
     }
-    most
+    required
 }
 
 /// How many seconds a slot is taken by one task of a job, on average, with the time until the next
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -19,10 +19,10 @@
         .jobs
         .values()
         .filter(|j| j.spec.kind == JobKind::Array);
-    let ends = arrays.map(|job| job.placed.len() as f64 / predicted_s(job).max(1.0));
+    let ends_per_s = arrays.map(|job| job.placed.len() as f64 / predicted_s(job).max(1.0));
     let wait = wait_s(
         cache.machines.len() as f64,
-        ends.sum(),
+        ends_per_s.sum(),
         store_write_rate * ARRAY_WRITE_SHARE,
     );
     wait.max(MIN_TURNAROUND_S)
@@ -31,11 +31,11 @@
 /// The mean time in seconds that an empty slot waits, with `ends` of tasks and `records` changes in
 /// a second. With `ends / records` tasks for each change, a machine waits for its record until so
 /// many slots are empty, of which on average half are: by Little's law the rest follows.
-fn wait_s(machines: f64, ends: f64, records: f64) -> f64 {
-    if ends <= records {
+fn wait_s(machines: f64, ends_per_s: f64, writes_per_s: f64) -> f64 {
+    if ends_per_s <= writes_per_s {
         return 0.0;
     }
-    machines / 2.0 * (1.0 / records - 1.0 / ends)
+    machines / 2.0 * (1.0 / writes_per_s - 1.0 / ends_per_s)
 }
 
 #[cfg(test)]
--- a/src/config.rs
+++ b/src/config.rs
@@ -20,12 +20,12 @@
 /// A page of the key-value store's lists in bytes, in full and with room for what it is wrapped in.
 const STORE_PAGE_BYTES: f64 = 1024.0 * 1024.0;
 /// Parsed, an answer takes several times its size; that must stay a small part of the memory.
-const ANSWER_MEMORY_PART: f64 = 1.0 / 32.0;
+const MAX_RESPONSE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 /// Fewer sockets don't suffice for peers, workers and users.
 const MIN_SOCKETS: usize = 64;
 const SHARDS_PER_CONTROLLER: u32 = 2;
 /// How long work within a guarantee may wait when no objective says so, in seconds.
-const DEFAULT_GUARANTEE_WITHIN_S: f64 = 10.0;
+const DEFAULT_GUARANTEE_WAIT_S: f64 = 10.0;
 
 /// The checked settings of one controller.
 #[derive(Debug, Clone)]
@@ -219,7 +219,7 @@
         .iter()
         .filter(|objective| objective.kind == "guarantee")
         .find_map(|objective| objective.within_s);
-    Millis::from_secs(within_s.unwrap_or(DEFAULT_GUARANTEE_WITHIN_S) / 2.0)
+    Millis::from_secs(within_s.unwrap_or(DEFAULT_GUARANTEE_WAIT_S) / 2.0)
 }
 
 /// A time above 0 that the file gives in seconds.
@@ -244,7 +244,7 @@
 /// `params.quota.ram_mb`: how much of it an answer of the key-value store may take, in bytes.
 fn max_response_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
     let memory_bytes = positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
-    Ok((memory_bytes * ANSWER_MEMORY_PART).max(STORE_PAGE_BYTES) as usize)
+    Ok((memory_bytes * MAX_RESPONSE_MEMORY_SHARE).max(STORE_PAGE_BYTES) as usize)
 }
 
 #[cfg(test)]
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -5,7 +5,7 @@
 use super::validation::{invalid, positive};
 
 /// A transaction needs room for a shard's or a job's records and what goes with them.
-const MIN_OPERATIONS: usize = 4;
+const MIN_TXN_OPS: usize = 4;
 /// Below this a record of a job or a machine may not fit.
 const MIN_VALUE_KB: f64 = 1.0;
 /// No value comes near this.
@@ -56,7 +56,7 @@
             writes: positive("params.state.write_rps", section.write_rps)?,
         };
         let value_bytes = value_bytes("params.state.value_kb", section.value_kb)?;
-        let txn_ops = operations("params.state.txn_ops", section.txn_ops)?;
+        let txn_ops = check_txn_ops("params.state.txn_ops", section.txn_ops)?;
         let present = Self {
             value_bytes,
             txn_ops,
@@ -81,7 +81,7 @@
         };
         let later_value_kb = next.value_kb.unwrap_or(now.value_kb);
         let later_value_bytes = value_bytes("params.state.next.value_kb", later_value_kb)?;
-        let later_txn_ops = operations(
+        let later_txn_ops = check_txn_ops(
             "params.state.next.txn_ops",
             next.txn_ops.unwrap_or(now.txn_ops),
         )?;
@@ -104,8 +104,8 @@
     }
 }
 
-fn operations(field: &str, count: usize) -> Result<usize, ConfigError> {
-    if count >= MIN_OPERATIONS {
+fn check_txn_ops(field: &str, count: usize) -> Result<usize, ConfigError> {
+    if count >= MIN_TXN_OPS {
         Ok(count)
     } else {
         invalid(field, "must be at least 4")
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -17,7 +17,7 @@
     [amounts.milli_cpus, amounts.milli_gpus]
 }
 
-fn above_zero(amounts: Resources) -> [Option<u64>; 2] {
+fn nonzero_amounts(amounts: Resources) -> [Option<u64>; 2] {
     quota_kinds(amounts).map(|amount| (amount > 0).then_some(amount))
 }
 
@@ -25,8 +25,8 @@
     /// A team with these quotas. An amount of 0 means none.
     pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
-            guarantee: above_zero(guarantee),
-            limit: above_zero(limit),
+            guarantee: nonzero_amounts(guarantee),
+            limit: nonzero_amounts(limit),
         }
     }
 
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use std::net::SocketAddr;
 
-const MAX_NAME_LENGTH: usize = 100;
+const MAX_NAME_BYTES: usize = 100;
 /// No rate, time or amount comes near this.
 const NUMBER_LIMIT: f64 = 1e9;
 
@@ -18,7 +18,7 @@
 /// Checks the name of a controller, a zone or a team.
 pub(super) fn check_name(field: &str, name: &str) -> Result<(), ConfigError> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
         return invalid(
             field,
             "must be a name of 1 to 100 letters, digits, '-', '_' or '.'",
