--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -1,6 +1,6 @@
-//! How much work of arrays arrives, on average over a window. What deadlines ask for at an instant
-//! uses up all slack before anything more is rented: the fleet then swings between too small and
-//! too large, jobs wait, and boots and returns are paid for.
+//! The average rate at which work of job arrays arrives, over a window. Scaling by deadlines alone uses up
+//! all slack before it rents more machines. The fleet then oscillates between too small and too large, jobs
+//! wait, and the extra boots and returns cost money.
 
 use super::demand::task_time_s;
 use crate::ids::{JobId, Millis, UnixTime};
@@ -11,26 +11,27 @@
 /// The time over which the work that arrived is averaged.
 const WINDOW: Millis = Millis(60_000);
 
-/// The work of one array.
+/// The arrival of one array.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: UnixTime,
-    /// CPU seconds, in thousandths.
+    /// The work of the array in thousandths of a CPU second.
     work: f64,
 }
 
 /// The arrays that have arrived within the window.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRate {
-    /// By job; those that have ended by now count as well.
+    /// The arrivals by job, including jobs that have ended since.
     arrivals: BTreeMap<JobId, Arrival>,
-    /// From when on all arrivals were seen.
+    /// The time since which all arrivals have been observed. `None` before the first observation.
     observed_since: Option<UnixTime>,
 }
 
 impl ArrivalRate {
-    /// Records new arrivals, and forgets those that are older than the window. What arrived before
-    /// the first call is left out: a new leader knows only what is unfinished of it.
+    /// Records new arrivals, and removes those older than the window. Jobs that arrived before the first call
+    /// are left out, because a new leader knows only those of them that are unfinished.
+    /// `turnaround_s` is the time in seconds for which a slot is empty between two tasks.
     pub(super) fn observe(&mut self, now: UnixTime, cache: &WatchCache, turnaround_s: f64) {
         let observed_since = *self.observed_since.get_or_insert(now);
         let is_expired = |at: UnixTime| now.0.saturating_sub(at.0) > WINDOW.0;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// The CPUs (in thousandths) that keep up with the arrivals; 0 until a whole window was seen.
+    /// Returns the CPU capacity, in thousandths of a CPU, that keeps up with the arrivals. Returns 0 until a
+    /// whole window has been observed.
     pub(super) fn cpus(&self, now: UnixTime) -> u64 {
         let observed_ms = self
             .observed_since
@@ -64,7 +66,7 @@
         (work / WINDOW.as_secs_f64()) as u64
     }
 
-    /// Forgets all arrivals; the window begins anew.
+    /// Removes all arrivals and starts a new window.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -1,4 +1,5 @@
-//! Decisions about which machines to rent and to delete. No I/O: calls are returned as effects.
+//! Decides which machines to rent and which to delete. It performs no I/O: cloud calls and store changes
+//! are returned as effects.
 
 mod boots;
 mod cheapest_offer;
@@ -27,23 +28,23 @@
 use scale_in::FleetCapacity;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call to the cloud, or a change of what is stored, that follows from a decision.
+/// A call to the cloud, or a change of stored state, that the caller carries out for the autoscaler.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Rent machines; the answer goes to `Autoscaler::on_rent_outcome`.
+    /// Rent machines. The response is passed to `Autoscaler::on_rent_outcome`.
     RentMachines(RentRequest),
-    /// Delete these machines; the answer goes to `Autoscaler::on_delete_outcome`.
+    /// Delete these machines. The response is passed to `Autoscaler::on_delete_outcome`.
     DeleteMachines(Vec<MachineId>),
-    /// Ask for the list of machines; the answer goes to `Autoscaler::on_machine_list`.
+    /// Fetch the list of machines. The response is passed to `Autoscaler::on_machine_list`.
     ListMachines,
-    /// Ask for the catalog; the answer goes to `Autoscaler::on_catalog`.
+    /// Fetch the catalog. The response is passed to `Autoscaler::on_catalog`.
     FetchCatalog,
-    /// The machine is proved gone: its record goes, with all placements on it.
+    /// Delete the record of a machine that the cloud has confirmed as deleted, with all placements on it.
     DeleteRecord(MachineId),
 }
 
-/// Rents machines for unmet demand, drains and returns idle ones, and deletes those that failed,
-/// never came up or went silent. Only the leader's is stepped.
+/// Rents machines for unmet demand, drains and returns idle machines, and deletes machines that failed,
+/// never booted or became unresponsive. Only the leader runs it.
 pub(crate) struct Autoscaler {
     config: Config,
     term: Revision,
@@ -53,24 +54,24 @@
     failed: BTreeSet<MachineId>,
     rentals: Rentals,
     deletions: Deletions,
-    /// Since when each draining machine gets nothing new.
+    /// The time since which each draining machine has received no new tasks.
     draining_since: BTreeMap<MachineId, MonotonicTime>,
     load_history: LoadHistory,
-    /// What the machines that are there can hold.
+    /// The total capacity of the machines that are up.
     capacity: FleetCapacity,
-    /// CPUs (in thousandths) that are kept free for the next replicas of services.
+    /// The CPU capacity that is kept free for additional service replicas, in thousandths of a CPU.
     service_reserve: u64,
     next_scale_in: MonotonicTime,
     machine_list: MachineListPoll,
     catalog: CatalogPoll,
-    /// The wall clock, set before each step.
+    /// The wall-clock time. The caller sets it before each step.
     pub(crate) unix_time: UnixTime,
-    /// How many changes the key-value store takes in a second from all controllers.
+    /// The write rate that the key-value store accepts from all controllers together, in changes per second.
     pub(crate) store_write_rate: f64,
 }
 
 impl Autoscaler {
-    /// An autoscaler that knows of no machine yet.
+    /// Returns an autoscaler that does not know any machine yet.
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
@@ -92,17 +93,17 @@
         }
     }
 
-    /// Takes the cloud's catalog; `None`: the call failed.
+    /// Handles the response to [`Effect::FetchCatalog`]. `None` means that the call failed.
     pub(crate) fn on_catalog(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
         self.catalog.finish(now, catalog);
     }
 
-    /// The catalog to write, if the stored one differs in more than its prices.
+    /// Returns the catalog to store, if the stored one differs from it in more than prices.
     pub(crate) fn catalog_to_store(&self, cache: &WatchCache) -> Option<&Catalog> {
         self.catalog.to_store(cache)
     }
 
-    /// Takes the cloud's list of machines; `None`: the call failed.
+    /// Handles the response to [`Effect::ListMachines`]. `None` means that the call failed.
     pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes the cloud's answer to a rent request.
+    /// Handles the cloud's response to a rent request.
     pub(crate) fn on_rent_outcome(
         &mut self,
         now: MonotonicTime,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Takes the cloud's answer to a deletion. `ok`: the machines are deleted.
+    /// Handles the cloud's response to a deletion. `ok` means that the machines are deleted.
     pub(crate) fn on_delete_outcome(
         &mut self,
         now: MonotonicTime,
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Decides what follows from the state as it is now. `term`: the leader's term, which resets
-    /// what an earlier one had under way.
+    /// Evaluates the current state and appends the resulting effects to `out`. When `term`, the leader's
+    /// term, changes, the pending operations of the earlier term are dropped.
     pub(crate) fn step(
         &mut self,
         now: MonotonicTime,
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Sends the deletions that are due, and removes the records of machines that are deleted.
+    /// Sends the deletions that are due, and deletes the records of machines that the cloud has deleted.
     fn delete_machines(
         &mut self,
         now: MonotonicTime,
@@ -212,7 +213,8 @@
         scheduler: &mut Scheduler,
         out: &mut Vec<Effect>,
     ) {
-        // A record that came back with a late heartbeat, or whose removal failed, goes as well.
+        // A late heartbeat can recreate the record of a deleted machine, and deleting the record can fail,
+        // so each step checks for such records again.
         for id in self.deletions.confirmed() {
             if cache.machines.contains_key(id) {
                 out.push(Effect::DeleteRecord(id.clone()));
@@ -225,19 +227,19 @@
         }
     }
 
-    /// Whether the cloud has confirmed the machine's deletion.
+    /// Returns whether the cloud has recently confirmed the machine's deletion.
     pub(crate) fn is_deleted(&self, id: &MachineId) -> bool {
         self.deletions.is_confirmed(id)
     }
 
-    /// Has these machines deleted, whatever runs on them.
+    /// Requests the deletion of these machines, even if tasks are running on them.
     pub(crate) fn decommission(&mut self, now: MonotonicTime, machines: Vec<MachineId>) {
         for id in machines {
             self.deletions.request(now, id);
         }
     }
 
-    /// How many machines boot.
+    /// Returns the number of machines that are booting.
     pub(crate) fn booting_count(&self) -> usize {
         self.boots.len()
     }
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -1,4 +1,4 @@
-//! Machines that were rented and have no record in the key-value store yet.
+//! Machines that have been rented and do not have a record in the key-value store yet.
 
 use super::machine_offer::MachineOffer;
 use crate::ids::{MachineId, MachineTypeName, Millis, MonotonicTime};
@@ -6,39 +6,39 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// Past this many boot times a machine is not counted on.
+/// After this multiple of its type's boot time, a machine no longer counts as incoming capacity.
 const LATE_BOOT_FACTOR: f64 = 2.0;
-/// Past this many boot times a machine will not come up any more.
+/// After this multiple of its type's boot time, a boot counts as failed.
 const FAILED_BOOT_FACTOR: f64 = 4.0;
-/// Seconds that a boot is taken to last at least before it counts as failed.
+/// The shortest boot time, in seconds, that is assumed when deciding whether a boot has failed.
 const MIN_BOOT_S: f64 = 10.0;
-/// Seconds that a machine of an unknown type is taken to boot.
+/// The boot time, in seconds, that is assumed for machine types that are not in the catalog.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// A machine that was not listed for so long is forgotten: the cloud has it no more.
+/// A booting machine that the cloud has not listed for this long no longer exists and is removed.
 const UNLISTED_EXPIRY: Millis = Millis(30_000);
 
-/// A machine that boots.
+/// A booting machine.
 #[derive(Clone, Debug)]
 struct Boot {
     offer: MachineOffer,
     rented_at: MonotonicTime,
-    /// When the cloud last answered or listed it.
+    /// When the cloud last reported this machine, in a list or in the response to the rent request.
     last_listed: MonotonicTime,
 }
 
-/// The machines that boot, by id.
+/// The booting machines, by id.
 #[derive(Debug, Default)]
 pub(super) struct Boots {
     machines: BTreeMap<MachineId, Boot>,
 }
 
 impl Boots {
-    /// How many machines boot.
+    /// Returns the number of booting machines.
     pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// Records a machine that the cloud lists and that has no record yet.
+    /// Records a machine that the cloud lists and that does not have a record in the store yet.
     pub(super) fn on_listed(&mut self, now: MonotonicTime, machine: ListedMachine) {
         let boot = Boot {
             offer: MachineOffer::of_listed(&machine),
@@ -51,7 +51,7 @@
             .or_insert(boot);
     }
 
-    /// Records machines that a rental has brought. `rented`: when the rental was decided.
+    /// Records the machines of a successful rental. `rented_at` is the time when the rental was decided.
     pub(super) fn on_rented(
         &mut self,
         now: MonotonicTime,
@@ -69,24 +69,24 @@
         }
     }
 
-    /// Forgets a machine that is deleted.
+    /// Removes a deleted machine.
     pub(super) fn remove(&mut self, id: &MachineId) {
         self.machines.remove(id);
     }
 
-    /// Forgets machines that have come up, and those that the cloud lists no more.
+    /// Removes machines that have booted, and machines that the cloud no longer lists.
     pub(super) fn prune(&mut self, now: MonotonicTime, cache: &WatchCache) {
         self.machines.retain(|id, boot| {
             !cache.machines.contains_key(id) && now.since(boot.last_listed) < UNLISTED_EXPIRY
         });
     }
 
-    /// What boots, in the order of ids.
+    /// Returns the offers of all booting machines, in the order of machine ids.
     pub(super) fn offers(&self) -> impl Iterator<Item = &MachineOffer> {
         self.machines.values().map(|boot| &boot.offer)
     }
 
-    /// What boots and is not late, in the order of ids.
+    /// Returns the offers of the booting machines that are not late, in the order of machine ids.
     pub(super) fn offers_in_time(
         &self,
         now: MonotonicTime,
@@ -100,7 +100,7 @@
         boots.map(|boot| &boot.offer)
     }
 
-    /// Machines that have taken far too long to boot.
+    /// Returns the machines whose boot has failed because it took too long.
     pub(super) fn failed(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
         let limit = |boot: &Boot| {
             let boot_s = boot_s(&boot.offer.type_name, cache);
@@ -114,7 +114,7 @@
     }
 }
 
-/// Seconds that a machine of a type takes to boot, by the catalog.
+/// Returns the boot time of a machine type in seconds, from the catalog.
 fn boot_s(type_name: &MachineTypeName, cache: &WatchCache) -> f64 {
     cache
         .machine_type(type_name)
--- a/src/cloud/autoscaler/cheapest_offer.rs
+++ b/src/cloud/autoscaler/cheapest_offer.rs
@@ -1,4 +1,4 @@
-//! The choice of what to rent for a demand.
+//! Selection of the offer to rent for an unmet demand.
 
 use super::machine_offer::MachineOffer;
 use super::rentals::Rentals;
@@ -9,25 +9,25 @@
 
 /// An offer that can serve a demand.
 pub(super) struct CheapestOffer<'a> {
-    /// Its type, as the catalog has it.
+    /// The machine type, from the catalog.
     pub(super) machine_type: &'a MachineType,
-    /// What to ask the cloud for.
+    /// The offer to request from the cloud.
     pub(super) offer: MachineOffer,
-    /// The price of one task.
+    /// The price of the machines divided by the number of tasks that they serve.
     cost_per_task: f64,
-    /// Machines in its zone already.
+    /// The number of machines that are already in its zone.
     machines_in_zone: usize,
 }
 
 impl CheapestOffer<'_> {
-    /// Cheaper, or as cheap in a zone with fewer machines.
+    /// Returns whether this offer is cheaper, or equally cheap and in a zone with fewer machines.
     fn is_better_than(&self, other: &Self) -> bool {
         (self.cost_per_task, self.machines_in_zone) < (other.cost_per_task, other.machines_in_zone)
     }
 }
 
-/// The offer that does a demand's work for the least, among those that may be asked for now.
-/// `tasks`: how many of its tasks are to be served.
+/// Returns the offer with the lowest cost per task for a demand, among those that may be requested now.
+/// `tasks` is the number of the demand's tasks to serve.
 pub(super) fn cheapest_offer<'a>(
     rentals: &Rentals,
     catalog: &'a Catalog,
@@ -42,7 +42,8 @@
         if tasks_per_machine == 0 {
             continue;
         }
-        // Others will join a replica; a batch leaves with its last task.
+        // A machine rented for a replica also receives other tasks, so it is priced as if full. A machine
+        // rented for an array is returned after the array's last task.
         let tasks = if unmet_demand.must_run_concurrently {
             tasks_per_machine
         } else {
@@ -67,7 +68,7 @@
     best
 }
 
-/// All offers of a machine type, zone by zone, spot before on-demand.
+/// Returns all offers of a machine type, zone by zone, spot before on-demand.
 fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = MachineOffer> {
     machine_type.zones.iter().flat_map(|zone| {
         [true, false].map(|spot| MachineOffer {
--- a/src/cloud/autoscaler/deletions.rs
+++ b/src/cloud/autoscaler/deletions.rs
@@ -1,18 +1,19 @@
-//! Machines that are being deleted, and those that the cloud has deleted lately.
+//! Pending machine deletions, and deletions that the cloud has recently confirmed.
 
 use crate::ids::{MachineId, Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// The cloud takes no more machines than this in one deletion.
+/// The largest number of machines that the cloud accepts in one deletion call.
 const MAX_DELETIONS_PER_CALL: usize = 100;
-/// How long a deletion that failed waits before it is repeated.
+/// The delay before a failed deletion is retried.
 const DELETION_RETRY_DELAY: Millis = Millis(1500);
-/// A deletion without an answer is repeated after this time.
+/// A deletion that has not been answered within this time is sent again.
 const DELETION_TIMEOUT: Millis = Millis(8000);
-/// How long a deleted machine is remembered: the cloud's list still shows it for a while.
+/// The time for which a confirmed deletion is kept, because the cloud continues to list a deleted machine
+/// for a while.
 const DELETED_EXPIRY: Millis = Millis(60_000);
 
-/// Deletions that are pending, and those that are confirmed.
+/// The pending and the recently confirmed deletions.
 #[derive(Debug, Default)]
 pub(super) struct Deletions {
     /// When each machine's deletion is to be sent next.
@@ -22,52 +23,53 @@
 }
 
 impl Deletions {
-    /// Drops pending deletions at the beginning of a term; what is to be deleted is decided anew.
+    /// Drops pending deletions at the beginning of a term. The new leader decides again what to delete.
     pub(super) fn begin_term(&mut self) {
         self.due_at.clear();
     }
 
-    /// Asks for a machine's deletion. Once is enough, also when its record can't be removed yet.
+    /// Requests a machine's deletion. Does nothing if the deletion is already pending or confirmed, even
+    /// when the machine's record still exists.
     pub(super) fn request(&mut self, now: MonotonicTime, id: MachineId) {
         if !self.is_confirmed(&id) {
             self.due_at.entry(id).or_insert(now);
         }
     }
 
-    /// Records that the cloud has deleted a machine.
+    /// Records that the cloud has confirmed a machine's deletion.
     pub(super) fn confirm(&mut self, now: MonotonicTime, id: &MachineId) {
         self.due_at.remove(id);
         self.confirmed_at.insert(id.clone(), now);
     }
 
-    /// Records that the cloud did not take a deletion: it is repeated.
+    /// Schedules another attempt after a deletion that failed.
     pub(super) fn retry(&mut self, now: MonotonicTime, id: &MachineId) {
         self.due_at.insert(id.clone(), now + DELETION_RETRY_DELAY);
     }
 
-    /// Whether a machine's deletion was asked for and is not confirmed.
+    /// Returns whether a machine's deletion has been requested and is not confirmed yet.
     pub(super) fn is_pending(&self, id: &MachineId) -> bool {
         self.due_at.contains_key(id)
     }
 
-    /// Whether the cloud has confirmed a machine's deletion lately.
+    /// Returns whether the cloud has recently confirmed a machine's deletion.
     pub(super) fn is_confirmed(&self, id: &MachineId) -> bool {
         self.confirmed_at.contains_key(id)
     }
 
-    /// The machines whose deletion is confirmed, in the order of ids.
+    /// Returns the machines whose deletion was recently confirmed, in the order of ids.
     pub(super) fn confirmed(&self) -> impl Iterator<Item = &MachineId> {
         self.confirmed_at.keys()
     }
 
-    /// Forgets deletions that were confirmed long ago.
+    /// Removes confirmed deletions that are older than [`DELETED_EXPIRY`].
     pub(super) fn expire_confirmed(&mut self, now: MonotonicTime) {
         self.confirmed_at
             .retain(|_, at| now.since(*at) < DELETED_EXPIRY);
     }
 
-    /// The deletions to send now, as many as one call takes. They are due again when no answer
-    /// comes.
+    /// Returns the machines to delete now, at most [`MAX_DELETIONS_PER_CALL`]. They become due again if the
+    /// call is not answered within [`DELETION_TIMEOUT`].
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<MachineId> {
         let due: Vec<MachineId> = self
             .due_at
--- a/src/cloud/autoscaler/incoming.rs
+++ b/src/cloud/autoscaler/incoming.rs
@@ -1,4 +1,4 @@
-//! Machines that are on their way: they boot, or were asked for.
+//! Incoming machines: those that are booting and those that have been requested.
 
 use super::boots::Boots;
 use super::machine_offer::MachineOffer;
@@ -8,19 +8,20 @@
 use crate::protocol::{Catalog, JobSpec, MachineType};
 use crate::store::watch_cache::WatchCache;
 
-/// A machine that is on its way, and the capacity on it that is not counted on yet.
+/// An incoming machine, and its capacity that is not assigned to a demand yet.
 struct IncomingMachine {
     offer: MachineOffer,
     free: Resources,
 }
 
-/// The machines that demand may count on before they are there.
+/// The incoming machines that unmet demands can be assigned to before the machines are up.
 pub(super) struct IncomingMachines {
     machines: Vec<IncomingMachine>,
 }
 
 impl IncomingMachines {
-    /// Machines that boot and are not late, and those that were asked for, of known types.
+    /// Collects the booting machines that are not late and the requested machines, as far as their types are
+    /// in the catalog.
     pub(super) fn collect(
         now: MonotonicTime,
         boots: &Boots,
@@ -50,23 +51,24 @@
         Self { machines }
     }
 
-    /// The CPUs (in thousandths) that are not counted on yet.
+    /// Returns the unassigned CPU capacity, in thousandths of a CPU.
     pub(super) fn cpus(&self) -> u64 {
         self.machines.iter().map(|m| m.free.milli_cpus).sum()
     }
 
-    /// Those of them on machines that the cloud does not take back.
+    /// Returns the unassigned CPU capacity on on-demand machines, in thousandths of a CPU.
     pub(super) fn on_demand_cpus(&self) -> u64 {
         let on_demand = self.machines.iter().filter(|m| !m.offer.spot);
         on_demand.map(|m| m.free.milli_cpus).sum()
     }
 
-    /// Adds a machine that was just asked for, with what is free on it.
+    /// Adds a machine that has just been requested, with its unassigned capacity.
     pub(super) fn add(&mut self, offer: MachineOffer, free: Resources) {
         self.machines.push(IncomingMachine { offer, free });
     }
 
-    /// Places as many tasks of a demand on these machines as they hold; returns how many are left.
+    /// Assigns as many tasks of a demand to these machines as fit, and returns the number of tasks that are
+    /// left.
     pub(super) fn place(&mut self, unmet_demand: &UnmetDemand, spec: &JobSpec) -> u64 {
         let mut left = unmet_demand.tasks;
         for machine in &mut self.machines {
@@ -79,7 +81,7 @@
         left
     }
 
-    /// What is on its way, whatever is free on it.
+    /// Returns the offers of all incoming machines, including those without unassigned capacity.
     pub(super) fn offers(&self) -> impl Iterator<Item = &MachineOffer> {
         self.machines.iter().map(|m| &m.offer)
     }
--- a/src/cloud/autoscaler/load_history.rs
+++ b/src/cloud/autoscaler/load_history.rs
@@ -1,4 +1,4 @@
-//! The load of the last while: scale-in looks at its peak, scale-out at its latest.
+//! The recent load of the cluster. Scale-in uses its peak, scale-out its latest value.
 
 use crate::cloud::arrival_rate::ArrivalRate;
 use crate::cloud::demand::{self, Batch, Demand, Load};
@@ -8,8 +8,8 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::VecDeque;
 
-/// Steps come some time apart, so a history that is shorter than its window by this much counts
-/// as complete.
+/// Steps are some time apart, so a history counts as complete even if it is shorter than its window by up
+/// to this time.
 const WINDOW_TOLERANCE: Millis = Millis(1000);
 
 /// The load at one moment.
@@ -19,7 +19,8 @@
     load: Load,
 }
 
-/// Loads within the time for which a machine may be idle, and what comes in on average.
+/// The loads observed within the time for which a machine may be idle, and the average arrival rate of
+/// array work.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     samples: VecDeque<LoadSample>,
@@ -28,20 +29,21 @@
     arrival_rate: ArrivalRate,
 }
 
-/// For so long a load counts that has passed.
+/// Returns the length of the window of load samples: the time for which an idle machine is kept.
 fn idle_window(cache: &WatchCache) -> Millis {
     Millis::from_secs(cache.settings().idle_s)
 }
 
 impl LoadHistory {
-    /// Forgets the past at the beginning of a term, since none of it was seen without gaps.
+    /// Clears the history at the beginning of a term, because this controller did not observe all of the
+    /// load before it.
     pub(super) fn begin_term(&mut self) {
         self.samples.clear();
         self.arrival_rate.clear();
     }
 
-    /// Takes the load as it is now, and forgets what is older than the time for which a machine
-    /// may be idle. `store_write_rate`: what the key-value store takes in a second.
+    /// Records the current load, and removes samples older than the time for which a machine may be idle.
+    /// `store_write_rate` is the write rate that the key-value store accepts, in changes per second.
     pub(super) fn observe(
         &mut self,
         now: MonotonicTime,
@@ -65,26 +67,27 @@
         self.batches = batches;
     }
 
-    /// The load at the last observation.
+    /// Returns the load at the last observation.
     pub(super) fn latest(&self) -> Load {
         self.latest
     }
 
-    /// The highest load of the window, services and arrays apart.
+    /// Returns the highest load in the window, taken separately for services and for arrays.
     pub(super) fn peak(&self) -> Load {
         self.samples
             .iter()
             .fold(Load::default(), |peak, sample| peak.max(sample.load))
     }
 
-    /// Whether the load was observed for a whole window: a new leader first looks on.
+    /// Returns whether the load has been observed for a whole window. Until then a new leader does not scale
+    /// in.
     pub(super) fn covers_window(&self, now: MonotonicTime, cache: &WatchCache) -> bool {
         let first = self.samples.front();
         first.is_some_and(|first| now.since(first.at) + WINDOW_TOLERANCE > idle_window(cache))
     }
 
-    /// The CPUs (in thousandths) that arrays lack beside `capacity`, by their deadlines and by what
-    /// comes in. `boot_s`: how long a machine takes to help.
+    /// Returns the CPU capacity, in thousandths of a CPU, that arrays need beyond `capacity` to meet their
+    /// deadlines and to keep up with the arrival rate. `boot_s` is the boot time of a machine in seconds.
     pub(super) fn cpu_shortfall(&self, unix_time: UnixTime, capacity: u64, boot_s: f64) -> u64 {
         let by_deadlines = demand::cpu_shortfall(&self.batches, capacity as f64, boot_s) as u64;
         let arriving = self.arrival_rate.cpus(unix_time);
--- a/src/cloud/autoscaler/machine_offer.rs
+++ b/src/cloud/autoscaler/machine_offer.rs
@@ -1,4 +1,4 @@
-//! The smallest thing that the cloud rents out and may run out of.
+//! The unit in which the cloud rents out machines and reports missing capacity.
 
 use crate::ids::{MachineTypeName, Zone};
 use crate::protocol::{JobSpec, ListedMachine, MachineType, RentRequest};
@@ -16,7 +16,7 @@
 }
 
 impl MachineOffer {
-    /// The offer of a listed machine.
+    /// Returns the offer that a listed machine belongs to.
     pub(super) fn of_listed(machine: &ListedMachine) -> Self {
         Self {
             type_name: machine.type_name.clone(),
@@ -25,12 +25,13 @@
         }
     }
 
-    /// Whether a job's tasks may run on such a machine, whatever their size.
+    /// Returns whether a job's constraints allow its tasks on a machine of this offer. The resources that the
+    /// tasks need are not checked.
     pub(super) fn is_allowed_by(&self, spec: &JobSpec) -> bool {
         spec.allows(&self.type_name, &self.zone, self.spot)
     }
 
-    /// The price of a machine of this offer's type, which the caller has looked up.
+    /// Returns the price of a machine of this offer. `machine_type` must be the offer's type.
     pub(super) fn price(&self, machine_type: &MachineType) -> f64 {
         if self.spot {
             machine_type.spot_price
@@ -39,7 +40,8 @@
         }
     }
 
-    /// The request to the cloud for `count` such machines under a unique `name`.
+    /// Builds the request to rent `count` machines of this offer. `name` identifies the request and must be
+    /// unique.
     pub(super) fn rent_request(&self, name: &str, count: u32) -> RentRequest {
         RentRequest {
             request: name.to_owned(),
--- a/src/cloud/autoscaler/polls.rs
+++ b/src/cloud/autoscaler/polls.rs
@@ -1,19 +1,19 @@
-//! When the cloud's catalog and its list of machines are asked for.
+//! Schedules for fetching the cloud's catalog and its list of machines.
 
 use crate::ids::{Millis, MonotonicTime};
 use crate::protocol::{Catalog, MachineType};
 use crate::store::watch_cache::WatchCache;
 
-/// The time between two lists of machines.
+/// The time from the end of one list request to the next.
 const LIST_INTERVAL: Millis = Millis(2500);
-/// The time between two catalogs.
+/// The time between a fetched catalog and the next request.
 const CATALOG_INTERVAL: Millis = Millis(60_000);
-/// How soon the catalog is asked for again after a failure.
+/// The delay before the catalog is requested again after a failed request.
 const CATALOG_RETRY_DELAY: Millis = Millis(1000);
-/// How soon the catalog is asked for again when no answer comes.
+/// The catalog is requested again if a request has not been answered within this time.
 const CATALOG_TIMEOUT: Millis = Millis(5000);
 
-/// Asks for the list of machines, one call at a time.
+/// The schedule of list requests. At most one is in flight at a time.
 #[derive(Debug, Default)]
 pub(super) struct MachineListPoll {
     next_at: MonotonicTime,
@@ -21,26 +21,26 @@
 }
 
 impl MachineListPoll {
-    /// Makes the next call due; one that is under way is still waited for.
+    /// Makes the next request due immediately, unless one is in flight.
     pub(super) fn begin_term(&mut self, now: MonotonicTime) {
         self.next_at = now;
     }
 
-    /// Whether the list is to be asked for now; the caller then does so.
+    /// Returns whether the list must be requested now. If so, the request counts as in flight.
     pub(super) fn start_if_due(&mut self, now: MonotonicTime) -> bool {
         let due = !self.in_flight && now >= self.next_at;
         self.in_flight |= due;
         due
     }
 
-    /// Records that the call has ended, with or without a list.
+    /// Records that the request in flight has ended, successfully or not.
     pub(super) fn finish(&mut self, now: MonotonicTime) {
         self.in_flight = false;
         self.next_at = now + LIST_INTERVAL;
     }
 }
 
-/// Asks for the catalog, and keeps the latest.
+/// The schedule of catalog requests, and the latest catalog received.
 #[derive(Debug, Default)]
 pub(super) struct CatalogPoll {
     next_at: MonotonicTime,
@@ -48,7 +48,8 @@
 }
 
 impl CatalogPoll {
-    /// Whether the catalog is to be asked for now; the caller then does so.
+    /// Returns whether the catalog must be requested now. If so, the next request is due after
+    /// [`CATALOG_TIMEOUT`].
     pub(super) fn start_if_due(&mut self, now: MonotonicTime) -> bool {
         let due = now >= self.next_at;
         if due {
@@ -57,7 +58,7 @@
         due
     }
 
-    /// Takes the cloud's answer; `None`: the call failed.
+    /// Handles the response to a catalog request. `None` means that the request failed.
     pub(super) fn finish(&mut self, now: MonotonicTime, catalog: Option<Catalog>) {
         let delay = match catalog {
             Some(_) => CATALOG_INTERVAL,
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The latest catalog, or else the stored one.
+    /// Returns the latest catalog received, or the stored one if none has been received.
     pub(super) fn current<'a>(&'a self, cache: &'a WatchCache) -> Option<&'a Catalog> {
         let stored = cache.catalog.as_ref().map(|c| &c.value);
         self.latest.as_ref().or(stored)
     }
 
-    /// The catalog to write, if the stored one is another; prices move all the time and are only
-    /// stored along with a change of substance.
+    /// Returns the catalog to store, if it differs from the stored one in more than prices. Prices change
+    /// constantly, so they are stored only together with another change.
     pub(super) fn to_store(&self, cache: &WatchCache) -> Option<&Catalog> {
         let latest = self.latest.as_ref()?;
         let same = cache
--- a/src/cloud/autoscaler/rentals.rs
+++ b/src/cloud/autoscaler/rentals.rs
@@ -1,84 +1,86 @@
-//! Rent requests that the cloud has not answered for good, and what it has refused lately.
+//! Rent requests without a final answer from the cloud, and offers for which it recently had no capacity.
 
 use super::machine_offer::MachineOffer;
 use crate::ids::{MachineId, Millis, MonotonicTime, Revision};
 use crate::protocol::RentRequest;
 use std::collections::BTreeMap;
 
-/// How long an offer is not asked for again after the cloud had no capacity for it.
+/// The time for which an offer is not requested again after the cloud had no capacity for it.
 const NO_CAPACITY_BACKOFF: Millis = Millis(15_000);
-/// How long a request that was put off waits before it is repeated.
+/// The delay before a request that was refused or not answered is retried.
 const RENTAL_RETRY_DELAY: Millis = Millis(1500);
-/// A request without an answer is given up after this time: demand has changed since.
+/// A request is dropped instead of retried once it is older than this, because demand has changed since.
 const RENTAL_EXPIRY: Millis = Millis(20_000);
-/// No more is asked for in a step once more rentals than this wait for their answers.
+/// Once more requests than this are pending, no further requests are added in the same step.
 const MAX_PENDING_RENTALS: usize = 16;
 
-/// The cloud's answer to a rent request.
+/// The cloud's response to a rent request.
 #[derive(Debug)]
 pub(crate) enum RentOutcome {
-    /// These machines now boot.
+    /// The cloud has rented these machines, which are now booting.
     Rented(Vec<MachineId>),
-    /// The cloud has none of this type in this zone for now.
+    /// The cloud currently has no capacity for this offer.
     NoCapacity,
-    /// Refused for now, or no answer: the same request may be repeated.
+    /// The cloud refused the request temporarily or did not answer. The same request may be retried.
     Again,
-    /// The cloud does not accept such a request at all.
+    /// The cloud rejected the request as malformed. It must not be retried.
     Malformed,
 }
 
 /// A request that has no final answer yet.
 #[derive(Debug)]
 pub(super) struct PendingRental {
-    /// Unique among all requests ever made, so that a repeated request rents only once.
+    /// The name of the request. It is unique among all requests ever made, so that a retried request rents
+    /// machines only once.
     name: String,
-    /// What is asked for.
+    /// The requested offer.
     pub(super) offer: MachineOffer,
-    /// How many machines are asked for.
+    /// The number of requested machines.
     pub(super) count: u32,
-    /// Whether the cloud's answer is outstanding.
+    /// Whether the request has been sent and its response is outstanding.
     sent: bool,
-    /// When it may be sent, if it is not.
+    /// The earliest time at which the request may be sent, unless it is in flight.
     retry_at: MonotonicTime,
-    /// When it was decided.
+    /// When the rental was decided.
     decided_at: MonotonicTime,
 }
 
-/// Machines that a rental has brought.
+/// The machines of a successful rental.
 #[derive(Debug)]
 pub(super) struct RentedMachines {
-    /// Their ids.
+    /// The ids of the machines.
     pub(super) machines: Vec<MachineId>,
-    /// What they are.
+    /// The offer that the machines belong to.
     pub(super) offer: MachineOffer,
     /// When the rental was decided.
     pub(super) decided_at: MonotonicTime,
 }
 
-/// The rentals of one term of leadership, in the order in which they were decided.
+/// The rentals of one leader term, in the order in which they were decided.
 #[derive(Debug, Default)]
 pub(super) struct Rentals {
     term: Revision,
-    /// Requests of this term so far; numbers their names.
+    /// The number of requests made in this term. It is part of their names.
     request_count: u64,
     pending: Vec<PendingRental>,
-    /// Until when an offer is not asked for.
+    /// The time until which each offer without capacity is not requested again.
     no_capacity_until: BTreeMap<MachineOffer, MonotonicTime>,
 }
 
 impl Rentals {
-    /// Drops the rentals of an earlier term. What they still rent is found in the cloud's list.
+    /// Drops the rentals of an earlier term. Machines that these requests still rent appear in the cloud's
+    /// list.
     pub(super) fn begin_term(&mut self, term: Revision) {
         self.term = term;
         self.request_count = 0;
         self.pending.clear();
     }
 
-    /// Adds a request, to be sent at once.
+    /// Adds a request that is due immediately.
     pub(super) fn add(&mut self, now: MonotonicTime, offer: MachineOffer, count: u32) {
         self.request_count += 1;
         self.pending.push(PendingRental {
-            // The term makes the name unique among all that ever led.
+            // The term distinguishes the names from those of all other leaders.
             name: format!("r-{}-{}", self.term, self.request_count),
             offer,
             count,
@@ -88,29 +90,29 @@
         });
     }
 
-    /// Whether more requests are pending than may be added to.
+    /// Returns whether more than [`MAX_PENDING_RENTALS`] requests are pending. No more may be added then.
     pub(super) fn is_full(&self) -> bool {
         self.pending.len() > MAX_PENDING_RENTALS
     }
 
-    /// The requests without a final answer, oldest first.
+    /// Returns the requests without a final answer, oldest first.
     pub(super) fn pending(&self) -> impl Iterator<Item = &PendingRental> {
         self.pending.iter()
     }
 
-    /// Whether an offer may be asked for: the cloud has not refused it lately, and no request for
-    /// it is pending.
+    /// Returns whether an offer may be requested: the cloud has not recently reported that it has no capacity
+    /// for it, and no request for it is pending.
     pub(super) fn may_request(&self, offer: &MachineOffer) -> bool {
         !self.no_capacity_until.contains_key(offer)
             && !self.pending.iter().any(|rental| rental.offer == *offer)
     }
 
-    /// Forgets refusals that are over.
+    /// Removes offers whose backoff after missing capacity is over.
     pub(super) fn expire_refusals(&mut self, now: MonotonicTime) {
         self.no_capacity_until.retain(|_, until| now < *until);
     }
 
-    /// The requests that are due, which from now on wait for their answers.
+    /// Returns the requests that are due, and marks them as sent.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<RentRequest> {
         let mut due = Vec::new();
         for rental in &mut self.pending {
@@ -122,7 +124,8 @@
         due
     }
 
-    /// Takes the cloud's answer. Answers to requests that were dropped count for nothing.
+    /// Handles the response to a request. Returns the rented machines if the request succeeded. Responses to
+    /// dropped requests are ignored.
     pub(super) fn on_outcome(
         &mut self,
         now: MonotonicTime,
@@ -152,8 +155,8 @@
         None
     }
 
-    /// Repeats a request after a delay, or drops it when it is too old. Its name is never used
-    /// again, and what it may still rent is found in the cloud's list.
+    /// Schedules a retry after a delay, or drops the request if it is older than [`RENTAL_EXPIRY`]. The name
+    /// of a dropped request is never reused, and machines that it still rents appear in the cloud's list.
     fn retry_or_expire(&mut self, now: MonotonicTime, index: usize) {
         let rental = &mut self.pending[index];
         rental.sent = false;
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Machines that are not needed any more: drained, then returned.
+//! Scale-in: machines that are no longer needed are drained and then returned to the cloud.
 
 use super::Autoscaler;
 use super::cheapest_offer::cheapest_offer;
@@ -6,21 +6,21 @@
 use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
-/// At most one in so many machines begins to drain at a time.
+/// A round of scale-in may begin to drain one machine, plus one for each multiple of this many candidates.
 const CANDIDATES_PER_DRAIN: usize = 50;
 /// The time between two rounds of scale-in.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
 
-/// Replicas may use at most one in so many CPUs of a machine that is to be drained: moving them
-/// costs them a moment, so it is done only where little is moved for much.
+/// A machine is drained only if service replicas use at most 1/n of its CPUs, where n is this value. Moving
+/// a replica interrupts it briefly, so it is done only if few replicas are moved to free a large machine.
 const REPLICA_SHARE_DIVISOR: u64 = 4;
 
-/// CPUs (in thousandths) of the machines that count as capacity.
+/// The CPU capacity of the machines that count as capacity, in thousandths of a CPU.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FleetCapacity {
-    /// Of all of them.
+    /// The capacity of all machines.
     pub(super) total: u64,
-    /// Of those that the cloud does not take back.
+    /// The capacity of the on-demand machines, which the cloud does not interrupt.
     pub(super) on_demand: u64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A machine that could be drained, in the order in which that is done.
+/// A machine that may be drained. Its fields, compared in their order, determine which is drained first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DrainCandidate {
     spot: bool,
@@ -46,14 +46,15 @@
     id: MachineId,
 }
 
-/// The CPUs (in thousandths) of a machine, as far as its type is known.
+/// Returns the CPU capacity of a machine type in thousandths of a CPU, or 0 if the type is not in the
+/// catalog.
 fn machine_cpus(type_name: &MachineTypeName, cache: &WatchCache) -> u64 {
     cache
         .machine_type(type_name)
         .map_or(0, |t| t.capacity().milli_cpus)
 }
 
-/// Whether something that waits for capacity may run on a machine.
+/// Returns whether the constraints of any job with unmet demand allow it to run on a machine.
 fn may_run_unmet_demand(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
@@ -67,8 +68,9 @@
 }
 
 impl Autoscaler {
-    /// Drains machines that the load has not needed for a while, the dearest first, and returns
-    /// those that are drained. What runs on them may finish; replicas are moved.
+    /// Begins to drain machines that the recent load did not need, and returns the machines whose drain is
+    /// complete. On-demand machines are drained first because they cost more. Running tasks may finish, and
+    /// service replicas are moved.
     pub(super) fn scale_in(
         &mut self,
         now: MonotonicTime,
@@ -100,7 +102,7 @@
         drained
     }
 
-    /// Takes the capacity of the machines that are there, and returns those that could be drained.
+    /// Updates the capacity of the fleet, and returns the machines that may be drained.
     fn measure_capacity(
         &mut self,
         now: MonotonicTime,
@@ -131,7 +133,8 @@
         candidates
     }
 
-    /// Those that are draining go once nothing is on them, or can be on its way to them any more.
+    /// Returns the machines whose drain is complete: nothing runs on them, and no allotment from before the
+    /// drain is still in flight to their shard.
     fn drained(
         &mut self,
         now: MonotonicTime,
@@ -160,8 +163,8 @@
             .collect()
     }
 
-    /// Begins to drain machines that the highest load of the last while did not need: a part of
-    /// the fleet at a time, a small one gives up one, a large one several.
+    /// Begins to drain machines that the peak load of the window did not need. The number of machines for
+    /// each round is limited: one in a small fleet, several in a large one.
     fn drain_idle(
         &mut self,
         now: MonotonicTime,
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Stops draining machines when they are needed again after all, until `cpu_shortfall` (in
-    /// thousandths of a CPU) is covered or none is left.
+    /// Cancels the drain of machines that are needed again, until `cpu_shortfall` (in thousandths of a CPU)
+    /// is covered or no suitable draining machine is left.
     pub(super) fn cancel_drains(
         &mut self,
         cpu_shortfall: &mut u64,
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Whether something that must run all at once waits for a machine that the cloud has not got,
-    /// with none on its way.
+    /// Returns whether a demand whose tasks must run concurrently is blocked: no offer that it may use can be
+    /// requested from the cloud, and no suitable machine is requested or booting.
     fn has_blocked_demand(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
@@ -234,8 +237,8 @@
         })
     }
 
-    /// Begins to drain empty machines that nothing which waits may use: they take up what the
-    /// cloud could give instead.
+    /// Begins to drain idle machines that no unmet demand may use. They occupy capacity that the cloud could
+    /// provide as machines of another type.
     fn drain_unusable(
         &mut self,
         now: MonotonicTime,
@@ -260,7 +263,7 @@
     }
 }
 
-/// How many machines may begin to drain at a time.
+/// Returns the number of machines that may begin to drain in one round.
 fn max_drains(candidates: &[DrainCandidate]) -> usize {
     1 + candidates.len() / CANDIDATES_PER_DRAIN
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! What is rented: for tasks that found no machine, less what is already on its way.
+//! Scale-out: rents machines for unmet demand that incoming machines do not cover.
 
 use super::Autoscaler;
 use super::cheapest_offer::{CheapestOffer, cheapest_offer};
@@ -9,21 +9,21 @@
 use crate::store::watch_cache::WatchCache;
 use std::ops::ControlFlow;
 
-/// The cloud takes no more machines than this in one request.
+/// The largest number of machines that the cloud accepts in one rent request.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Past the cloud's own list lag, a new leader waits for so long before it rents.
+/// A new leader waits for the lag of the cloud's machine list plus this margin before it rents machines.
 const LIST_LAG_MARGIN: Millis = Millis(1500);
 
 impl Autoscaler {
-    /// Decides on rentals for what the scheduler could not place.
+    /// Decides on rentals for the tasks that the scheduler could not place.
     pub(super) fn scale_out(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        // What an earlier leader has just rented shows in the list only after its lag: until
-        // then a new one would rent it all again.
+        // Machines that an earlier leader has just rented appear in the cloud's list only after its lag.
+        // Until then, a new leader would rent the same capacity again.
         if now.since(self.term_since) < self.config.list_lag + LIST_LAG_MARGIN {
             return;
         }
@@ -43,7 +43,7 @@
             self.cancel_drains(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "autoscaler step");
+        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
             let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
             let rented =
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The CPUs that arrays lack, by their deadlines and by what comes in.
+    /// Returns the CPU capacity, in thousandths of a CPU, that arrays lack to meet their deadlines and to
+    /// keep up with their arrival rate.
     fn cpu_shortfall(&self, catalog: &Catalog, incoming: &IncomingMachines) -> u64 {
         let boot_s = catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let services = self.load_history.latest().services;
@@ -63,8 +64,8 @@
             .cpu_shortfall(self.unix_time, capacity, boot_s)
     }
 
-    /// The demands to rent for. What must run all at once comes first: the rest shares what is
-    /// left.
+    /// Returns the demands to rent machines for. Services and gangs, whose tasks must run concurrently, come
+    /// first; arrays share the remaining incoming capacity.
     fn demands_to_rent_for(
         &self,
         incoming: &IncomingMachines,
@@ -74,7 +75,7 @@
         let mut unmet_demands = scheduler.unmet_demands.clone();
         let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
-        // The next replicas must not wait for a machine to boot.
+        // Spare on-demand capacity is rented in advance, so that new replicas do not wait for a boot.
         if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
             unmet_demands.extend(one_replica_demand(cache));
         }
@@ -82,8 +83,8 @@
         merge_compatible_demands(unmet_demands, cache)
     }
 
-    /// Asks for machines for so many tasks, of the cheapest offers that the cloud may have. `Break`:
-    /// no more may be asked for in this step.
+    /// Requests machines for `left` tasks of a demand, from the cheapest offers that may be requested.
+    /// Returns `Break` if no more requests may be added in this step.
     fn rent_machines_for(
         &mut self,
         now: MonotonicTime,
@@ -123,7 +124,7 @@
     }
 }
 
-/// The demand for one replica of some service, if there is any.
+/// Returns a demand for one replica of the first service, or `None` without services.
 fn one_replica_demand(cache: &WatchCache) -> Option<UnmetDemand> {
     let mut jobs = cache.jobs.iter();
     let (id, job) = jobs.find(|(_, j)| j.spec.kind == JobKind::Service)?;
@@ -136,9 +137,9 @@
     })
 }
 
-/// The tasks of a demand for which machines are to be rented. Tasks of arrays follow one another:
-/// only what their deadlines ask for is. What is on its way serves first those that must run all
-/// at once.
+/// Returns the number of a demand's tasks for which to rent machines. Tasks of arrays can run one after
+/// another, so only as many are counted as the CPU shortfall requires. Demands that must run concurrently are
+/// first assigned to incoming machines.
 fn tasks_to_rent_for(
     unmet_demand: &UnmetDemand,
     cpu_shortfall: &mut u64,
@@ -160,8 +161,8 @@
     tasks
 }
 
-/// Whether any machine, there or on its way, may run a demand's tasks, however busy it is.
-/// Otherwise the demand needs one, however idle the others are.
+/// Returns whether any existing or incoming machine can run the demand's tasks, even if it is busy now. If
+/// there is none, a machine must be rented even if all others are idle.
 fn has_compatible_machine(
     unmet_demand: &UnmetDemand,
     spec: &JobSpec,
@@ -179,8 +180,8 @@
         || machines.any(|r| fits(&r.type_name, &r.zone, r.spot))
 }
 
-/// Arrays that may use the same machines rent together: calls are few, and each may bring many
-/// machines. They keep the place of the first of them.
+/// Merges the demands of arrays with equal needs and equal machine constraints, because the number of rent
+/// requests is limited and each can rent many machines. A merged demand keeps the position of its first one.
 fn merge_compatible_demands(
     unmet_demands: Vec<UnmetDemand>,
     cache: &WatchCache,
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -1,4 +1,4 @@
-//! Machines that are given up: failed, never booted, or silent for too long.
+//! Detection of machines to decommission: those that failed, never booted, or are unresponsive.
 
 use super::Autoscaler;
 use crate::ids::{MachineId, Millis, MonotonicTime};
@@ -7,31 +7,31 @@
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
-/// What is known of a machine's silence counts only if its owner has reported it so lately.
+/// A health report of a shard owner older than this does not count as evidence that a machine is silent.
 const HEALTH_REPORT_EXPIRY: Millis = Millis(3000);
-/// The least time past a heartbeat's interval after which the next one is missed.
+/// A heartbeat counts as missed after 1.25 heartbeat intervals plus this margin.
 const MISSED_HEARTBEAT_MARGIN_MS: u64 = 500;
-/// The least time past a heartbeat's interval for which a machine may be silent.
+/// The unresponsive timeout is at least 1.25 heartbeat intervals plus this margin.
 const SILENCE_MARGIN_MS: u64 = 2500;
-/// After so many times the limit a machine is given up even if its owner is suspect: most may
-/// really be gone, and their work would wait for ever.
+/// After this multiple of the unresponsive timeout, a machine is decommissioned even if its shard owner is
+/// suspect. Its machines may really have failed, and their tasks would otherwise wait forever.
 const SUSPECT_OWNER_TIMEOUT_FACTOR: u64 = 4;
 
 impl Autoscaler {
-    /// How long a machine may be silent before it is given up.
+    /// Returns the time without a heartbeat after which a machine is decommissioned.
     pub(crate) fn unresponsive_timeout(&self, cache: &WatchCache) -> Millis {
         Millis::from_secs(cache.settings().silent_s)
             .max(self.interval_with_margin(SILENCE_MARGIN_MS))
     }
 
-    /// The heartbeat interval, a quarter of it, and a margin.
+    /// Returns 1.25 heartbeat intervals plus a margin.
     fn interval_with_margin(&self, margin_ms: u64) -> Millis {
         let interval = self.config.heartbeat_interval;
         interval + Millis(interval.0 / 4 + margin_ms)
     }
 
-    /// Machines that failed, never came up, or have been silent for too long. Deleting them is
-    /// also the proof that their tasks are gone.
+    /// Returns the machines that failed, never booted or are unresponsive. Their confirmed deletion also
+    /// proves that their tasks no longer run.
     pub(super) fn machines_to_decommission(
         &self,
         now: MonotonicTime,
@@ -44,8 +44,8 @@
         list
     }
 
-    /// Machines that sent no heartbeat for too long, but for those where it is rather the shard
-    /// owner that receives none.
+    /// Returns the machines without a heartbeat for longer than the timeout. Machines of a suspect shard
+    /// owner have a longer timeout, because the owner itself may be failing to receive heartbeats.
     fn silent(
         &self,
         now: MonotonicTime,
@@ -69,7 +69,7 @@
         list
     }
 
-    /// What each shard owner reports of the machines that are still its own.
+    /// Returns the heartbeats that each shard owner reports for the machines that it still owns.
     fn heartbeats_by_owner<'a>(
         &self,
         now: MonotonicTime,
@@ -96,12 +96,12 @@
     }
 }
 
-/// How many of some machines have sent their heartbeats.
+/// The number of machines in a group, and how many of them have missed a heartbeat.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct HeartbeatCounts {
-    /// All of them.
+    /// The number of machines.
     pub(super) machines: usize,
-    /// Those whose next heartbeat should have come by now.
+    /// The number of machines whose next heartbeat is overdue.
     pub(super) missed: usize,
 }
 
@@ -127,26 +127,29 @@
     }
 }
 
-/// What a shard owner reports of its machines.
+/// The heartbeats that a shard owner reports for its machines.
 #[derive(Debug, Default)]
 pub(super) struct OwnerHeartbeats<'a> {
-    /// Of all its machines.
+    /// The counts over all of its machines.
     pub(super) counts: HeartbeatCounts,
-    /// Machines that are silent for so long that they would be given up.
+    /// The machines that have been silent for longer than the unresponsive timeout.
     pub(super) silent: Vec<&'a MachineId>,
 }
 
 impl OwnerHeartbeats<'_> {
-    /// Whether it is rather the shard owner that receives nothing: most of its machines are silent,
-    /// or far more than of all others, though shards are dealt out over zones and types alike. The
-    /// first of them are silent for long while the most have a moment left, so what is missed
-    /// counts: otherwise many healthy machines would be deleted before it is clear.
+    /// Returns whether the shard owner itself probably fails to receive heartbeats: most of its machines are
+    /// silent, or a far larger part of them has missed heartbeats than of the other owners' machines. Shards
+    /// are spread evenly over zones and machine types, so a real outage affects all owners alike.
     ///
-    /// `others`: the machines of all other shard owners.
+    /// Missed heartbeats are compared because the first machines reach the timeout while most still have time
+    /// left. Comparing silent machines instead would delete many healthy machines before the owner is
+    /// suspect.
+    ///
+    /// `others` are the counts over the machines of all other shard owners.
     pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
         let HeartbeatCounts { machines, missed } = self.counts;
         let majority_is_silent = self.silent.len() > 1.max(machines / 2);
-        // More than an eighth, and more than three times the others' part.
+        // More than 1/8 of the machines, and more than 3 times the fraction of the other owners' machines.
         let far_more_than_others = 8 * missed > machines
             && missed > 3
             && missed * others.machines > 3 * others.missed * machines;
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -1,5 +1,5 @@
-//! How much capacity the jobs at hand need: services for all their replicas, arrays for as much
-//! as gets each done by its deadline.
+//! The capacity that the live jobs need: services for all their replicas, and arrays for finishing by their
+//! deadlines.
 
 use crate::config::Config;
 use crate::ids::UnixTime;
@@ -8,22 +8,22 @@
 use crate::protocol::JobKind;
 use crate::store::watch_cache::{LiveJob, WatchCache};
 
-/// The CPUs that jobs need at one moment, in thousandths.
+/// The CPU capacity that jobs need at one moment, in thousandths of a CPU.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
-    /// Of services and gangs, for all their tasks.
+    /// The need of services and gangs, for all their tasks.
     pub(super) services: u64,
-    /// Of arrays, for as much as gets each done by its deadline.
+    /// The need of arrays for finishing by their deadlines.
     pub(super) arrays: u64,
 }
 
 impl Load {
-    /// Of all jobs.
+    /// Returns the need of all jobs.
     pub(super) fn total(self) -> u64 {
         self.services + self.arrays
     }
 
-    /// The higher of both loads, services and arrays apart.
+    /// Returns the higher of both loads, separately for services and for arrays.
     pub(super) fn max(self, other: Self) -> Self {
         Self {
             services: self.services.max(other.services),
@@ -32,50 +32,53 @@
     }
 }
 
-/// An array's work that is left.
+/// The remaining work of an array.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Batch {
-    /// Seconds until it is due.
+    /// The time until the array is due, in seconds. Negative if it is late.
     pub(super) due_s: f64,
-    /// CPUs (in thousandths) that it can use at once.
+    /// The CPU capacity that the array can use at once, in thousandths of a CPU.
     pub(super) width: f64,
-    /// Predicted seconds of one task.
+    /// The predicted time in seconds for which one task takes a slot.
     pub(super) task_s: f64,
-    /// CPU seconds (in thousandths) left.
+    /// The remaining work in thousandths of a CPU second.
     pub(super) work: f64,
 }
 
-/// What all live jobs need.
+/// The demand of all live jobs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Demand {
-    /// The CPUs that they need at once.
+    /// The CPU capacity that the jobs need now.
     pub(super) load: Load,
-    /// The arrays among them, in the order in which they are served.
+    /// The remaining work of the arrays, in queue order.
     pub(super) batches: Vec<Batch>,
 }
 
-/// The part of a task's time that is kept in hand.
+/// The margin before a batch's due time, as a fraction of the time of one task.
 const DEADLINE_MARGIN_TASKS: f64 = 0.8;
-/// The part of a task's time that a batch takes at least.
+/// The shortest time planned for a batch, as a fraction of the time of one task.
 const MIN_BATCH_TIME_TASKS: f64 = 0.7;
-/// Seconds that a batch takes at least.
+/// The shortest time planned for a batch, in seconds.
 const MIN_BATCH_TIME_S: f64 = 1.0;
-/// What can't be in time any more is still to be done, within about this many seconds.
+/// The shortest time, in seconds, over which missing work is spread. Work that can no longer finish in time
+/// is planned to be done within about this time.
 const MIN_CATCH_UP_TIME_S: f64 = 15.0;
-/// Without a deadline or an objective, an array is due after so many task times, and a minute.
+/// The time until an array without a deadline or an objective is due, in task times.
+/// [`DEFAULT_DUE_MARGIN_S`] is added to it.
 const DEFAULT_DUE_TASKS: f64 = 4.0;
-/// The minute of it, in seconds.
+/// The fixed part, in seconds, of the time until an array without a deadline or an objective is due.
 const DEFAULT_DUE_MARGIN_S: f64 = 60.0;
 
-/// How many seconds a batch may take: its last tasks end apart, and estimates err.
+/// Returns the time in seconds that a batch may take. It ends before the due time, because the last tasks do
+/// not end together and estimates are inexact.
 fn available_time_s(batch: &Batch) -> f64 {
     (batch.due_s - DEADLINE_MARGIN_TASKS * batch.task_s)
         .max(MIN_BATCH_TIME_TASKS * batch.task_s)
         .max(MIN_BATCH_TIME_S)
 }
 
-/// The CPUs (in thousandths) that are lacking beside `capacity`, when machines that are rented now
-/// help only after `boot_s` seconds.
+/// Returns the CPU capacity, in thousandths of a CPU, that batches need beyond `capacity`, if machines that
+/// are rented now become usable after `boot_s` seconds.
 pub(super) fn cpu_shortfall(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
     let (mut work, mut width, mut shortfall) = (0.0, 0.0, 0.0f64);
     for batch in batches {
@@ -90,9 +93,10 @@
     shortfall
 }
 
-/// The CPUs (in thousandths) that finish every batch in time when they are served in this order: the work up to
-/// each, spread over the time that is left for it. A team's guaranteed quota may go before what is
-/// due sooner.
+/// Returns the CPU capacity, in thousandths of a CPU, that finishes every batch in time if the batches are
+/// served in this order: the largest ratio of the work up to and including a batch to the time left for that
+/// batch. The order is not always that of the due times, since work within a team's guaranteed quota may come
+/// before work that is due sooner.
 pub(super) fn required_cpus(batches: &[Batch]) -> f64 {
     let (mut work, mut width, mut required) = (0.0, 0.0, 0.0f64);
     for batch in batches {
@@ -103,8 +107,8 @@
     required
 }
 
-/// How many seconds a slot is taken by one task of a job, on average, with the time until the next
-/// one. The image's fetch counts half: later tasks find it there.
+/// Returns the mean time in seconds for which one task of a job takes a slot, including the time until the
+/// next task starts. The image's fetch time counts half, because later tasks find the image on the machine.
 pub(super) fn task_time_s(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
     let types = cache.catalog.iter().flat_map(|c| &c.value.types);
     let fetch = types
@@ -114,8 +118,9 @@
     predicted_s(job) + turnaround_s + 0.5 * job.spec.image_gb / fetch
 }
 
-/// In how many seconds an array is due: by its deadline or by those of the jobs that depend on it,
-/// else by the operators' objective for its pipeline. Without either there is no hurry, but an end.
+/// Returns the time in seconds until an array is due: by its deadline or the deadlines of its dependents,
+/// otherwise by the operators' objective for its pipeline. Without either, a default ensures that the array
+/// finishes eventually.
 fn due_s(unix_time: UnixTime, job: &LiveJob, task_s: f64, config: &Config) -> f64 {
     if let Some(finish_by) = job.urgency.finish_by {
         return (finish_by.0 as f64 - unix_time.0 as f64) / 1000.0;
@@ -126,7 +131,7 @@
     objective.map_or(default_s, |within| within.as_secs_f64()) - age_s
 }
 
-/// What the live jobs need now.
+/// Returns the current demand of the live jobs.
 pub(super) fn current_demand(
     unix_time: UnixTime,
     cache: &WatchCache,
@@ -153,7 +158,7 @@
         let width = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
         let cpus = need.milli_cpus as f64;
-        // Running tasks keep their slots whatever comes first; on average half of each is left.
+        // Running tasks keep their slots regardless of the queue order. On average, half of each is left.
         running_work += 0.5 * f64::from(running) * cpus * task_s;
         let work = f64::from(left - running) * cpus * task_s;
         batches.push(Batch {
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's part towards the cloud: keeping the catalog, renting machines for demand, returning
-//! idle ones, deleting those that never came up or went silent.
+//! Cloud management by the leader: fetches the machine catalog, rents machines for unmet demand, returns
+//! idle machines, and deletes those that never booted or became unresponsive.
 
 mod arrival_rate;
 mod autoscaler;
--- a/src/cloud/slot_turnaround.rs
+++ b/src/cloud/slot_turnaround.rs
@@ -1,19 +1,19 @@
-//! How long a slot is empty between two tasks of arrays.
+//! The time for which a slot stays empty between two array tasks.
 //!
-//! Each task is placed by a change of its machine's record, and one change places several. Where
-//! tasks end faster than records can be changed, slots wait until their machine's record is written
-//! again: that is time for which capacity has to be there, too.
+//! Tasks are placed by writing their machine's record, and one write can place several tasks. If tasks end
+//! faster than records can be written, empty slots wait for the next write of their machine's record. The
+//! capacity must be large enough to include this waiting time.
 
 use crate::placement::ARRAY_WRITE_SHARE;
 use crate::planning::predicted_s;
 use crate::protocol::JobKind;
 use crate::store::watch_cache::WatchCache;
 
-/// Seconds from a task's end to the start of the next one, where changes are plenty.
+/// The time in seconds from a task's end to the start of the next task when writes are not the bottleneck.
 const MIN_TURNAROUND_S: f64 = 3.0;
 
-/// The mean time in seconds for which a slot is empty. `store_write_rate`: the changes that the
-/// key-value store takes in a second.
+/// Returns the mean time in seconds for which a slot is empty. `store_write_rate` is the write rate that the
+/// key-value store accepts, in changes per second.
 pub(super) fn turnaround_s(cache: &WatchCache, store_write_rate: f64) -> f64 {
     let arrays = cache
         .jobs
@@ -28,9 +28,10 @@
     wait.max(MIN_TURNAROUND_S)
 }
 
-/// The mean time in seconds that an empty slot waits, with `ends` of tasks and `records` changes in
-/// a second. With `ends / records` tasks for each change, a machine waits for its record until so
-/// many slots are empty, of which on average half are: by Little's law the rest follows.
+/// Returns the mean time in seconds for which an empty slot waits, when `ends_per_s` tasks end and
+/// `writes_per_s` records are written per second. Each write refills `ends_per_s / writes_per_s` slots: a
+/// machine's record is written when that many of its slots are empty, so on average half as many are empty.
+/// Little's law gives the waiting time.
 fn wait_s(machines: f64, ends_per_s: f64, writes_per_s: f64) -> f64 {
     if ends_per_s <= writes_per_s {
         return 0.0;
