--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: settings that can be changed while the controllers run.
+//! Administration: settings that operators can change while the controllers run.
 
 mod settings;
 
--- a/src/admin/settings.rs
+++ b/src/admin/settings.rs
@@ -1,6 +1,5 @@
-//! Settings that operators change while the controllers run: they are kept in the key-value store,
-//! changed through the admin API only, and applied by every controller as its watch cache shows
-//! them.
+//! Settings that operators can change while the controllers run. They are stored in the key-value store and
+//! changed only through the admin API. Each controller applies them when its watch cache receives them.
 
 use crate::ids::Millis;
 use serde::{Deserialize, Serialize};
@@ -8,25 +7,29 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// The settings; those that are not stored have their defaults.
+/// The settings. A field that is missing in the stored settings has its default value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Settings {
-    /// Which of a pipeline's samples predicts its next run, from 0 to 1: 0.5 is the median.
+    /// The percentile of a pipeline's run-time samples that predicts its next run, from 0 to 1. 0.5 is the
+    /// median.
     pub percentile: f64,
-    /// The most jobs of one pipeline in a new placement group.
+    /// The largest number of jobs of one pipeline in a new placement group.
     pub group_cap: u32,
-    /// Samples of a machine type that a prediction or a step-down needs.
+    /// The number of run-time samples that a prediction requires. A placement group is moved to a weaker
+    /// machine type only if there are this many samples of that type.
     pub sample_count: u32,
-    /// Seconds until a controller's lease expires, and so those of its shards.
+    /// The time in seconds after which a controller's lease, and with it the ownership of its shards,
+    /// expires.
     pub lease_s: f64,
-    /// Seconds for which a machine may be silent, answering no probe either, before it is given up.
+    /// The time in seconds without a heartbeat or a response to a probe after which a machine is
+    /// decommissioned.
     pub silent_s: f64,
-    /// Seconds for which an unused machine is kept.
+    /// The time in seconds for which an unused machine is kept.
     pub idle_s: f64,
-    /// CPUs, as a part of what arrays need, kept for the next ones.
+    /// The spare CPU capacity for new arrays, as a fraction of the capacity that arrays need.
     pub array_spare: f64,
-    /// CPUs, as a part of what services use, kept free for their next starts.
+    /// The spare CPU capacity for new service replicas, as a fraction of the capacity that services need.
     pub service_spare: f64,
 }
 
@@ -45,7 +48,7 @@
     }
 }
 
-/// A setting's field, and the values that it may have.
+/// The range of values that a setting may have.
 struct SettingRange {
     field: &'static str,
     least: f64,
@@ -73,41 +76,41 @@
     SettingRange::new("service_spare", 0.0, 10.0),
 ];
 
-/// Why a change of settings is refused. The texts are shown to operators.
+/// The reason why a change of settings is refused. Its text is shown to operators.
 #[derive(Debug, Error)]
 pub(crate) enum InvalidChange {
-    /// The change is no object.
+    /// The change is not a JSON object.
     #[error("the body must be a JSON object of settings")]
     NotAnObject,
-    /// The settings as they are can't be written as JSON.
+    /// The current settings cannot be serialized as a JSON object.
     #[error("settings can't be read")]
     Unreadable,
-    /// There is no such setting.
+    /// No setting has this name.
     #[error("field `{0}` is not a setting")]
     UnknownField(String),
-    /// The value is no number.
+    /// The value is not a number.
     #[error("field `{0}` must be a number")]
     NotANumber(String),
-    /// The value has a fraction, and the setting is a count.
+    /// The value is not a non-negative integer, but the setting is a count.
     #[error("field `{0}` must be a whole number")]
     NotWhole(String),
     /// The value is too small or too large.
     #[error("field `{field}` must be from {least} to {most}")]
     OutOfRange {
-        /// The setting's field.
+        /// The name of the setting.
         field: String,
-        /// The least value that it may have.
+        /// The smallest valid value.
         least: f64,
-        /// The largest value that it may have.
+        /// The largest valid value.
         most: f64,
     },
-    /// The changed settings can't be read back.
+    /// The changed settings cannot be deserialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
 impl Settings {
-    /// These settings with a change applied. The error of a bad change names its field.
+    /// Returns these settings with a change applied. The error for an invalid value names its field.
     pub(crate) fn with_changes(&self, change: &Value) -> Result<Self, InvalidChange> {
         let Value::Object(change) = change else {
             return Err(InvalidChange::NotAnObject);
@@ -122,7 +125,7 @@
         Ok(serde_json::from_value(Value::Object(all))?)
     }
 
-    /// Checks one field of a change against its range and its old value.
+    /// Checks one field of a change against its range and against the number type of its old value.
     fn check(all: &Map<String, Value>, field: &str, value: &Value) -> Result<(), InvalidChange> {
         let range = RANGES.iter().find(|range| range.field == field);
         let (Some(range), Some(old)) = (range, all.get(field)) else {
@@ -144,7 +147,7 @@
         Ok(())
     }
 
-    /// The time until a controller's lease expires.
+    /// Returns the duration of a controller's lease.
     pub(crate) fn lease_duration(&self) -> Millis {
         Millis::from_secs(self.lease_s)
     }
--- a/src/admin/settings/tests.rs
+++ b/src/admin/settings/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn bad_change_names_its_field_and_good_one_is_applied() {
+fn invalid_change_names_its_field_and_valid_change_is_applied() {
     let old = Settings::default();
     for (change, field) in [
         (json!({"percentile": 2.0}), "percentile"),
@@ -31,9 +31,9 @@
     assert_eq!(new.lease_s, old.lease_s);
 }
 
-/// The errors are parts of the answers that operators get.
+/// The error texts are part of the responses that operators get, so they must not change.
 #[test]
-fn errors_keep_their_texts() {
+fn error_texts_are_unchanged() {
     let cases = [
         (json!([1]), "the body must be a JSON object of settings"),
         (json!({"colour": 1}), "field `colour` is not a setting"),
--- a/src/cloud/autoscaler/deletions/tests.rs
+++ b/src/cloud/autoscaler/deletions/tests.rs
@@ -7,12 +7,15 @@
 }
 
 #[test]
-fn deletion_is_repeated_until_it_is_confirmed() {
+fn deletion_is_retried_until_it_is_confirmed() {
     let mut deletions = Deletions::default();
     let id = machine(1);
     deletions.request(NOW, id.clone());
     assert_eq!(deletions.take_due(NOW), std::slice::from_ref(&id));
-    assert!(deletions.take_due(NOW).is_empty(), "an answer is awaited");
+    assert!(
+        deletions.take_due(NOW).is_empty(),
+        "the response is outstanding"
+    );
     assert_eq!(
         deletions.take_due(NOW + DELETION_TIMEOUT),
         std::slice::from_ref(&id)
--- a/src/cloud/autoscaler/incoming.rs
+++ b/src/cloud/autoscaler/incoming.rs
@@ -70,15 +70,15 @@
     /// Assigns as many tasks of a demand to these machines as fit, and returns the number of tasks that are
     /// left.
     pub(super) fn place(&mut self, unmet_demand: &UnmetDemand, spec: &JobSpec) -> u64 {
-        let mut left = unmet_demand.tasks;
+        let mut tasks_left = unmet_demand.tasks;
         for machine in &mut self.machines {
-            if left > 0 && machine.offer.is_allowed_by(spec) {
-                let tasks = unmet_demand.need.fit_count(machine.free).min(left);
+            if tasks_left > 0 && machine.offer.is_allowed_by(spec) {
+                let tasks = unmet_demand.need.fit_count(machine.free).min(tasks_left);
                 machine.free = machine.free - unmet_demand.need.times(tasks);
-                left -= tasks;
+                tasks_left -= tasks;
             }
         }
-        left
+        tasks_left
     }
 
     /// Returns the offers of all incoming machines, including those without unassigned capacity.
--- a/src/cloud/autoscaler/rentals/tests.rs
+++ b/src/cloud/autoscaler/rentals/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-/// Rentals of a term with one request that was sent.
+/// Returns the rentals of a term with one request that has been sent, and the name of that request.
 fn rentals_with_one_sent_request() -> (Rentals, String) {
     let mut rentals = Rentals::default();
     rentals.begin_term(Revision(7));
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -45,9 +45,16 @@
         }
         tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
-            let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
-            let rented =
-                self.rent_machines_for(now, &unmet_demand, left, &mut incoming, &catalog, cache);
+            let tasks_left =
+                tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
+            let rented = self.rent_machines_for(
+                now,
+                &unmet_demand,
+                tasks_left,
+                &mut incoming,
+                &catalog,
+                cache,
+            );
             if rented.is_break() {
                 return;
             }
@@ -83,19 +90,19 @@
         merge_compatible_demands(unmet_demands, cache)
     }
 
-    /// Requests machines for `left` tasks of a demand, from the cheapest offers that may be requested.
+    /// Requests machines for `tasks_left` tasks of a demand, from the cheapest offers that may be requested.
     /// Returns `Break` if no more requests may be added in this step.
     fn rent_machines_for(
         &mut self,
         now: MonotonicTime,
         unmet_demand: &UnmetDemand,
-        mut left: u64,
+        mut tasks_left: u64,
         incoming: &mut IncomingMachines,
         catalog: &Catalog,
         cache: &WatchCache,
     ) -> ControlFlow<()> {
-        while left > 0 {
-            let cheapest = cheapest_offer(&self.rentals, catalog, cache, unmet_demand, left);
+        while tasks_left > 0 {
+            let cheapest = cheapest_offer(&self.rentals, catalog, cache, unmet_demand, tasks_left);
             let Some(CheapestOffer {
                 machine_type,
                 offer,
@@ -106,11 +113,11 @@
             };
             let capacity = machine_type.capacity();
             let tasks_per_machine = unmet_demand.need.fit_count(capacity).max(1);
-            let machines = left.div_ceil(tasks_per_machine);
+            let machines = tasks_left.div_ceil(tasks_per_machine);
             let count = machines.min(MAX_MACHINES_PER_RENTAL.into()) as u32;
-            let covered = left.min(tasks_per_machine * u64::from(count));
+            let covered = tasks_left.min(tasks_per_machine * u64::from(count));
             let tasks_on_last = covered - tasks_per_machine * (u64::from(count) - 1);
-            left -= covered;
+            tasks_left -= covered;
             incoming.add(
                 offer.clone(),
                 capacity - unmet_demand.need.times(tasks_on_last),
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -21,15 +21,15 @@
     assert!(owner(300, 90, 20).is_owner_suspect(counts(600, 3)));
     assert!(
         owner(300, 200, 160).is_owner_suspect(counts(600, 400)),
-        "most of them"
+        "most of its machines are silent"
     );
     assert!(
         !owner(300, 90, 20).is_owner_suspect(counts(600, 170)),
-        "of all alike"
+        "the other owners miss as many heartbeats"
     );
     assert!(
         !owner(300, 20, 20).is_owner_suspect(counts(600, 2)),
-        "a few"
+        "it misses only a few heartbeats"
     );
     assert!(
         !owner(20, 3, 1).is_owner_suspect(counts(40, 0)),
@@ -37,7 +37,7 @@
     );
 }
 
-/// A watch cache with one machine, whose shard has an owner.
+/// Returns a watch cache with one machine whose shard has an owner.
 fn cache_with_machine(config: &Config, id: &MachineId) -> WatchCache {
     let mut cache = WatchCache::new(config);
     let shard = id.shard(config.shard_count());
@@ -63,7 +63,7 @@
     cache
 }
 
-/// The report of a machine that has been silent for far too long.
+/// Returns the health report of a machine that has been silent for longer than the timeout.
 fn silent_machine(id: &MachineId) -> MachineHealth {
     MachineHealth {
         machine: id.clone(),
@@ -77,8 +77,8 @@
     }
 }
 
-/// Found in an incident: while the key-value store was down, a machine that had gone silent
-/// was deleted at every step, since its record could not be removed.
+/// Guards against deleting a machine again in every step while its record still exists. This happened to an
+/// unresponsive machine while the key-value store was down, because its record could not be deleted.
 #[test]
 fn silent_machine_is_deleted_once_while_its_record_stays() {
     let config = sample_config();
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-/// Serves batches in their order, task by task, on a number of slots of 4 CPUs; returns
-/// the largest lateness as a part of a task.
+/// Simulates serving the batches in order, task by task, on slots of 4 CPUs. Returns the largest lateness of
+/// a batch as a multiple of its task time.
 fn worst_lateness(batches: &[Batch], cpus: f64) -> f64 {
     let mut slots = vec![0.0f64; (cpus / 4.0).ceil().max(1.0) as usize];
     let mut worst = f64::NEG_INFINITY;
@@ -41,7 +41,7 @@
     }
 }
 
-/// The load of one array, accepted just now.
+/// Returns the load of one array that has just been accepted.
 fn load_of(deadline_s: Option<f64>, objective: Option<Millis>) -> u64 {
     let mut config = sample_config();
     let mut spec = crate::protocol::tests::spec("job-000001");
@@ -62,8 +62,8 @@
     current_demand(accepted, &cache, &config, 3.0).load.arrays
 }
 
-/// Arrays without deadlines asked for nothing more than was there, while half of them missed the
-/// objective of their pipeline.
+/// Guards against arrays without deadlines that request no additional capacity even though their pipeline has
+/// an objective. Half of them missed the objective in that case.
 #[test]
 fn array_without_a_deadline_is_due_by_the_pipelines_objective() {
     let (soon, late) = (Millis(60_000), Millis(400_000));
@@ -72,6 +72,6 @@
     assert_eq!(
         load_of(Some(200.0), Some(soon)),
         load_of(Some(200.0), None),
-        "a deadline of its own comes first"
+        "the job's own deadline takes precedence"
     );
 }
--- a/src/cloud/slot_turnaround/tests.rs
+++ b/src/cloud/slot_turnaround/tests.rs
@@ -2,8 +2,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Machines of which the emptiest gets the next change, as the leader chooses them; the empty time
-/// is counted slot by slot.
+/// Simulates machines of which the one with the most empty slots gets the next write, as the leader chooses
+/// them, and measures the time for which each slot is empty.
 #[test]
 fn wait_agrees_with_a_simulation_of_empty_slots() {
     let (machines, slots, task_s, writes_per_s) = (300, 16, 40.0, 20.0);
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file, checked before anything starts.
+//! The settings file that the platform provides. It is checked before the controller starts.
 
 mod error;
 mod settings_file;
@@ -17,14 +17,16 @@
 use std::path::Path;
 use validation::{address, check_name, invalid, not_negative, positive};
 
-/// A page of the key-value store's lists in bytes, in full and with room for what it is wrapped in.
+/// The size in bytes of a full page of a key-value store list, with room for the enclosing response. Response
+/// limits are not set below it.
 const STORE_PAGE_BYTES: f64 = 1024.0 * 1024.0;
-/// Parsed, an answer takes several times its size; that must stay a small part of the memory.
+/// The size limit for a response of the key-value store, as a fraction of the process's memory. A parsed
+/// response takes several times its size, and that must remain a small part of the memory.
 const MAX_RESPONSE_MEMORY_SHARE: f64 = 1.0 / 32.0;
-/// Fewer sockets don't suffice for peers, workers and users.
+/// The smallest socket quota that suffices for peers, workers and users.
 const MIN_SOCKETS: usize = 64;
 const SHARDS_PER_CONTROLLER: u32 = 2;
-/// How long work within a guarantee may wait when no objective says so, in seconds.
+/// The time in seconds for which work within a guaranteed quota may wait if no objective states it.
 const DEFAULT_GUARANTEE_WAIT_S: f64 = 10.0;
 
 /// The checked settings of one controller.
@@ -34,43 +36,43 @@
     pub(crate) member: MemberId,
     /// The zone that it runs in.
     pub(crate) zone: Zone,
-    /// Where it serves HTTP.
+    /// The address on which it serves HTTP.
     pub(crate) listen: SocketAddr,
-    /// Where it accepts the links of its peers.
+    /// The address on which it accepts connections from its peers.
     pub(crate) peer_listen: SocketAddr,
-    /// The other controllers, and where they accept links.
+    /// The other controllers, with the addresses on which they accept connections from peers.
     pub(crate) peers: BTreeMap<MemberId, SocketAddr>,
     /// The cloud's address.
     pub(crate) cloud_addr: SocketAddr,
     /// The key-value store's address.
     pub(crate) store_addr: SocketAddr,
-    /// All controllers, this one included.
+    /// The number of controllers, including this one.
     pub(crate) controller_count: u32,
     /// The teams with their quotas.
     pub(crate) teams: BTreeMap<TeamId, TeamQuota>,
-    /// Time between two heartbeats of a worker.
+    /// The time between two heartbeats of a worker.
     pub(crate) heartbeat_interval: Millis,
-    /// Without an answer for so long a worker drops its tasks.
+    /// The lease of a worker: without a heartbeat response for this time, it drops its tasks.
     pub(crate) worker_lease: Millis,
-    /// How long a gang's tasks wait for each other.
+    /// The time for which the tasks of a gang wait for each other to start.
     pub(crate) gang_start_timeout: Millis,
-    /// Within this time all tasks of a cancelled job must be gone.
+    /// The time within which all tasks of a cancelled job must have ended.
     pub(crate) cancellation_timeout: Millis,
-    /// How long work within a guarantee waits before room is made for it: half of what the
-    /// operators are held to.
+    /// The time for which work within a guaranteed quota waits before other work is preempted for it: half of
+    /// the waiting time that the operators' objective allows.
     pub(crate) guarantee_preemption_delay: Millis,
-    /// Within this time the operators want the jobs of a pipeline done: the shortest of their
-    /// objectives for it.
+    /// The time within which the jobs of each pipeline should finish: the shortest of the operators'
+    /// objectives for the pipeline.
     pub(crate) finish_within: BTreeMap<Pipeline, Millis>,
     /// The limits of the key-value store.
     pub(crate) store_limits: StoreLimits,
-    /// Requests that the cloud takes in a second.
+    /// The request rate that the cloud accepts, in requests per second.
     pub(crate) cloud_rps: f64,
-    /// How old the cloud's list of machines may be.
+    /// The largest age of the information in the cloud's list of machines.
     pub(crate) list_lag: Millis,
-    /// Sockets that the process may have open.
+    /// The number of sockets that the process may have open.
     pub(crate) max_sockets: usize,
-    /// The largest answer of the key-value store that is read at once, in bytes.
+    /// The largest response of the key-value store that is accepted, in bytes.
     pub(crate) max_response_bytes: usize,
 }
 
@@ -79,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Read`] if the file can't be read, and whatever [`Config::parse`] returns.
+    /// Returns [`ConfigError::Read`] if the file cannot be read, and the errors of [`Config::parse`].
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.display().to_string(),
@@ -88,15 +90,14 @@
         Self::parse(&text)
     }
 
-    /// Checks the text of a settings file: a JSON object. Fields that are not known are ignored.
-    /// Fields that end in `_s` are in seconds, `_kb` in KiB, `_mb` in MiB; `rps` is a rate for a
-    /// second.
+    /// Parses and checks the text of a settings file, which is a JSON object. Unknown fields are ignored.
+    /// Fields that end in `_s` are in seconds, `_kb` in KiB and `_mb` in MiB. `rps` is a rate per second.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Parse`] if the text is not JSON, lacks a field or has one of the wrong type;
-    /// [`ConfigError::Invalid`] for the first field whose value is out of its range or contradicts
-    /// another one.
+    /// Returns [`ConfigError::Parse`] if the text is not JSON, lacks a field or has a field of the wrong
+    /// type, and [`ConfigError::Invalid`] for the first field whose value is out of range or contradicts
+    /// another field.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: SettingsFile = serde_json::from_str(text)?;
         check_name("member", &file.member)?;
@@ -130,21 +131,21 @@
         })
     }
 
-    /// How many shards the machines are divided into: two for each controller, so that the machines
-    /// of one that ends spread over the others.
+    /// Returns the number of shards that the machines are divided into: two for each controller, so that the
+    /// machines of a failed controller are spread over the others.
     pub(crate) fn shard_count(&self) -> u32 {
         self.controller_count * SHARDS_PER_CONTROLLER
     }
 
-    /// Tasks in one record of a completion counter: four fit into a byte of it, and the rest
-    /// of the value is left free. The same for all versions of the program, whatever limits come
-    /// later: the numbering of what is stored rests on it.
+    /// Returns the number of tasks in one segment record of a completion counter. Four tasks fit into a byte,
+    /// and the rest of the value stays free. The number must be the same in all versions of the program and
+    /// must not depend on later limits, because stored segments are numbered by it.
     pub(crate) fn tasks_per_segment(&self) -> u32 {
         (self.store_limits.present_value_bytes as u32).clamp(1024, 65_536)
     }
 }
 
-/// `others`: the peers of `member`.
+/// Checks `others`, the peers of `member`.
 fn peers(
     member: &str,
     entries: &[PeerEntry],
@@ -162,7 +163,7 @@
     Ok(peers)
 }
 
-/// `params.teams`.
+/// Checks `params.teams`.
 fn teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, TeamQuota>, ConfigError> {
     let mut teams = BTreeMap::new();
     for (index, entry) in entries.iter().enumerate() {
@@ -191,7 +192,7 @@
         ("gpus_max", entry.gpus, entry.gpus_max),
     ];
     for (name, guarantee, limit) in quotas {
-        // A limit of 0 means none.
+        // A limit of 0 means that there is no limit.
         if limit > 0.0 && limit < guarantee {
             return invalid(&field(name), "a limit is below the guarantee");
         }
@@ -199,7 +200,7 @@
     Ok(())
 }
 
-/// `params.objectives`: the shortest time for each pipeline whose jobs should be done in time.
+/// Returns the shortest finish time in `params.objectives` for each pipeline that has one.
 fn finish_within(objectives: &[ObjectiveEntry]) -> BTreeMap<Pipeline, Millis> {
     let mut shortest: BTreeMap<Pipeline, Millis> = BTreeMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "finished") {
@@ -213,7 +214,7 @@
     shortest
 }
 
-/// `params.objectives`: half of the time within which guarantees are to be met.
+/// Returns half of the time within which `params.objectives` requires guarantees to be met.
 fn guarantee_preemption_delay(objectives: &[ObjectiveEntry]) -> Millis {
     let within_s = objectives
         .iter()
@@ -222,18 +223,18 @@
     Millis::from_secs(within_s.unwrap_or(DEFAULT_GUARANTEE_WAIT_S) / 2.0)
 }
 
-/// A time above 0 that the file gives in seconds.
+/// Converts a time in seconds, which must be above 0.
 fn duration(field: &str, seconds: f64) -> Result<Millis, ConfigError> {
     Ok(Millis::from_secs(positive(field, seconds)?))
 }
 
-/// `params.cloud.list_lag_s`.
+/// Checks `params.cloud.list_lag_s`.
 fn list_lag(seconds: f64) -> Result<Millis, ConfigError> {
     let seconds = not_negative("params.cloud.list_lag_s", seconds)?;
     Ok(Millis::from_secs(seconds))
 }
 
-/// `params.quota.sockets`.
+/// Checks `params.quota.sockets`.
 fn check_sockets(quota: &QuotaSection) -> Result<(), ConfigError> {
     if quota.sockets < MIN_SOCKETS {
         return invalid("params.quota.sockets", "must be at least 64");
@@ -241,7 +242,7 @@
     Ok(())
 }
 
-/// `params.quota.ram_mb`: how much of it an answer of the key-value store may take, in bytes.
+/// Returns the size limit for a response of the key-value store in bytes, based on `params.quota.ram_mb`.
 fn max_response_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
     let memory_bytes = positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
     Ok((memory_bytes * MAX_RESPONSE_MEMORY_SHARE).max(STORE_PAGE_BYTES) as usize)
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,25 +1,25 @@
-//! Why a settings file was not accepted.
+//! The error type for settings files.
 
-/// Why a settings file was not accepted. Its `Display` text is one line.
+/// The reason why a settings file was rejected. Its `Display` text is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// The file's path as it was given.
+        /// The path of the file, as the caller passed it.
         path: String,
-        /// The error of the operating system.
+        /// The error that the operating system returned.
         source: std::io::Error,
     },
-    /// The file is not JSON, lacks a field, or has one of the wrong type.
+    /// The file is not JSON, lacks a field or has a field of the wrong type.
     #[error("settings file: {0}")]
     Parse(#[from] serde_json::Error),
-    /// A field's value is out of its range or contradicts another one.
+    /// A field's value is out of range or contradicts another field.
     #[error("settings field `{field}`: {problem}")]
     Invalid {
         /// The field's path in the file, such as `params.workers.lease_s` or `others[0].addr`.
         field: String,
-        /// What its value must be.
+        /// The requirement that the value violates.
         problem: &'static str,
     },
 }
--- a/src/config/settings_file.rs
+++ b/src/config/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file as the platform writes it. Fields that are not named here are ignored.
+//! The format of the settings file that the platform writes. Unknown fields are ignored.
 
 use serde::Deserialize;
 
@@ -9,15 +9,15 @@
     pub(super) member: String,
     /// The zone that it runs in.
     pub(super) area: String,
-    /// Where it serves HTTP.
+    /// The address on which it serves HTTP.
     pub(super) bind: String,
-    /// Where it accepts the links of its peers.
+    /// The address on which it accepts connections from its peers.
     pub(super) peer_bind: String,
-    /// Its peers.
+    /// The other controllers.
     pub(super) others: Vec<PeerEntry>,
-    /// The services that it calls.
+    /// The addresses of the services that it calls.
     pub(super) services: ServicesSection,
-    /// What it shares with its peers.
+    /// The settings that all controllers share.
     pub(super) params: ParamsSection,
 }
 
@@ -26,20 +26,20 @@
 pub(super) struct PeerEntry {
     /// The peer's name.
     pub(super) member: String,
-    /// Where it accepts links.
+    /// The address on which it accepts connections from peers.
     pub(super) addr: String,
 }
 
-/// `services`: addresses.
+/// The `services` section: addresses of other services.
 #[derive(Deserialize)]
 pub(super) struct ServicesSection {
-    /// The cloud.
+    /// The address of the cloud.
     pub(super) cloud: String,
-    /// The key-value store.
+    /// The address of the key-value store.
     pub(super) state: String,
 }
 
-/// `params`.
+/// The `params` section.
 #[derive(Deserialize)]
 pub(super) struct ParamsSection {
     /// The teams with their quotas.
@@ -47,97 +47,98 @@
     /// The service-level objectives.
     #[serde(default)]
     pub(super) objectives: Vec<ObjectiveEntry>,
-    /// Times that workers and tasks keep to.
+    /// Timeouts and intervals of workers and tasks.
     pub(super) workers: WorkersSection,
     /// Limits of the key-value store.
     pub(super) state: StateSection,
     /// Limits of the cloud.
     pub(super) cloud: CloudSection,
-    /// What the process itself may use.
+    /// The resources that the controller process may use.
     pub(super) quota: QuotaSection,
 }
 
-/// An entry of `params.teams`. 0 means no guarantee or no limit.
+/// An entry of `params.teams`. An amount of 0 means that there is no guarantee or no limit.
 #[derive(Deserialize)]
 pub(super) struct TeamEntry {
     /// The team's name.
     pub(super) name: String,
-    /// Guaranteed CPUs.
+    /// The guaranteed number of CPUs.
     pub(super) cpus: f64,
-    /// Most CPUs.
+    /// The largest number of CPUs that the team may use.
     pub(super) cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// The guaranteed number of GPUs.
     pub(super) gpus: f64,
-    /// Most GPUs.
+    /// The largest number of GPUs that the team may use.
     pub(super) gpus_max: f64,
 }
 
 /// An entry of `params.objectives`.
 #[derive(Deserialize)]
 pub(super) struct ObjectiveEntry {
-    /// What is to happen in time.
+    /// The event that must happen in time, such as `finished` or `guarantee`.
     pub(super) kind: String,
-    /// The jobs that it applies to.
+    /// The class of jobs that the objective applies to. `finished` objectives name a pipeline here.
     pub(super) class: Option<String>,
-    /// Within how many seconds.
+    /// The time within which the event must happen, in seconds.
     pub(super) within_s: Option<f64>,
 }
 
-/// `params.workers`, in seconds.
+/// The `params.workers` section. All values are in seconds.
 #[derive(Deserialize)]
 pub(super) struct WorkersSection {
-    /// Time between two heartbeats.
+    /// The time between two heartbeats.
     pub(super) report_s: f64,
-    /// How long a worker without an answer keeps its tasks.
+    /// The time for which a worker keeps its tasks without a heartbeat response.
     pub(super) lease_s: f64,
-    /// How long a gang's tasks wait for each other.
+    /// The time for which the tasks of a gang wait for each other to start.
     pub(super) gang_wait_s: f64,
-    /// How long the tasks of a cancelled job may still run.
+    /// The time for which the tasks of a cancelled job may continue to run.
     pub(super) cancel_s: f64,
 }
 
-/// `params.state`.
+/// The `params.state` section.
 #[derive(Deserialize)]
 pub(super) struct StateSection {
-    /// Requests in a second.
+    /// The request rate in requests per second.
     pub(super) rps: f64,
-    /// Changes in a second.
+    /// The write rate in key changes per second.
     pub(super) write_rps: f64,
-    /// Largest value, in KiB.
+    /// The size of the largest value in KiB.
     pub(super) value_kb: f64,
-    /// Most operations in a transaction.
+    /// The largest number of operations in a transaction.
     pub(super) txn_ops: usize,
-    /// The limits after a change that is to come.
+    /// The limits after an upcoming change. `None` if no change is planned.
     pub(super) next: Option<NextStateSection>,
 }
 
-/// `params.state.next`, with the units of [`StateSection`]. What is missing stays as it is.
+/// The `params.state.next` section, with the units of [`StateSection`]. Missing fields keep their current
+/// value.
 #[derive(Deserialize)]
 pub(super) struct NextStateSection {
-    /// Requests in a second.
+    /// The request rate in requests per second.
     pub(super) rps: Option<f64>,
-    /// Changes in a second.
+    /// The write rate in key changes per second.
     pub(super) write_rps: Option<f64>,
-    /// Largest value, in KiB.
+    /// The size of the largest value in KiB.
     pub(super) value_kb: Option<f64>,
-    /// Most operations in a transaction.
+    /// The largest number of operations in a transaction.
     pub(super) txn_ops: Option<usize>,
 }
 
-/// `params.cloud`.
+/// The `params.cloud` section.
 #[derive(Deserialize)]
 pub(super) struct CloudSection {
-    /// Requests in a second.
+    /// The request rate in requests per second.
     pub(super) rps: f64,
-    /// How old the cloud's list of machines may be, in seconds.
+    /// The largest age of the information in the cloud's list of machines, in seconds.
     pub(super) list_lag_s: f64,
 }
 
-/// `params.quota`.
+/// The `params.quota` section.
 #[derive(Deserialize)]
 pub(super) struct QuotaSection {
-    /// Memory of the process, in MiB.
+    /// The memory of the process in MiB.
     pub(super) ram_mb: f64,
-    /// Open sockets of the process.
+    /// The number of sockets that the process may have open.
     pub(super) sockets: usize,
 }
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -1,27 +1,28 @@
-//! The limits of the key-value store: those in force, and those that will be at some later moment.
+//! The limits of the key-value store: the current ones, and those after an upcoming change.
 
 use super::ConfigError;
 use super::settings_file::{NextStateSection, StateSection};
 use super::validation::{invalid, positive};
 
-/// A transaction needs room for a shard's or a job's records and what goes with them.
+/// The smallest accepted limit for operations in a transaction. A transaction must have room for the records
+/// of a shard or a job and for the operations that accompany them.
 const MIN_TXN_OPS: usize = 4;
-/// Below this a record of a job or a machine may not fit.
+/// The smallest accepted limit for the size of a value in KiB. A job or machine record may not fit into less.
 const MIN_VALUE_KB: f64 = 1.0;
-/// No value comes near this.
+/// The exclusive upper bound for `value_kb`, far above any real limit.
 const VALUE_KB_LIMIT: f64 = 1e6;
 
-/// What the key-value store takes in a second.
+/// The rates that the key-value store accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StoreRates {
-    /// Requests in a second, whatever they hold.
+    /// Requests per second, regardless of their content.
     pub requests: f64,
-    /// Changes of keys in a second.
+    /// Key changes per second.
     pub writes: f64,
 }
 
 impl StoreRates {
-    /// Chooses between the two sets' rates, kind by kind.
+    /// Combines two sets of rates by applying `choose` to each kind of rate.
     fn combine(self, other: Self, choose: fn(f64, f64) -> f64) -> Self {
         Self {
             requests: choose(self.requests, other.requests),
@@ -30,21 +31,21 @@
     }
 }
 
-/// What may be asked of the key-value store, now and later. The moment of the change is not
-/// announced: sizes keep to the smaller limits from the start, while rates follow the larger ones
-/// until the service refuses.
+/// The limits of the key-value store, now and after an upcoming change. The time of the change is not
+/// announced. Sizes therefore follow the smaller limits from the start, while rates follow the larger limits
+/// until the store refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StoreLimits {
-    /// The largest value that both the present and the later limits take, in bytes.
+    /// The size in bytes of the largest value that both the present and the later limits allow.
     pub value_bytes: usize,
-    /// The most operations in a transaction that both take.
+    /// The largest number of operations in a transaction that both the present and the later limits allow.
     pub txn_ops: usize,
-    /// The larger of the rates, used until the service refuses.
+    /// The larger of the present and the later rates, used until the store refuses a request.
     pub rates: StoreRates,
-    /// The smaller of them, used from then on.
+    /// The smaller of the present and the later rates, used after the store has refused a request.
     pub min_rates: StoreRates,
-    /// The largest value at present, in bytes. Layouts of stored records follow from it, so that
-    /// all versions of the program agree on them.
+    /// The size in bytes of the largest value that the present limits allow. The layout of stored records is
+    /// derived from it, so that all versions of the program use the same layout.
     pub present_value_bytes: usize,
 }
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes the later limits into account: checks `params.state.next`.
+    /// Checks `params.state.next` and combines its limits with the present ones.
     fn with_next(self, now: &StateSection, next: &NextStateSection) -> Result<Self, ConfigError> {
         let later_rates = StoreRates {
             requests: positive("params.state.next.rps", next.rps.unwrap_or(now.rps))?,
@@ -95,7 +96,7 @@
     }
 }
 
-/// The largest value in bytes, from KiB.
+/// Checks a size limit for values in KiB and converts it to bytes.
 fn value_bytes(field: &str, kb: f64) -> Result<usize, ConfigError> {
     if (MIN_VALUE_KB..VALUE_KB_LIMIT).contains(&kb) {
         Ok((kb * 1024.0) as usize)
--- a/src/config/store_limits/tests.rs
+++ b/src/config/store_limits/tests.rs
@@ -48,8 +48,8 @@
     assert!(error.contains("invalid type"), "{error}");
 }
 
-/// The numbering of a completion counter's segments is part of what is stored: it must not follow
-/// from limits that only a later version of the program knows.
+/// The segment numbers of a completion counter are stored, so they must not depend on limits that only later
+/// versions of the program know.
 #[test]
 fn counter_segment_size_is_independent_of_later_limits() {
     let mut file = sample();
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -1,18 +1,17 @@
-//! What a team is guaranteed and may use.
+//! The guaranteed quota and the quota limit of a team.
 
 use crate::ids::Resources;
 
-/// A team's guaranteed quota and quota limit: an amount of each kind of resource, or none. Without
-/// a limit a team may use any amount of that kind. Without a guarantee of a kind, what a job takes
-/// of that kind does not count: a guarantee of GPUs is not broken by the CPUs that tasks with GPUs
-/// need as well.
+/// A team's guaranteed quota and quota limit: an optional amount for each kind of resource. Without a limit
+/// for a kind, the team may use any amount of it. If a kind has no guarantee, the amount that a job uses of
+/// it does not count: a guarantee of GPUs is not exceeded by the CPUs that tasks with GPUs also need.
 #[derive(Debug, Clone)]
 pub(crate) struct TeamQuota {
     guarantee: [Option<u64>; 2],
     limit: [Option<u64>; 2],
 }
 
-/// The kinds that guarantees and limits are given in. Memory has neither.
+/// Returns the amounts of the kinds that have quotas: CPUs and GPUs. Memory has no quota.
 fn quota_kinds(amounts: Resources) -> [u64; 2] {
     [amounts.milli_cpus, amounts.milli_gpus]
 }
@@ -22,7 +21,7 @@
 }
 
 impl TeamQuota {
-    /// A team with these quotas. An amount of 0 means none.
+    /// Returns a quota with this guarantee and limit. An amount of 0 means that there is none.
     pub(crate) fn new(guarantee: Resources, limit: Resources) -> Self {
         Self {
             guarantee: nonzero_amounts(guarantee),
@@ -30,7 +29,7 @@
         }
     }
 
-    /// What it may use; the largest amount of a kind without a limit.
+    /// Returns the resources that the team may use. Kinds without a limit have the largest possible amount.
     pub(crate) fn limit(&self) -> Resources {
         let [cpus, gpus] = self.limit.map(|limit| limit.unwrap_or(u64::MAX));
         Resources {
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Whether the guarantee covers any kind that a task needs.
+    /// Returns whether the guarantee covers any kind of resource that a task needs.
     pub(crate) fn has_guarantee_for(&self, need: Resources) -> bool {
         self.guarantee
             .iter()
@@ -48,7 +47,8 @@
             .any(|(guarantee, need)| guarantee.is_some() && need > 0)
     }
 
-    /// Whether a use goes beyond the guarantee in any kind, those without a guarantee included.
+    /// Returns whether the usage exceeds the guarantee in any kind. Any usage of a kind without a guarantee
+    /// exceeds it.
     pub(crate) fn is_guarantee_exceeded(&self, used: Resources) -> bool {
         self.guarantee
             .iter()
@@ -56,7 +56,7 @@
             .any(|(guarantee, used)| used > guarantee.unwrap_or(0))
     }
 
-    /// Whether a sum of needs stays within the guarantee, of the kinds that have one.
+    /// Returns whether a sum of needs is within the guarantee. Only kinds with a guarantee are compared.
     pub(crate) fn is_within_guarantee(&self, sum: Resources) -> bool {
         self.guarantee
             .iter()
@@ -67,7 +67,7 @@
 
 #[cfg(test)]
 impl TeamQuota {
-    /// A team with quotas of CPUs alone, in thousandths.
+    /// Returns a quota for CPUs only, in thousandths of a CPU.
     pub(crate) fn of_cpus(guarantee: u64, limit: u64) -> Self {
         let cpus = |cpus| Resources {
             milli_cpus: cpus,
--- a/src/config/team/tests.rs
+++ b/src/config/team/tests.rs
@@ -8,7 +8,8 @@
     }
 }
 
-/// A limit of 0 CPUs once refused every job of teams that have limits of GPUs alone.
+/// Guards against treating a missing CPU limit as a limit of 0 CPUs. That refused every job of teams that
+/// have a limit for GPUs only.
 #[test]
 fn limit_of_gpus_alone_leaves_cpus_unlimited() {
     let team = TeamQuota::new(amounts(0, 60), amounts(0, 250));
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A valid settings file.
+/// Returns a valid settings file.
 pub(crate) fn sample() -> serde_json::Value {
     serde_json::json!({
         "member": "c0", "area": "a", "bind": "127.0.0.1:1", "peer_bind": "127.0.0.1:2",
@@ -21,7 +21,7 @@
     })
 }
 
-/// The checked settings of [`sample`].
+/// Returns the checked settings of [`sample`].
 pub(crate) fn sample_config() -> Config {
     Config::parse(&sample().to_string()).expect("the sample is valid")
 }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn shortest_finish_objective_of_a_pipeline_applies() {
+fn shortest_finish_objective_of_a_pipeline_is_used() {
     let mut file = sample();
     file["params"]["objectives"] = serde_json::json!([
         {"kind": "finished", "class": "clean", "within_s": 150.0, "share": 0.98},
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,13 +1,13 @@
-//! Checks of single values of the settings file. Each names its field when the value is not valid.
+//! Checks for single values of the settings file. Each error names the invalid field.
 
 use super::ConfigError;
 use std::net::SocketAddr;
 
 const MAX_NAME_BYTES: usize = 100;
-/// No rate, time or amount comes near this.
+/// The exclusive upper bound for numbers, far above any real rate, time or amount.
 const NUMBER_LIMIT: f64 = 1e9;
 
-/// The error for a field's value.
+/// Returns the error for an invalid value of a field.
 pub(super) fn invalid<T>(field: &str, problem: &'static str) -> Result<T, ConfigError> {
     Err(ConfigError::Invalid {
         field: field.to_owned(),
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// Reads an IP address with its port.
+/// Parses an IP address with its port.
 pub(super) fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().or_else(|_| {
         invalid(
--- a/src/episodes.rs
+++ b/src/episodes.rs
@@ -1,43 +1,43 @@
-//! Episodes of an event that repeats, such as refusals: the log says when one begins and when it is
-//! over, with a count, in place of a line for each event.
+//! Grouping of repeated events, such as refusals, into episodes. The log gets one line at the start and one
+//! at the end of an episode, with the number of events, instead of a line for each event.
 
 use crate::ids::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// One run of the same event.
+/// A sequence of events of the same kind without a long pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Episode {
-    /// Its first event.
+    /// The time of the first event.
     pub(crate) since: MonotonicTime,
-    /// Its latest event.
+    /// The time of the latest event.
     pub(crate) last: MonotonicTime,
-    /// How many events there were.
+    /// The number of events.
     pub(crate) count: u64,
-    /// Whether its beginning was logged.
+    /// Whether the start of the episode has been logged.
     announced: bool,
 }
 
 impl Episode {
-    /// The time between its first and its latest event.
+    /// Returns the time between the first and the latest event.
     pub(crate) fn duration(&self) -> Millis {
         self.last.since(self.since)
     }
 }
 
-/// The episodes that are not over, by what they concern.
+/// The open episodes, by the subject of their events.
 #[derive(Debug)]
 pub(crate) struct Episodes<K> {
     open: BTreeMap<K, Episode>,
-    /// An episode is worth a line once it has lasted so long.
+    /// The duration from which on an episode is logged.
     announce_after: Millis,
-    /// An episode without an event for so long is over.
+    /// The time without an event after which an episode is over.
     quiet_after: Millis,
-    /// Bounds the number of open episodes. What comes beyond it is not followed.
+    /// The largest number of open episodes. Events that would open another one are ignored.
     capacity: usize,
 }
 
 impl<K: Ord + Clone> Episodes<K> {
-    /// No episodes.
+    /// Returns a collection without open episodes.
     pub(crate) fn new(announce_after: Millis, quiet_after: Millis, capacity: usize) -> Self {
         Self {
             open: BTreeMap::new(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Counts an event. Returns the episode if its beginning is to be logged now.
+    /// Counts an event. Returns the episode if the caller must log its start now.
     pub(crate) fn record(&mut self, now: MonotonicTime, key: &K) -> Option<Episode> {
         if !self.open.contains_key(key) && self.open.len() >= self.capacity {
             return None;
@@ -67,12 +67,12 @@
         Some(*episode)
     }
 
-    /// Ends an episode. Returns it if its beginning was logged.
+    /// Ends an episode. Returns it if its start was logged.
     pub(crate) fn end(&mut self, key: &K) -> Option<Episode> {
         self.open.remove(key).filter(|episode| episode.announced)
     }
 
-    /// Ends the episodes that are over. Returns those whose beginning was logged.
+    /// Removes the episodes that are over. Returns those whose start was logged.
     pub(crate) fn take_ended(&mut self, now: MonotonicTime) -> Vec<(K, Episode)> {
         let is_over = |episode: &Episode| now.since(episode.last) >= self.quiet_after;
         let over = self.open.iter().filter(|(_, episode)| is_over(episode));
@@ -83,7 +83,7 @@
         over.into_iter().filter(|(_, e)| e.announced).collect()
     }
 
-    /// When the oldest open episode began.
+    /// Returns the start of the oldest open episode.
     pub(crate) fn oldest_start(&self) -> Option<MonotonicTime> {
         self.open.values().map(|episode| episode.since).min()
     }
--- a/src/episodes/tests.rs
+++ b/src/episodes/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn open_episodes_are_bounded() {
+fn number_of_open_episodes_is_limited() {
     let mut episodes = episodes(2);
     for key in 0..100 {
         episodes.record(MonotonicTime(u64::from(key)), &key);
