--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -149,7 +149,7 @@
     pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
         let HeartbeatCounts { machines, missed } = self.counts;
         let majority_is_silent = self.silent.len() > 1.max(machines / 2);
-        // More than 1/8 of the machines, and more than 3 times the fraction of the other owners' machines.
+        // More than 1/8 of the machines missed a heartbeat, a fraction more than 3 times that of the others.
         let far_more_than_others = 8 * missed > machines
             && missed > 3
             && missed * others.machines > 3 * others.missed * machines;
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -95,8 +95,8 @@
 
 /// Returns the CPU capacity, in thousandths of a CPU, that finishes every batch in time if the batches are
 /// served in this order: the largest ratio of the work up to and including a batch to the time left for that
-/// batch. The order is not always that of the due times, since work within a team's guaranteed quota may come
-/// before work that is due sooner.
+/// batch, but no more than the batches can use at once. The order is not always that of the due times, since
+/// work within a team's guaranteed quota may come before work that is due sooner.
 pub(super) fn required_cpus(batches: &[Batch]) -> f64 {
     let (mut work, mut width, mut required) = (0.0, 0.0, 0.0f64);
     for batch in batches {
