--- a/src/admin/settings.rs
+++ b/src/admin/settings.rs
@@ -65,7 +65,7 @@
     }
 }
 
-const RANGES: [SettingRange; 8] = [
+const SETTING_RANGES: [SettingRange; 8] = [
     SettingRange::new("percentile", 0.0, 1.0),
     SettingRange::new("group_cap", 1.0, 1000.0),
     SettingRange::new("sample_count", 1.0, 1000.0),
@@ -127,7 +127,7 @@
 
     /// Checks one field of a change against its range and against the number type of its old value.
     fn check(all: &Map<String, Value>, field: &str, value: &Value) -> Result<(), InvalidChange> {
-        let range = RANGES.iter().find(|range| range.field == field);
+        let range = SETTING_RANGES.iter().find(|range| range.field == field);
         let (Some(range), Some(old)) = (range, all.get(field)) else {
             return Err(InvalidChange::UnknownField(field.to_owned()));
         };
--- a/src/admin/settings/tests.rs
+++ b/src/admin/settings/tests.rs
@@ -6,7 +6,7 @@
     let Ok(Value::Object(all)) = serde_json::to_value(Settings::default()) else {
         panic!("not an object");
     };
-    assert_eq!(all.len(), RANGES.len());
+    assert_eq!(all.len(), SETTING_RANGES.len());
     for (field, value) in &all {
         assert!(Settings::check(&all, field, value).is_ok(), "{field}");
     }
--- a/src/cloud/arrival_rate.rs
+++ b/src/cloud/arrival_rate.rs
@@ -55,7 +55,7 @@
 
     /// Returns the CPU capacity, in thousandths of a CPU, that keeps up with the arrivals. Returns 0 until a
     /// whole window has been observed.
-    pub(super) fn cpus(&self, now: UnixTime) -> u64 {
+    pub(super) fn required_cpus(&self, now: UnixTime) -> u64 {
         let observed_ms = self
             .observed_since
             .map_or(0, |at| now.0.saturating_sub(at.0));
--- a/src/cloud/arrival_rate/tests.rs
+++ b/src/cloud/arrival_rate/tests.rs
@@ -34,7 +34,7 @@
             revision: Revision(2 * second + 2),
         };
         cache.apply(Revision(2 * second + 2), vec![deletion]);
-        cpus_by_second.push(arrival_rate.cpus(now));
+        cpus_by_second.push(arrival_rate.required_cpus(now));
     }
     let spec = crate::protocol::tests::spec("job-1");
     let required = 10.0 * spec.need().milli_cpus as f64 * spec.estimate_s;
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -51,7 +51,7 @@
     term_since: MonotonicTime,
     boots: Boots,
     /// Machines that the cloud lists as failed.
-    failed: BTreeSet<MachineId>,
+    failed_machines: BTreeSet<MachineId>,
     rentals: Rentals,
     deletions: Deletions,
     /// The time since which each draining machine has received no new tasks.
@@ -78,7 +78,7 @@
             term: Revision(0),
             term_since: MonotonicTime::default(),
             boots: Boots::default(),
-            failed: BTreeSet::new(),
+            failed_machines: BTreeSet::new(),
             rentals: Rentals::default(),
             deletions: Deletions::default(),
             draining_since: BTreeMap::new(),
@@ -116,7 +116,7 @@
                 continue;
             }
             if machine.state == MachineState::Failed {
-                self.failed.insert(machine.id);
+                self.failed_machines.insert(machine.id);
             } else if !cache.machines.contains_key(&machine.id) {
                 self.boots.on_listed(now, machine);
             }
@@ -147,7 +147,7 @@
         for id in ids {
             if ok {
                 self.deletions.confirm(now, id);
-                self.failed.remove(id);
+                self.failed_machines.remove(id);
                 self.boots.remove(id);
                 out.push(Effect::DeleteRecord(id.clone()));
             } else {
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns the machines whose boot has failed because it took too long.
-    pub(super) fn failed(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
+    pub(super) fn failed_machines(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
         let limit = |boot: &Boot| {
             let boot_s = boot_s(&boot.offer.type_name, cache);
             Millis::from_secs(FAILED_BOOT_FACTOR * boot_s.max(MIN_BOOT_S))
--- a/src/cloud/autoscaler/incoming.rs
+++ b/src/cloud/autoscaler/incoming.rs
@@ -52,12 +52,12 @@
     }
 
     /// Returns the unassigned CPU capacity, in thousandths of a CPU.
-    pub(super) fn cpus(&self) -> u64 {
+    pub(super) fn unassigned_cpus(&self) -> u64 {
         self.machines.iter().map(|m| m.free.milli_cpus).sum()
     }
 
     /// Returns the unassigned CPU capacity on on-demand machines, in thousandths of a CPU.
-    pub(super) fn on_demand_cpus(&self) -> u64 {
+    pub(super) fn unassigned_on_demand_cpus(&self) -> u64 {
         let on_demand = self.machines.iter().filter(|m| !m.offer.spot);
         on_demand.map(|m| m.free.milli_cpus).sum()
     }
--- a/src/cloud/autoscaler/load_history.rs
+++ b/src/cloud/autoscaler/load_history.rs
@@ -56,7 +56,7 @@
         let Demand { mut load, batches } =
             demand::current_demand(unix_time, cache, config, turnaround);
         self.arrival_rate.observe(unix_time, cache, turnaround);
-        load.arrays = load.arrays.max(self.arrival_rate.cpus(unix_time));
+        load.arrays = load.arrays.max(self.arrival_rate.required_cpus(unix_time));
         self.samples.push_back(LoadSample { at: now, load });
         let window = idle_window(cache);
         let is_old = |sample: &LoadSample| now.since(sample.at) > window;
@@ -90,7 +90,7 @@
     /// deadlines and to keep up with the arrival rate. `boot_s` is the boot time of a machine in seconds.
     pub(super) fn cpu_shortfall(&self, unix_time: UnixTime, capacity: u64, boot_s: f64) -> u64 {
         let by_deadlines = demand::cpu_shortfall(&self.batches, capacity as f64, boot_s) as u64;
-        let arriving = self.arrival_rate.cpus(unix_time);
+        let arriving = self.arrival_rate.required_cpus(unix_time);
         by_deadlines.max(arriving.saturating_sub(capacity))
     }
 }
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -90,7 +90,7 @@
             .draining
             .retain(|id| cache.machines.contains_key(id));
         let candidates = self.measure_capacity(now, cache, scheduler);
-        let drained = self.drained(now, cache, scheduler);
+        let drained = self.drained_machines(now, cache, scheduler);
         if self.load_history.covers_window(now, cache) && now >= self.next_scale_in {
             let demand_is_unmet = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
             if !demand_is_unmet {
@@ -135,7 +135,7 @@
 
     /// Returns the machines whose drain is complete: nothing runs on them, and no allotment from before the
     /// drain is still in flight to their shard.
-    fn drained(
+    fn drained_machines(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
@@ -146,7 +146,7 @@
         for id in &scheduler.draining {
             self.draining_since.entry(id.clone()).or_insert(now);
         }
-        let empty = |id: &&MachineId| {
+        let is_empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
             let shard = id.shard(self.config.shard_count());
             let draining_since = self.draining_since.get(*id);
@@ -158,7 +158,7 @@
             .draining
             .iter()
             .filter(|id| !self.deletions.is_pending(id))
-            .filter(empty)
+            .filter(is_empty)
             .cloned()
             .collect()
     }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -43,7 +43,7 @@
             self.cancel_drains(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
+        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.unassigned_cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
             let tasks_left =
                 tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
@@ -66,7 +66,7 @@
     fn cpu_shortfall(&self, catalog: &Catalog, incoming: &IncomingMachines) -> u64 {
         let boot_s = catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let services = self.load_history.latest().services;
-        let capacity = (self.capacity.total + incoming.cpus()).saturating_sub(services);
+        let capacity = (self.capacity.total + incoming.unassigned_cpus()).saturating_sub(services);
         self.load_history
             .cpu_shortfall(self.unix_time, capacity, boot_s)
     }
@@ -80,7 +80,7 @@
         scheduler: &Scheduler,
     ) -> Vec<UnmetDemand> {
         let mut unmet_demands = scheduler.unmet_demands.clone();
-        let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
+        let on_demand = self.capacity.on_demand + incoming.unassigned_on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
         // Spare on-demand capacity is rented in advance, so that new replicas do not wait for a boot.
         if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
--- a/src/cloud/autoscaler/tests.rs
+++ b/src/cloud/autoscaler/tests.rs
@@ -16,7 +16,7 @@
     let id = MachineId::from("vm-1");
     let owner = |machines, missed, silent| OwnerHeartbeats {
         counts: counts(machines, missed),
-        silent: vec![&id; silent],
+        silent_machines: vec![&id; silent],
     };
     assert!(owner(300, 90, 20).is_owner_suspect(counts(600, 3)));
     assert!(
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -38,15 +38,15 @@
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        let mut list: Vec<MachineId> = self.failed.iter().cloned().collect();
-        list.extend(self.boots.failed(now, cache));
-        list.extend(self.silent(now, cache, scheduler));
+        let mut list: Vec<MachineId> = self.failed_machines.iter().cloned().collect();
+        list.extend(self.boots.failed_machines(now, cache));
+        list.extend(self.silent_machines(now, cache, scheduler));
         list
     }
 
     /// Returns the machines without a heartbeat for longer than the timeout. Machines of a suspect shard
     /// owner have a longer timeout, because the owner itself may be failing to receive heartbeats.
-    fn silent(
+    fn silent_machines(
         &self,
         now: MonotonicTime,
         cache: &WatchCache,
@@ -60,9 +60,9 @@
         let mut list = Vec::new();
         for owner in by_owner.into_values() {
             let is_suspect = owner.is_owner_suspect(all - owner.counts);
-            let unresponsive = owner.silent.into_iter().filter(|id| {
-                let silent = scheduler.health[*id].report.unresponsive_for;
-                !is_suspect || silent >= Millis(SUSPECT_OWNER_TIMEOUT_FACTOR * timeout.0)
+            let unresponsive = owner.silent_machines.into_iter().filter(|id| {
+                let unresponsive_for = scheduler.health[*id].report.unresponsive_for;
+                !is_suspect || unresponsive_for >= Millis(SUSPECT_OWNER_TIMEOUT_FACTOR * timeout.0)
             });
             list.extend(unresponsive.cloned());
         }
@@ -89,7 +89,7 @@
             owner.counts.missed += usize::from(health.report.unresponsive_for >= missed_after);
             let is_recent = now.since(health.received_at) < HEALTH_REPORT_EXPIRY;
             if health.report.unresponsive_for >= timeout && is_recent {
-                owner.silent.push(id);
+                owner.silent_machines.push(id);
             }
         }
         by_owner
@@ -133,7 +133,7 @@
     /// The counts over all of its machines.
     pub(super) counts: HeartbeatCounts,
     /// The machines that have been silent for longer than the unresponsive timeout.
-    pub(super) silent: Vec<&'a MachineId>,
+    pub(super) silent_machines: Vec<&'a MachineId>,
 }
 
 impl OwnerHeartbeats<'_> {
@@ -148,7 +148,7 @@
     /// `others` are the counts over the machines of all other shard owners.
     pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
         let HeartbeatCounts { machines, missed } = self.counts;
-        let majority_is_silent = self.silent.len() > 1.max(machines / 2);
+        let majority_is_silent = self.silent_machines.len() > 1.max(machines / 2);
         // More than 1/8 of the machines missed a heartbeat, a fraction more than 3 times that of the others.
         let far_more_than_others = 8 * missed > machines
             && missed > 3
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -38,7 +38,7 @@
     /// The time until the array is due, in seconds. Negative if it is late.
     pub(super) due_s: f64,
     /// The CPU capacity that the array can use at once, in thousandths of a CPU.
-    pub(super) width: f64,
+    pub(super) usable_cpus: f64,
     /// The predicted time in seconds for which one task takes a slot.
     pub(super) task_s: f64,
     /// The remaining work in thousandths of a CPU second.
@@ -80,14 +80,15 @@
 /// Returns the CPU capacity, in thousandths of a CPU, that batches need beyond `capacity`, if machines that
 /// are rented now become usable after `boot_s` seconds.
 pub(super) fn cpu_shortfall(batches: &[Batch], capacity: f64, boot_s: f64) -> f64 {
-    let (mut work, mut width, mut shortfall) = (0.0, 0.0, 0.0f64);
+    let (mut work, mut usable_cpus, mut shortfall) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
-        width += batch.width;
+        usable_cpus += batch.usable_cpus;
         let time_s = available_time_s(batch);
         let remaining_work = work - capacity * time_s;
         shortfall = shortfall.max(
-            (remaining_work / (time_s - boot_s).max(MIN_CATCH_UP_TIME_S)).min(width - capacity),
+            (remaining_work / (time_s - boot_s).max(MIN_CATCH_UP_TIME_S))
+                .min(usable_cpus - capacity),
         );
     }
     shortfall
@@ -98,11 +99,11 @@
 /// batch, but no more than the batches can use at once. The order is not always that of the due times, since
 /// work within a team's guaranteed quota may come before work that is due sooner.
 pub(super) fn required_cpus(batches: &[Batch]) -> f64 {
-    let (mut work, mut width, mut required) = (0.0, 0.0, 0.0f64);
+    let (mut work, mut usable_cpus, mut required) = (0.0, 0.0, 0.0f64);
     for batch in batches {
         work += batch.work;
-        width += batch.width;
-        required = required.max((work / available_time_s(batch)).min(width));
+        usable_cpus += batch.usable_cpus;
+        required = required.max((work / available_time_s(batch)).min(usable_cpus));
     }
     required
 }
@@ -155,7 +156,7 @@
         let left = spec.tasks.saturating_sub(job.done_count());
         let running = (job.placed.len() as u32).min(left);
         let task_s = task_time_s(job, cache, turnaround_s);
-        let width = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
+        let usable_cpus = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
         let cpus = need.milli_cpus as f64;
         // Running tasks keep their slots regardless of the queue order. On average, half of each is left.
@@ -163,7 +164,7 @@
         let work = f64::from(left - running) * cpus * task_s;
         batches.push(Batch {
             due_s,
-            width,
+            usable_cpus,
             task_s,
             work,
         });
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -8,8 +8,8 @@
 
 prop_compose! {
     fn batch()(due in 20.0..300.0f64, tasks in 1u32..60, task in 5.0..60.0f64) -> Batch {
-        let width = f64::from(tasks) * 4.0;
-        Batch { due_s: due.max(2.5 * task), width, task_s: task, work: width * task }
+        let usable_cpus = f64::from(tasks) * 4.0;
+        Batch { due_s: due.max(2.5 * task), usable_cpus, task_s: task, work: usable_cpus * task }
     }
 }
 
@@ -20,7 +20,7 @@
     let mut worst = f64::NEG_INFINITY;
     for batch in batches {
         let mut end = 0.0f64;
-        for _ in 0..(batch.width / 4.0) as u32 {
+        for _ in 0..(batch.usable_cpus / 4.0) as u32 {
             slots.sort_by(f64::total_cmp);
             slots[0] += batch.task_s;
             end = end.max(slots[0]);
@@ -36,8 +36,8 @@
     fn required_cpus_finish_every_batch_in_time(batches in proptest::collection::vec(batch(), 1..8)) {
         let cpus = required_cpus(&batches);
         prop_assert!(worst_lateness(&batches, cpus) <= 1.0);
-        let width: f64 = batches.iter().map(|b| b.width).sum();
-        prop_assert!(cpus <= width + 1.0);
+        let usable_cpus: f64 = batches.iter().map(|b| b.usable_cpus).sum();
+        prop_assert!(cpus <= usable_cpus + 1.0);
     }
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
-use validation::{address, check_name, invalid, not_negative, positive};
+use validation::{check_name, check_not_negative, check_positive, invalid, parse_address};
 
 /// The size in bytes of a full page of a key-value store list, with room for the enclosing response. Response
 /// limits are not set below it.
@@ -102,30 +102,30 @@
         let file: SettingsFile = serde_json::from_str(text)?;
         check_name("member", &file.member)?;
         check_name("area", &file.area)?;
-        let peers = peers(&file.member, &file.others)?;
+        let peers = parse_peers(&file.member, &file.others)?;
         let params = &file.params;
-        let teams = teams(&params.teams)?;
+        let teams = parse_teams(&params.teams)?;
         check_sockets(&params.quota)?;
         let workers = &params.workers;
         Ok(Self {
             member: file.member.as_str().into(),
             zone: file.area.as_str().into(),
-            listen: address("bind", &file.bind)?,
-            peer_listen: address("peer_bind", &file.peer_bind)?,
+            listen: parse_address("bind", &file.bind)?,
+            peer_listen: parse_address("peer_bind", &file.peer_bind)?,
             controller_count: peers.len() as u32 + 1,
             peers,
-            cloud_addr: address("services.cloud", &file.services.cloud)?,
-            store_addr: address("services.state", &file.services.state)?,
+            cloud_addr: parse_address("services.cloud", &file.services.cloud)?,
+            store_addr: parse_address("services.state", &file.services.state)?,
             teams,
-            worker_lease: duration("params.workers.lease_s", workers.lease_s)?,
-            heartbeat_interval: duration("params.workers.report_s", workers.report_s)?,
+            worker_lease: parse_duration("params.workers.lease_s", workers.lease_s)?,
+            heartbeat_interval: parse_duration("params.workers.report_s", workers.report_s)?,
             finish_within: finish_within(&params.objectives),
             guarantee_preemption_delay: guarantee_preemption_delay(&params.objectives),
-            cancellation_timeout: duration("params.workers.cancel_s", workers.cancel_s)?,
-            gang_start_timeout: duration("params.workers.gang_wait_s", workers.gang_wait_s)?,
+            cancellation_timeout: parse_duration("params.workers.cancel_s", workers.cancel_s)?,
+            gang_start_timeout: parse_duration("params.workers.gang_wait_s", workers.gang_wait_s)?,
             store_limits: StoreLimits::from_section(&params.state)?,
-            cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
-            list_lag: list_lag(params.cloud.list_lag_s)?,
+            cloud_rps: check_positive("params.cloud.rps", params.cloud.rps)?,
+            list_lag: parse_list_lag(params.cloud.list_lag_s)?,
             max_sockets: params.quota.sockets,
             max_response_bytes: max_response_bytes(&params.quota)?,
         })
@@ -146,7 +146,7 @@
 }
 
 /// Checks `others`, the peers of `member`.
-fn peers(
+fn parse_peers(
     member: &str,
     entries: &[PeerEntry],
 ) -> Result<BTreeMap<MemberId, SocketAddr>, ConfigError> {
@@ -154,7 +154,7 @@
     for (index, peer) in entries.iter().enumerate() {
         let name_field = format!("others[{index}].member");
         check_name(&name_field, &peer.member)?;
-        let addr = address(&format!("others[{index}].addr"), &peer.addr)?;
+        let addr = parse_address(&format!("others[{index}].addr"), &peer.addr)?;
         let duplicate = peers.insert(MemberId::from(peer.member.as_str()), addr);
         if duplicate.is_some() || peer.member == member {
             return invalid(&name_field, "names a controller twice");
@@ -164,7 +164,7 @@
 }
 
 /// Checks `params.teams`.
-fn teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, TeamQuota>, ConfigError> {
+fn parse_teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, TeamQuota>, ConfigError> {
     let mut teams = BTreeMap::new();
     for (index, entry) in entries.iter().enumerate() {
         let field = |name: &str| format!("params.teams[{index}].{name}");
@@ -183,10 +183,10 @@
 
 fn check_team(entry: &TeamEntry, field: &impl Fn(&str) -> String) -> Result<(), ConfigError> {
     check_name(&field("name"), &entry.name)?;
-    not_negative(&field("cpus"), entry.cpus)?;
-    not_negative(&field("gpus"), entry.gpus)?;
-    not_negative(&field("cpus_max"), entry.cpus_max)?;
-    not_negative(&field("gpus_max"), entry.gpus_max)?;
+    check_not_negative(&field("cpus"), entry.cpus)?;
+    check_not_negative(&field("gpus"), entry.gpus)?;
+    check_not_negative(&field("cpus_max"), entry.cpus_max)?;
+    check_not_negative(&field("gpus_max"), entry.gpus_max)?;
     let quotas = [
         ("cpus_max", entry.cpus, entry.cpus_max),
         ("gpus_max", entry.gpus, entry.gpus_max),
@@ -224,13 +224,13 @@
 }
 
 /// Converts a time in seconds, which must be above 0.
-fn duration(field: &str, seconds: f64) -> Result<Millis, ConfigError> {
-    Ok(Millis::from_secs(positive(field, seconds)?))
+fn parse_duration(field: &str, seconds: f64) -> Result<Millis, ConfigError> {
+    Ok(Millis::from_secs(check_positive(field, seconds)?))
 }
 
 /// Checks `params.cloud.list_lag_s`.
-fn list_lag(seconds: f64) -> Result<Millis, ConfigError> {
-    let seconds = not_negative("params.cloud.list_lag_s", seconds)?;
+fn parse_list_lag(seconds: f64) -> Result<Millis, ConfigError> {
+    let seconds = check_not_negative("params.cloud.list_lag_s", seconds)?;
     Ok(Millis::from_secs(seconds))
 }
 
@@ -244,7 +244,7 @@
 
 /// Returns the size limit for a response of the key-value store in bytes, based on `params.quota.ram_mb`.
 fn max_response_bytes(quota: &QuotaSection) -> Result<usize, ConfigError> {
-    let memory_bytes = positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
+    let memory_bytes = check_positive("params.quota.ram_mb", quota.ram_mb)? * 1024.0 * 1024.0;
     Ok((memory_bytes * MAX_RESPONSE_MEMORY_SHARE).max(STORE_PAGE_BYTES) as usize)
 }
 
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigError;
 use super::settings_file::{NextStateSection, StateSection};
-use super::validation::{invalid, positive};
+use super::validation::{check_positive, invalid};
 
 /// The smallest accepted limit for operations in a transaction. A transaction must have room for the records
 /// of a shard or a job and for the operations that accompany them.
@@ -53,10 +53,10 @@
     /// Checks `params.state`.
     pub(super) fn from_section(section: &StateSection) -> Result<Self, ConfigError> {
         let rates = StoreRates {
-            requests: positive("params.state.rps", section.rps)?,
-            writes: positive("params.state.write_rps", section.write_rps)?,
+            requests: check_positive("params.state.rps", section.rps)?,
+            writes: check_positive("params.state.write_rps", section.write_rps)?,
         };
-        let value_bytes = value_bytes("params.state.value_kb", section.value_kb)?;
+        let value_bytes = check_value_bytes("params.state.value_kb", section.value_kb)?;
         let txn_ops = check_txn_ops("params.state.txn_ops", section.txn_ops)?;
         let present = Self {
             value_bytes,
@@ -74,14 +74,14 @@
     /// Checks `params.state.next` and combines its limits with the present ones.
     fn with_next(self, now: &StateSection, next: &NextStateSection) -> Result<Self, ConfigError> {
         let later_rates = StoreRates {
-            requests: positive("params.state.next.rps", next.rps.unwrap_or(now.rps))?,
-            writes: positive(
+            requests: check_positive("params.state.next.rps", next.rps.unwrap_or(now.rps))?,
+            writes: check_positive(
                 "params.state.next.write_rps",
                 next.write_rps.unwrap_or(now.write_rps),
             )?,
         };
         let later_value_kb = next.value_kb.unwrap_or(now.value_kb);
-        let later_value_bytes = value_bytes("params.state.next.value_kb", later_value_kb)?;
+        let later_value_bytes = check_value_bytes("params.state.next.value_kb", later_value_kb)?;
         let later_txn_ops = check_txn_ops(
             "params.state.next.txn_ops",
             next.txn_ops.unwrap_or(now.txn_ops),
@@ -97,7 +97,7 @@
 }
 
 /// Checks a size limit for values in KiB and converts it to bytes.
-fn value_bytes(field: &str, kb: f64) -> Result<usize, ConfigError> {
+fn check_value_bytes(field: &str, kb: f64) -> Result<usize, ConfigError> {
     if (MIN_VALUE_KB..VALUE_KB_LIMIT).contains(&kb) {
         Ok((kb * 1024.0) as usize)
     } else {
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -28,7 +28,7 @@
 }
 
 /// Parses an IP address with its port.
-pub(super) fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+pub(super) fn parse_address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().or_else(|_| {
         invalid(
             field,
@@ -38,7 +38,7 @@
 }
 
 /// Returns the value if it is above 0.
-pub(super) fn positive(field: &str, value: f64) -> Result<f64, ConfigError> {
+pub(super) fn check_positive(field: &str, value: f64) -> Result<f64, ConfigError> {
     if value.is_finite() && value > 0.0 && value < NUMBER_LIMIT {
         Ok(value)
     } else {
@@ -47,7 +47,7 @@
 }
 
 /// Returns the value if it is 0 or more.
-pub(super) fn not_negative(field: &str, value: f64) -> Result<f64, ConfigError> {
+pub(super) fn check_not_negative(field: &str, value: f64) -> Result<f64, ConfigError> {
     if value.is_finite() && (0.0..NUMBER_LIMIT).contains(&value) {
         Ok(value)
     } else {
