--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Machines that are not needed any more: drained, then returned.
+//! Scale-in: machines that are no longer needed are drained and then returned to the cloud.
 
 use super::Autoscaler;
 use super::cheapest_offer::cheapest_offer;
@@ -6,21 +6,21 @@
 use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
-/// At most one in so many machines begins to drain at a time.
-const SCALE_IN_DIVISOR: usize = 50;
+/// A round of scale-in may begin to drain one machine, plus one for each multiple of this many candidates.
+const CANDIDATES_PER_DRAIN: usize = 50;
 /// The time between two rounds of scale-in.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
 
-/// Replicas may use at most one in so many CPUs of a machine that is to be drained: moving them
-/// costs them a moment, so it is done only where little is moved for much.
+/// A machine is drained only if service replicas use at most 1/n of its CPUs, where n is this value. Moving
+/// a replica interrupts it briefly, so it is done only if few replicas are moved to free a large machine.
 const REPLICA_SHARE_DIVISOR: u64 = 4;
 
-/// CPUs (in thousandths) of the machines that count as capacity.
+/// The CPU capacity of the machines that count as capacity, in thousandths of a CPU.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FleetCapacity {
-    /// Of all of them.
+    /// The capacity of all machines.
     pub(super) total: u64,
-    /// Of those that the cloud does not take back.
+    /// The capacity of the on-demand machines, which the cloud does not interrupt.
     pub(super) on_demand: u64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A machine that could be drained, in the order in which that is done.
+/// A machine that may be drained. Its fields, compared in their order, determine which is drained first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DrainCandidate {
     spot: bool,
@@ -46,15 +46,16 @@
     id: MachineId,
 }
 
-/// The CPUs (in thousandths) of a machine, as far as its type is known.
+/// Returns the CPU capacity of a machine type in thousandths of a CPU, or 0 if the type is not in the
+/// catalog.
 fn machine_cpus(type_name: &MachineTypeName, cache: &WatchCache) -> u64 {
     cache
         .machine_type(type_name)
         .map_or(0, |t| t.capacity().milli_cpus)
 }
 
-/// Whether something that waits for capacity may run on a machine.
-fn may_serve_waiting(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+/// Returns whether the constraints of any job with unmet demand allow it to run on a machine.
+fn may_run_unmet_demand(id: &MachineId, cache: &WatchCache, scheduler: &Scheduler) -> bool {
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
     };
@@ -67,8 +68,9 @@
 }
 
 impl Autoscaler {
-    /// Drains machines that the load has not needed for a while, the dearest first, and returns
-    /// those that are drained. What runs on them may finish; replicas are moved.
+    /// Begins to drain machines that the recent load did not need, and returns the machines whose drain is
+    /// complete. On-demand machines are drained first because they cost more. Running tasks may finish, and
+    /// service replicas are moved.
     pub(super) fn scale_in(
         &mut self,
         now: MonotonicTime,
@@ -88,19 +90,19 @@
             .draining
             .retain(|id| cache.machines.contains_key(id));
         let candidates = self.measure_capacity(now, cache, scheduler);
-        let drained = self.drained(now, cache, scheduler);
+        let drained = self.drained_machines(now, cache, scheduler);
         if self.load_history.covers_window(now, cache) && now >= self.next_scale_in {
             let demand_is_unmet = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
             if !demand_is_unmet {
                 self.drain_idle(now, candidates, scheduler);
-            } else if self.is_blocked(cache, scheduler) {
+            } else if self.has_blocked_demand(cache, scheduler) {
                 self.drain_unusable(now, candidates, cache, scheduler);
             }
         }
         drained
     }
 
-    /// Takes the capacity of the machines that are there, and returns those that could be drained.
+    /// Updates the capacity of the fleet, and returns the machines that may be drained.
     fn measure_capacity(
         &mut self,
         now: MonotonicTime,
@@ -131,37 +133,38 @@
         candidates
     }
 
-    /// Those that are draining go once nothing is on them, or can be on its way to them any more.
-    fn drained(
+    /// Returns the machines whose drain is complete: nothing runs on them, and no allotment from before the
+    /// drain is still in flight to their shard.
+    fn drained_machines(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        self.leaving_since
+        self.draining_since
             .retain(|id, _| scheduler.draining.contains(id));
         for id in &scheduler.draining {
-            self.leaving_since.entry(id.clone()).or_insert(now);
+            self.draining_since.entry(id.clone()).or_insert(now);
         }
-        let empty = |id: &&MachineId| {
+        let is_empty = |id: &&MachineId| {
             let machine = cache.machines.get(*id);
             let shard = id.shard(self.config.shard_count());
-            let leaving_since = self.leaving_since.get(*id);
+            let draining_since = self.draining_since.get(*id);
             machine.is_some_and(|m| m.record.jobs.is_empty())
-                && leaving_since
+                && draining_since
                     .is_some_and(|at| !scheduler.has_in_flight_allotment_before(shard, *at))
         };
         scheduler
             .draining
             .iter()
             .filter(|id| !self.deletions.is_pending(id))
-            .filter(empty)
+            .filter(is_empty)
             .cloned()
             .collect()
     }
 
-    /// Begins to drain machines that the highest load of the last while did not need: a part of
-    /// the fleet at a time, a small one gives up one, a large one several.
+    /// Begins to drain machines that the peak load of the window did not need. The number of machines for
+    /// each round is limited: one in a small fleet, several in a large one.
     fn drain_idle(
         &mut self,
         now: MonotonicTime,
@@ -171,39 +174,39 @@
         let peak = self.load_history.peak();
         let reserve = self.service_reserve;
         let mut remaining = self.capacity;
-        let mut most = max_drains(&candidates);
+        let mut drains_left = max_drains(&candidates);
         candidates.sort();
         for machine in candidates {
             let cpus = machine.cpus;
-            let is_needless = remaining.total >= peak.total() + reserve + cpus
+            let is_surplus = remaining.total >= peak.total() + reserve + cpus
                 && (machine.spot || remaining.on_demand >= peak.services + reserve + cpus);
-            if !is_needless || most == 0 {
+            if !is_surplus || drains_left == 0 {
                 continue;
             }
-            most -= 1;
+            drains_left -= 1;
             remaining.subtract(machine.spot, cpus);
             self.next_scale_in = now + SCALE_IN_INTERVAL;
             scheduler.draining.insert(machine.id);
         }
     }
 
-    /// Stops draining machines when they are needed again after all, until `cpu_shortfall` (in
-    /// thousandths of a CPU) is covered or none is left.
-    pub(super) fn reclaim_leaving(
+    /// Cancels the drain of machines that are needed again, until `cpu_shortfall` (in thousandths of a CPU)
+    /// is covered or no suitable draining machine is left.
+    pub(super) fn cancel_drains(
         &mut self,
         cpu_shortfall: &mut u64,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        let none_waits = scheduler.unmet_demands.is_empty();
+        let no_unmet_demand = scheduler.unmet_demands.is_empty();
         while *cpu_shortfall > 0 {
-            let back = scheduler
+            let candidate = scheduler
                 .draining
                 .iter()
                 .filter(|id| !self.deletions.is_pending(id) && cache.machines.contains_key(*id))
-                .find(|id| none_waits || may_serve_waiting(id, cache, scheduler))
+                .find(|id| no_unmet_demand || may_run_unmet_demand(id, cache, scheduler))
                 .cloned();
-            let Some(id) = back else { return };
+            let Some(id) = candidate else { return };
             scheduler.draining.remove(&id);
             let machine = cache.machines.get(&id);
             let cpus = machine.map_or(0, |m| machine_cpus(&m.record.type_name, cache));
@@ -211,17 +214,17 @@
         }
     }
 
-    /// Whether something that must run all at once waits for a machine that the cloud has not got,
-    /// with none on its way.
-    fn is_blocked(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
+    /// Returns whether a demand whose tasks must run concurrently is blocked: no offer that it may use can be
+    /// requested from the cloud, and no suitable machine is requested or booting.
+    fn has_blocked_demand(&self, cache: &WatchCache, scheduler: &Scheduler) -> bool {
         let Some(catalog) = self.catalog.current(cache) else {
             return false;
         };
-        let mut all_at_once = scheduler
+        let mut concurrent_demands = scheduler
             .unmet_demands
             .iter()
             .filter(|s| s.must_run_concurrently);
-        all_at_once.any(|unmet_demand| {
+        concurrent_demands.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
             };
@@ -234,8 +237,8 @@
         })
     }
 
-    /// Begins to drain empty machines that nothing which waits may use: they take up what the
-    /// cloud could give instead.
+    /// Begins to drain idle machines that no unmet demand may use. They occupy capacity that the cloud could
+    /// provide as machines of another type.
     fn drain_unusable(
         &mut self,
         now: MonotonicTime,
@@ -243,24 +246,24 @@
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        let is_useless = |machine: &DrainCandidate| {
-            machine.used_cpus == 0 && !may_serve_waiting(&machine.id, cache, scheduler)
+        let is_unusable = |machine: &DrainCandidate| {
+            machine.used_cpus == 0 && !may_run_unmet_demand(&machine.id, cache, scheduler)
         };
-        let most = max_drains(&candidates);
-        let useless: Vec<MachineId> = candidates
+        let drain_limit = max_drains(&candidates);
+        let unusable: Vec<MachineId> = candidates
             .into_iter()
-            .filter(is_useless)
+            .filter(is_unusable)
             .map(|machine| machine.id)
-            .take(most)
+            .take(drain_limit)
             .collect();
-        if !useless.is_empty() {
+        if !unusable.is_empty() {
             self.next_scale_in = now + SCALE_IN_INTERVAL;
-            scheduler.draining.extend(useless);
+            scheduler.draining.extend(unusable);
         }
     }
 }
 
-/// How many machines may begin to drain at a time.
+/// Returns the number of machines that may begin to drain in one round.
 fn max_drains(candidates: &[DrainCandidate]) -> usize {
-    1 + candidates.len() / SCALE_IN_DIVISOR
+    1 + candidates.len() / CANDIDATES_PER_DRAIN
 }
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! What is rented: for tasks that found no machine, less what is already on its way.
+//! Scale-out: rents machines for unmet demand that incoming machines do not cover.
 
 use super::Autoscaler;
 use super::cheapest_offer::{CheapestOffer, cheapest_offer};
@@ -9,21 +9,21 @@
 use crate::store::watch_cache::WatchCache;
 use std::ops::ControlFlow;
 
-/// The cloud takes no more machines than this in one request.
+/// The largest number of machines that the cloud accepts in one rent request.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Past the cloud's own list lag, a new leader waits for so long before it rents.
+/// A new leader waits for the lag of the cloud's machine list plus this margin before it rents machines.
 const LIST_LAG_MARGIN: Millis = Millis(1500);
 
 impl Autoscaler {
-    /// Decides on rentals for what the scheduler could not place.
+    /// Decides on rentals for the tasks that the scheduler could not place.
     pub(super) fn scale_out(
         &mut self,
         now: MonotonicTime,
         cache: &WatchCache,
         scheduler: &mut Scheduler,
     ) {
-        // What an earlier leader has just rented shows in the list only after its lag: until
-        // then a new one would rent it all again.
+        // Machines that an earlier leader has just rented appear in the cloud's list only after its lag.
+        // Until then, a new leader would rent the same capacity again.
         if now.since(self.term_since) < self.config.list_lag + LIST_LAG_MARGIN {
             return;
         }
@@ -40,31 +40,39 @@
             || cpu_shortfall > 0
         {
             let mut wanted = cpu_shortfall.max(1);
-            self.reclaim_leaving(&mut wanted, cache, scheduler);
+            self.cancel_drains(&mut wanted, cache, scheduler);
             cpu_shortfall = cpu_shortfall.min(wanted);
         }
-        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "autoscaler step");
+        tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.unassigned_cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
-            let left = tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
-            let rented =
-                self.rent_machines_for(now, &unmet_demand, left, &mut incoming, &catalog, cache);
+            let tasks_left =
+                tasks_to_rent_for(&unmet_demand, &mut cpu_shortfall, &mut incoming, cache);
+            let rented = self.rent_machines_for(
+                now,
+                &unmet_demand,
+                tasks_left,
+                &mut incoming,
+                &catalog,
+                cache,
+            );
             if rented.is_break() {
                 return;
             }
         }
     }
 
-    /// The CPUs that arrays lack, by their deadlines and by what comes in.
+    /// Returns the CPU capacity, in thousandths of a CPU, that arrays lack to meet their deadlines and to
+    /// keep up with their arrival rate.
     fn cpu_shortfall(&self, catalog: &Catalog, incoming: &IncomingMachines) -> u64 {
         let boot_s = catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let services = self.load_history.latest().services;
-        let capacity = (self.capacity.total + incoming.cpus()).saturating_sub(services);
+        let capacity = (self.capacity.total + incoming.unassigned_cpus()).saturating_sub(services);
         self.load_history
             .cpu_shortfall(self.unix_time, capacity, boot_s)
     }
 
-    /// The demands to rent for. What must run all at once comes first: the rest shares what is
-    /// left.
+    /// Returns the demands to rent machines for. Services and gangs, whose tasks must run concurrently, come
+    /// first; arrays share the remaining incoming capacity.
     fn demands_to_rent_for(
         &self,
         incoming: &IncomingMachines,
@@ -72,29 +80,29 @@
         scheduler: &Scheduler,
     ) -> Vec<UnmetDemand> {
         let mut unmet_demands = scheduler.unmet_demands.clone();
-        let on_demand = self.capacity.on_demand + incoming.on_demand_cpus();
+        let on_demand = self.capacity.on_demand + incoming.unassigned_on_demand_cpus();
         let wanted = self.load_history.latest().services + self.service_reserve;
-        // The next replicas must not wait for a machine to boot.
+        // Spare on-demand capacity is rented in advance, so that new replicas do not wait for a boot.
         if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
-            unmet_demands.extend(one_replica(cache));
+            unmet_demands.extend(one_replica_demand(cache));
         }
         unmet_demands.sort_by_key(|s| !s.must_run_concurrently);
-        merge_alike(unmet_demands, cache)
+        merge_compatible_demands(unmet_demands, cache)
     }
 
-    /// Asks for machines for so many tasks, of the cheapest offers that the cloud may have. `Break`:
-    /// no more may be asked for in this step.
+    /// Requests machines for `tasks_left` tasks of a demand, from the cheapest offers that may be requested.
+    /// Returns `Break` if no more requests may be added in this step.
     fn rent_machines_for(
         &mut self,
         now: MonotonicTime,
         unmet_demand: &UnmetDemand,
-        mut left: u64,
+        mut tasks_left: u64,
         incoming: &mut IncomingMachines,
         catalog: &Catalog,
         cache: &WatchCache,
     ) -> ControlFlow<()> {
-        while left > 0 {
-            let cheapest = cheapest_offer(&self.rentals, catalog, cache, unmet_demand, left);
+        while tasks_left > 0 {
+            let cheapest = cheapest_offer(&self.rentals, catalog, cache, unmet_demand, tasks_left);
             let Some(CheapestOffer {
                 machine_type,
                 offer,
@@ -105,12 +113,15 @@
             };
             let capacity = machine_type.capacity();
             let tasks_per_machine = unmet_demand.need.fit_count(capacity).max(1);
-            let machines = left.div_ceil(tasks_per_machine);
+            let machines = tasks_left.div_ceil(tasks_per_machine);
             let count = machines.min(MAX_MACHINES_PER_RENTAL.into()) as u32;
-            let covered = left.min(tasks_per_machine * u64::from(count));
-            let on_last = covered - tasks_per_machine * (u64::from(count) - 1);
-            left -= covered;
-            incoming.add(offer.clone(), capacity - unmet_demand.need.times(on_last));
+            let covered = tasks_left.min(tasks_per_machine * u64::from(count));
+            let tasks_on_last = covered - tasks_per_machine * (u64::from(count) - 1);
+            tasks_left -= covered;
+            incoming.add(
+                offer.clone(),
+                capacity - unmet_demand.need.times(tasks_on_last),
+            );
             self.rentals.add(now, offer, count);
             if self.rentals.is_full() {
                 return ControlFlow::Break(());
@@ -120,8 +131,8 @@
     }
 }
 
-/// The demand for one replica of some service, if there is any.
-fn one_replica(cache: &WatchCache) -> Option<UnmetDemand> {
+/// Returns a demand for one replica of the first service, or `None` without services.
+fn one_replica_demand(cache: &WatchCache) -> Option<UnmetDemand> {
     let mut jobs = cache.jobs.iter();
     let (id, job) = jobs.find(|(_, j)| j.spec.kind == JobKind::Service)?;
     Some(UnmetDemand {
@@ -133,9 +144,9 @@
     })
 }
 
-/// The tasks of a demand for which machines are to be rented. Tasks of arrays follow one another:
-/// only what their deadlines ask for is. What is on its way serves first those that must run all
-/// at once.
+/// Returns the number of a demand's tasks for which to rent machines. Tasks of arrays can run one after
+/// another, so only as many are counted as the CPU shortfall requires. Demands that must run concurrently are
+/// first assigned to incoming machines.
 fn tasks_to_rent_for(
     unmet_demand: &UnmetDemand,
     cpu_shortfall: &mut u64,
@@ -146,7 +157,9 @@
         return 0;
     };
     let spec = &job.spec;
-    if unmet_demand.must_run_concurrently || !is_served(unmet_demand, spec, incoming, cache) {
+    if unmet_demand.must_run_concurrently
+        || !has_compatible_machine(unmet_demand, spec, incoming, cache)
+    {
         return incoming.place(unmet_demand, spec);
     }
     let cpus = unmet_demand.need.milli_cpus;
@@ -155,9 +168,9 @@
     tasks
 }
 
-/// Whether any machine, there or on its way, may run a demand's tasks, however busy it is.
-/// Otherwise the demand needs one, however idle the others are.
-fn is_served(
+/// Returns whether any existing or incoming machine can run the demand's tasks, even if it is busy now. If
+/// there is none, a machine must be rented even if all others are idle.
+fn has_compatible_machine(
     unmet_demand: &UnmetDemand,
     spec: &JobSpec,
     incoming: &IncomingMachines,
@@ -174,26 +187,29 @@
         || machines.any(|r| fits(&r.type_name, &r.zone, r.spot))
 }
 
-/// Arrays that may use the same machines rent together: calls are few, and each may bring many
-/// machines. They keep the place of the first of them.
-fn merge_alike(unmet_demands: Vec<UnmetDemand>, cache: &WatchCache) -> Vec<UnmetDemand> {
+/// Merges the demands of arrays with equal needs and equal machine constraints, because the number of rent
+/// requests is limited and each can rent many machines. A merged demand keeps the position of its first one.
+fn merge_compatible_demands(
+    unmet_demands: Vec<UnmetDemand>,
+    cache: &WatchCache,
+) -> Vec<UnmetDemand> {
     let mut merged: Vec<UnmetDemand> = Vec::new();
     for unmet_demand in unmet_demands {
         let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
-        let same = |other: &&mut UnmetDemand| {
-            let alike = match (spec(&unmet_demand), spec(other)) {
+        let is_mergeable = |other: &&mut UnmetDemand| {
+            let same_constraints = match (spec(&unmet_demand), spec(other)) {
                 (Some(a), Some(b)) => {
                     (&a.machine_types, &a.zone, a.allow_spot)
                         == (&b.machine_types, &b.zone, b.allow_spot)
                 }
                 _ => false,
             };
-            alike
+            same_constraints
                 && !unmet_demand.must_run_concurrently
                 && !other.must_run_concurrently
                 && other.need == unmet_demand.need
         };
-        match merged.iter_mut().find(same) {
+        match merged.iter_mut().find(is_mergeable) {
             Some(other) => other.tasks += unmet_demand.tasks,
             None => merged.push(unmet_demand),
         }
--- a/src/cloud/demand/tests.rs
+++ b/src/cloud/demand/tests.rs
@@ -8,19 +8,19 @@
 
 prop_compose! {
     fn batch()(due in 20.0..300.0f64, tasks in 1u32..60, task in 5.0..60.0f64) -> Batch {
-        let width = f64::from(tasks) * 4.0;
-        Batch { due_s: due.max(2.5 * task), width, task_s: task, work: width * task }
+        let usable_cpus = f64::from(tasks) * 4.0;
+        Batch { due_s: due.max(2.5 * task), usable_cpus, task_s: task, work: usable_cpus * task }
     }
 }
 
-/// Serves batches in their order, task by task, on a number of slots of 4 CPUs; returns
-/// the largest lateness as a part of a task.
+/// Simulates serving the batches in order, task by task, on slots of 4 CPUs. Returns the largest lateness of
+/// a batch as a multiple of its task time.
 fn worst_lateness(batches: &[Batch], cpus: f64) -> f64 {
     let mut slots = vec![0.0f64; (cpus / 4.0).ceil().max(1.0) as usize];
     let mut worst = f64::NEG_INFINITY;
     for batch in batches {
         let mut end = 0.0f64;
-        for _ in 0..(batch.width / 4.0) as u32 {
+        for _ in 0..(batch.usable_cpus / 4.0) as u32 {
             slots.sort_by(f64::total_cmp);
             slots[0] += batch.task_s;
             end = end.max(slots[0]);
@@ -36,12 +36,12 @@
     fn required_cpus_finish_every_batch_in_time(batches in proptest::collection::vec(batch(), 1..8)) {
         let cpus = required_cpus(&batches);
         prop_assert!(worst_lateness(&batches, cpus) <= 1.0);
-        let width: f64 = batches.iter().map(|b| b.width).sum();
-        prop_assert!(cpus <= width + 1.0);
+        let usable_cpus: f64 = batches.iter().map(|b| b.usable_cpus).sum();
+        prop_assert!(cpus <= usable_cpus + 1.0);
     }
 }
 
-/// The load of one array, accepted just now.
+/// Returns the load of one array that has just been accepted.
 fn load_of(deadline_s: Option<f64>, objective: Option<Millis>) -> u64 {
     let mut config = sample_config();
     let mut spec = crate::protocol::tests::spec("job-000001");
@@ -62,8 +62,8 @@
     current_demand(accepted, &cache, &config, 3.0).load.arrays
 }
 
-/// Arrays without deadlines asked for nothing more than was there, while half of them missed the
-/// objective of their pipeline.
+/// Guards against arrays without deadlines that request no additional capacity even though their pipeline has
+/// an objective. Half of them missed the objective in that case.
 #[test]
 fn array_without_a_deadline_is_due_by_the_pipelines_objective() {
     let (soon, late) = (Millis(60_000), Millis(400_000));
@@ -72,6 +72,6 @@
     assert_eq!(
         load_of(Some(200.0), Some(soon)),
         load_of(Some(200.0), None),
-        "a deadline of its own comes first"
+        "the job's own deadline takes precedence"
     );
 }
