--- a/src/daemon/admin_endpoints.rs
+++ b/src/daemon/admin_endpoints.rs
@@ -10,12 +10,13 @@
 use crate::store::{TxnOutcome, keys};
 use serde_json::Value;
 
-/// The settings in force.
+/// Returns the settings in force.
 pub(super) fn settings(node: &Node) -> Response {
     Response::json(200, &node.controller.borrow().cache.settings())
 }
 
-/// Changes settings: checked here, stored in the key-value store, adopted by every controller.
+/// Checks a change of the settings and stores the result in the key-value store. Every controller
+/// adopts it from its watch cache.
 pub(super) async fn change_settings(node: &Node, body: &[u8]) -> Response {
     let change: Value = match serde_json::from_slice(body) {
         Ok(change) => change,
@@ -41,11 +42,11 @@
     }
 }
 
-/// What this node knows of the cluster and of itself.
+/// Returns the status report of this node and of the cluster as its watch cache shows it.
 pub(super) fn status(node: &Node) -> Response {
     let controller = node.controller.borrow();
     let report = StatusReport::new(node, &controller.cache);
-    // A `Value` orders the fields by their names.
+    // Serializing through a `Value` sorts the fields by name.
     match serde_json::to_value(&report) {
         Ok(report) => Response::json(200, &report),
         Err(error) => Response::error(500, &error.to_string()),
--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -1,4 +1,5 @@
-//! Announces cancellations to the other controllers and waits until the tasks are proved gone.
+//! Announces cancellations to the other controllers and waits until no task of the job can still be
+//! running.
 
 use super::node::Node;
 use crate::api::Cancellation;
@@ -7,10 +8,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Shorter than the time that a request may take when it is forwarded to a peer.
+/// Limits the wait for a confirmation. It is shorter than the timeout of a request that is
+/// forwarded to a peer, so that the peer can still respond.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(900);
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// A stop command is mostly answered within this.
+/// Delay before the announcement is sent again. Workers answer most stop commands within this time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Starts a routine for each cancellation that must be confirmed.
@@ -24,7 +26,7 @@
 }
 
 async fn confirm(node: Rc<Node>, cancellation: Cancellation) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let age = cancellation
         .sent_at
         .map_or(Duration::ZERO, |at| at.elapsed());
@@ -33,27 +35,32 @@
     let round = node.update_and_get(|controller, now| {
         controller.announce_cancellation(now, job, cancellation.revision, age)
     });
-    let settled = wait_until_settled(&node, round, begun).await;
+    let settled = wait_until_settled(&node, round, started_at).await;
     node.controller.borrow_mut().close_cancellation_round(round);
-    let took = begun.elapsed();
-    tracing::debug!(%job, settled, ?took, "cancellation");
+    let took = started_at.elapsed();
+    tracing::debug!(%job, settled, ?took, "finished waiting for a cancelled job's tasks to stop");
     cancellation.settled.send(settled);
 }
 
-/// Polls a round, and asks again whoever has not acknowledged it. `false`: the time is over.
-async fn wait_until_settled(node: &Rc<Node>, round: CancellationRoundId, begun: Instant) -> bool {
+/// Polls a cancellation round and repeats the announcement to the controllers that have not
+/// acknowledged it. Returns `false` if the round is not complete within `CONFIRMATION_TIMEOUT`.
+async fn wait_until_settled(
+    node: &Rc<Node>,
+    round: CancellationRoundId,
+    started_at: Instant,
+) -> bool {
     let is_settled = || {
         node.controller
             .borrow_mut()
             .is_cancellation_complete(node.now(), round)
     };
-    let mut last_asked = begun;
+    let mut last_sent_at = started_at;
     let mut settled = is_settled();
-    while !settled && begun.elapsed() < CONFIRMATION_TIMEOUT {
+    while !settled && started_at.elapsed() < CONFIRMATION_TIMEOUT {
         runtime::sleep(POLL_INTERVAL).await;
         settled = is_settled();
-        if !settled && last_asked.elapsed() >= RETRY_INTERVAL {
-            last_asked = Instant::now();
+        if !settled && last_sent_at.elapsed() >= RETRY_INTERVAL {
+            last_sent_at = Instant::now();
             node.update(|controller, now| controller.send_cancellation(now, round));
         }
     }
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, limited to its rate.
+//! Calls to the cloud's API, with a client-side rate limit.
 
 use crate::cloud::RentOutcome;
 use crate::http::{Client, Method, Response};
@@ -13,25 +13,26 @@
 use std::time::{Duration, Instant};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-const RESPONSE_LIMIT: usize = 2 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 2 * 1024 * 1024;
 const MAX_LIST_PAGES: usize = 40;
-/// A list that takes longer is given up: its first pages say little of the present.
+/// Time limit after which a rate-limited page is no longer retried and the list fails, because its
+/// first pages are out of date by then.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a page is asked for that was refused.
+/// Delay before a rate-limited page request is repeated.
 const PAGE_RETRY_DELAY: Duration = Duration::from_millis(200);
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Why a call has no response that can be used.
+/// The reason why a call has no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallFailure {
-    /// By the rate limiter or by the cloud, since its rate is used up.
-    Refused,
-    /// No answer, an error, or an answer that can't be read.
-    Unanswered,
+    /// The rate limiter or the cloud refused the call because the call rate is used up.
+    RateLimited,
+    /// The cloud did not respond, responded with an error, or sent a body that cannot be decoded.
+    NoUsableResponse,
 }
 
-/// The client of the cloud. A call that the rate limiter refuses, or that has no usable answer, is
-/// left to the controller to repeat.
+/// The client of the cloud's API. The controller repeats calls that the rate limiter refuses or
+/// that have no usable response; only rate-limited continuation pages of a list are retried here.
 pub(super) struct CloudCalls {
     client: Client,
     addr: SocketAddr,
@@ -40,12 +41,13 @@
 }
 
 impl CloudCalls {
-    /// A client that calls `addr` at most `rps` times a second; its clock starts at `started`.
+    /// Creates a client that calls `addr` at most `rps` times a second. The rate limiter's clock
+    /// starts at `started`.
     pub(super) fn new(addr: SocketAddr, rps: f64, started: Instant) -> Self {
-        Self::with_client(Client::new(RESPONSE_LIMIT, 1), addr, rps, started)
+        Self::with_client(Client::new(MAX_RESPONSE_BYTES, 1), addr, rps, started)
     }
 
-    /// The same with an HTTP client that the caller has made.
+    /// Creates a client on top of an existing HTTP client.
     fn with_client(client: Client, addr: SocketAddr, rps: f64, started: Instant) -> Self {
         Self {
             client,
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Calls the cloud once. Deletions come first, then lists and the catalog, then rentals.
+    /// Calls the cloud once. Near the rate limit, deletions have priority over lists and the
+    /// catalog, and these over rentals.
     async fn call(
         &self,
         class: RequestClass,
@@ -66,20 +69,20 @@
         let elapsed = runtime::now().saturating_duration_since(self.started);
         let now = MonotonicTime(elapsed.as_millis() as u64);
         if !self.rate_limiter.borrow_mut().try_acquire(now, 1.0, class) {
-            return Err(CallFailure::Refused);
+            return Err(CallFailure::RateLimited);
         }
         let body = match method {
             Method::Get => Vec::new(),
-            _ => serde_json::to_vec(body).map_err(|_| CallFailure::Unanswered)?,
+            _ => serde_json::to_vec(body).map_err(|_| CallFailure::NoUsableResponse)?,
         };
         let result = self
             .client
             .call(self.addr, method, path, &body, CALL_TIMEOUT)
             .await;
-        let response = result.map_err(|_| CallFailure::Unanswered)?;
+        let response = result.map_err(|_| CallFailure::NoUsableResponse)?;
         if response.status == TOO_MANY_REQUESTS {
             self.rate_limiter.borrow_mut().drain(now);
-            return Err(CallFailure::Refused);
+            return Err(CallFailure::RateLimited);
         }
         Ok(response)
     }
@@ -89,43 +92,52 @@
             .call(RequestClass::Accept, Method::Get, path, &())
             .await?;
         if response.status != 200 {
-            return Err(CallFailure::Unanswered);
+            return Err(CallFailure::NoUsableResponse);
         }
         serde_json::from_slice(&response.body).map_err(|error| {
-            tracing::error!(path, %error, "cloud answer not understood");
-            CallFailure::Unanswered
+            tracing::error!(path, %error, "cannot decode the cloud's response");
+            CallFailure::NoUsableResponse
         })
     }
 
-    /// The machine types on offer.
+    /// Returns the machine types on offer, or `None` if the call failed.
     pub(super) async fn catalog(&self) -> Option<Catalog> {
         self.get(path::CATALOG).await.ok()
     }
 
-    /// All machines that are rented, read page by page. `None`: not all could be read.
+    /// Returns all rented machines, read page by page, or `None` if a page could not be read.
     pub(super) async fn list(&self) -> Option<Vec<ListedMachine>> {
         let mut machines: Vec<ListedMachine> = Vec::new();
-        let begun = runtime::now();
+        let list_started_at = runtime::now();
         for _ in 0..MAX_LIST_PAGES {
             let path = machines_path(machines.last().map(|machine| &machine.id));
-            let page = self.list_page(&path, !machines.is_empty(), begun).await?;
-            let more = page.has_next && !page.machines.is_empty();
+            let page = self
+                .list_page(&path, !machines.is_empty(), list_started_at)
+                .await?;
+            let has_more = page.has_next && !page.machines.is_empty();
             machines.extend(page.machines);
-            if !more {
+            if !has_more {
                 break;
             }
         }
         Some(machines)
     }
 
-    /// Reads a page of a list that was begun at `begun`. A later page waits for its turn: a list that
-    /// began anew whenever one is refused would never be complete in a fleet of more pages than the
-    /// cloud allows calls at once.
-    async fn list_page(&self, path: &str, is_later: bool, begun: Instant) -> Option<MachineList> {
+    /// Reads one page of a list that was started at `list_started_at`. A continuation page is
+    /// retried when it is rate limited. Otherwise a list with more pages than the burst of the rate
+    /// limit would restart at its first page every time and never complete.
+    async fn list_page(
+        &self,
+        path: &str,
+        is_continuation: bool,
+        list_started_at: Instant,
+    ) -> Option<MachineList> {
         loop {
             match self.get(path).await {
                 Ok(page) => return Some(page),
-                Err(CallFailure::Refused) if is_later && runtime::now() < begun + LIST_TIMEOUT => {
+                Err(CallFailure::RateLimited)
+                    if is_continuation && runtime::now() < list_started_at + LIST_TIMEOUT =>
+                {
                     runtime::sleep(PAGE_RETRY_DELAY).await;
                 }
                 Err(_) => return None,
@@ -133,7 +145,7 @@
         }
     }
 
-    /// Rents machines.
+    /// Rents machines and classifies the cloud's response.
     pub(super) async fn rent(&self, request: &RentRequest) -> RentOutcome {
         let response = self
             .call(RequestClass::Place, Method::Post, path::MACHINES, request)
@@ -146,7 +158,7 @@
                     })
             }
             Ok(response) if response.status == 400 => RentOutcome::Malformed,
-            // "no capacity" and an outage share a status.
+            // The cloud uses status 503 both for lack of capacity and for outages.
             Ok(response) if response.status == 503 && contains(&response.body, b"no capacity") => {
                 RentOutcome::NoCapacity
             }
@@ -154,7 +166,8 @@
         }
     }
 
-    /// Returns machines to the cloud. `true`: they and everything on them are gone.
+    /// Deletes machines. Returns `true` if the cloud confirmed that they and everything on them are
+    /// gone.
     pub(super) async fn delete(&self, ids: &[MachineId]) -> bool {
         let names = MachineIds {
             machines: ids.to_vec(),
--- a/src/daemon/cloud_calls/tests.rs
+++ b/src/daemon/cloud_calls/tests.rs
@@ -1,11 +1,11 @@
-//! Lists of machines that take more pages than the cloud allows calls at once.
+//! Tests of machine lists that have more pages than the cloud allows calls at once.
 //!
-//! What operators would see: in a fleet of thousands of machines, at a cloud that takes few calls, the
-//! leader never knows what is rented. The limiter allows one second's calls at once and refuses the
-//! next page; the list was dropped then, with the pages that were read, and begun anew for ever. The
-//! cause is that of the questions about ended jobs: the second of several reads that belong together
-//! had no second try. Evidence: with 4,500 machines and two calls a second the list ended here after
-//! two calls; at five and at twelve a second, with nothing else asked of the cloud, it was complete.
+//! The rate limiter admits one second's calls at once and refuses the next page. If the list were
+//! dropped then and restarted at its first page, the leader of a fleet of thousands of machines
+//! would never learn which machines are rented. With 4,500 machines and two calls a second, such a
+//! list ended after two calls; at five and at twelve calls a second, with no other calls to the
+//! cloud, it was complete. The cause was that a later one of several dependent reads was not
+//! retried, as it once was with the reads of final job states.
 
 use super::*;
 use crate::http::Request;
@@ -14,10 +14,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 const CLOUD_LATENCY: Duration = Duration::from_millis(150);
 
-/// A cloud that lists so many machines, page by page, and refuses calls above its rate.
+/// Creates a fake cloud that lists `machines` machines page by page and rejects calls above `rps`
+/// calls a second.
 fn cloud(machines: usize, rps: f64, calls: Rc<Cell<usize>>) -> Client {
     let started = runtime::now();
     let bucket = Rc::new(RefCell::new(TokenBucket::new(rps)));
@@ -38,14 +39,14 @@
     }))
 }
 
-/// The page that a path asks for.
+/// Returns the page of the list that `path` requests.
 fn page(machines: usize, path: &str) -> Response {
     let after = path.split("after=").nth(1).unwrap_or_default();
     let after = after.split('&').next().unwrap_or_default();
     let first = after
         .strip_prefix("vm-")
         .map_or(0, |n| n.parse::<usize>().expect("number") + 1);
-    let last = (first + PAGE).min(machines);
+    let last = (first + PAGE_SIZE).min(machines);
     let listed: Vec<_> = (first..last)
         .map(|n| {
             json!({"id": format!("vm-{n:06}"), "addr": "127.0.0.1:1", "hull": "t8", "berth": "a",
@@ -58,17 +59,18 @@
     )
 }
 
-/// How many machines the first list shows that is complete, and the calls it took.
+/// Lists all machines once. Returns how many were listed, or `None` if the list failed, and the
+/// number of calls.
 fn list(machines: usize, rps: f64) -> (Option<usize>, usize) {
     let result = Rc::new(Cell::new((None, 0)));
-    let shown = result.clone();
+    let result_cell = result.clone();
     run_in_virtual_time(async move {
         let calls = Rc::new(Cell::new(0));
         let client = cloud(machines, rps, calls.clone());
         let addr = "127.0.0.1:1".parse().expect("address");
         let cloud_calls = CloudCalls::with_client(client, addr, rps, runtime::now());
         let listed = cloud_calls.list().await;
-        shown.set((listed.map(|l| l.len()), calls.get()));
+        result_cell.set((listed.map(|l| l.len()), calls.get()));
     });
     result.get()
 }
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the controller's effects and returns their outcomes to it.
+//! Carries out the controller's effects and passes their outcomes back to it.
 
 use super::node::Node;
 use crate::cloud::RentOutcome;
@@ -17,7 +17,7 @@
 const WORKER_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// Sends messages at once and starts a routine for each other effect.
+    /// Sends messages to peers immediately and starts a routine for each other effect.
     pub(super) fn execute(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             let node = self.clone();
@@ -45,7 +45,7 @@
         txn: Txn,
     ) {
         let outcome = self.store.txn(class, &txn).await;
-        tracing::debug!(?requester, ?outcome, "transaction");
+        tracing::debug!(?requester, ?outcome, "transaction outcome received");
         self.update(|controller, now| controller.on_txn_outcome(now, &requester, &outcome));
     }
 
@@ -64,7 +64,7 @@
 
     async fn call_worker(&self, addr: SocketAddr, body: &[u8]) -> DirectCallOutcome {
         let result = self
-            .workers
+            .worker_client
             .call(
                 addr,
                 Method::Post,
@@ -86,22 +86,32 @@
         self.update(|controller, now| controller.on_rent_outcome(now, &request, outcome));
     }
 
-    /// One line for each answer, but of those that only ask to repeat the request the first alone.
+    /// Logs the outcome of a scale-out request. If the outcome is `Again` several times for the
+    /// same request, only the first is logged; the line of the final outcome says how many there
+    /// were.
     fn log_rental(&self, request: &RentRequest, outcome: &RentOutcome) {
-        let mut refused = self.refused_rentals.borrow_mut();
+        let mut refused_rentals = self.refused_rentals.borrow_mut();
         if matches!(outcome, RentOutcome::Again) {
-            if refused.record(self.now(), &request.request).is_some() {
-                tracing::info!(?request, ?outcome, "scale-out request answered");
+            if refused_rentals
+                .record(self.now(), &request.request)
+                .is_some()
+            {
+                tracing::info!(?request, ?outcome, "scale-out call to the cloud finished");
             }
             return;
         }
-        let refusals = refused.end(&request.request).map_or(0, |e| e.count);
-        tracing::info!(?request, ?outcome, refusals, "scale-out request answered");
+        let refusals = refused_rentals.end(&request.request).map_or(0, |e| e.count);
+        tracing::info!(
+            ?request,
+            ?outcome,
+            refusals,
+            "scale-out call to the cloud finished"
+        );
     }
 
     async fn delete_machines(self: Rc<Self>, ids: Vec<MachineId>) {
         let ok = self.cloud.delete(&ids).await;
-        tracing::info!(?ids, ok, "machine deletion answered");
+        tracing::info!(?ids, ok, "machine deletion call to the cloud finished");
         self.update(|controller, now| controller.on_delete_outcome(now, &ids, ok));
     }
 
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -1,4 +1,4 @@
-//! The kinds of requests, and what `/admin/status` shows of the responses to each.
+//! The endpoints and the statistics of their responses that `/admin/status` shows.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -6,32 +6,32 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The longest latency that is told apart, in microseconds.
+/// Largest recorded latency, in microseconds (60 s). Longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Decimal digits to which latencies are kept.
-const LATENCY_DIGITS: u8 = 2;
+/// Number of significant decimal digits of recorded latencies.
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What a request is for.
+/// The purpose of a request, by which responses are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Endpoint {
-    /// Operators' status and settings.
+    /// Status and settings for operators.
     Admin,
     /// Cancellation of a job.
     Cancel,
-    /// Anything that no endpoint serves.
+    /// Requests that no endpoint serves.
     Other,
     /// Query of a job.
     Poll,
-    /// Readiness, for the load balancer.
+    /// Readiness check of the load balancer.
     Ready,
-    /// Heartbeats of workers.
+    /// Heartbeat of a worker.
     Heartbeat,
     /// Submission of a job.
     Submit,
 }
 
 impl Endpoint {
-    /// The name under which `/admin/status` shows it.
+    /// Returns the endpoint's name in `/admin/status`.
     fn name(self) -> &'static str {
         match self {
             Self::Admin => "admin",
@@ -45,7 +45,7 @@
     }
 }
 
-/// Responses by endpoint and status, and how long each took.
+/// Counts of responses by endpoint and status, and latencies by endpoint.
 #[derive(Default)]
 pub(super) struct ResponseStats {
     counts: RefCell<BTreeMap<(Endpoint, u16), u64>>,
@@ -62,7 +62,8 @@
             .or_default() += 1;
         let mut latencies = self.latencies.borrow_mut();
         if !latencies.contains_key(&endpoint)
-            && let Ok(histogram) = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
+            && let Ok(histogram) =
+                Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_SIGNIFICANT_DIGITS)
         {
             latencies.insert(endpoint, histogram);
         }
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The responses of each endpoint that gave any, by the endpoint's name.
+    /// Returns the statistics of each endpoint that has responded at least once, by the endpoint's
+    /// name.
     pub(super) fn report(&self) -> BTreeMap<&'static str, EndpointReport> {
         let latencies = self.latencies.borrow();
         latencies
@@ -96,10 +98,10 @@
     }
 }
 
-/// An endpoint's responses since the start, as `/admin/status` shows them.
+/// Statistics of an endpoint's responses since the process started, as `/admin/status` shows them.
 #[derive(Serialize)]
 pub(super) struct EndpointReport {
-    /// How many, by status.
+    /// Number of responses by HTTP status.
     #[serde(rename = "answers")]
     counts: BTreeMap<u16, u64>,
     #[serde(rename = "ms")]
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwards over the links what a peer has to decide: users' requests while the key-value store
-//! serves others but not this controller, and heartbeats of workers that can't reach the shard
-//! owner of their machine.
+//! Forwards requests to peers over the links: users' requests while this controller cannot reach
+//! the key-value store but a peer can, and heartbeats of workers that cannot reach the shard owner
+//! of their machine.
 
 use super::node::Node;
 use crate::http::{Method, Request, Response};
@@ -11,25 +11,27 @@
 
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Asks a peer that the key-value store serves. `None`: there is none, or it could not decide.
+/// Forwards a request to a peer that reaches the key-value store. Returns `None` without a
+/// conclusive response.
 pub(super) async fn forward_request(node: &Node, request: &Request) -> Option<Response> {
-    let response = ask_served_peer(node, request).await;
-    response.filter(is_decided)
+    let response = forward_to_peer_with_store(node, request).await;
+    response.filter(is_conclusive)
 }
 
-/// The answer of a peer that the key-value store serves, decided or not. `None`: there is none.
-pub(super) async fn ask_served_peer(node: &Node, request: &Request) -> Option<Response> {
-    let peer = node.served_peers.latest()?;
+/// Forwards a request to a peer that reaches the key-value store and returns its response,
+/// conclusive or not. Returns `None` without a response.
+pub(super) async fn forward_to_peer_with_store(node: &Node, request: &Request) -> Option<Response> {
+    let peer = node.peer_store_access.most_recent_peer()?;
     forward_to(node, &peer, request).await
 }
 
-/// Whether an answer is more than a request to come back.
-pub(super) fn is_decided(response: &Response) -> bool {
+/// Returns whether a response settles the request, rather than asking the user to retry.
+pub(super) fn is_conclusive(response: &Response) -> bool {
     response.status < 500
 }
 
-/// Passes a worker's heartbeat on to the shard owner of its machine. `None`: the worker should
-/// send it there itself.
+/// Forwards a worker's heartbeat to the shard owner of its machine. Returns `None` if the worker
+/// should send the heartbeat to the owner itself.
 pub(super) async fn forward_heartbeat(
     node: &Node,
     owner: &MemberId,
@@ -38,7 +40,7 @@
 ) -> Option<Response> {
     let now = node.now();
     if !node
-        .routes
+        .relay_routes
         .borrow()
         .should_relay_heartbeat(now, owner, machine)
     {
--- a/src/daemon/heartbeat_endpoint.rs
+++ b/src/daemon/heartbeat_endpoint.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers: sent here by the worker itself, or forwarded by a peer.
+//! The endpoint for workers' heartbeats, which come from the worker itself or are forwarded by a
+//! peer.
 
 use super::forwarding;
 use super::node::Node;
@@ -7,13 +8,14 @@
 use crate::worker_control::HeartbeatAnswer;
 use std::rc::Rc;
 
-/// Answers a worker with its commands, or with the shard owner that it should send to.
+/// Answers a heartbeat with the worker's commands, or with the shard owner to which the worker
+/// should send it.
 pub(super) async fn heartbeat(node: &Rc<Node>, request: &Request) -> Response {
     let heartbeat = match Heartbeat::parse(&request.body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => return Response::error(400, &error.to_string()),
     };
-    if !node.loaded.get() {
+    if !node.watch_cache_loaded.get() {
         return Response::retry_later("not ready yet", 1);
     }
     let answer = node.update_and_get(|controller, now| controller.on_heartbeat(now, &heartbeat));
@@ -28,7 +30,7 @@
 }
 
 /// Answers a heartbeat that a peer forwarded.
-pub(super) fn relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
+pub(super) fn answer_relayed_heartbeat(node: &Rc<Node>, body: &[u8]) -> Response {
     let Ok(heartbeat) = Heartbeat::parse(body) else {
         return Response::error(400, "unreadable report");
     };
--- a/src/daemon/http_routes.rs
+++ b/src/daemon/http_routes.rs
@@ -12,7 +12,7 @@
 const ADMIN_SETTINGS: &str = "/admin/settings";
 const ADMIN_STATUS: &str = "/admin/status";
 
-/// A response and the endpoint that gave it.
+/// A response and the endpoint that produced it.
 struct RoutedResponse {
     endpoint: Endpoint,
     response: Response,
@@ -28,15 +28,20 @@
     }
 }
 
-/// Answers a request.
+/// Answers a request, records the response in the statistics and logs errors.
 pub(super) async fn route(node: Rc<Node>, request: Request) -> Response {
     let received = Instant::now();
     let RoutedResponse { endpoint, response } = dispatch(&node, &request).await;
     node.response_stats
         .record(endpoint, response.status, received);
-    // Redirects of heartbeats are no refusals.
+    // Status 421 redirects a heartbeat to the shard owner, which is not an error.
     if response.status >= 400 && response.status != 421 {
-        tracing::debug!(path = request.target, status = response.status, body = %String::from_utf8_lossy(&response.body), "refused");
+        tracing::debug!(
+            path = request.target,
+            status = response.status,
+            body = %String::from_utf8_lossy(&response.body),
+            "HTTP request answered with an error"
+        );
     }
     response
 }
@@ -66,8 +71,8 @@
     }
 }
 
-/// Answers a user's request here, or through a peer when the key-value store does not serve this
-/// node.
+/// Answers a user's request on this node, or through a peer if this node cannot reach the key-value
+/// store.
 async fn dispatch_to_users(node: &Node, request: &Request) -> RoutedResponse {
     if user_endpoints::is_submission(request) {
         let response = user_endpoints::submit(node, request).await;
--- a/src/daemon/lease_maintenance.rs
+++ b/src/daemon/lease_maintenance.rs
@@ -1,4 +1,4 @@
-//! The routine that holds the controller's lease in the key-value store.
+//! The routine that maintains the controller's lease in the key-value store.
 
 use super::node::Node;
 use crate::ids::MonotonicTime;
@@ -9,11 +9,13 @@
 
 const LOADED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Holds a lease from the moment that the watch cache is loaded, and reports to the controller
-/// each new lease, each loss, and until when the lease is certain.
+/// Acquires a lease once the watch cache is loaded and keeps renewing it. Reports to the controller
+/// each new lease, each loss of the lease, and the time until which the lease is guaranteed to be
+/// valid.
 pub(super) async fn maintain_lease(node: Rc<Node>) {
-    // Whoever holds a lease is given shards: not before the watch cache shows what is in them.
-    while !node.loaded.get() {
+    // The leader assigns shards to every holder of a lease. This controller must know the records
+    // of a shard before it owns it, so the watch cache is loaded first.
+    while !node.watch_cache_loaded.get() {
         runtime::sleep(LOADED_POLL_INTERVAL).await;
     }
     keep_lease(
@@ -29,7 +31,10 @@
                 .to_duration()
         },
         |lease| {
-            tracing::info!(held = lease.is_some(), "lease");
+            tracing::info!(
+                held = lease.is_some(),
+                "controller's lease acquired or lost"
+            );
             node.update(|controller, now| controller.set_lease(now, lease));
         },
         |deadline| set_lease_deadline(&node, deadline),
--- a/src/daemon/membership_log.rs
+++ b/src/daemon/membership_log.rs
@@ -1,15 +1,15 @@
-//! The log of what the watch cache shows of the cluster: who leads in which term, and who owns which
-//! shard under which fence.
+//! Logs changes of leadership and shard ownership that appear in the watch cache: the leader and
+//! its term, and the owner of each shard and its fence.
 
 use crate::ids::{MemberId, Revision, ShardId};
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// The leader and the shards' owners that were logged last.
+/// The leader and the shard owners that were logged last.
 #[derive(Default)]
 pub(super) struct MembershipLog {
     leader: Option<Leader>,
-    shards: BTreeMap<ShardId, Owner>,
+    owners: BTreeMap<ShardId, Owner>,
 }
 
 #[derive(Clone, PartialEq)]
@@ -24,7 +24,7 @@
     fence: Revision,
 }
 
-fn owners(cache: &WatchCache) -> BTreeMap<ShardId, Owner> {
+fn shard_owners(cache: &WatchCache) -> BTreeMap<ShardId, Owner> {
     let shards = cache.shards.iter();
     shards
         .map(|(shard, record)| {
@@ -38,43 +38,44 @@
 }
 
 impl MembershipLog {
-    /// Logs what has changed since the last call. `own`: this controller.
-    pub(super) fn update(&mut self, cache: &WatchCache, own: &MemberId) {
+    /// Logs the changes since the last call. `local_member` is this controller.
+    pub(super) fn update(&mut self, cache: &WatchCache, local_member: &MemberId) {
         let leader = cache.leader.as_ref().map(|record| Leader {
             member: record.value.member.clone(),
             term: record.revision,
         });
         if leader != self.leader {
-            self.log_leader(leader.as_ref(), cache.revision, own);
+            self.log_leader(leader.as_ref(), cache.revision, local_member);
             self.leader = leader;
         }
-        if !self.shows_owners_of(cache) {
-            let owners = owners(cache);
+        if !self.has_same_shard_owners(cache) {
+            let owners = shard_owners(cache);
             self.log_owners(&owners, cache.revision);
-            self.shards = owners;
+            self.owners = owners;
         }
     }
 
-    /// Whether nothing has changed: so it is after nearly every event of the watch.
-    fn shows_owners_of(&self, cache: &WatchCache) -> bool {
+    /// Returns whether no shard owner has changed, which is the case after nearly every watch
+    /// event.
+    fn has_same_shard_owners(&self, cache: &WatchCache) -> bool {
         let fences = cache
             .shards
             .iter()
             .map(|(shard, record)| (shard, record.revision));
         fences.eq(self
-            .shards
+            .owners
             .iter()
             .map(|(shard, owner)| (shard, owner.fence)))
     }
 
-    fn log_leader(&self, leader: Option<&Leader>, revision: Revision, own: &MemberId) {
+    fn log_leader(&self, leader: Option<&Leader>, revision: Revision, local_member: &MemberId) {
         if let Some(last) = &self.leader
-            && last.member == *own
+            && last.member == *local_member
         {
             tracing::info!(term = %last.term, %revision, "leadership ended");
         }
         match leader {
-            Some(leader) if leader.member == *own => {
+            Some(leader) if leader.member == *local_member => {
                 tracing::info!(term = %leader.term, %revision, "elected leader");
             }
             Some(leader) => {
@@ -86,11 +87,11 @@
 
     fn log_owners(&self, owners: &BTreeMap<ShardId, Owner>, revision: Revision) {
         for (shard, owner) in owners {
-            if self.shards.get(shard) != Some(owner) {
+            if self.owners.get(shard) != Some(owner) {
                 tracing::info!(%shard, owner = %owner.member, fence = %owner.fence, %revision, "shard owner changed");
             }
         }
-        for shard in self.shards.keys() {
+        for shard in self.owners.keys() {
             if !owners.contains_key(shard) {
                 tracing::info!(%shard, %revision, "shard has no owner");
             }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,9 +1,9 @@
 //! The process of one controller: the sockets, routines and clocks around the decisions of
 //! [`Controller`](crate::controller::Controller).
 //!
-//! [`Node`] is the state that all routines share. Each routine and each group of endpoints has a
-//! module of its own; all of them hand their inputs to the controller through `Node::update` and
-//! leave its effects to `Node::execute`.
+//! [`Node`] is the state that all routines share. Each routine and each group of endpoints has its
+//! own module. They pass inputs to the controller through `Node::update`, and `Node::execute`
+//! carries out the effects that the controller returns.
 
 mod admin_endpoints;
 mod cancellation_confirmation;
@@ -19,8 +19,8 @@
 mod node;
 mod peer_messages;
 mod peer_status;
+mod peer_store_access;
 mod pending_forwards;
-mod served_peers;
 mod status_report;
 mod store_watch;
 mod tick_loop;
@@ -35,13 +35,13 @@
 use node::Node;
 use std::rc::Rc;
 
-/// Runs a controller on this thread until the process is ended.
+/// Runs a controller on the current thread until the process is terminated.
 ///
-/// A controller whose sockets can't be bound is logged, and the process exits with code 1.
+/// If the sockets cannot be bound, the error is logged and the process exits with code 1.
 ///
 /// # Errors
 ///
-/// Returns the error of the event loop when it can't be started or when polling for events fails.
+/// Returns the error of the event loop if it cannot be started or if polling for events fails.
 pub fn run(config: Config) -> std::io::Result<()> {
     runtime::run(async move {
         if let Err(error) = start(config).await {
@@ -51,7 +51,7 @@
     })
 }
 
-/// Binds the sockets, starts all routines and serves HTTP for ever.
+/// Binds the sockets, starts all routines and serves HTTP until the process is terminated.
 async fn start(config: Config) -> std::io::Result<()> {
     let http_listener = TcpListener::bind(config.listen)?;
     let peer_listener = TcpListener::bind(config.peer_listen)?;
@@ -91,7 +91,7 @@
 }
 
 async fn serve_http(node: Rc<Node>, listener: TcpListener) {
-    // The rest of the sockets is left for peers, workers, the cloud and the key-value store.
+    // The remaining 40 % of the sockets are for peers, workers, the cloud and the key-value store.
     let connection_limit = node.config.max_sockets * 6 / 10;
     http::serve(listener, connection_limit, move |request| {
         http_routes::route(node.clone(), request)
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,10 +1,10 @@
-//! The state that all routines of a controller's process share.
+//! The state that all routines of a controller process share.
 
 use super::cloud_calls::CloudCalls;
 use super::endpoint::ResponseStats;
 use super::membership_log::MembershipLog;
+use super::peer_store_access::PeerStoreAccess;
 use super::pending_forwards::PendingForwards;
-use super::served_peers::ServedPeers;
 use crate::api::{Cancellation, JobApi};
 use crate::config::Config;
 use crate::controller::{Controller, Effect};
@@ -18,55 +18,58 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Largest heartbeat that is read: a worker's lines are bounded, its list of tasks is not.
-const HEARTBEAT_BODY_LIMIT: usize = 1024 * 1024;
-/// A scale-out request that is not repeated for so long was given up.
-const RENTAL_QUIET_AFTER: Millis = Millis(30_000);
-/// More refused scale-out requests are logged one by one no longer.
-const MAX_REFUSED_RENTALS: usize = 1000;
-/// What a controller may use of the key-value store's rates, in even shares: somewhat more than
-/// one, since seldom do all controllers need theirs.
-const STORE_RATE_SHARES: f64 = 1.3;
+/// Largest accepted response to a direct command, which is a heartbeat. The size of each of its
+/// lines is bounded, but the number of tasks that it lists is not.
+const MAX_HEARTBEAT_BYTES: usize = 1024 * 1024;
+/// A refused scale-out request that has not been repeated for this time is considered abandoned.
+const REFUSED_RENTAL_EXPIRY: Millis = Millis(30_000);
+/// Largest number of refused scale-out requests that are tracked at a time. Refusals of further
+/// ones are not logged.
+const MAX_TRACKED_REFUSED_RENTALS: usize = 1000;
+/// Factor by which a controller's share of the key-value store's rates exceeds an even share. It is
+/// above 1 because the controllers seldom need their full shares at the same time.
+const STORE_RATE_OVERCOMMIT: f64 = 1.3;
 
 /// One controller with its connections to workers, peers, the cloud and the key-value store.
 pub(super) struct Node {
-    /// The checked settings file.
+    /// The validated settings file.
     pub(super) config: Config,
-    /// This run of the process.
+    /// Identifies this run of the process.
     pub(super) incarnation: Incarnation,
-    /// The zero of the node's [`MonotonicTime`].
+    /// The time at which the node's [`MonotonicTime`] is zero.
     pub(super) started: Instant,
-    /// All decisions; never borrowed across an await point.
+    /// The state machine that makes all decisions. It must not be borrowed across an await point.
     pub(super) controller: Rc<RefCell<Controller>>,
     /// The client of the key-value store.
     pub(super) store: Rc<StoreClient>,
     /// The client for direct commands to workers.
-    pub(super) workers: Client,
+    pub(super) worker_client: Client,
     /// The client of the cloud.
     pub(super) cloud: CloudCalls,
     /// Outgoing links to the peers.
     pub(super) links: Links,
-    /// Which peers reach each other and this node.
-    pub(super) routes: RefCell<RelayRoutes>,
-    /// The users' requests.
+    /// Which peers reach each other and this node, for relaying messages around partitions.
+    pub(super) relay_routes: RefCell<RelayRoutes>,
+    /// The handlers of users' requests.
     pub(super) api: JobApi,
-    /// Whether the watch cache has been loaded once.
-    pub(super) loaded: Cell<bool>,
-    /// Peers that the key-value store serves.
-    pub(super) served_peers: ServedPeers,
-    /// Requests that peers were asked to answer.
+    /// Whether the watch cache has been loaded at least once.
+    pub(super) watch_cache_loaded: Cell<bool>,
+    /// Which peers reach the key-value store.
+    pub(super) peer_store_access: PeerStoreAccess,
+    /// Requests that were forwarded to peers and have no response yet.
     pub(super) pending_forwards: PendingForwards,
     /// Counts and latencies of HTTP responses.
     pub(super) response_stats: ResponseStats,
-    /// The last leader and shard owners that were logged.
+    /// The leader and the shard owners that were logged last.
     pub(super) membership_log: RefCell<MembershipLog>,
-    /// Scale-out requests that the cloud goes on refusing, by their names.
+    /// Scale-out requests that the cloud has refused or not answered and that are still repeated,
+    /// by request id.
     pub(super) refused_rentals: RefCell<Episodes<String>>,
 }
 
 impl Node {
-    /// A node whose links to its peers run in `scope`. Each cancellation that must be confirmed
-    /// goes to `cancellations`.
+    /// Creates a node whose links to its peers run in `scope`. Each cancellation that must be
+    /// confirmed is sent to `cancellations`.
     pub(super) fn new(
         config: Config,
         cancellations: Sender<Cancellation>,
@@ -77,7 +80,7 @@
         let store = Rc::new(StoreClient::new(
             config.store_addr,
             &config.store_limits,
-            STORE_RATE_SHARES / f64::from(config.controller_count.max(2)),
+            STORE_RATE_OVERCOMMIT / f64::from(config.controller_count.max(2)),
             config.max_response_bytes,
             started,
         ));
@@ -86,16 +89,16 @@
         Self {
             api: JobApi::new(&config, store.clone(), controller.clone(), cancellations),
             cloud: CloudCalls::new(config.cloud_addr, config.cloud_rps, started),
-            workers: Client::new(HEARTBEAT_BODY_LIMIT, config.max_sockets / 5),
-            loaded: Cell::new(false),
-            served_peers: ServedPeers::default(),
+            worker_client: Client::new(MAX_HEARTBEAT_BYTES, config.max_sockets / 5),
+            watch_cache_loaded: Cell::new(false),
+            peer_store_access: PeerStoreAccess::default(),
             pending_forwards: PendingForwards::default(),
             response_stats: ResponseStats::default(),
             membership_log: RefCell::default(),
             refused_rentals: RefCell::new(Episodes::new(
                 Millis(0),
-                RENTAL_QUIET_AFTER,
-                MAX_REFUSED_RENTALS,
+                REFUSED_RENTAL_EXPIRY,
+                MAX_TRACKED_REFUSED_RENTALS,
             )),
             config,
             incarnation,
@@ -103,16 +106,16 @@
             controller,
             store,
             links,
-            routes: RefCell::default(),
+            relay_routes: RefCell::default(),
         }
     }
 
-    /// Milliseconds since the node was started.
+    /// Returns the time since the node was started.
     pub(super) fn now(&self) -> MonotonicTime {
         MonotonicTime(self.started.elapsed().as_millis() as u64)
     }
 
-    /// Gives the controller an input and carries out the effects that it returns.
+    /// Passes an input to the controller and carries out the effects that it returns.
     pub(super) fn update(
         self: &Rc<Self>,
         input: impl FnOnce(&mut Controller, MonotonicTime) -> Vec<Effect>,
@@ -120,7 +123,7 @@
         self.update_and_get(|controller, now| ((), input(controller, now)));
     }
 
-    /// The same for an input that also has a result.
+    /// Passes an input to the controller, carries out the effects and returns the input's result.
     pub(super) fn update_and_get<T>(
         self: &Rc<Self>,
         input: impl FnOnce(&mut Controller, MonotonicTime) -> (T, Vec<Effect>),
@@ -130,9 +133,14 @@
         result
     }
 
-    /// Sends a message to a peer: directly, or through one that reaches it when this node does not.
+    /// Sends a message to a peer, directly or, if this node does not reach the peer, through a
+    /// relay.
     pub(super) fn send(&self, to: &MemberId, message: Message) {
-        let relay = self.routes.borrow().relay_for(self.now(), to).cloned();
+        let relay = self
+            .relay_routes
+            .borrow()
+            .relay_for(self.now(), to)
+            .cloned();
         match relay {
             None => self.links.send(to, message),
             Some(relay) => {
@@ -146,10 +154,12 @@
         }
     }
 
-    /// Whether users are served here. A node that alone can't reach the key-value store forwards
-    /// requests to a peer, and in an outage of the store no node is better than another: in both
-    /// cases leaving the load balancer's sight would only cost the time until it is seen again.
+    /// Returns whether the load balancer should route users to this node. This does not depend on
+    /// whether the key-value store can be reached now. If only this node cannot reach the store, it
+    /// forwards requests to a peer; if the store is down, all nodes are equally affected. In both
+    /// cases removal by the load balancer would only add the time until the node is routed to
+    /// again.
     pub(super) fn is_ready(&self) -> bool {
-        self.loaded.get() && self.controller.borrow().cache.catalog.is_some()
+        self.watch_cache_loaded.get() && self.controller.borrow().cache.catalog.is_some()
     }
 }
--- a/src/daemon/peer_messages.rs
+++ b/src/daemon/peer_messages.rs
@@ -1,5 +1,5 @@
-//! Messages from peers: those of the daemon itself are answered here, all others are inputs of the
-//! controller.
+//! Handles messages from peers. Statuses, relayed messages and forwarded requests are handled here;
+//! all others are inputs of the controller.
 
 use super::node::Node;
 use super::{heartbeat_endpoint, user_endpoints};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Handles a message that was sent, directly or through a relay, by `from`.
+    /// Handles a message from `from`, which was sent directly or through a relay.
     pub(super) fn on_peer_message(self: &Rc<Self>, from: &MemberId, message: Message) {
         match message {
             Message::PeerStatus {
@@ -37,7 +37,12 @@
                     target: path,
                     body,
                 };
-                runtime::spawn(answer_forwarded(self.clone(), from.clone(), id, request));
+                runtime::spawn(answer_forwarded_request(
+                    self.clone(),
+                    from.clone(),
+                    id,
+                    request,
+                ));
             }
             Message::ForwardedResponse { id, status, body } => {
                 self.pending_forwards
@@ -56,17 +61,17 @@
         reachable_peers: Vec<MemberId>,
         machines_without_direct_heartbeats: Vec<MachineId>,
     ) {
-        self.routes.borrow_mut().on_peer_status(
+        self.relay_routes.borrow_mut().on_peer_status(
             self.now(),
             from,
             reachable_peers,
             machines_without_direct_heartbeats,
         );
-        self.served_peers.record(from, store_reachable);
+        self.peer_store_access.record(from, store_reachable);
     }
 
-    /// A message for another controller is sent on directly and never relayed again: whoever was
-    /// asked to relay reaches the other side itself.
+    /// Delivers a relayed message, or sends it on directly. It is never relayed a second time,
+    /// because its sender has chosen a relay that reaches the receiver.
     fn on_relay(self: &Rc<Self>, to: MemberId, from: MemberId, message: Box<Message>) {
         if to == self.config.member {
             self.on_peer_message(&from, *message);
@@ -78,10 +83,10 @@
     }
 }
 
-/// Decides a peer's request here; it is never forwarded again.
-async fn answer_forwarded(node: Rc<Node>, from: MemberId, id: u64, request: Request) {
+/// Answers a request that a peer forwarded. The request is never forwarded again.
+async fn answer_forwarded_request(node: Rc<Node>, from: MemberId, id: u64, request: Request) {
     let response = if request.method == Method::Post && request.target == path::HEARTBEAT {
-        heartbeat_endpoint::relayed_heartbeat(&node, &request.body)
+        heartbeat_endpoint::answer_relayed_heartbeat(&node, &request.body)
     } else {
         user_endpoints::respond(&node, &request)
             .await
--- a/src/daemon/pending_forwards.rs
+++ b/src/daemon/pending_forwards.rs
@@ -1,51 +1,52 @@
-//! Requests that were forwarded to peers and not yet answered.
+//! Requests that were forwarded to peers and have no response yet.
 
 use crate::http::Response;
 use crate::runtime::{Oneshot, Sender, oneshot};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// More requests than this at a time are not forwarded.
+/// Largest number of pending forwarded requests. Requests beyond it are not forwarded.
 const MAX_PENDING_FORWARDS: usize = 500;
 
-/// The forwarded requests that still wait for their responses, by id.
+/// The forwarded requests that have no response yet, by id.
 #[derive(Default)]
 pub(super) struct PendingForwards {
     last_id: Cell<u64>,
-    waiting: RefCell<BTreeMap<u64, Sender<Response>>>,
+    pending: RefCell<BTreeMap<u64, Sender<Response>>>,
 }
 
-/// A request that may be forwarded under its id.
+/// A registered request that can now be forwarded.
 pub(super) struct PendingForward {
-    /// Returned by the peer with its response.
+    /// The id that the peer returns with its response.
     pub(super) id: u64,
-    /// The peer's response.
+    /// Resolves to the peer's response.
     pub(super) response: Oneshot<Response>,
 }
 
 impl PendingForwards {
-    /// Registers a request. `None`: too many are waiting.
+    /// Registers a request. Returns `None` if `MAX_PENDING_FORWARDS` requests are pending.
     pub(super) fn register(&self) -> Option<PendingForward> {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MAX_PENDING_FORWARDS {
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() >= MAX_PENDING_FORWARDS {
             return None;
         }
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let (sender, response) = oneshot();
-        waiting.insert(id, sender);
+        pending.insert(id, sender);
         Some(PendingForward { id, response })
     }
 
-    /// Passes a peer's response to whoever waits for it; one that comes too late is dropped.
+    /// Passes a peer's response to the pending request. A response that arrives after the request
+    /// was removed is dropped.
     pub(super) fn complete(&self, id: u64, response: Response) {
-        if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
+        if let Some(sender) = self.pending.borrow_mut().remove(&id) {
             sender.send(response);
         }
     }
 
-    /// Gives up a request.
+    /// Removes a request whose response is no longer awaited.
     pub(super) fn remove(&self, id: u64) {
-        self.waiting.borrow_mut().remove(&id);
+        self.pending.borrow_mut().remove(&id);
     }
 }
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -1,4 +1,4 @@
-//! The body of `/admin/status`. Its field names are part of the operators' interface.
+//! The response body of `/admin/status`. Its field names are part of the operators' interface.
 
 use super::endpoint::EndpointReport;
 use super::node::Node;
@@ -13,48 +13,49 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a node knows of the cluster and of itself.
+/// The state of a node, and of the cluster as the node's watch cache shows it.
 #[derive(Serialize)]
 pub(super) struct StatusReport<'a> {
     member: &'a MemberId,
     zone: &'a Zone,
-    /// Whether the load balancer should send users here.
+    /// Whether the load balancer should route users to this node.
     ready: bool,
-    /// The leader, as far as the watch cache knows.
+    /// The leader according to the watch cache.
     leader: Option<&'a MemberId>,
     /// All controllers that hold a lease.
     members: Vec<&'a MemberId>,
-    /// Their program versions.
+    /// Program version of each of them.
     versions: BTreeMap<&'a MemberId, ProgramVersion>,
     /// The revision of the watch cache.
     revision: Revision,
-    /// By the shard's id.
+    /// Owner and fencing token of each shard, by shard id.
     #[serde(rename = "blocks")]
     shards: BTreeMap<String, ShardReport<'a>>,
     machines: Vec<MachineReport<'a>>,
-    /// Machines that the cloud lists and that have no record yet.
+    /// Number of machines that the cloud lists and that have no record yet.
     booting: usize,
-    /// What each team's tasks use.
+    /// Resources that each team's tasks use.
     teams: BTreeMap<TeamId, Resources>,
-    /// Jobs that are not over.
+    /// Number of jobs that have not ended.
     jobs: usize,
-    /// Those of them that wait for other jobs.
+    /// Number of jobs that wait for their dependencies.
     waiting_jobs: usize,
-    /// Tasks for which no machine has room.
+    /// Number of tasks for which no machine has enough free resources.
     waiting_tasks: u64,
-    /// Task attempts that the leader allotted to shards and that no machine's record shows yet.
+    /// Number of task attempts that the leader has allotted to shards and that no machine record
+    /// shows yet.
     allotted: usize,
-    /// Machines that this node controls as a shard owner.
+    /// Number of machines that this node controls as a shard owner.
     #[serde(rename = "held_machines")]
     owned_machines: usize,
     #[serde(rename = "state_service")]
     store: StoreReport,
-    /// Responses by endpoint.
+    /// Statistics of the HTTP responses, by endpoint.
     #[serde(rename = "answers")]
     responses: BTreeMap<&'static str, EndpointReport>,
-    /// Users' questions without an answer.
+    /// Users' requests that remain unanswered.
     unanswered: UnansweredReport,
-    /// Reads of how jobs have ended.
+    /// Counters of the reads of jobs' final states.
     final_state_reads: FinalStateReadCounters,
 }
 
@@ -66,7 +67,7 @@
     token: FencingToken,
 }
 
-/// A machine's record.
+/// A machine as its record describes it.
 #[derive(Serialize)]
 struct MachineReport<'a> {
     id: &'a MachineId,
@@ -74,33 +75,34 @@
     type_name: &'a MachineTypeName,
     zone: &'a Zone,
     spot: bool,
-    /// How many tasks are placed on it.
+    /// Number of tasks that are placed on the machine.
     tasks: usize,
-    /// What they use.
+    /// Resources that these tasks use.
     used: Resources,
 }
 
-/// The key-value store as seen from this node, and what was asked of it since the start.
+/// The state of the key-value store as seen from this node, and counters of its calls since the
+/// process started.
 #[derive(Serialize)]
 struct StoreReport {
     up: bool,
-    /// Requests that the rate limiter would admit now.
+    /// Number of requests that the rate limiter would admit now.
     #[serde(rename = "request_tokens")]
     request_permits: f64,
-    /// Changes that the rate limiter would admit now.
+    /// Number of key changes that the rate limiter would admit now.
     #[serde(rename = "write_tokens")]
     write_permits: f64,
     calls: u64,
-    /// Calls that the store refused.
+    /// Number of calls that the store refused.
     refused: u64,
     unanswered: u64,
-    /// Calls that the rate limiter refused.
+    /// Number of calls that this node's rate limiter refused.
     held_back: u64,
     classes: BTreeMap<RequestClass, ClassCounters>,
 }
 
 impl<'a> StatusReport<'a> {
-    /// The report of a node, whose watch cache is `cache`.
+    /// Creates the report of a node whose watch cache is `cache`.
     pub(super) fn new(node: &'a Node, cache: &'a WatchCache) -> Self {
         let controller = node.controller.borrow();
         let unmet_demands = &controller.scheduler.unmet_demands;
--- a/src/daemon/store_watch.rs
+++ b/src/daemon/store_watch.rs
@@ -1,4 +1,5 @@
-//! The routine that keeps the watch cache: a snapshot of the key-value store, then its changes.
+//! The routine that maintains the watch cache: it loads a snapshot of the key-value store and
+//! applies the changes that follow.
 
 use super::node::Node;
 use crate::config::Config;
@@ -14,26 +15,27 @@
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
 const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Loads a snapshot and applies all changes to it; starts anew when the stream of changes is lost.
+/// Loads a snapshot and applies all later changes to it. If changes have been missed, it loads a
+/// new snapshot.
 pub(super) async fn watch_store(node: Rc<Node>) {
     loop {
         match load_snapshot(&node.store, &node.config).await {
             Ok(cache) => {
                 let revision = cache.revision;
-                node.loaded.set(true);
+                node.watch_cache_loaded.set(true);
                 node.update(|controller, now| controller.on_snapshot(now, cache));
                 log_membership(&node);
                 apply_changes(&node, revision).await;
             }
             Err(error) => {
-                tracing::debug!(%error, "watch cache not loaded");
+                tracing::debug!(%error, "cannot load the watch cache; retrying");
                 runtime::sleep(SNAPSHOT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Applies all changes after `revision`, until the store no longer has the next ones.
+/// Applies all changes after `revision`. Returns when the store no longer has the next changes.
 async fn apply_changes(node: &Rc<Node>, mut revision: Revision) {
     loop {
         match node
@@ -48,8 +50,8 @@
                     effects
                 });
                 log_membership(node);
-                // Each answer costs a request: the fewer are left, the more changes are collected
-                // for the next one.
+                // Each watch response costs one request. The fewer requests the rate limiter has
+                // left, the longer the delay, so that the next response contains more changes.
                 runtime::sleep(node.store.watch_delay(MAX_WATCH_DELAY)).await;
             }
             Err(StoreError::Gone) => return,
@@ -58,11 +60,11 @@
     }
 }
 
-/// Reads all live records. Pages may be of different revisions: watching from the first one's
-/// brings whatever changed in between.
+/// Reads all live records. The pages can have different revisions; the watch therefore starts at
+/// the revision of the first page and delivers the changes made while the later pages were read.
 async fn load_snapshot(store: &StoreClient, config: &Config) -> Result<WatchCache, StoreError> {
     let mut cache = WatchCache::new(config);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut first_revision = None;
     let mut last_revision;
     let mut last_key: Option<String> = None;
@@ -71,18 +73,25 @@
         first_revision.get_or_insert(page.revision);
         last_revision = page.revision;
         last_key = page.items.last().map(|item| item.key.clone());
-        let more = page.has_next && last_key.is_some();
+        let has_more = page.has_next && last_key.is_some();
         for item in page.items {
             cache.load(item);
         }
-        if !more {
+        if !has_more {
             break;
         }
     }
     cache.revision = first_revision.unwrap_or_default();
-    // While it was read, the store went on by so many revisions: the watch brings them.
+    // The number of revisions that were created while the pages were read. The watch delivers them.
     let behind = last_revision.0.saturating_sub(cache.revision.0);
-    tracing::info!(revision = %cache.revision, behind, took = ?begun.elapsed(), jobs = cache.jobs.len(), machines = cache.machines.len(), "watch cache loaded");
+    tracing::info!(
+        revision = %cache.revision,
+        behind,
+        took = ?started_at.elapsed(),
+        jobs = cache.jobs.len(),
+        machines = cache.machines.len(),
+        "watch cache loaded"
+    );
     Ok(cache)
 }
 
--- a/src/daemon/tick_loop.rs
+++ b/src/daemon/tick_loop.rs
@@ -1,4 +1,4 @@
-//! The routine that gives the controller the time when nothing else happens.
+//! The routine that ticks the controller when no other input arrives.
 
 use super::node::Node;
 use crate::ids::UnixTime;
@@ -9,7 +9,8 @@
 const MIN_TICK_INTERVAL_MS: u64 = 5;
 const MAX_TICK_INTERVAL_MS: u64 = 100;
 
-/// Ticks whenever the controller has work that is due.
+/// Ticks the controller when its next work is due, at intervals from `MIN_TICK_INTERVAL_MS` to
+/// `MAX_TICK_INTERVAL_MS`.
 pub(super) async fn tick_loop(node: Rc<Node>) {
     loop {
         let now = node.now();
--- a/src/daemon/user_endpoints.rs
+++ b/src/daemon/user_endpoints.rs
@@ -1,4 +1,4 @@
-//! The users' endpoints: submissions, queries and cancellations of jobs.
+//! The endpoints for users: submissions, queries and cancellations of jobs.
 
 use super::endpoint::Endpoint;
 use super::forwarding;
@@ -6,7 +6,7 @@
 use crate::http::{Method, Request, Response};
 use crate::protocol::path;
 
-/// Which of the users' endpoints a request is for.
+/// Returns the user endpoint that a request is counted under.
 pub(super) fn endpoint(request: &Request) -> Endpoint {
     match request.method {
         Method::Get => Endpoint::Poll,
@@ -15,28 +15,29 @@
     }
 }
 
-/// Whether a request submits a job.
+/// Returns whether a request submits a job.
 pub(super) fn is_submission(request: &Request) -> bool {
     request.method == Method::Post && request.path_without_query() == path::JOBS
 }
 
-/// Answers a submission here, or through a peer when it can't be written here. The peer comes before
-/// the lookup of the job here, for which a new job would wait in vain; whoever is asked last looks it up.
+/// Answers a submission on this node or, if it cannot be written here, through a peer. The peer is
+/// asked before the job is looked up here, because the lookup would only delay a new job. If a peer
+/// responds, it has looked the job up; otherwise this node does.
 pub(super) async fn submit(node: &Node, request: &Request) -> Response {
     match node.api.try_submit(&request.body).await {
         Ok(response) if response.status == 503 => forwarding::forward_request(node, request)
             .await
             .unwrap_or(response),
         Ok(response) => response,
-        Err(unwritten) => match forwarding::ask_served_peer(node, request).await {
-            Some(response) if forwarding::is_decided(&response) => response,
+        Err(unwritten) => match forwarding::forward_to_peer_with_store(node, request).await {
+            Some(response) if forwarding::is_conclusive(&response) => response,
             Some(_) => node.api.respond_retry_later(unwritten),
             None => node.api.respond_from_lookup(unwritten).await,
         },
     }
 }
 
-/// Decides a user's request on this node; `None` for paths of others.
+/// Answers a user's request on this node. Returns `None` if the path is not a user endpoint.
 pub(super) async fn respond(node: &Node, request: &Request) -> Option<Response> {
     let rest = request.path_without_query().strip_prefix(path::JOBS)?;
     if rest.is_empty() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! laurellanding: a cluster scheduler. Three or more controllers share the machines of a cluster;
-//! a consensus-backed key-value store is the only place where they keep anything.
+//! laurellanding: a cluster scheduler. Three or more controllers share the machines of a cluster.
+//! They keep persistent state only in a consensus-backed key-value store.
 //!
-//! [`Config`] is read from the settings file that the platform hands over, and [`run`] serves as one
-//! controller until the process is ended. `docs/ARCHITECTURE.md` says which module owns which state.
+//! [`Config`] is read from the settings file that the platform provides, and [`run`] runs one
+//! controller until the process is terminated. `docs/ARCHITECTURE.md` says which module owns which
+//! state.
 
 mod admin;
 mod api;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, its logging and its exit codes.
+//! The executable: command line, logging setup and exit codes.
 
 use clap::{Parser, Subcommand};
 use laurellanding::Config;
@@ -24,7 +24,8 @@
 /// The exit code for a wrong command line or settings file.
 const EXIT_USAGE: u8 = 2;
 
-/// The level that the environment variable `LOG_LEVEL` names; info without it.
+/// Returns the log level that the environment variable `LOG_LEVEL` names, or info if it is unset or
+/// empty.
 fn log_level() -> Result<tracing::Level, String> {
     match std::env::var("LOG_LEVEL").as_deref() {
         Err(_) | Ok("") | Ok("info") => Ok(tracing::Level::INFO),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Prints why the program ends.
+/// Prints an error message and returns the exit code for it.
 fn fail(message: &str) -> ExitCode {
     eprintln!("laurellanding: {message}");
     ExitCode::from(EXIT_USAGE)
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -1,83 +1,84 @@
-//! Frames on the links: a length, a version and one `bincode` message. A frame that is too
-//! long, of another version or unreadable closes the link.
+//! The frame format of links: a length, a version and one message in `bincode` encoding. A frame
+//! that is too long, has another version or cannot be decoded closes the link.
 
 use super::Message;
 
-/// Version of the messages' encoding. They change with the program, and a link to a controller
-/// with another version is closed.
-const VERSION: u8 = 4;
+/// Version of the message encoding. Messages can change with each release, so links between
+/// controllers with different frame versions are closed.
+const FRAME_VERSION: u8 = 4;
 /// Largest encoded message, in bytes.
-const FRAME_LIMIT: usize = 1024 * 1024;
-/// Bytes before the message: its length as a big-endian `u32`, and the version.
+const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
+/// Size of the header in bytes: the message length as a big-endian `u32`, then the version.
 const HEADER_BYTES: usize = 5;
 
-/// Why a frame can't be sent or read.
+/// The reason why a frame cannot be sent or read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// The message has more bytes than a frame may hold.
+    /// The message is larger than `MAX_MESSAGE_BYTES`.
     #[error("frame of {0} bytes is too long")]
     TooLong(usize),
     /// The frame was written by another version of the program.
     #[error("frame version {0} is not supported")]
-    Version(u8),
-    /// The message can't be encoded.
+    UnsupportedVersion(u8),
+    /// The message cannot be encoded.
     #[error("message can't be encoded")]
     Unencodable,
-    /// The bytes are not a message.
+    /// The bytes are not a valid message.
     #[error("frame can't be decoded")]
-    Unreadable,
+    Undecodable,
 }
 
-/// A message from the front of a buffer.
+/// A message that was decoded from the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub(super) struct DecodedFrame {
     /// The message.
     pub(super) message: Message,
-    /// The bytes of the whole frame, to be taken off the buffer.
+    /// Size of the whole frame in bytes, which the caller removes from the buffer.
     pub(super) length: usize,
 }
 
-/// The limit keeps lengths inside a frame from asking for more memory than a frame holds.
-fn format() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<FRAME_LIMIT>()
+/// Returns the `bincode` configuration. The limit prevents a length field inside a message from
+/// causing an allocation larger than a frame.
+fn encoding_config() -> impl bincode::config::Config {
+    bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>()
 }
 
-/// The frame of a message.
+/// Encodes a message as a frame.
 pub(crate) fn encode(message: &Message) -> Result<Vec<u8>, FrameError> {
-    let body =
-        bincode::serde::encode_to_vec(message, format()).map_err(|_| FrameError::Unencodable)?;
-    if body.len() > FRAME_LIMIT {
+    let body = bincode::serde::encode_to_vec(message, encoding_config())
+        .map_err(|_| FrameError::Unencodable)?;
+    if body.len() > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend_from_slice(&(body.len() as u32).to_be_bytes());
-    frame.push(VERSION);
+    frame.push(FRAME_VERSION);
     frame.extend_from_slice(&body);
     Ok(frame)
 }
 
-/// Reads the first frame of a buffer. `None`: it is not complete yet.
+/// Decodes the first frame of a buffer. Returns `None` if the frame is not complete yet.
 pub(super) fn decode(buffer: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
     let Some((header, rest)) = buffer.split_at_checked(HEADER_BYTES) else {
         return Ok(None);
     };
     let [a, b, c, d, version] = *header else {
-        return Err(FrameError::Unreadable);
+        return Err(FrameError::Undecodable);
     };
     let body_bytes = u32::from_be_bytes([a, b, c, d]) as usize;
-    if version != VERSION {
-        return Err(FrameError::Version(version));
+    if version != FRAME_VERSION {
+        return Err(FrameError::UnsupportedVersion(version));
     }
-    if body_bytes > FRAME_LIMIT {
+    if body_bytes > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong(body_bytes));
     }
     let Some(body) = rest.get(..body_bytes) else {
         return Ok(None);
     };
-    let (message, used) =
-        bincode::serde::decode_from_slice(body, format()).map_err(|_| FrameError::Unreadable)?;
-    if used != body_bytes {
-        return Err(FrameError::Unreadable);
+    let (message, consumed_bytes) = bincode::serde::decode_from_slice(body, encoding_config())
+        .map_err(|_| FrameError::Undecodable)?;
+    if consumed_bytes != body_bytes {
+        return Err(FrameError::Undecodable);
     }
     Ok(Some(DecodedFrame {
         message,
--- a/src/peers/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn frames_round_trip_and_foreign_frames_are_rejected() {
+fn frames_round_trip_and_unsupported_frames_are_rejected() {
     let task = TaskId::parse("job-1/2").expect("task");
     let message = Message::Refused {
         fence: Revision(u64::MAX),
@@ -23,8 +23,11 @@
     assert_eq!(decode(&frame), Ok(Some(decoded)));
     assert_eq!(decode(&frame[..frame.len() - 1]), Ok(None));
     let mut other = frame.clone();
-    other[4] = VERSION + 1;
-    assert_eq!(decode(&other), Err(FrameError::Version(VERSION + 1)));
+    other[4] = FRAME_VERSION + 1;
+    assert_eq!(
+        decode(&other),
+        Err(FrameError::UnsupportedVersion(FRAME_VERSION + 1))
+    );
     other = frame;
     other[0] = 0xff;
     assert!(matches!(decode(&other), Err(FrameError::TooLong(_))));
@@ -44,7 +47,7 @@
         flip in any::<u8>(),
     ) {
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
-        frame.push(VERSION);
+        frame.push(FRAME_VERSION);
         frame.extend_from_slice(&body);
         decode(&frame).ok();
         let hello = Message::Hello { member: "c1".into(), incarnation: Incarnation(4) };
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,7 +1,7 @@
-//! Links between controllers: one to each other controller, dialled again whenever it breaks, and
-//! the listener for theirs. Each link carries messages one way. What is queued for a peer that
-//! can't be reached is dropped: senders repeat what matters, and stale messages fail at their
-//! fences.
+//! One-way links between controllers. Each controller opens an outbound link to each peer,
+//! reconnects it when it breaks, and listens for the inbound links of its peers. Messages that are
+//! queued for an unreachable peer are dropped: senders repeat important messages, and receivers
+//! reject stale ones by their fence.
 
 use super::Message;
 use super::frame::{self, DecodedFrame, FrameError};
@@ -14,17 +14,18 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause before a broken link is dialled again.
+/// Delay before a broken link is reconnected.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Messages that are queued at most for a peer that accepts nothing.
+/// Largest number of messages that are queued for a peer. Further messages are dropped.
 const MAX_QUEUED_MESSAGES: usize = 5000;
-/// Peers are few: past this generous bound the oldest inbound link is a dead one.
+/// Largest number of inbound links. Clusters have far fewer peers, so beyond this limit the oldest
+/// link is assumed dead and is closed.
 const MAX_INBOUND_LINKS: usize = 32;
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Receives the messages of the peers, with their senders.
+/// Callback that receives each message from a peer together with its sender.
 type MessageHandler = Rc<dyn Fn(MemberId, Message)>;
 
 /// The outbound links to all peers.
@@ -33,9 +34,9 @@
 }
 
 impl Links {
-    /// Starts a routine for each peer.
+    /// Starts a routine in `scope` that maintains the link to each peer.
     pub(crate) fn start(
-        me: &MemberId,
+        local_member: &MemberId,
         incarnation: Incarnation,
         peers: &BTreeMap<MemberId, SocketAddr>,
         scope: &mut runtime::Scope,
@@ -45,7 +46,7 @@
             let (tx, rx) = channel();
             queues.insert(member.clone(), tx);
             let hello = Message::Hello {
-                member: me.clone(),
+                member: local_member.clone(),
                 incarnation,
             };
             scope.spawn(keep_connected(*addr, hello, rx));
@@ -53,7 +54,8 @@
         Self { queues }
     }
 
-    /// Queues a message for a peer. It is dropped if too many are queued already.
+    /// Queues a message for a peer. The message is dropped if `MAX_QUEUED_MESSAGES` messages are
+    /// queued already.
     pub(crate) fn send(&self, to: &MemberId, message: Message) {
         if let Some(queue) = self.queues.get(to)
             && queue.backlog() < MAX_QUEUED_MESSAGES
@@ -63,7 +65,8 @@
     }
 }
 
-/// Connects to a peer and writes what is queued for it, again and again.
+/// Connects to a peer and writes its queued messages, and reconnects whenever the link breaks.
+/// Messages that were queued before a connection is established are discarded.
 async fn keep_connected(addr: SocketAddr, hello: Message, mut queue: Receiver<Message>) {
     loop {
         let connected = runtime::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
@@ -75,11 +78,11 @@
     }
 }
 
-/// Writes a hello and then what is queued, until the link breaks.
+/// Writes the hello message and then the queued messages, until the link breaks.
 async fn write_messages(mut stream: TcpStream, hello: Message, queue: &mut Receiver<Message>) {
     let mut next = Some(hello);
     while let Some(message) = next {
-        // A message that has no frame is dropped: the rest is still worth sending.
+        // A message that cannot be encoded is dropped; the other messages are still sent.
         let mut bytes = frame::encode(&message).unwrap_or_default();
         while let Some(more) = queue.try_recv() {
             bytes.extend(frame::encode(&more).unwrap_or_default());
@@ -89,35 +92,37 @@
             return;
         }
         next = queue.recv().await;
-        // The other side never writes on this link: bytes or an end mean that it is gone.
+        // The peer never writes on this link, so incoming bytes or an end of stream mean that the
+        // link is unusable.
         if stream.is_stale() {
             return;
         }
     }
 }
 
-/// Accepts the peers' links and passes their messages to the handler.
+/// Accepts inbound links from peers and passes their messages to the handler.
 pub(crate) async fn listen(listener: TcpListener, handler: MessageHandler) {
-    let mut open: Vec<runtime::Scope> = Vec::new();
+    let mut open_links: Vec<runtime::Scope> = Vec::new();
     loop {
         match listener.accept().await {
             Ok(stream) => {
-                if open.len() >= MAX_INBOUND_LINKS {
-                    open.remove(0);
+                if open_links.len() >= MAX_INBOUND_LINKS {
+                    open_links.remove(0);
                 }
                 let mut scope = runtime::Scope::default();
                 scope.spawn(read_messages(stream, handler.clone()));
-                open.push(scope);
+                open_links.push(scope);
             }
             Err(error) => {
-                tracing::debug!(%error, "peer accept failed");
+                tracing::debug!(%error, "cannot accept a peer's connection; retrying");
                 runtime::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads an inbound link until it ends or carries something unreadable.
+/// Reads an inbound link until it ends, carries an invalid frame, or carries a message before the
+/// hello.
 async fn read_messages(mut stream: TcpStream, handler: MessageHandler) {
     let mut link = InboundLink {
         buffer: Vec::new(),
@@ -129,7 +134,7 @@
         match link.deliver() {
             Ok(()) => {}
             Err(InboundError::Frame(error)) => {
-                tracing::error!(%error, "peer link closed");
+                tracing::error!(%error, "peer link closed: received an invalid frame");
                 return;
             }
             Err(InboundError::MissingHello) => return,
@@ -141,26 +146,26 @@
     }
 }
 
-/// Why an inbound link is closed from this side.
+/// The reason why this controller closes an inbound link.
 #[derive(Debug, thiserror::Error)]
 enum InboundError {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("a message came before the sender's hello")]
+    #[error("message received before the sender's hello")]
     MissingHello,
 }
 
-/// A link that a peer has opened.
+/// A link that a peer has opened to this controller.
 struct InboundLink {
-    /// Bytes that are not decoded yet.
+    /// Received bytes that have not been decoded yet.
     buffer: Vec<u8>,
-    /// Who has opened it, once its hello came.
+    /// The peer that has opened the link; absent until its hello message arrives.
     sender: Option<MemberId>,
     handler: MessageHandler,
 }
 
 impl InboundLink {
-    /// Passes on the messages that are complete.
+    /// Decodes all complete frames in the buffer and passes their messages to the handler.
     fn deliver(&mut self) -> Result<(), InboundError> {
         while let Some(DecodedFrame { message, length }) = frame::decode(&self.buffer)? {
             self.buffer.drain(..length);
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between controllers. Frames encode them by position: variants and fields keep
-//! their order, and a change of either needs another frame version.
+//! The messages between controllers. Frames encode them by position, so variants and fields must
+//! keep their order; any change of either requires a new frame version.
 
 use crate::ids::{
     AttemptNumber, CancellationRoundId, Incarnation, JobId, MachineId, MachineTypeName, MemberId,
@@ -12,64 +12,66 @@
 /// A message from one controller to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// First on every link.
+    /// The first message on every link, which identifies the sender.
     Hello {
         /// The controller that has opened the link.
         member: MemberId,
-        /// Its process.
+        /// The run of that controller's process.
         incarnation: Incarnation,
     },
-    /// Leader to shard owner: place these tasks of a job inside the shard.
+    /// Leader to shard owner: place these tasks of a job on machines of the shard.
     Allot(Allotment),
-    /// Shard owner to leader: these will not be placed; certain, not a guess.
+    /// Shard owner to leader: these attempts will not be placed. This is certain, not an estimate.
     Refused {
-        /// The shard's fence under which they were allotted.
+        /// The shard's fence under which the attempts were allotted.
         fence: Revision,
         /// The attempts.
         attempts: Vec<TaskAttempt>,
     },
-    /// Shard owner to leader: a placement was dropped from its machine's record, on proof.
+    /// Shard owner to leader: a placement was removed from its machine's record on proof that the
+    /// attempt does not run there.
     EndedAttempt(EndedAttempt),
-    /// Shard owner to leader: these placements are proved gone, though their records still show
-    /// them. The room may be given out again; the end is written along with what takes it.
+    /// Shard owner to leader: these attempts are proved gone, although the machine records still
+    /// show them. Their resources may be allotted again. The end is stored together with the
+    /// placement that takes the resources.
     Freed(Vec<FreedAttempt>),
-    /// Leader to shard owner: stop a task, for a preemption or to drain its machine.
+    /// Leader to shard owner: stop a task because of a preemption or to drain its machine.
     Stop {
         /// The machine that the task is placed on.
         machine: MachineId,
         /// The attempt to stop.
         attempt: TaskAttempt,
-        /// The time that the task has to save its progress.
+        /// Grace period in which the task can save its progress.
         grace: Millis,
     },
-    /// Any controller to any: this job was cancelled. It may be believed without asking the
-    /// key-value store, since it is final.
+    /// Any controller to any other: this job was cancelled. The receiver may rely on it without
+    /// reading the key-value store, because a cancellation is final.
     Cancelled {
-        /// The sender's acknowledgement round, which the answer names.
+        /// The sender's cancellation round, which the acknowledgement repeats.
         round: CancellationRoundId,
         /// The job.
         job: JobId,
-        /// Revision of the change that cancelled it.
+        /// Revision of the transaction that cancelled the job.
         revision: Revision,
-        /// How long ago that was.
+        /// Time since the job was cancelled.
         age: Millis,
     },
-    /// The sender knows of a cancellation.
+    /// Acknowledges that the sender knows of a cancellation.
     CancellationAcknowledged {
-        /// The round of the controller that asked.
+        /// The cancellation round of the controller that announced it.
         round: CancellationRoundId,
         /// The job.
         job: JobId,
-        /// Shards that the sender owns and in which all of the job's tasks are proved gone.
+        /// Shards of the sender in which all tasks of the job are proved gone.
         #[serde(rename = "settled")]
         cleared_shards: Vec<ShardFence>,
     },
-    /// A user's request that the sender can't decide because the key-value store does not serve
-    /// it, or a heartbeat that its worker could not bring to the receiver.
+    /// A user's request that the sender cannot decide because it does not reach the key-value
+    /// store, or a heartbeat whose worker cannot reach the receiver.
     ForwardedRequest {
-        /// Names the request among those of the sender.
+        /// Identifies the request among the requests that the sender has forwarded.
         id: u64,
-        /// Whether its method is POST; GET otherwise.
+        /// Whether the method is POST; otherwise it is GET.
         #[serde(rename = "post")]
         is_post: bool,
         /// Path of the request.
@@ -90,39 +92,40 @@
     PeerStatus {
         /// Whether the key-value store serves the sender.
         store_reachable: bool,
-        /// The controllers that the sender hears itself.
+        /// The controllers from which the sender receives statuses directly.
         reachable_peers: Vec<MemberId>,
-        /// Machines that the sender owns and whose heartbeats don't come to it directly.
+        /// Machines of the sender whose heartbeats do not reach it directly.
         #[serde(rename = "missing_machines")]
         machines_without_direct_heartbeats: Vec<MachineId>,
     },
-    /// To be passed on to a controller that the sender can't reach itself.
+    /// A message that the receiver forwards to a controller that the sender cannot reach directly.
     Relay {
-        /// The receiver.
+        /// The controller that the message is for.
         to: MemberId,
         /// The controller that the message comes from.
         from: MemberId,
         /// The message.
         message: Box<Message>,
     },
-    /// Any controller to the leader: machines that sent heartbeats to it and that others own.
+    /// Any controller to the leader: machines that sent heartbeats to the sender and are owned by
+    /// other controllers.
     MisdirectedHeartbeats(Vec<MachineId>),
-    /// Shard owner to leader: what it knows of its machines.
+    /// Shard owner to leader: the health of its machines.
     Health(Vec<MachineHealth>),
 }
 
-/// A placement that is proved gone while its machine's record still shows it.
+/// An attempt that is proved gone although its machine's record still shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FreedAttempt {
     /// The machine that it was placed on.
     pub machine: MachineId,
     /// The attempt that is gone.
     pub attempt: TaskAttempt,
-    /// Whether its task is done.
+    /// Whether the task is done.
     pub done: bool,
 }
 
-/// Tasks of one job that are to be placed inside one shard.
+/// Task attempts of one job that a shard owner should place on the machines of its shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Allotment {
     /// The shard.
@@ -131,7 +134,7 @@
     pub fence: Revision,
     /// Revision of the job's record: the allotment is void under another one.
     pub job_revision: Revision,
-    /// The attempts to be placed, all of the same job.
+    /// The attempts to place, all of the same job.
     pub attempts: Vec<TaskAttempt>,
     /// The machines of the shard that the leader accepts, best first.
     #[serde(rename = "preferred")]
@@ -141,59 +144,62 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AttemptOutcome {
-    /// Its task is done.
+    /// The task is done.
     Done,
-    /// It exited for another reason.
+    /// The attempt exited for another reason.
     Exited(ExitReason),
-    /// Never started here, or lost with its machine's epoch.
+    /// The attempt never started on this machine, or was lost with the machine's epoch.
     Absent,
 }
 
-/// A placement that was dropped from its machine's record.
+/// An attempt that has ended and was removed from its machine's record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndedAttempt {
     /// The attempt.
     pub attempt: TaskAttempt,
     /// The machine that it was placed on.
     pub machine: MachineId,
-    /// Revision of the machine's record without it.
+    /// Revision of the machine's record that no longer contains the attempt.
     pub revision: Revision,
     /// Type of the machine.
     pub type_name: MachineTypeName,
-    /// Pipeline of the job; none if the job is not live any more.
+    /// Pipeline of the job; absent if the job is no longer live.
     pub pipeline: Option<Pipeline>,
-    /// How it ended.
+    /// The outcome of the attempt.
     #[serde(rename = "end")]
     pub outcome: AttemptOutcome,
-    /// The user's estimate of the task's duration, in seconds; 0 if the job is not live any more.
+    /// The user's estimate of the task's duration, in seconds; 0 if the job is no longer live.
     pub estimate_s: f64,
-    /// How long it was seen running.
+    /// Time for which the attempt was seen running.
     #[serde(rename = "ran")]
     pub run_time: Option<Millis>,
 }
 
-/// What a shard owner knows of one of its machines.
+/// The health of one machine as its shard owner sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MachineHealth {
     /// The machine.
     pub machine: MachineId,
     /// Revision of the shard's record under which it is owned.
     pub fence: Revision,
-    /// How long nothing has shown that the machine can be used: no heartbeat and no answered
-    /// probe came, or direct commands fail.
+    /// Time for which nothing has shown that the machine is usable: no heartbeat and no answer to a
+    /// probe arrived, or direct commands failed.
     #[serde(rename = "silent")]
     pub unresponsive_for: Millis,
-    /// Time without a heartbeat that came directly from it, and not through another controller.
+    /// Time since the last heartbeat that came directly from the machine, not through another
+    /// controller.
     pub since_direct_heartbeat: Millis,
-    /// It obeys the shard owner's own token, as its latest heartbeat shows.
+    /// Whether the machine's latest heartbeat shows that it obeys the shard owner's own fencing
+    /// token.
     #[serde(rename = "confirmed")]
     pub token_confirmed: bool,
-    /// Time until the machine is interrupted, if its cloud has given notice.
+    /// Time until the cloud interrupts the machine, if it has given notice.
     #[serde(rename = "notice")]
     pub until_interruption: Option<Millis>,
-    /// Its description, while the key-value store has no record of it.
+    /// Description of the machine, present while the key-value store has no record of it.
     #[serde(rename = "unrecorded")]
     pub unstored_record: Option<MachineRecord>,
-    /// Gangs of which a task runs here, so that a member that is lost is no longer replaced.
+    /// Gangs that have a task running on this machine, with the attempt number. A gang that has
+    /// started does not get replacements for lost tasks.
     pub gangs: Vec<(JobId, AttemptNumber)>,
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The links between controllers: their messages, the frames that carry them, the connections,
-//! and the routes around links that are cut.
+//! Communication between controllers: messages, their frame format, connections, and relay routes
+//! around broken links.
 
 mod frame;
 mod link;
@@ -14,8 +14,8 @@
 };
 pub(crate) use relay_routes::RelayRoutes;
 
-/// A message as the other side of a link reads it. Simulated days send each message through its
-/// frame, since one that can't be read there closes the link.
+/// Encodes a message to a frame and decodes it as the receiver would. The simulation passes each
+/// message through its frame, because a frame that the receiver cannot decode closes the link.
 #[cfg(test)]
 pub(crate) fn frame_round_trip(message: &Message) -> Message {
     let frame = frame::encode(message).expect("frame");
--- a/src/peers/relay_routes.rs
+++ b/src/peers/relay_routes.rs
@@ -1,31 +1,33 @@
-//! Which way a message takes to another controller: directly, or through one that hears both. Two
-//! zones that can't reach each other while a third reaches both cut the links between their
-//! controllers, and nothing else is wrong with them.
+//! Routes of messages to other controllers: directly, or through a controller that reaches both
+//! sides. If two zones cannot reach each other but a third zone reaches both, the links between
+//! their controllers are cut although the controllers work.
 
 use crate::ids::{MachineId, MemberId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a status counts. Each controller sends more than three to all others in this time.
+/// Time after which a status expires. Each controller sends more than three statuses to all others
+/// in this time.
 const STATUS_TIMEOUT: Millis = Millis(2500);
 
 /// The last status that a controller sent directly to this one.
 #[derive(Debug, Default)]
 struct PeerStatus {
     received_at: MonotonicTime,
-    /// The controllers that it hears itself.
+    /// The controllers from which it receives statuses directly.
     reachable_peers: BTreeSet<MemberId>,
-    /// Machines that it owns and whose heartbeats don't come to it directly.
+    /// Machines that it owns and whose heartbeats do not reach it directly.
     machines_without_direct_heartbeats: BTreeSet<MachineId>,
 }
 
-/// What this controller knows of the links between all controllers.
+/// The links between all controllers, as this controller knows them from the peers' statuses.
 #[derive(Debug, Default)]
 pub(crate) struct RelayRoutes {
     statuses: BTreeMap<MemberId, PeerStatus>,
 }
 
 impl RelayRoutes {
-    /// A controller reports whom it hears itself, and which of its machines it misses.
+    /// Records a peer's status: the controllers that it receives statuses from directly, and the
+    /// machines whose heartbeats do not reach it directly.
     pub(crate) fn on_peer_status(
         &mut self,
         now: MonotonicTime,
@@ -43,7 +45,7 @@
         self.statuses.insert(from.clone(), status);
     }
 
-    /// The controllers that are heard directly now, with their statuses.
+    /// Returns the controllers whose status has not expired, with their statuses.
     fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = (&MemberId, &PeerStatus)> {
         let is_recent = move |(_, status): &(&MemberId, &PeerStatus)| {
             now.since(status.received_at) < STATUS_TIMEOUT
@@ -51,13 +53,13 @@
         self.statuses.iter().filter(is_recent)
     }
 
-    /// The controllers that this one hears itself.
+    /// Returns the controllers from which this one receives statuses directly.
     pub(crate) fn reachable_peers(&self, now: MonotonicTime) -> Vec<MemberId> {
         self.recent(now).map(|(member, _)| member.clone()).collect()
     }
 
-    /// The controller that relays messages to one that is not heard directly. `None`: it is heard
-    /// directly, or nobody hears it.
+    /// Returns the controller that relays messages to `to`. Returns `None` if `to` is reached
+    /// directly or no known controller reaches it.
     pub(crate) fn relay_for(&self, now: MonotonicTime, to: &MemberId) -> Option<&MemberId> {
         if self.recent(now).any(|(member, _)| member == to) {
             return None;
@@ -68,18 +70,19 @@
         relays.next().map(|(member, _)| member)
     }
 
-    /// Whether some controller is only heard through another: machines may be cut off from
-    /// this one in the same way.
+    /// Returns whether some controller is reached only through a relay. Machines may then be cut
+    /// off from this controller in the same way.
     pub(crate) fn has_partition(&self, now: MonotonicTime) -> bool {
         self.statuses
             .keys()
             .any(|member| self.relay_for(now, member).is_some())
     }
 
-    /// Whether a machine that sends its heartbeat here is cut off from its shard owner as other
-    /// controllers are: then the heartbeat is relayed, instead of the machine being redirected to
-    /// an owner that it can't reach. A shard owner that hears all others and misses its machines
-    /// has lost them alone, and is relieved sooner if it goes on missing them.
+    /// Returns whether to relay the heartbeat of a machine that is cut off from its shard owner by
+    /// a partition that also separates controllers. The machine is then not redirected to an owner
+    /// that it cannot reach. If the owner reaches all controllers and has lost contact only with
+    /// its machines, their heartbeats are not relayed, and the owner is replaced sooner if it keeps
+    /// missing them.
     pub(crate) fn should_relay_heartbeat(
         &self,
         now: MonotonicTime,
@@ -95,7 +98,7 @@
         reported_missing || self.relay_for(now, owner).is_some()
     }
 
-    /// Whether a controller fails to hear some other that is heard here.
+    /// Returns whether `member` does not reach some controller that this one reaches.
     fn is_partitioned(&self, now: MonotonicTime, member: &MemberId, status: &PeerStatus) -> bool {
         let mut others = self.recent(now).filter(|(other, _)| *other != member);
         others.any(|(other, _)| !status.reachable_peers.contains(other))
--- a/src/peers/relay_routes/tests.rs
+++ b/src/peers/relay_routes/tests.rs
@@ -24,11 +24,11 @@
     );
 }
 
-/// c0 in one zone and c1 in another can't reach each other; c2 reaches both.
+/// c0 in one zone and c1 in another cannot reach each other; c2 reaches both.
 #[test]
 fn unreachable_controller_is_reached_through_a_relay() {
     let mut routes = RelayRoutes::default();
-    // At first nothing is known, and messages go directly.
+    // Without any status, messages are sent directly.
     assert_eq!(routes.relay_for(MonotonicTime(0), &member("c1")), None);
     receive_status(&mut routes, 100, "c1", &["c0", "c2"], &[]);
     receive_status(&mut routes, 100, "c2", &["c0", "c1"], &[]);
@@ -41,7 +41,7 @@
     );
     assert!(routes.has_partition(MonotonicTime(at)));
     assert_eq!(routes.reachable_peers(MonotonicTime(at)), [member("c2")]);
-    // A controller that has ended is heard by nobody: there is no route, and no partition.
+    // A controller whose process has ended is reached by none: there is no relay, and no partition.
     receive_status(&mut routes, at + 10, "c2", &["c0"], &[]);
     assert_eq!(
         routes.relay_for(MonotonicTime(at + 10), &member("c1")),
@@ -51,19 +51,20 @@
 }
 
 #[test]
-fn only_heartbeats_that_their_owner_may_miss_are_relayed() {
+fn heartbeats_are_relayed_only_if_the_shard_owner_is_partitioned() {
     let mut routes = RelayRoutes::default();
-    let (near, far) = (MachineId::from("vm-1"), MachineId::from("vm-2"));
+    let (reporting_machine, missing_machine) = (MachineId::from("vm-1"), MachineId::from("vm-2"));
     receive_status(&mut routes, 50, "c2", &["c0"], &[]);
     receive_status(&mut routes, 60, "c1", &["c0", "c2"], &["vm-2"]);
-    // It hears all controllers and has lost its machines alone.
-    assert!(!routes.should_relay_heartbeat(MonotonicTime(70), &member("c1"), &far));
+    // The owner reaches all controllers and has lost contact only with its machines.
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(70), &member("c1"), &missing_machine));
     receive_status(&mut routes, 100, "c1", &["c0"], &["vm-2"]);
-    assert!(!routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &near));
-    assert!(routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &far));
-    // Not heard, and not by others either: it has ended.
-    assert!(!routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &far));
-    // Heard by another alone: whatever it misses, its report could not have come here.
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &reporting_machine));
+    assert!(routes.should_relay_heartbeat(MonotonicTime(200), &member("c1"), &missing_machine));
+    // Neither this controller nor the others reach the owner: its process has ended.
+    assert!(!routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &missing_machine));
+    // Only another controller reaches the owner, so a list of missing machines could not arrive
+    // here.
     receive_status(&mut routes, 9000, "c2", &["c1"], &[]);
-    assert!(routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &near));
+    assert!(routes.should_relay_heartbeat(MonotonicTime(9000), &member("c1"), &reporting_machine));
 }
