--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -42,8 +42,8 @@
     cancellation.settled.send(settled);
 }
 
-/// Polls a cancellation round and repeats the announcement to the controllers that have not
-/// acknowledged it. Returns `false` if the round is not complete within `CONFIRMATION_TIMEOUT`.
+/// Polls a cancellation round and repeats the announcement to all other controllers until the round
+/// is complete. Returns `false` if it is not complete within `CONFIRMATION_TIMEOUT`.
 async fn wait_until_settled(
     node: &Rc<Node>,
     round: CancellationRoundId,
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -14,6 +14,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_RESPONSE_BYTES: usize = 2 * 1024 * 1024;
+/// Largest number of pages that are read of a list. Machines on further pages are left out of it.
 const MAX_LIST_PAGES: usize = 40;
 /// Time limit after which a rate-limited page is no longer retried and the list fails, because its
 /// first pages are out of date by then.
--- a/src/daemon/cloud_calls/tests.rs
+++ b/src/daemon/cloud_calls/tests.rs
@@ -2,8 +2,8 @@
 //!
 //! The rate limiter admits one second's calls at once and refuses the next page. If the list were
 //! dropped then and restarted at its first page, the leader of a fleet of thousands of machines
-//! would never learn which machines are rented. With 4,500 machines and two calls a second, such a
-//! list ended after two calls; at five and at twelve calls a second, with no other calls to the
+//! would never learn which machines are rented: with 4,500 machines and two calls a second, the
+//! list ended after two calls. At five and at twelve calls a second, with no other calls to the
 //! cloud, it was complete. The cause was that a later one of several dependent reads was not
 //! retried, as it once was with the reads of final job states.
 
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -90,7 +90,7 @@
     },
     /// The status that every controller sends to all others at short intervals.
     PeerStatus {
-        /// Whether the key-value store serves the sender.
+        /// Whether the sender reaches the key-value store.
         store_reachable: bool,
         /// The controllers from which the sender receives statuses directly.
         reachable_peers: Vec<MemberId>,
@@ -141,7 +141,7 @@
     pub candidate_machines: Vec<MachineId>,
 }
 
-/// How an attempt ended.
+/// The outcome of a task attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AttemptOutcome {
     /// The task is done.
