--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -14,8 +14,8 @@
 use crate::store::{StoreError, TxnOutcome, keys};
 
 impl JobApi {
-    /// Cancels a job, and answers once its tasks are proved gone. A job that has ended stays as it
-    /// is.
+    /// Cancels a job, and answers once it is confirmed that no task of the job is running. A job
+    /// that has ended does not change.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !is_valid_job_id(id) {
             return no_such_job();
@@ -45,8 +45,9 @@
         }
     }
 
-    /// The answer for a job whose read was refused, so that it can't be cancelled now. One that
-    /// has ended needs no write: its user has the right to an answer that a poll has.
+    /// Answers the cancellation of a job whose record could not be read, so that the job can't be
+    /// cancelled now. If the job has ended, no write is needed, and the user is answered as for a
+    /// poll.
     async fn cancel_unread(&self, id: &JobId, reason: RetryReason) -> Answer {
         match self.known_job(id).await? {
             KnownJob::Ended(final_state) => self.settled_status(id, final_state, None).await,
@@ -72,7 +73,8 @@
                 let final_state = self.remember_final_state(id, record, revision);
                 self.settled_status(id, final_state, Some(since)).await
             }
-            // Done or cancelled in between, or it was never there: a retry shows which.
+            // The job was completed, cancelled or released in between. A retry finds its current
+            // state.
             _ => Err(RetryReason::NotTaken),
         }
     }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -22,21 +22,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How often dependencies are looked up while they go on changing.
+/// The maximum number of attempts to accept a submission whose dependencies change meanwhile.
 const MAX_ATTEMPTS: usize = 4;
-/// How long all lookups of a submission may take: users wait for five seconds, and after a lookup
-/// without a result the job itself is asked for.
+/// The timeout for looking up all dependencies of a submission. Users wait five seconds, and after
+/// a lookup without a result the job itself is looked up.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a user's request waits for dependents to be cancelled; a poll waits for two seconds.
+/// The time for which a user's request waits for dependents to be cancelled. The user of a poll
+/// waits two seconds.
 const CASCADE_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often the watch cache is checked for what a cascade waits for.
+/// The interval at which a cascade checks whether the watch cache has caught up.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 impl JobApi {
-    /// Accepts or refuses a job that depends on others.
+    /// Accepts or refuses a job with dependencies.
     pub(super) async fn submit_dependent(&self, spec: JobSpec) -> Submitted {
         let id = spec.id.clone();
-        // An earlier version would start the job at once.
+        // A controller of an earlier version would start the job without waiting for its
+        // dependencies.
         if !self
             .controller
             .borrow()
@@ -78,8 +80,8 @@
         ))
     }
 
-    /// Why a submission whose dependencies could not be looked up has no answer. A store that does not
-    /// answer is not asked once more.
+    /// Returns the error of a submission whose dependencies could not be looked up. If the store
+    /// did not respond, the job itself is not looked up either.
     fn dependencies_unread(&self) -> SubmissionError {
         let reason = RetryReason::DependenciesUnread;
         match self.store.last_call_answered() {
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Looks all dependencies up. What the watch cache shows of those that have `changed` is known
-    /// to be stale.
+    /// Looks up all dependencies. The watch cache is known to be stale for those in `changed`,
+    /// which are read from the store.
     async fn look_up(&self, spec: &JobSpec, changed: &BTreeSet<JobId>) -> CombinedDependencyState {
         let mut states = Vec::new();
         for id in &spec.dependencies {
@@ -121,8 +123,9 @@
         }
     }
 
-    /// Cancels all dependents of a cancelled job, before its user is answered. `false`: not all of
-    /// them yet. `revision`: the change that cancelled the job.
+    /// Cancels all dependents of a cancelled job before its user is answered. `revision` is the
+    /// store revision that cancelled the job. Returns `false` if some dependents have not been
+    /// cancelled yet.
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
         let until = runtime::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
@@ -143,7 +146,8 @@
                     let mut controller = self.controller.borrow_mut();
                     controller.on_dependents_cancelled(&jobs, at);
                 }
-                // Released, cancelled by others, or the watch cache lags.
+                // A dependent was released or cancelled by another controller, or the watch cache
+                // lags.
                 TxnOutcome::Failed(..) => runtime::sleep(POLL_INTERVAL).await,
                 TxnOutcome::Refused(_) | TxnOutcome::Invalid | TxnOutcome::Unknown => return false,
             }
--- a/src/api/dependencies/cascade.rs
+++ b/src/api/dependencies/cascade.rs
@@ -1,4 +1,4 @@
-//! The cancellation of all jobs that depend on a cancelled one: decided without I/O.
+//! Cascading cancellation of the dependents of a cancelled job, decided without I/O.
 
 use crate::ids::{JobId, Revision};
 use crate::planning::cancel_dependents;
@@ -6,28 +6,29 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
-/// The cancellation of all jobs that depend on a job, step by step.
+/// A cascading cancellation of all direct and indirect dependents of a job, one transaction per
+/// step.
 #[derive(Debug)]
 pub(crate) struct CancellationCascade {
-    /// The job, and all its descendants that were seen so far.
+    /// The cancelled job and all its descendants found so far.
     cancelled: Vec<JobId>,
-    /// The last change that cancelled any of them.
+    /// The latest store revision at which any of these jobs was cancelled.
     revision: Revision,
 }
 
-/// What a cascade needs next.
+/// The next step of a cascade.
 #[derive(Debug)]
 pub(crate) enum CascadeStep {
     /// All descendants of the job are cancelled.
     Complete,
-    /// The watch cache has to catch up with what was written.
+    /// Wait until the watch cache has caught up with the cascade's transactions.
     Wait,
-    /// A transaction that cancels these jobs.
+    /// Commit this transaction, which cancels these jobs.
     Write(Txn, Vec<JobId>),
 }
 
 impl CancellationCascade {
-    /// Begins a cascade. `revision`: the change that cancelled the job.
+    /// Creates a cascade for a job that was cancelled at `revision`.
     pub(crate) fn new(job: &JobId, revision: Revision) -> Self {
         Self {
             cancelled: vec![job.clone()],
@@ -35,9 +36,10 @@
         }
     }
 
-    /// What to do next, by what the watch cache shows. No dependent of a cancelled job is accepted
-    /// as blocked after the change that cancelled it, and the watch cache shows all that were
-    /// accepted before, once it has caught up with that change.
+    /// Returns the next step according to the watch cache. The cascade is complete once the watch
+    /// cache has caught up with the latest cancellation and shows no further dependents: no blocked
+    /// dependent is accepted after the job was cancelled, and the watch cache shows all that were
+    /// accepted before.
     pub(crate) fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
         let mut cancelled = self.cancelled.iter();
         let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Records that a step's transaction was committed at a revision.
+    /// Records that a step's transaction was committed at `revision`.
     pub(crate) fn committed(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -1,5 +1,5 @@
-//! Whether a submission with dependencies is accepted, and by which transaction: decided without
-//! I/O.
+//! Decides, without I/O, whether a submission with dependencies is accepted, and builds the
+//! transaction that accepts it.
 
 use crate::ids::{JobId, Revision, UnixTime};
 use crate::protocol::store::Txn;
@@ -9,22 +9,22 @@
 use crate::store::watch_cache::WatchCache;
 use thiserror::Error;
 
-/// Conditions that a submission needs beside those on its dependencies.
+/// The number of conditions of a submission that do not concern its dependencies; see [`new_job`].
 const OWN_CONDITIONS: usize = 2;
 
 /// The state of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DependencyState {
-    /// Accepted and not ended.
+    /// It was accepted and has not ended.
     Live {
-        /// Its kind: a service is never done.
+        /// The kind of the job. A service is never done, so no job can depend on it.
         kind: JobKind,
-        /// The revision of its record.
+        /// The revision of the job's record.
         revision: Revision,
     },
-    /// Ended as done.
+    /// It is done.
     Done,
-    /// Ended as cancelled.
+    /// It was cancelled.
     Cancelled,
     /// It was never accepted.
     NeverAccepted,
@@ -32,38 +32,38 @@
     Unknown,
 }
 
-/// Why a job can't depend on another. The texts are shown to users.
+/// The reason why a job can't have a dependency. Users see the texts.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum InvalidDependency {
-    /// The job names itself.
+    /// The job depends on itself.
     #[error("{0} can't need itself")]
     OnItself(JobId),
-    /// The named job never ends as done.
+    /// The dependency is a service, which is never done.
     #[error("{0} is a service: it is never done")]
     OnService(JobId),
-    /// The named job does not exist.
+    /// The dependency was never accepted.
     #[error("{0} was never accepted")]
     NeverAccepted(JobId),
 }
 
-/// The dependencies of a submission, taken together.
+/// The combined state of all dependencies of a submission.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CombinedDependencyState {
-    /// These have not ended, at these revisions.
+    /// These dependencies have not ended; they were read at these revisions.
     Live(Vec<(JobId, Revision)>),
-    /// All are done.
+    /// All dependencies are done.
     Done,
-    /// At least one is cancelled.
+    /// At least one dependency is cancelled.
     Cancelled,
-    /// One of them is refused for good.
+    /// A dependency is invalid, so the submission is refused permanently.
     Refused(InvalidDependency),
-    /// At least one could not be read.
+    /// The state of at least one dependency could not be read.
     Unknown,
 }
 
 impl CombinedDependencyState {
-    /// Sums up the states of a job's dependencies. What is refused for good comes first, then what
-    /// is not known.
+    /// Combines the states of a job's dependencies. An invalid dependency takes precedence over one
+    /// that could not be read, which takes precedence over a cancelled one.
     pub(crate) fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
         let mut open = Vec::new();
         let (mut unknown, mut cancelled) = (false, false);
@@ -96,12 +96,15 @@
         }
     }
 
-    /// The transaction that accepts the job, and the job's state then. `None`: it is not accepted.
+    /// Returns the transaction that accepts the job, and the state that the job has then; `None` if
+    /// the job is not accepted.
     ///
-    /// A dependent of a cancelled job is accepted as cancelled. One that is blocked is accepted on
-    /// the condition that its open dependencies are still as they were read, so whoever cancels one
-    /// of these finds every dependent once the watch cache has caught up with that change. Of a
-    /// very long list only the first are checked there; the leader finds out about the others.
+    /// If a dependency is cancelled, the job is accepted as cancelled. A blocked job is accepted on
+    /// the condition that the records of its live dependencies have not changed since they were
+    /// read, so a controller that cancels one of them finds every dependent once its watch cache
+    /// has caught up with that cancellation. A transaction has room for only a limited number of
+    /// conditions: in a very long list only the first dependencies are checked this way, and the
+    /// leader detects the end of the others.
     pub(crate) fn acceptance_txn(
         &self,
         spec: &JobSpec,
@@ -133,7 +136,8 @@
     }
 }
 
-/// The conditions under which a job is accepted: it is not known yet.
+/// Returns a transaction with the conditions for accepting a job: neither a record nor a final
+/// state of it exists.
 pub(crate) fn new_job(id: &JobId) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
@@ -141,7 +145,8 @@
     txn
 }
 
-/// The state of a job that the watch cache shows. That one is missing there proves nothing.
+/// Returns the state of a job that the watch cache shows. `None` does not mean that the job does
+/// not exist, as the watch cache may lag.
 pub(crate) fn cached_dependency_state(id: &JobId, cache: &WatchCache) -> Option<DependencyState> {
     Some(DependencyState::Live {
         kind: cache.job_spec(id)?.kind,
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a job can ever run: what can't is refused for good.
+//! Checks whether a job can ever run. A job that can't is refused permanently.
 
 use crate::config::Config;
 use crate::ids::{UnixTime, Zone};
@@ -7,28 +7,29 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Why a job can never run. The texts are shown to users.
+/// The reason why a job can never run. Users see the texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum Infeasible {
-    /// No such team is configured.
+    /// The team is not configured.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type and zone that the job allows is large enough.
+    /// A task does not fit any machine type in a zone that the job allows.
     #[error("a task fits no allowed machine type")]
     TaskTooLarge,
-    /// Tasks that run all at once are to be spread, and there is only one zone for them.
+    /// The job's tasks run at the same time and must be spread over zones, but only one zone is
+    /// usable.
     #[error("its tasks may not be in one zone, nor in several")]
     ZoneConflict,
-    /// Tasks that run all at once exceed the team's quota limit.
+    /// The job's tasks run at the same time and exceed the team's quota limit.
     #[error("needs more than the team's limit")]
     OverTeamLimit,
-    /// Its record would exceed the store's limit of a value.
+    /// The job's record would exceed the store's size limit of a value.
     #[error("its description is too long")]
     RecordTooLarge,
 }
 
-/// Checks whether a job can run at all on the cloud's machine types, under its team's limit and in
-/// the key-value store.
+/// Checks whether a job fits the cloud's machine types, its team's limit and the key-value store's
+/// size limit.
 pub(super) fn check(spec: &JobSpec, config: &Config, catalog: &Catalog) -> Result<(), Infeasible> {
     let Some(team) = config.teams.get(&spec.team) else {
         return Err(Infeasible::UnknownTeam);
@@ -37,7 +38,7 @@
     if zones.is_empty() {
         return Err(Infeasible::TaskTooLarge);
     }
-    // Those that stand all at once, of which one zone may have no more than half.
+    // Of tasks that run at the same time, at most half may be in one zone.
     let is_spread = spec.kind != JobKind::Array && spec.spread && spec.tasks > 1;
     if is_spread && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::ZoneConflict);
@@ -55,7 +56,8 @@
     Ok(())
 }
 
-/// The zones that the job allows and that have a machine type which holds one of its tasks.
+/// Returns the zones that the job allows and in which a machine type is large enough for one of its
+/// tasks.
 fn usable_zones<'a>(spec: &JobSpec, catalog: &'a Catalog) -> BTreeSet<&'a Zone> {
     let need = spec.need();
     let allowed = |zone: &Zone| spec.zone.as_ref().is_none_or(|only| only == zone);
@@ -71,7 +73,8 @@
         .collect()
 }
 
-/// The size in bytes of a job's record once it is stored, with the time of its release.
+/// Returns the size in bytes of a job's stored record, including the time of its release, which is
+/// added later.
 fn record_size(spec: &JobSpec) -> usize {
     let record = JobRecord {
         released_at: Some(UnixTime(u64::MAX)),
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -1,14 +1,14 @@
-//! Reads of final states. Each job is read once however many users ask, and whoever has asked in vain
-//! for longest comes first.
+//! Reads the final states of jobs. Concurrent requests about a job share one read, and the job
+//! whose users have been without an answer for longest is read first.
 //!
-//! A question about an ended job has the same right to an answer as one about a live job, whose
-//! comparison is tried again with more and more of the rate limit. A part of the rate is reserved for
-//! reads: a question that waits may use it ahead of placements, and no number of questions takes more
-//! than that part from placements and ends of jobs.
+//! Users of ended jobs must be answered under load just like users of live jobs, whose comparisons
+//! are retried with an increasing part of the rate limit. Therefore a fraction of the request rate
+//! is reserved for reads. A request that waits may use it ahead of placements. Requests can't take
+//! more than this fraction from placements and job completions, however many there are.
 //!
-//! Where users of several jobs wait, one request reads a page of final states that begins with the job
-//! that has waited longest. It answers all whose jobs are on it, and the rest is kept for later
-//! questions.
+//! While users of several jobs wait, one store request reads a page of final states, beginning with
+//! the job that has waited longest. The page answers the waiting users of all jobs on it, and its
+//! other final states are cached for later requests.
 
 use super::final_state::{FinalState, FinalStateCache};
 use super::retry_reason::RetryReason;
@@ -25,38 +25,41 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The part of this controller's requests that is reserved for reads.
+/// The fraction of this controller's request rate that is reserved for reads.
 const RESERVED_PART: f64 = 0.1;
-/// The part that is reserved while a question has waited long: no job may be forgotten, and thousands
-/// may be asked about at once when all controllers have restarted.
+/// The reserved fraction while a request has waited for longer than [`URGENT_AFTER`]. No job may
+/// stay unanswered, and there may be requests about thousands of jobs at once when all controllers
+/// have restarted.
 const URGENT_PART: f64 = 0.3;
-/// So long in vain is long: users give up after a minute.
+/// The time without an answer after which a job's read is urgent. Users give up after a minute.
 const URGENT_AFTER: Millis = Millis(15_000);
-/// A question may use the reserve once it has waited so long.
+/// The time without an answer after which a job's read may use the reserved fraction.
 const RESERVE_AFTER: Millis = Millis(200);
-/// A page is read once users of so many jobs wait that may be on it. Below that a record costs less.
+/// The minimum number of waiting jobs in the range of a page for which the page is read. Below this
+/// number reading a single record costs less.
 const PAGE_FROM_JOBS: usize = 4;
-/// The final states on a page: about 40 kB, and less than a millisecond to read.
+/// The maximum number of final states on a page, which take about 40 kB and less than a millisecond
+/// to read.
 const PAGE_ITEMS: usize = 500;
-/// How often a read that is held back is tried again.
+/// The delay before a read that has no token is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What is counted of the reads of final states. Serialized as `/admin/status` shows it.
+/// Counters of final-state reads, serialized as `/admin/status` shows them.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub(crate) struct FinalStateReadCounters {
-    /// Reads of one record.
+    /// The number of reads of a single record.
     records: u64,
-    /// Reads of a page.
+    /// The number of reads of a page.
     pages: u64,
-    /// Jobs whose users were answered by a read.
+    /// The number of jobs whose users were answered by a read.
     answered_jobs: u64,
-    /// Reads that the store has refused, since its rates were used up.
+    /// The number of reads that the store has refused because its rate limit was reached.
     refused: u64,
-    /// How often a read that was due had to wait for a token.
+    /// The number of times that a read had to wait for a token.
     held_back: u64,
 }
 
-/// Final states by job: those that were read before, and reads of the others.
+/// Reads and caches the final states of jobs.
 #[derive(Clone)]
 pub(super) struct FinalStateReader {
     store: Rc<StoreClient>,
@@ -64,12 +67,12 @@
     waiting: Rc<RefCell<WaitingQuestions>>,
     reserve: Rc<RefCell<TokenBucket>>,
     counters: Rc<RefCell<FinalStateReadCounters>>,
-    /// Whether the routine that admits reads is running.
+    /// Whether the task that dispatches reads is running.
     is_admitting: Rc<Cell<bool>>,
 }
 
 impl FinalStateReader {
-    /// Nothing was read yet.
+    /// Creates a reader with an empty cache.
     pub(super) fn new(store: Rc<StoreClient>) -> Self {
         Self {
             reserve: Rc::new(RefCell::new(TokenBucket::new(
@@ -83,17 +86,18 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub(super) fn counters(&self) -> FinalStateReadCounters {
         *self.counters.borrow()
     }
 
-    /// A job's final state, if it was read before.
+    /// Returns a job's final state if it is cached.
     pub(super) fn cached(&self, id: &JobId) -> Option<FinalState> {
         self.cache.borrow().get(id)
     }
 
-    /// Keeps a final state, which never changes. Only the tasks of cancelled jobs may still run.
+    /// Caches a final state, which never changes. A cancelled job is not settled at first, as its
+    /// tasks may still run.
     pub(super) fn remember(
         &self,
         id: &JobId,
@@ -109,7 +113,7 @@
         final_state
     }
 
-    /// The tasks of a cancelled job are proved gone.
+    /// Records that it is confirmed that no task of a cancelled job is running.
     pub(super) fn settle(&self, id: &JobId, final_state: FinalState) {
         let settled_state = FinalState {
             settled: true,
@@ -118,7 +122,7 @@
         self.cache.borrow_mut().put(id, settled_state);
     }
 
-    /// Reads how a job has ended.
+    /// Reads a job's final state; `None` if the job has not ended.
     pub(super) async fn read(&self, id: &JobId) -> ReadResult {
         if let Some(final_state) = self.cached(id) {
             return Ok(Some(final_state));
@@ -136,7 +140,7 @@
         result.flatten().unwrap_or(Err(RetryReason::HeldBack))
     }
 
-    /// Starts the routine that admits reads, unless it is running.
+    /// Starts the task that dispatches reads, unless it is running.
     fn ensure_admitting(&self) {
         if !self.is_admitting.replace(true) {
             runtime::spawn(self.clone().admit_waiting());
@@ -161,7 +165,8 @@
         self.is_admitting.set(false);
     }
 
-    /// Takes a token for a job that has waited so long.
+    /// Acquires a token for a job that has waited for `waited`, from the reserved fraction if
+    /// necessary.
     fn admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
         if let Some(admitted) = self.store.admit_read(RequestClass::Poll) {
             return Some(admitted);
@@ -180,7 +185,7 @@
         Some(admitted)
     }
 
-    /// Starts the read of a job, or of the page that begins with it.
+    /// Starts a read of the job's record, or of the page that begins with it.
     fn begin_read(&self, now: MonotonicTime, admitted: ReadPermit, first: JobId) {
         let mut waiting = self.waiting.borrow_mut();
         let jobs = waiting.awaited_from(now, &first, PAGE_ITEMS);
@@ -206,7 +211,8 @@
         self.ensure_admitting();
     }
 
-    /// Reads the page that begins with the first of these jobs, which are in the order of their ids.
+    /// Reads the page that begins with the job `first`. `jobs` are the waiting jobs in the range of
+    /// the page, by id.
     async fn read_page(self, admitted: ReadPermit, first: JobId, jobs: Vec<JobId>) {
         let after = keys::final_state_predecessor(&first);
         let page = self
@@ -219,7 +225,7 @@
         self.ensure_admitting();
     }
 
-    /// Answers the jobs that a page covers. The others wait on.
+    /// Answers the users of the jobs that a page covers. The other jobs are queued again.
     fn on_page(&self, jobs: &[JobId], page: Page) {
         let end = PageEnd::of(&page);
         let mut results: BTreeMap<JobId, ReadResult> = BTreeMap::new();
@@ -233,14 +239,14 @@
             match results.get(id) {
                 Some(result) => self.answer(id, *result),
                 None if end.covers(id) => self.answer(id, Ok(None)),
-                // A page that does not even cover the job with which it begins.
+                // The page does not even cover the job with which it begins.
                 None if position == 0 => self.answer(id, Err(RetryReason::Unreadable)),
                 None => self.waiting.borrow_mut().put_back(id),
             }
         }
     }
 
-    /// The result of a read of one record, which is kept if there is one.
+    /// Returns the result of reading a record, and caches the final state if there is one.
     fn decode_item(&self, id: &JobId, item: Option<KeyValue>) -> ReadResult {
         let Some(item) = item else {
             return Ok(None);
@@ -253,21 +259,21 @@
             .map_err(|_| RetryReason::Unreadable)
     }
 
-    /// What the users of these jobs are told of a read without a result.
+    /// Handles a failed read of these jobs.
     fn on_failed_read(&self, jobs: &[JobId], error: StoreError) {
         if error == StoreError::Refused {
             self.counters.borrow_mut().refused += 1;
         }
         for id in jobs {
             match error {
-                // Its users wait on: it is read again as soon as it is admitted.
+                // The users continue to wait: the job is read again as soon as there is a token.
                 StoreError::Refused => self.waiting.borrow_mut().put_back(id),
                 error => self.answer(id, Err(error.into())),
             }
         }
     }
 
-    /// Answers the users of a job that was read.
+    /// Answers the waiting users of a job that was read.
     fn answer(&self, id: &JobId, result: ReadResult) {
         tracing::debug!(job = %id, ?result, "final state read");
         let has_ended = matches!(result, Ok(Some(_)));
@@ -279,11 +285,12 @@
     }
 }
 
-/// How far a page goes.
+/// The end of the range that a page covers.
 enum PageEnd {
-    /// To the end of all final states.
+    /// The page covers all final states that follow its first key.
     All,
-    /// To this key; `None`: it is empty although there is more.
+    /// The page ends at this key, and more final states follow; `None` if the page is empty
+    /// although more follow.
     Key(Option<String>),
 }
 
@@ -295,8 +302,8 @@
         }
     }
 
-    /// Whether a job's final state would be on the page if there were one; it does not come before the
-    /// page.
+    /// Returns whether a job's final state would be on the page if it existed. The job must not
+    /// precede the page.
     fn covers(&self, id: &JobId) -> bool {
         match self {
             Self::All => true,
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -1,5 +1,5 @@
-//! The facade of the users' side. Each kind of request has a file of its own: `submit`, `query`,
-//! `cancel` and `dependencies`.
+//! The entry point of the user-facing API. Each kind of request has a module of its own: `submit`,
+//! `query`, `cancel` and `dependencies`.
 
 use super::final_state_reader::{FinalStateReadCounters, FinalStateReader};
 use super::retry_reason::RetryReason;
@@ -16,41 +16,43 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A cancellation that is committed, whose tasks have to be gone before its user is answered.
+/// A committed cancellation. Its user is answered once no task of the job can still be running.
 pub(crate) struct Cancellation {
     /// The cancelled job.
     pub(crate) job: JobId,
     /// The store revision that cancelled it.
     pub(crate) revision: Revision,
-    /// When its transaction was sent, if by this controller.
+    /// The time at which its transaction was sent; `None` if this request did not send it.
     pub(crate) sent_at: Option<Instant>,
-    /// Receives whether the tasks are proved gone.
+    /// Receives `true` once it is confirmed that no task of the job is running, or `false` if that
+    /// could not be confirmed.
     pub(crate) settled: Sender<bool>,
 }
 
-/// The answer to a user, or why there is none now.
+/// The response to a user, or the reason why the user has to retry.
 pub(super) type Answer = Result<Response, RetryReason>;
 
 /// Serves submissions, polls and cancellations.
 pub(crate) struct JobApi {
     /// This controller's configuration.
     pub(super) config: Config,
-    /// The key-value store, which decides.
+    /// The client of the key-value store, which decides answers that have to be consistent.
     pub(super) store: Rc<StoreClient>,
-    /// The controller, whose watch cache answers what need not be decided.
+    /// The controller. Its watch cache serves data that may be stale, such as task counts.
     pub(super) controller: Rc<RefCell<Controller>>,
-    /// Validates what the watch cache shows of a job.
+    /// Checks against the key-value store that a job is in the state that the watch cache shows.
     pub(super) revision_checker: RevisionChecker,
-    /// Final states that were read before, and reads of others.
+    /// Reads and caches the final states of jobs.
     pub(super) final_states: FinalStateReader,
-    /// Takes cancellations that other controllers have to confirm.
+    /// The channel for cancellations that the other controllers have to confirm.
     pub(super) cancellations: Sender<Cancellation>,
-    /// Questions that were not answered.
+    /// The requests that this controller could not answer.
     unanswered: RefCell<UnansweredQuestions>,
 }
 
 impl JobApi {
-    /// `cancellations`: takes what has to be announced to the other controllers, and answered.
+    /// Creates the API. `cancellations` is the channel for cancellations that are announced to the
+    /// other controllers and have to be confirmed by them.
     pub(crate) fn new(
         config: &Config,
         store: Rc<StoreClient>,
@@ -71,22 +73,23 @@
         }
     }
 
-    /// What is counted of questions without an answer.
+    /// Returns the statistics of unanswered requests.
     pub(crate) fn unanswered_report(&self) -> UnansweredReport {
         self.unanswered.borrow().report(self.store.now())
     }
 
-    /// What is counted of the reads of final states.
+    /// Returns the counters of final-state reads.
     pub(crate) fn final_state_read_counters(&self) -> FinalStateReadCounters {
         self.final_states.counters()
     }
 
-    /// Logs the end of episodes without answers.
+    /// Logs the jobs whose users have stopped sending requests without having been answered.
     pub(crate) fn log_ended_episodes(&self) {
         self.unanswered.borrow_mut().log_ended(self.store.now());
     }
 
-    /// The response to a question about a job, which is counted if it has no answer.
+    /// Turns an answer into a response. An answer that asks the user to retry is counted as
+    /// unanswered.
     pub(super) fn respond(&self, id: &JobId, answer: Answer) -> Response {
         let mut unanswered = self.unanswered.borrow_mut();
         match answer {
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -1,4 +1,4 @@
-//! Lookups of jobs that are not in the watch cache, or that have left it.
+//! Lookups of jobs that the watch cache does not show, or no longer shows.
 
 use super::final_state::FinalState;
 use super::job_api::JobApi;
@@ -10,19 +10,19 @@
 use crate::store::records::FinalRecord;
 use crate::store::{StoreError, keys};
 
-/// What the key-value store holds of a job.
+/// The state of a job in the key-value store.
 pub(super) enum JobLookup {
-    /// Its record: it has not ended.
+    /// The job has not ended; this is its record.
     Live(KeyValue),
-    /// How it ended.
+    /// The job has ended with this final state.
     Ended(FinalState),
-    /// Nothing: it was never accepted.
+    /// No record exists: the job was never accepted.
     NeverAccepted,
 }
 
 impl JobApi {
-    /// Reads a job's records. A job leaves the first key only together with its entry under the
-    /// second, so reading them in this order can't miss it.
+    /// Looks up a job in the store. It reads the live record first: that record is deleted only by
+    /// the transaction that writes the final state, so this order can't miss a job.
     pub(super) async fn find(&self, id: &JobId) -> Result<JobLookup, RetryReason> {
         if let Some(final_state) = self.cached_final_state(id) {
             return Ok(JobLookup::Ended(final_state));
@@ -47,12 +47,12 @@
         .await
     }
 
-    /// How a job ended, if that was read before.
+    /// Returns a job's final state if it is cached.
     pub(super) fn cached_final_state(&self, id: &JobId) -> Option<FinalState> {
         self.final_states.cached(id)
     }
 
-    /// Keeps a final state that this controller has written.
+    /// Caches a final state that this controller has written.
     pub(super) fn remember_final_state(
         &self,
         id: &JobId,
@@ -62,7 +62,7 @@
         self.final_states.remember(id, record, revision)
     }
 
-    /// How a job that has ended did so, if that can be read now.
+    /// Returns the state in which a job ended, or `None` if it has not ended or can't be read now.
     pub(crate) async fn final_job_state(&self, id: &JobId) -> Option<JobState> {
         let final_state = self.final_states.read(id).await.ok()??;
         Some(final_state.record.state)
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The users' side: submissions, polls and cancellations. Any controller serves it; every answer
-//! that binds is decided by the key-value store.
+//! The user-facing API: submissions, polls and cancellations. Every controller serves it. The
+//! key-value store decides every answer that has to be consistent between controllers.
 
 mod cancel;
 pub(crate) mod dependencies;
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -12,19 +12,19 @@
 use crate::store::keys;
 use std::time::Instant;
 
-/// What is on record of an id, as validated against the key-value store.
+/// The state of a job id, as checked against the key-value store.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum KnownJob {
-    /// A job that was accepted and has not ended.
+    /// The job was accepted and has not ended.
     Live,
-    /// A job that has ended.
+    /// The job has ended.
     Ended(FinalState),
-    /// Nothing: no job was accepted under it.
+    /// No job was accepted under this id.
     NeverAccepted,
 }
 
 impl JobApi {
-    /// Answers a user's poll.
+    /// Answers a poll of a job's state.
     pub(crate) async fn poll(&self, id: &str) -> Response {
         if !is_valid_job_id(id) {
             return no_such_job();
@@ -34,14 +34,14 @@
         self.respond(&id, answer)
     }
 
-    /// A job's state if it was accepted, and otherwise the other response.
+    /// Returns a job's state if it was accepted, and `otherwise` if not.
     pub(super) async fn status_or(&self, id: &JobId, otherwise: Response) -> Answer {
         let status = self.known_status(id).await?;
         Ok(status.unwrap_or(otherwise))
     }
 
-    /// A job's state if it was accepted, and otherwise why its user has to come back. Never more than
-    /// that: a write without an answer may still be carried out.
+    /// Returns a job's state if it was accepted, and `reason` if not. It never refuses the job: a
+    /// write whose outcome is unknown may still be carried out.
     pub(super) async fn status_or_retry(&self, id: &JobId, reason: RetryReason) -> Answer {
         if reason == RetryReason::StoreDown {
             return Err(reason);
@@ -49,7 +49,7 @@
         self.known_status(id).await?.ok_or(reason)
     }
 
-    /// A job's state; `None`: no job was accepted under this id.
+    /// Returns a job's state, or `None` if no job was accepted under this id.
     async fn known_status(&self, id: &JobId) -> Result<Option<Response>, RetryReason> {
         match self.known_job(id).await? {
             KnownJob::Live => Ok(Some(self.live_status(id))),
@@ -61,7 +61,8 @@
         }
     }
 
-    /// What is on record of an id. It takes no write, and rises in request class while it is refused.
+    /// Returns the state of a job id. It needs no write, and its requests are retried in ever
+    /// higher request classes while they are refused.
     pub(super) async fn known_job(&self, id: &JobId) -> Result<KnownJob, RetryReason> {
         if let Some(final_state) = self.cached_final_state(id) {
             return Ok(KnownJob::Ended(final_state));
@@ -76,8 +77,9 @@
         match self.revision_checker.check(id, cached).await {
             StoredJob::Live => Ok(KnownJob::Live),
             StoredJob::Ended => Ok(KnownJob::Ended(self.read_ended(id).await?)),
-            // It has ended, or it was released: its record is only ever deleted with the final
-            // record's write, so a job without that one is live.
+            // Either the job has ended, or its record has changed because it was released. A record
+            // is deleted only by the transaction that writes the final state, so a job without a
+            // final state is live.
             StoredJob::Changed => Ok(match self.final_states.read(id).await? {
                 Some(final_state) => KnownJob::Ended(final_state),
                 None => KnownJob::Live,
@@ -87,13 +89,14 @@
         }
     }
 
-    /// How a job ended whose final record exists.
+    /// Reads the final state of a job that is known to have one.
     async fn read_ended(&self, id: &JobId) -> Result<FinalState, RetryReason> {
         let final_state = self.final_states.read(id).await?;
         final_state.ok_or(RetryReason::Unreadable)
     }
 
-    /// The answer for a job that was not accepted since records of it exist: those under `found`.
+    /// Answers a submission whose transaction failed because records of its job exist.
+    /// `found` are the keys of those records.
     pub(super) async fn found_status(&self, id: &JobId, found: &[String]) -> Answer {
         if !found.contains(&keys::final_state(id)) {
             return Ok(self.live_status(id));
@@ -102,7 +105,8 @@
         self.settled_status(id, final_state, None).await
     }
 
-    /// Counts are for display: they are the watch cache's.
+    /// Returns the status of a live job. The task counts come from the watch cache and are for
+    /// display only.
     fn live_status(&self, id: &JobId) -> Response {
         let controller = self.controller.borrow();
         let job = controller.cache.jobs.get(id);
@@ -118,11 +122,11 @@
         job_status(200, id, state, Some(counts))
     }
 
-    /// The final answer: for a cancelled job not before its tasks are proved gone, whoever asks
-    /// and however often. That mostly takes some tens of milliseconds; otherwise the answer is to
-    /// come back.
+    /// Returns the final response. For a cancelled job, no request gets it before it is confirmed
+    /// that no task is running and all dependents are cancelled. That usually takes some tens of
+    /// milliseconds; if it takes longer, the user has to retry.
     ///
-    /// `since`: when this request sent the cancellation, if it did.
+    /// `since` is the time at which this request sent the cancellation, if it did.
     pub(super) async fn settled_status(
         &self,
         id: &JobId,
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,14 +1,14 @@
-//! The answers that users get.
+//! The responses that users get.
 
 use crate::http::Response;
 use crate::ids::JobId;
 use crate::protocol::{JobState, JobStatus};
 use crate::store::records::FinalRecord;
 
-/// Seconds after which users retry. Short, since most causes are over in a second or two.
+/// The `Retry-After` value in seconds. Most causes of a retry are over within one or two seconds.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 
-/// How many tasks of a job have reached a state, for display.
+/// The number of a job's tasks in each state, for display.
 pub(super) struct TaskCounts {
     /// Tasks that are done.
     pub(super) done: u64,
@@ -16,12 +16,12 @@
     pub(super) running: u64,
 }
 
-/// The job was never accepted, or its name is not one of a job.
+/// Returns the response for a job that was never accepted, or for an invalid job id.
 pub(super) fn no_such_job() -> Response {
     Response::error(404, "no such job")
 }
 
-/// A job's state, with the counts of its tasks when they are known.
+/// Returns the response with a job's state, and with its task counts if they are known.
 pub(super) fn job_status(
     code: u16,
     id: &JobId,
@@ -39,7 +39,7 @@
     )
 }
 
-/// The state of a job that has ended.
+/// Returns the response for a job that has ended.
 pub(super) fn final_status(id: &JobId, record: FinalRecord) -> Response {
     let done = match record.state {
         JobState::Done => record.tasks.into(),
--- a/src/api/retries.rs
+++ b/src/api/retries.rs
@@ -1,17 +1,19 @@
-//! Retries of requests that the rate limiter or the store has refused, while a user waits.
+//! Retries of store requests that the rate limiter or the store has refused while a user waits.
 
 use crate::runtime;
 use crate::store::StoreClient;
 use crate::store::rate_limiter::RequestClass;
 use std::time::Duration;
 
-/// How often a request is made: users wait for about a second.
+/// The number of attempts for a request. With the delay between them they take about a second,
+/// which users can wait.
 pub(super) const MAX_ATTEMPTS: u32 = 6;
-/// The time between two attempts.
+/// The delay between two attempts.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The longer its users have waited, the larger the part of the rate limit that a request may use:
-/// at last even that of placements, so that every job gets an answer however low the limit is.
+/// Returns the request class of an attempt. Later attempts may use a larger part of the rate limit,
+/// finally even the part that is kept for placements, so that every user gets an answer however low
+/// the limit is.
 pub(super) fn request_class(attempt: u32) -> RequestClass {
     match attempt {
         0..2 => RequestClass::Poll,
@@ -20,7 +22,7 @@
     }
 }
 
-/// Makes a request of the store, and makes it again while it is refused and the store serves.
+/// Sends a request to the store, and retries it while it is refused and the store is up.
 pub(super) async fn retry_refused<T>(
     store: &StoreClient,
     request: impl AsyncFn(RequestClass) -> T,
--- a/src/api/retry_reason.rs
+++ b/src/api/retry_reason.rs
@@ -1,4 +1,4 @@
-//! Why a request can't be answered now.
+//! The reasons why a request can't be answered now.
 
 use super::responses::RETRY_AFTER_S;
 use crate::http::Response;
@@ -6,59 +6,60 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why a user has to come back: one name for each reason. The texts are shown to users, the names
-/// to operators.
+/// The reason why a user has to retry. Users see the texts; operators see the names in the log and
+/// the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RetryReason {
-    /// The store does not serve this controller, or could not be reached.
+    /// The store does not serve this controller, or can't be reached.
     #[error("the state service can't be reached")]
     StoreDown,
     /// This controller's rate limiter has no token for the request.
     #[error("too much is asked of the state service by this controller")]
     HeldBack,
-    /// The store has refused the request, since its rates are used up.
+    /// The store has refused the request because its rate limit was reached.
     #[error("too much is asked of the state service")]
     StoreRefused,
-    /// A request was sent, and its outcome is not known.
+    /// A request was sent to the store, and its outcome is unknown.
     #[error("the state service did not answer")]
     StoreSilent,
-    /// A record or an answer can't be read.
+    /// A stored record or a response of the store can't be decoded.
     #[error("what the state service holds can't be read")]
     Unreadable,
-    /// Too many questions are waiting.
+    /// Too many user requests are queued for a read or a comparison.
     #[error("too many questions are waiting")]
     TooManyQuestions,
-    /// The store did not take a change, mostly since the job has just changed.
+    /// The store did not commit a change, mostly because the job has just changed.
     #[error("the state service did not take it")]
     NotTaken,
-    /// The cloud's machine types were not read yet.
+    /// The cloud's machine types have not been read yet.
     #[error("machine types are not known yet")]
     CatalogUnknown,
-    /// A controller of an earlier version would start dependent jobs at once.
+    /// A controller of an earlier version is a member. It would start jobs without waiting for
+    /// their dependencies.
     #[error("a controller of an earlier version takes part")]
     EarlierVersion,
-    /// The jobs that a submission names could not be looked up.
+    /// The dependencies of a submission could not be looked up.
     #[error("the jobs that it names can't be read")]
     DependenciesUnread,
-    /// The jobs that a submission names go on changing.
+    /// The dependencies of a submission changed during every attempt to accept it.
     #[error("the jobs that it names are changing")]
     DependenciesChanging,
-    /// Tasks of a cancelled job are not proved gone yet.
+    /// It is not confirmed yet that no task of the cancelled job is running.
     #[error("its tasks are being stopped")]
     TasksStopping,
-    /// Dependents of a cancelled job are not all cancelled yet.
+    /// Some dependents of the cancelled job have not been cancelled yet.
     #[error("the jobs that need it are being cancelled")]
     DependentsStopping,
 }
 
 impl RetryReason {
-    /// The answer: come back soon.
+    /// Returns the response that asks the user to retry.
     pub(super) fn response(self) -> Response {
         Response::retry_later(&self.to_string(), RETRY_AFTER_S)
     }
 
-    /// Why a transaction that was neither committed nor failed has no result.
+    /// Returns the reason for a transaction outcome that gives the user no result.
     pub(super) fn of_txn(outcome: &TxnOutcome) -> Self {
         match outcome {
             TxnOutcome::Committed(_) | TxnOutcome::Failed(..) => Self::NotTaken,
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -1,6 +1,6 @@
-//! Validates in batches that jobs are still as the watch cache shows them, and tells live jobs from
-//! ended ones where it does not show them: a transaction that only compares covers many polls with
-//! one request.
+//! Checks in batches whether jobs still have the revision that the watch cache shows, and whether
+//! jobs that it does not show are live or have ended. A transaction without changes evaluates the
+//! conditions of many polls with one request.
 
 use super::retries::retry_refused;
 use super::retry_reason::RetryReason;
@@ -11,37 +11,37 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long queries gather for a batch. Users can wait for seconds, and with smaller batches the
-/// comparisons would take a large part of all requests that the store allows.
+/// The time for which queries are collected into a batch. Users can wait for seconds, and with
+/// smaller batches the comparisons would take a large part of the store's request rate.
 const QUERY_BATCH_DELAY: Duration = Duration::from_millis(150);
-/// Queries beyond this many are answered as unknown at once.
+/// The maximum number of queued queries. Further queries are answered as unknown at once.
 const MAX_QUEUED_QUERIES: usize = 4000;
 
-/// What the store holds of a job.
+/// The state of a job in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoredJob {
-    /// Its record, at the revision that the watch cache shows if it shows one.
+    /// The job's record exists, at the revision that the watch cache shows if it shows one.
     Live,
-    /// Its record at another revision, or its final record.
+    /// Either the job's record exists at another revision, or its final state exists.
     Changed,
-    /// Its final record.
+    /// The job's final state exists.
     Ended,
-    /// Neither: it was never accepted.
+    /// Neither record exists: the job was never accepted.
     NeverAccepted,
-    /// The store could not be asked.
+    /// The store did not answer the comparison.
     Unknown(RetryReason),
 }
 
-/// One poll that waits for its answer.
+/// A queued request for the state of a job.
 struct JobQuery {
     job: JobId,
-    /// The revision that the watch cache shows; `None`: it does not show the job.
+    /// The revision that the watch cache shows; `None` if it does not show the job.
     cached: Option<Revision>,
     answer: Sender<StoredJob>,
 }
 
 impl JobQuery {
-    /// How many conditions it adds.
+    /// Returns the number of conditions that the query adds to a transaction.
     fn conditions(&self) -> usize {
         match self.cached {
             Some(_) => 1,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds conditions whose failures tell what the store holds.
+    /// Adds the conditions whose failures tell which records of the job exist.
     fn add_conditions(&self, txn: &mut Txn) {
         txn.require(keys::job(&self.job), self.cached.unwrap_or_default());
         if self.cached.is_none() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What the outcome of the comparison says of the job.
+    /// Returns the state of the job according to the outcome of the transaction.
     fn stored_job(&self, outcome: &TxnOutcome) -> StoredJob {
         let failed = match outcome {
             TxnOutcome::Committed(_) => &[][..],
@@ -77,13 +77,14 @@
     }
 }
 
-/// Gathers queries and answers them batch by batch.
+/// Collects queries and answers them in batches.
 pub(super) struct RevisionChecker {
     queue: Sender<JobQuery>,
 }
 
 impl RevisionChecker {
-    /// Starts the task that serves queries. `max_conditions`: those that a transaction may have.
+    /// Starts the task that serves queries. `max_conditions` is the maximum number of conditions of
+    /// a transaction.
     pub(super) fn start(store: Rc<StoreClient>, max_conditions: usize) -> Self {
         let (queue, mut queries) = channel::<JobQuery>();
         runtime::spawn(async move {
@@ -106,8 +107,8 @@
         Self { queue }
     }
 
-    /// What the store holds of a job that the watch cache shows at a revision, or does not show;
-    /// answers within about a second.
+    /// Returns the state of a job in the store within about a second. `cached` is the revision that
+    /// the watch cache shows, or `None` if it does not show the job.
     pub(super) async fn check(&self, job: &JobId, cached: Option<Revision>) -> StoredJob {
         if self.queue.backlog() >= MAX_QUEUED_QUERIES {
             return StoredJob::Unknown(RetryReason::TooManyQuestions);
@@ -123,7 +124,7 @@
     }
 }
 
-/// Makes all comparisons of a batch in one transaction and answers its queries.
+/// Evaluates all conditions of a batch in one transaction and answers its queries.
 async fn check_batch(store: Rc<StoreClient>, txn: Txn, batch: Vec<JobQuery>) {
     let outcome = retry_refused(
         &store,
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -12,27 +12,27 @@
 use crate::store::records::JobRecord;
 use crate::store::{TxnOutcome, keys};
 
-/// A submission that could not be written, now or for certain.
+/// A submission whose write was not committed, or whose outcome is unknown.
 #[derive(Debug)]
 pub(crate) struct UnwrittenSubmission {
     id: JobId,
     reason: RetryReason,
 }
 
-/// Why a submission has no answer.
+/// The reason why a submission has no answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SubmissionError {
-    /// It could not be written. Its job may be known all the same.
+    /// It could not be written. Its job may have been accepted by an earlier request.
     NotWritten(RetryReason),
-    /// Its job was looked up, and that had no result either, or a lookup would have none.
+    /// Its job was looked up without a result, or a lookup could not have a result.
     Unanswered(RetryReason),
 }
 
-/// The answer to a submission.
+/// The response to a submission, or the reason why there is none.
 pub(super) type Submitted = Result<Response, SubmissionError>;
 
 impl SubmissionError {
-    /// The outcome of a write that was not committed.
+    /// Returns the error for the outcome of a write that was not committed.
     pub(super) fn not_written(outcome: &TxnOutcome) -> Self {
         Self::NotWritten(RetryReason::of_txn(outcome))
     }
@@ -45,7 +45,7 @@
 }
 
 impl JobApi {
-    /// Accepts or refuses a job. A retry of one that was accepted is answered like a poll.
+    /// Accepts or refuses a job. A retry of an accepted submission is answered like a poll.
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         match self.try_submit(body).await {
             Ok(response) => response,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The same, but a submission that can't be written is handed back before its job is looked up: a
-    /// peer may write it at once.
+    /// Accepts or refuses a job like `submit`, but returns a submission that could not be written
+    /// without looking up its job, since a peer may be able to write it at once.
     pub(crate) async fn try_submit(&self, body: &[u8]) -> Result<Response, UnwrittenSubmission> {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -65,21 +65,22 @@
             Ok(response) => Ok(self.respond(&id, Ok(response))),
             Err(SubmissionError::Unanswered(reason)) => Ok(self.respond(&id, Err(reason))),
             Err(SubmissionError::NotWritten(reason)) => {
-                tracing::debug!(job = %id, ?reason, "submission not written");
+                tracing::debug!(job = %id, ?reason, "submission was not written to the key-value store");
                 Err(UnwrittenSubmission { id, reason })
             }
         }
     }
 
-    /// Answers a submission that was not written. Its job may be known all the same: its retry has the
-    /// right to an answer that its poll has.
+    /// Answers a submission that was not written. Its job may have been accepted by an earlier
+    /// request: then the submission is answered like a poll.
     pub(crate) async fn respond_from_lookup(&self, unwritten: UnwrittenSubmission) -> Response {
         let UnwrittenSubmission { id, reason } = unwritten;
         let answer = self.status_or_retry(&id, reason).await;
         self.respond(&id, answer)
     }
 
-    /// Asks the user of a submission that was not written to come back: a peer has looked its job up.
+    /// Asks the user of a submission that was not written to retry. Used when a peer has already
+    /// looked up the job.
     pub(crate) fn respond_retry_later(&self, unwritten: UnwrittenSubmission) -> Response {
         self.respond(&unwritten.id, Err(unwritten.reason))
     }
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Whether the watch cache shows the job, or its final state was read before.
+    /// Returns whether the watch cache shows the job or its final state is cached.
     fn is_cached(&self, id: &JobId) -> bool {
         let is_live = self.controller.borrow().cache.job_revision(id).is_some();
         is_live || self.cached_final_state(id).is_some()
     }
 
-    /// Accepts a job that depends on no other.
+    /// Accepts a job without dependencies.
     async fn submit_independent(&self, spec: JobSpec) -> Submitted {
         let id = spec.id.clone();
         let record = JobRecord::new(spec, UnixTime::now());
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Refuses a submission for good. What was accepted once is never refused later, whatever has
-    /// changed since.
+    /// Refuses a submission permanently, unless its job was accepted earlier: an accepted job is
+    /// never refused later, whatever has changed since.
     pub(super) async fn refuse(&self, id: &JobId, reason: &str) -> Answer {
         self.status_or(id, Response::error(422, reason)).await
     }
 
-    /// What was accepted once is known, whatever its retry lacks.
+    /// Refuses a malformed submission, unless it has the id of an accepted job.
     async fn malformed(&self, body: &[u8], message: &str) -> Response {
         let Some(id) = submitted_id(body) else {
             return Response::error(400, message);
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -1,29 +1,30 @@
-//! Questions that were not answered: counts by reason for the status, and a line in the log for a job
-//! whose users stay without an answer.
+//! Requests about jobs that could not be answered: counters by reason for the status, and a log
+//! line for each job whose users stay without an answer.
 
 use super::retry_reason::RetryReason;
 use crate::episodes::Episodes;
 use crate::ids::{JobId, Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// A job without an answer for so long is worth a line.
+/// The time without an answer after which a job is logged.
 const ANNOUNCE_AFTER: Millis = Millis(20_000);
-/// A job that nobody has asked about for so long is no longer followed: its users may have been
-/// answered by other controllers.
+/// The time without requests after which a job is no longer tracked, as other controllers may have
+/// answered its users.
 const QUIET_AFTER: Millis = Millis(60_000);
-/// Bounds the jobs that are followed to about 200 kB.
+/// The maximum number of tracked jobs, which take about 200 kB.
 const MAX_FOLLOWED_JOBS: usize = 2000;
 
-/// What is counted of questions without an answer. Serialized as `/admin/status` shows it.
+/// Statistics of unanswered requests, serialized as `/admin/status` shows them.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub(crate) struct UnansweredReport {
-    /// By reason, since the start.
+    /// The number of unanswered requests since the start, by reason.
     by_reason: BTreeMap<RetryReason, u64>,
-    /// How long the question that waits longest has been without an answer from this controller.
+    /// The longest time, in seconds, that a tracked job has been without an answer from this
+    /// controller.
     oldest_s: f64,
 }
 
-/// The questions that this controller has not answered.
+/// The requests that this controller has not answered.
 #[derive(Debug)]
 pub(super) struct UnansweredQuestions {
     counts: BTreeMap<RetryReason, u64>,
@@ -40,29 +41,46 @@
 }
 
 impl UnansweredQuestions {
-    /// A question about a job was not answered.
+    /// Records that a request about a job was not answered.
     pub(super) fn record(&mut self, now: MonotonicTime, job: &JobId, reason: RetryReason) {
         *self.counts.entry(reason).or_default() += 1;
         if let Some(episode) = self.jobs.record(now, job) {
-            tracing::info!(%job, ?reason, count = episode.count, since_ms = episode.duration().0, "questions about a job are not answered");
+            tracing::info!(
+                %job,
+                ?reason,
+                count = episode.count,
+                since_ms = episode.duration().0,
+                "requests about a job remain unanswered; its users are told to retry"
+            );
         }
     }
 
-    /// A question about a job was answered.
+    /// Records that a request about a job was answered.
     pub(super) fn end(&mut self, job: &JobId) {
         if let Some(episode) = self.jobs.end(job) {
-            tracing::info!(%job, count = episode.count, lasted_ms = episode.duration().0, "questions about a job are answered again");
+            tracing::info!(
+                %job,
+                count = episode.count,
+                lasted_ms = episode.duration().0,
+                "requests about a job are answered again"
+            );
         }
     }
 
-    /// Stops following the jobs that nobody has asked about for long.
+    /// Stops tracking the jobs without requests during the idle timeout, and logs those that were
+    /// never answered.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
         for (job, episode) in self.jobs.take_ended(now) {
-            tracing::info!(%job, count = episode.count, lasted_ms = episode.duration().0, "nobody asks about a job any more that was not answered");
+            tracing::info!(
+                %job,
+                count = episode.count,
+                lasted_ms = episode.duration().0,
+                "requests about an unanswered job have stopped"
+            );
         }
     }
 
-    /// What the status shows.
+    /// Returns the statistics for the status.
     pub(super) fn report(&self, now: MonotonicTime) -> UnansweredReport {
         let oldest = self.jobs.oldest_start();
         UnansweredReport {
--- a/src/api/waiting_questions.rs
+++ b/src/api/waiting_questions.rs
@@ -1,4 +1,5 @@
-//! Questions about final states that wait for a read: which job is read next.
+//! The queue of user requests that wait for reads of final states. It determines which job is read
+//! next.
 
 use super::final_state::FinalState;
 use super::retry_reason::RetryReason;
@@ -6,54 +7,57 @@
 use crate::runtime::Sender;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a question waits. Users wait for two seconds, and a comparison may come before.
+/// The time for which a request waits for a read. Users wait two seconds, and a comparison may come
+/// before the read.
 pub(super) const MAX_WAIT: Millis = Millis(600);
-/// Questions about more jobs than this are answered at once with the time of a retry.
+/// The maximum number of queued jobs. Users of further jobs are asked to retry at once.
 const MAX_JOBS: usize = 4000;
-/// A job that nobody has asked about for so long loses its rank: its user was answered elsewhere.
+/// The time without requests after which a job loses its place in the queue, as its user was
+/// answered by another controller.
 const FORGET_AFTER: Millis = Millis(60_000);
 
-/// How a job has ended; `None`: it has not.
+/// The final state of a job, or `None` if the job has not ended.
 pub(super) type ReadResult = Result<Option<FinalState>, RetryReason>;
 
-/// The jobs that were asked about and not answered yet.
+/// The jobs about which there were requests that have not been answered.
 #[derive(Default)]
 pub(super) struct WaitingQuestions {
-    /// In the order of the first question about each.
+    /// The jobs in the order of the first request about each.
     order: VecDeque<JobId>,
     jobs: BTreeMap<JobId, WaitingJob>,
 }
 
-/// A job whose read is due.
+/// The next job to be read.
 #[derive(Debug, PartialEq)]
 pub(super) struct NextRead {
-    /// The job.
+    /// The job to be read.
     pub(super) job: JobId,
-    /// Since when it was asked about without an answer.
+    /// The time of the first unanswered request about the job.
     pub(super) first_asked: MonotonicTime,
 }
 
 struct WaitingJob {
-    /// The first question.
+    /// The time of the first unanswered request.
     first_asked: MonotonicTime,
-    /// The latest question.
+    /// The time of the latest request.
     asked_at: MonotonicTime,
     is_being_read: bool,
-    /// Who has asked since the read under way began, or has not been read for.
+    /// The requests that arrived after the read in progress began, or all requests if no read is in
+    /// progress.
     questions: Vec<Sender<ReadResult>>,
-    /// Who had asked when the read under way began.
+    /// The requests that had arrived when the read in progress began.
     asked_before_read: Vec<Sender<ReadResult>>,
 }
 
 impl WaitingJob {
-    /// Whether a user still waits.
+    /// Returns whether a user is still waiting.
     fn is_awaited(&self, now: MonotonicTime) -> bool {
         now.since(self.asked_at) < MAX_WAIT
     }
 }
 
 impl WaitingQuestions {
-    /// Adds a question. `false`: there are too many.
+    /// Adds a request. Returns `false` if the queue is full.
     pub(super) fn add(
         &mut self,
         now: MonotonicTime,
@@ -84,8 +88,9 @@
         true
     }
 
-    /// The job to be read next: of those whose users wait, the one asked about first. A read for
-    /// users who have left would answer nobody, as they ask another controller next.
+    /// Returns the next job to be read: of the jobs with waiting users, the one with the earliest
+    /// first request. A job without waiting users is skipped, as its users have turned to another
+    /// controller and the read would answer nobody.
     pub(super) fn next(&self, now: MonotonicTime) -> Option<NextRead> {
         self.order.iter().find_map(|id| {
             let job = self.jobs.get(id)?;
@@ -97,8 +102,8 @@
         })
     }
 
-    /// The jobs whose users wait, from a job on in the order of their ids: what a page that begins
-    /// there may hold.
+    /// Returns the jobs with waiting users in the order of their ids, beginning with `first`. These
+    /// are the jobs that a page that begins there may contain.
     pub(super) fn awaited_from(
         &self,
         now: MonotonicTime,
@@ -113,7 +118,7 @@
             .collect()
     }
 
-    /// A read of the job begins.
+    /// Records that a read of the job begins.
     pub(super) fn begin(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_being_read = true;
@@ -121,7 +126,8 @@
         }
     }
 
-    /// A read was refused: the job keeps its rank, and its users wait on.
+    /// Queues a job again after its read was refused. It keeps its place, and its users continue to
+    /// wait.
     pub(super) fn put_back(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_being_read = false;
@@ -129,9 +135,10 @@
         }
     }
 
-    /// A read is over. Returns whom its result answers. That a job has ended is true for ever; that
-    /// it has not may have changed for those who have asked since the read began: they wait for the
-    /// next one.
+    /// Records the end of a read and returns the requests that its result answers. A final state
+    /// answers all requests. The result that the job has not ended answers only the requests that
+    /// arrived before the read began, since the job may have ended since; the others wait for the
+    /// next read.
     pub(super) fn finish(&mut self, id: &JobId, has_ended: bool) -> Vec<Sender<ReadResult>> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
@@ -148,7 +155,7 @@
         answered
     }
 
-    /// Drops the jobs at the front that nobody asks about any more.
+    /// Removes the jobs at the front of the queue that had no request during the idle timeout.
     fn forget_old(&mut self, now: MonotonicTime) {
         while let Some(id) = self.order.front() {
             let job = self.jobs.get(id);
