--- a/src/api/cancel/tests.rs
+++ b/src/api/cancel/tests.rs
@@ -4,7 +4,8 @@
 use crate::runtime::{self, Receiver, Scope};
 use std::rc::Rc;
 
-/// No request about a cancelled job succeeds before its tasks are gone; then all do at once.
+/// No request about a cancelled job succeeds before it is confirmed that none of its tasks are
+/// running. Then requests at all controllers succeed.
 #[test]
 fn no_controller_answers_a_cancellation_before_its_tasks_are_gone() {
     runtime::run(async {
@@ -37,7 +38,7 @@
         gone.set(true);
         scene.catch_up(&first);
         scene.catch_up(&other);
-        // In an outage too, where the record was read before.
+        // Controllers that have read the record before also answer during a store outage.
         scene.state.borrow_mut().away = true;
         for api in [&first, &other] {
             assert_eq!(
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -13,7 +13,7 @@
     CombinedDependencyState::of(&"job-9".into(), named.collect())
 }
 
-/// What a decision is, without its details; what these must hold is checked.
+/// Returns the name of a combined state, and checks its details.
 fn outcome_of(decided: &CombinedDependencyState) -> &'static str {
     match decided {
         CombinedDependencyState::Live(open) => {
@@ -31,7 +31,8 @@
     }
 }
 
-/// What is final outweighs what is not known, and what can be waited for comes last.
+/// An invalid dependency takes precedence over one that could not be read, and a live one comes
+/// last.
 #[test]
 fn dependencies_are_summed_up_by_the_worst_of_them() {
     use DependencyState::{Cancelled, Done, NeverAccepted, Unknown};
@@ -51,7 +52,7 @@
     }
 }
 
-/// The reasons are parts of the answers that users get.
+/// Users see these texts in error responses.
 #[test]
 fn refusals_keep_their_texts() {
     let reason = |named: &[(&str, DependencyState)]| match decide(named) {
@@ -73,7 +74,8 @@
     );
 }
 
-/// Only a job with open dependencies is blocked, and only while these are as they were read.
+/// Only a job with live dependencies is blocked, and it is accepted only if their records have not
+/// changed since they were read.
 #[test]
 fn blocked_job_is_accepted_on_condition_that_its_dependencies_are_unchanged() {
     let mut job = spec("job-9");
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -1,4 +1,4 @@
-//! Submissions with dependencies, over HTTP against a stand-in of the key-value store.
+//! Submissions with dependencies, over HTTP against a fake key-value store.
 
 use crate::api::JobApi;
 use crate::api::tests::{Scene, body, job_state};
@@ -28,7 +28,7 @@
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         let service = body("job-2", |b| b["shape"] = json!("daemon"));
         assert_eq!(api.submit(&service).await.status, 201);
-        // At the controller that accepted them, and at one whose watch cache shows them.
+        // Covers the controller that accepted the jobs, and one whose watch cache shows them.
         let (other, _asked_there) = scene.api(true);
         scene.catch_up(&other);
         for (n, api) in [&api, &other].into_iter().enumerate() {
@@ -56,8 +56,8 @@
     .expect("loop");
 }
 
-/// A list that the smaller value limit can't hold is refused for good; everything else that fails
-/// is answered at once with the time of a retry.
+/// A list of dependencies that exceeds the smaller value limit is refused permanently. While the
+/// store is down, a submission is answered at once with a retry.
 #[test]
 fn long_lists_are_refused_and_store_outages_ask_for_a_retry() {
     runtime::run(async {
@@ -71,7 +71,7 @@
         let refused = submit(&fresh, "job-3", json!(["job-1"])).await;
         assert!(refused.status == 503 && refused.retry_after.is_some());
         scene.state.borrow_mut().away = false;
-        // The next submission is a probe of whether it is back.
+        // The next submission probes whether the store is up again.
         let mut answer = submit(&fresh, "job-4", json!(["job-1"])).await;
         for _ in 0..2 {
             if answer.status == 503 {
@@ -83,7 +83,7 @@
     .expect("loop");
 }
 
-/// What was accepted is known, whatever has become of its dependencies, or of the list.
+/// An accepted job is found by its id, whatever its dependencies or the submitted list are now.
 #[test]
 fn retry_of_an_accepted_job_succeeds_before_all_checks() {
     runtime::run(async {
@@ -104,8 +104,8 @@
     .expect("loop");
 }
 
-/// A dependent of a cancelled job is accepted and cancelled; one whose dependencies are done is not
-/// blocked.
+/// A dependent of a cancelled job is accepted as cancelled. A job whose dependencies are done is
+/// not blocked.
 #[test]
 fn dependencies_that_have_ended_decide_at_once() {
     runtime::run(async {
@@ -130,7 +130,7 @@
     .expect("loop");
 }
 
-/// A controller of the earlier version would start such jobs at once.
+/// A controller of an earlier version would start such jobs without waiting for their dependencies.
 #[test]
 fn dependent_jobs_are_put_off_while_an_earlier_version_takes_part() {
     runtime::run(async {
@@ -175,7 +175,8 @@
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         assert_eq!(submit(&api, "job-2", json!(["job-1"])).await.status, 201);
         assert_eq!(submit(&api, "job-3", json!(["job-2"])).await.status, 201);
-        // Its watch cache lags behind the cancellation: it can't know all dependents of the job.
+        // The watch cache lags behind the cancellation, so it may not show all dependents of the
+        // job.
         assert_eq!(api.cancel("job-1").await.status, 503);
         assert!(scene.state.borrow().keys.contains_key("live/job/job-2"));
         scene.catch_up(&api);
--- a/src/api/feasibility/tests.rs
+++ b/src/api/feasibility/tests.rs
@@ -12,7 +12,7 @@
         check(&spec, &config, &catalog())
     };
     assert_eq!(check_changed(&|_| ()), Ok(()));
-    // Far more tasks than the limit are fine for an array, and never for a service.
+    // An array may have far more tasks than fit the team's limit; a service may not.
     assert_eq!(check_changed(&|s| s.tasks = 100_000), Ok(()));
     assert!(
         check_changed(&|s| {
@@ -33,7 +33,7 @@
     assert!(check_changed(&|s| s.zone = Some("b".into())).is_err());
     assert!(check_changed(&|s| s.machine_types = Some(vec!["t9".into()])).is_err());
     assert!(check_changed(&|s| s.gpus = 1.0).is_err());
-    // Two replicas of which at most one may be in a zone need two zones.
+    // Two spread replicas, of which at most one may be in a zone, need two zones.
     let apart = |kind: JobKind| {
         check_changed(&move |s| {
             s.tasks = 2;
@@ -45,7 +45,7 @@
     assert!(apart(JobKind::Array).is_ok());
 }
 
-/// The reasons are parts of the answers that users get.
+/// Users see these texts in error responses.
 #[test]
 fn reasons_keep_their_texts() {
     let texts = [
--- a/src/api/final_state_reader/tests.rs
+++ b/src/api/final_state_reader/tests.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// While nothing else is asked, a question about an ended job costs two requests once, and none
-/// after that; one about a job that was never accepted costs one.
+/// Without other load, the first request about an ended job costs two store requests, and later
+/// ones cost none. A request about a job that was never accepted costs one.
 #[test]
 fn questions_about_ended_and_unknown_jobs_cost_few_requests() {
     runtime::run(async {
@@ -42,7 +42,7 @@
         assert_eq!(calls(), 2);
         assert_eq!(api.poll("job-3").await.status, 404);
         assert_eq!(calls(), 3);
-        // The refused submission has just said which record exists.
+        // The failed transaction shows which record exists, so only the final state is read.
         let repeated = api.submit(&body("job-2", |_| ())).await;
         assert_eq!(job_state(&repeated), done);
         assert_eq!(calls(), 5);
@@ -50,8 +50,8 @@
     .expect("loop");
 }
 
-/// What a poll of an ended job is answered, and what is counted, by a controller that may make so many
-/// requests in a second of a store that answers with errors if it is `away`.
+/// Returns the response to a poll of an ended job and the statistics of unanswered requests, for a
+/// controller with the given rate limit. If `away` is set, the store answers with errors.
 fn refused_poll(requests_per_s: f64, away: bool) -> (Response, Value) {
     let result = Rc::new(RefCell::new(None));
     let shown = result.clone();
@@ -81,7 +81,8 @@
     result.take().expect("the event loop has ended")
 }
 
-/// A refusal by the controller's own limiter is told from a store that is away.
+/// A request refused by the controller's rate limiter is counted separately from one that meets a
+/// store outage.
 #[test]
 fn unanswered_questions_are_counted_by_their_reasons() {
     let (held_back, counted) = refused_poll(1.0, false);
@@ -97,7 +98,7 @@
     JobId::from(format!("job-{n:06}").as_str())
 }
 
-/// A store that holds the final states of so many jobs.
+/// Creates a store with the final states of `count` jobs.
 fn store_with_ended_jobs(count: usize) -> Rc<RefCell<StandIn>> {
     let mut state = StandIn::default();
     for n in 0..count {
@@ -106,7 +107,8 @@
     Rc::new(RefCell::new(state))
 }
 
-/// The outcomes that a controller reads for users who ask at once, and its calls of the store.
+/// Returns the final states that a controller reads for users who send requests at once, and the
+/// number of its store calls.
 async fn outcomes(
     state: &Rc<RefCell<StandIn>>,
     jobs: impl Iterator<Item = usize>,
@@ -127,7 +129,8 @@
     (results.take().into_values().collect(), calls)
 }
 
-/// Two requests at the most: users do not all ask before the first read.
+/// At most two store requests are needed, as not all users have sent their requests before the
+/// first read.
 #[test]
 fn jobs_on_a_page_are_read_with_one_request() {
     let (outcomes, calls) = in_virtual_time(async {
@@ -138,7 +141,7 @@
     assert!(calls <= 2, "{calls}");
 }
 
-/// Later questions about jobs that were on a page cost nothing.
+/// Later requests about jobs on a page that was read cost no store call.
 #[test]
 fn page_is_kept_for_later_questions() {
     let (before, after) = in_virtual_time(async {
@@ -160,7 +163,7 @@
     assert_eq!(before, after);
 }
 
-/// A job behind the end of a page is read by the next one.
+/// A job after the end of a page is read with the next page.
 #[test]
 fn job_behind_the_end_of_a_page_waits_on() {
     let (outcomes, calls) = in_virtual_time(async {
@@ -172,8 +175,8 @@
     assert!(calls <= 4, "{calls}");
 }
 
-/// A job without a record has not ended; one whose record can't be read has no answer. Neither concerns
-/// the others on the page, and a page that is refused is read again.
+/// A job without a record has not ended, and a job whose record can't be decoded has no answer.
+/// Neither affects the other jobs on the page. A page whose read is refused is read again.
 #[test]
 fn page_tells_its_jobs_apart() {
     let outcomes = in_virtual_time(async {
@@ -190,7 +193,7 @@
     assert_eq!(outcomes, expected.collect::<Vec<_>>());
 }
 
-/// What is counted shows how many jobs a read answers.
+/// The counters show how many jobs a read answers.
 #[test]
 fn reads_are_counted_by_kind() {
     let counted = in_virtual_time(async {
--- a/src/api/query/tests.rs
+++ b/src/api/query/tests.rs
@@ -1,25 +1,12 @@
-//! Questions about jobs that have ended, while requests to the key-value store are scarce.
+//! Requests about ended jobs while the request rate of the key-value store is nearly used up.
 //!
-//! The story. Five controllers used up nearly all the requests that each may send to the key-value
-//! store. A short job was accepted and ran; for eight seconds after its task had ended, its polls
-//! said that it was queued. From then on each poll of it, at any controller, was answered with 503,
-//! most within some ten milliseconds, for more than eighty seconds, while polls of other jobs were
-//! answered. Then all controllers were restarted at once, and its polls went on failing: an accepted
-//! job was forgotten.
-//!
-//! The cause: a right to be answered in one path and not in another. A poll of a live job is
-//! compared in a batch, again and again, each time with a larger part of the rate limit. A poll of a
-//! job that has ended took two reads of the class that is held back first, and neither was tried
-//! again. Where many ask, each new question takes the token that the second read of an earlier one
-//! would have needed, so reads are paid for and nobody is answered.
-//!
-//! The evidence. In three seconds after the restart the store served 130 requests a second, of 200
-//! that it allows, and refused none that was recorded. Two controllers had sent 36 and 18 single
-//! reads that found nothing, and the records show none of theirs that found a final state. In a trial
-//! on a simulated cluster under the same faults 590 of 3,596 lookups of jobs outside the watch cache
-//! got no answer, all of them while the store was up, and none of the comparisons. Here, before the
-//! repair, 14,002 polls of live jobs were answered and 100 were not; of jobs that had ended, 36 were
-//! and 5,248 were not.
+//! These tests guard against an accepted and ended job whose polls get 503 at every controller for
+//! more than 80 s, while polls of live jobs are answered. Polls of a live job are compared in a
+//! batch that is retried with an increasing part of the rate limit. Earlier, a poll of an ended job
+//! needed two reads of the request class that is rate limited first, and neither was retried. With
+//! many users, each new poll took the token that the second read of an earlier poll needed, so that
+//! tokens were spent and nobody was answered. A restart of all controllers did not help, as polls
+//! of the job went on failing.
 
 mod random_loads;
 
@@ -28,9 +15,9 @@
 use random_loads::{search, soak, soak_widely};
 
 const ENDED_JOBS: usize = 200;
-/// So many that their reads take several times as long as users wait for an answer.
+/// The reads of this many jobs take several times as long as users wait for an answer.
 const MANY_ENDED_JOBS: usize = 800;
-/// A site of 4,000 machines ends so many in a few minutes.
+/// A cluster of 4,000 machines ends this many jobs in a few minutes.
 const THOUSANDS_OF_ENDED_JOBS: usize = 3000;
 
 fn assert_all_answered(questions: &'static [Question]) {
@@ -61,7 +48,8 @@
     ]);
 }
 
-/// Questions about many ended jobs take neither from ends of jobs nor from the users of live ones.
+/// Requests about many ended jobs must not reduce the rate of job completions, nor delay the users
+/// of live jobs.
 #[test]
 fn questions_about_ended_jobs_leave_requests_for_ends_and_live_jobs() {
     let without = ask_about_ended_jobs(Load::default(), &[Question::Poll], 0);
@@ -71,7 +59,8 @@
     let live = (without.live, with.live);
     assert!(live.1.answered * 100 >= live.0.answered * 98, "{live:?}");
     assert!(live.1.longest_silence < FORGOTTEN_AFTER, "{live:?}");
-    // So many at once, right after all controllers have restarted, have to wait their turn.
+    // Requests about this many jobs at once, just after all controllers have restarted, have to be
+    // queued.
     assert!(
         with.ended.longest_silence < FORGOTTEN_AFTER,
         "{:?}",
@@ -80,11 +69,11 @@
     assert_eq!(with.ended.answered, MANY_ENDED_JOBS);
 }
 
-/// What happens: after a restart of all controllers the users of 3,000 ended jobs ask at once, and the
-/// last one waits 76.8 s. Why: one request reads one job. What showed it: 3,019 reads that the store
-/// answered and 498 that it refused (429), for 3,000 users; only 19 jobs were read at two controllers
-/// and no read answered nobody. That is 46 requests a second, and the reserve of all controllers gives
-/// 26, or 78 for those who have waited long: no other order of reads would have been in time.
+/// Guards against reading one job per store request: after a restart of all controllers, 3,000
+/// users of ended jobs send requests at once, and the last one would wait 76.8 s, longer than
+/// allowed. These reads would take 46 requests per second, while the reserved fractions of all
+/// controllers allow 26, or 78 for jobs that have waited long. No order of single reads would be
+/// fast enough, so a read has to answer several jobs.
 #[test]
 fn questions_about_thousands_of_ended_jobs_are_answered_in_time() {
     let without = ask_about_ended_jobs(Load::default(), &[Question::Poll], 0);
@@ -103,9 +92,10 @@
     }
 }
 
-/// Found by the search below: placements ask for more than there is, and the store is away for 8.5 of
-/// each 30 seconds. A repeated submission is refused at once like a new one, each time, for 86 s: by
-/// the outage, by the store's rate, or by the limiter at its write.
+/// Guards against resubmissions that get 503 for 86 s because each one is refused at once, like a
+/// new submission: by an outage, by the store's rate limit, or by the controller's rate limiter at
+/// the write. In this load placements use more than the whole request rate, and the store is down
+/// for 8.5 s of every 30 s.
 #[test]
 fn repeated_submissions_are_answered_under_overload_and_outages() {
     soak(1874);
--- a/src/api/query/tests/random_loads.rs
+++ b/src/api/query/tests/random_loads.rs
@@ -1,4 +1,4 @@
-//! Random loads: what is drawn, and how the outcome is judged.
+//! Random loads: the generated parameters, and the checks of the outcome.
 
 use crate::api::tests::busy_cluster::{CONTROLLERS, Load};
 use crate::api::tests::users::{Question, Scenario, ask_about_ended_jobs};
@@ -21,8 +21,8 @@
     Question::FinalOutcome,
 ];
 
-/// All questions, under a load that the seed draws: placements from a third of the requests to more
-/// than all, a slow store, short outages.
+/// Runs all kinds of requests under a load generated from the seed: placements that use from a
+/// third of the request rate to more than all of it, a slow store, short outages.
 pub(super) fn soak(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let load = Load {
@@ -37,8 +37,9 @@
     outcome.assert_answered(ended_jobs, &context);
 }
 
-/// More troubles and more jobs than `soak` draws: up to 3,000 ended jobs among others that nobody asks
-/// about, cancellations of live ones, a controller that the store refuses, a restart of all controllers.
+/// Runs a wider range of loads than `soak`: up to 3,000 ended jobs among others that nobody
+/// requests, cancellations of live jobs, a controller that the store refuses, and a restart of all
+/// controllers.
 pub(super) fn soak_widely(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let load = Load {
@@ -66,7 +67,7 @@
     );
 }
 
-/// Plays many seeds, three at a time, and fails with all that failed.
+/// Runs many seeds, three at a time, and fails with the messages of all failed runs.
 pub(super) fn search(seeds: Range<u64>, play: fn(u64)) {
     let next = AtomicU64::new(seeds.start);
     let failures = Mutex::new(Vec::new());
--- a/src/api/revision_check/tests.rs
+++ b/src/api/revision_check/tests.rs
@@ -3,15 +3,17 @@
 use crate::store::rate_limiter::RequestClass;
 use crate::store::rate_limiter::TokenBucket;
 
-/// Placements take four fifths of the requests there are, and users poll thousands of jobs: every
-/// query is answered within the attempts of its comparison, so no job lacks an answer for long.
+/// Placements use four fifths of the request rate, and users poll thousands of jobs. Every
+/// comparison must be admitted within its attempts, so that no job stays without an answer for
+/// long.
 #[test]
 fn polls_are_answered_however_much_placements_ask() {
     let (most, jobs) = (96, 3000);
     let mut bucket = TokenBucket::new(25.0);
     let mut last = vec![0u64; jobs];
     let mut longest = 0;
-    // Comparisons under way: the time of the next attempt, attempts so far, the jobs.
+    // Comparisons in progress: the time of the next attempt, the number of attempts so far, and the
+    // jobs.
     let mut open: Vec<(u64, u32, Vec<usize>)> = Vec::new();
     let mut asked: Vec<usize> = Vec::new();
     for ms in (0..200_000u64).step_by(10) {
--- a/src/api/submit/tests.rs
+++ b/src/api/submit/tests.rs
@@ -5,8 +5,9 @@
 use crate::runtime;
 use serde_json::json;
 
-/// What is refused for good, what has to be retried, and what was accepted once: at a controller
-/// that accepted it, at one that knows nothing yet, and while the store can't be read.
+/// Covers invalid submissions, submissions that have to be retried, and resubmissions of accepted
+/// jobs: at the controller that accepted the job, at one whose watch cache is empty, and while the
+/// store is down.
 #[test]
 fn bad_requests_are_told_from_retries_of_accepted_jobs_at_every_controller() {
     runtime::run(async {
@@ -23,7 +24,8 @@
         assert_eq!(first.submit(&lacking("job-1")).await.status, 400);
         assert_eq!(first.submit(&unknown_team("job-1")).await.status, 422);
         assert_eq!(first.submit(b"{").await.status, 400);
-        // Machine types are not known there: it can't tell, and says so at once.
+        // The machine types are not known there, so the controller can't check the job and answers
+        // at once with a retry.
         let retry_later = fresh.submit(&whole).await;
         assert_eq!(
             (retry_later.status, retry_later.retry_after),
@@ -34,7 +36,8 @@
             let answer = first.submit(retry).await;
             assert_eq!(job_state(&answer), (200, "pending".into()));
         }
-        // A controller without machine types recognises the id all the same, or asks for a retry.
+        // A controller without machine types recognises the id of an accepted job, or asks for a
+        // retry.
         let answer = fresh.submit(&lacking("job-1")).await;
         assert_eq!(job_state(&answer), (200, "pending".into()));
         assert_eq!(fresh.submit(&unknown_team("job-1")).await.status, 503);
--- a/src/api/submit/tests/refused_writes.rs
+++ b/src/api/submit/tests/refused_writes.rs
@@ -1,16 +1,13 @@
-//! Submissions whose write the key-value store does not take.
+//! Submissions whose write the key-value store does not carry out or answer.
 //!
-//! What happens: a user repeats the submission of an accepted job that has ended, and gets 503 for
-//! 86 s, while polls of the same job are answered. Why: the one way to learn that the job is known is
-//! the write that would accept it. If that write is refused, by the store's rate or by our own limiter,
-//! nothing else is asked. A poll is compared in a batch that is tried again in ever earlier request
-//! classes, and its final record is read with requests in reserve.
+//! These tests guard against a resubmission of an accepted and ended job that gets 503 for 86 s,
+//! while polls of the same job are answered. Earlier, the only way to find out that the job was
+//! known was the write that would accept it. If the store's rate limit or the controller's rate
+//! limiter refused that write, nothing else was tried. A poll is compared in a batch that is
+//! retried in ever higher request classes, and its final state is read with reserved requests.
 //!
-//! What showed it, in the load of seed 1874 (`api::query::tests`): of the 17 questions of the user who
-//! waited longest 6 met an outage, 6 were refused by the store (429), 4 were held back at the write by our own
-//! limiter with 0.7 to 0.8 changes and 1.2 to 2.1 requests left, and one at the read after it. Each of the
-//! 11 of the last three kinds ended after at most 20 ms, but for one that took 0.62 s: that one alone
-//! went on to a read.
+//! Seed 1874 in `api::query::tests` reproduces this: the resubmissions meet an outage, are refused
+//! by the store (429), or are rate limited at the write or at the read after it.
 
 use crate::api::JobApi;
 use crate::api::tests::{
@@ -27,7 +24,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long users wait for the answer to a poll.
+/// The time for which users wait for the answer to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 const WRITES_NOT_TAKEN: [Writes; 3] = [Writes::Refused, Writes::AnswerLost, Writes::Delayed];
 
@@ -40,8 +37,8 @@
     api.submit(&dependent).await
 }
 
-/// Accepts a job with dependents, two of them and a job without dependencies that end, at a controller
-/// of its own.
+/// Accepts a job with two dependents and a job without dependencies, at a separate controller. One
+/// of the dependents and the independent job end.
 async fn accept_jobs(state: &Rc<RefCell<StandIn>>) {
     let (api, _asked) = api_in_memory(state);
     submit(&api, "job-1").await;
@@ -53,7 +50,8 @@
     }
 }
 
-/// Live and ended jobs, with and without dependencies, at a controller that was not told of them.
+/// Covers live and ended jobs, with and without dependencies, at a controller whose watch cache
+/// does not show them.
 #[test]
 fn repeated_submission_is_answered_like_a_poll_if_its_write_is_not_taken() {
     for writes in WRITES_NOT_TAKEN {
@@ -74,7 +72,8 @@
     }
 }
 
-/// A new job is neither accepted nor refused for good, within the time that a poll may take.
+/// A new job is neither accepted nor refused permanently, and its user is answered within the
+/// timeout of a poll.
 #[test]
 fn new_job_whose_write_is_not_taken_is_asked_to_come_back() {
     for writes in [Writes::Refused, Writes::Delayed] {
@@ -91,9 +90,10 @@
     }
 }
 
-/// What happened: with the lookup above, 95% of submissions took 32 ms and more on days on which they took
-/// 18.7 ms before. Why: a new job waited for the lookup before a peer was asked, which could write it at
-/// once. So a submission that is not written is handed back first, after its one request.
+/// Guards against slow submissions: a new job must not wait for the lookup before a peer is asked,
+/// since the peer could write it at once. With the lookup first, 95% of submissions took 32 ms or
+/// more, instead of 18.7 ms. A submission that is not written is therefore handed back after a
+/// single store request.
 #[test]
 fn submission_that_is_not_written_is_handed_back_before_the_lookup() {
     for writes in [Writes::Refused, Writes::Delayed] {
@@ -111,8 +111,8 @@
     }
 }
 
-/// The write may still be carried out: until then the answer is to come back, and no repetition makes
-/// a second job.
+/// The delayed write may still be carried out. Until then the user is asked to retry, and a
+/// resubmission does not create a second job.
 #[test]
 fn submission_that_is_written_late_is_accepted_once() {
     let (answers, revision) = in_virtual_time(async move {
@@ -132,7 +132,8 @@
     assert_eq!((statuses, revision), ([503, 503, 200, 200], 1));
 }
 
-/// Whoever ends a job between the refused write and the read after it: its end is the answer.
+/// If another controller ends the job between the refused write and the read after it, the answer
+/// is the final state.
 #[test]
 fn job_that_ends_after_its_refused_write_is_answered_as_ended() {
     let answers = in_virtual_time(async move {
@@ -143,7 +144,7 @@
         state.borrow_mut().after_refusal = Some(|state| state.end("job-1", JobState::Done));
         let done = job_state(&submit(&api, "job-1").await);
         state.borrow_mut().after_refusal = Some(|state| state.end("job-3", JobState::Cancelled));
-        // Its tasks are not proved gone at first.
+        // At first it is not confirmed that none of its tasks are running.
         let mut proofs = Scope::default();
         proofs.spawn(async move {
             for settled in [false, true] {
@@ -163,7 +164,7 @@
     );
 }
 
-/// The watch cache shows a job that has ended since, and not one that was accepted since.
+/// The watch cache still shows a job that has ended, and does not show yet a job that was accepted.
 #[test]
 fn watch_cache_that_lags_does_not_matter() {
     let answers = in_virtual_time(async move {
@@ -184,7 +185,7 @@
     assert_eq!(answers, expected);
 }
 
-/// A controller that the store does not serve says so; the others answer.
+/// A controller that the store does not serve asks the user to retry; the other controllers answer.
 #[test]
 fn controller_that_the_store_refuses_alone_asks_for_a_retry() {
     let answers = in_virtual_time(async move {
@@ -201,8 +202,8 @@
     assert_eq!(answers, [503, 200]);
 }
 
-/// A controller of an earlier version takes part: new jobs with dependencies are not accepted, and
-/// accepted ones are known.
+/// While a controller of an earlier version is a member, new jobs with dependencies are not
+/// accepted, but resubmissions of accepted ones are answered.
 #[test]
 fn dependent_job_is_known_while_an_earlier_version_takes_part() {
     let answers = in_virtual_time(async move {
@@ -225,7 +226,8 @@
     assert_eq!(answers, [200, 503]);
 }
 
-/// A job that has ended needs no write to be cancelled.
+/// The cancellation of an ended job needs no write, so it is answered even if its first read is
+/// refused.
 #[test]
 fn cancellation_of_an_ended_job_is_answered_while_reads_are_scarce() {
     let answers = in_virtual_time(async move {
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the key-value store and controllers that use it, for the tests of the API.
+//! A fake key-value store and controllers that use it, for the tests of the API.
 
 pub(super) mod busy_cluster;
 pub(super) mod users;
@@ -32,34 +32,34 @@
     .expect("catalog")
 }
 
-/// What becomes of transactions that change something.
+/// How the fake store handles transactions that change something.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum Writes {
-    /// They are carried out and answered.
+    /// They are executed and answered.
     #[default]
     Answered,
-    /// They are refused, as beyond the rates.
+    /// They are refused because of the rate limit.
     Refused,
-    /// They are carried out, and the answer is lost.
+    /// They are executed, but the response is lost.
     AnswerLost,
-    /// They are not carried out yet, and not answered.
+    /// They are neither executed nor answered until `execute_delayed` is called.
     Delayed,
 }
 
-/// A key-value store that holds a few keys: enough for what the API asks of it.
+/// A fake key-value store with the operations that the API needs.
 #[derive(Default)]
 pub(super) struct StandIn {
-    /// Values with the revisions of their last changes.
+    /// The values by key, each with the revision of its last change.
     pub(super) keys: BTreeMap<String, (Value, u64)>,
     /// The revision of the last change.
     pub(super) revision: u64,
-    /// Answers every request with an error.
+    /// Whether the store answers every request with an error.
     pub(super) away: bool,
-    /// What becomes of changes.
+    /// How transactions that change something are handled.
     pub(super) writes: Writes,
-    /// The next refused change is followed by this.
+    /// A change by another client that is made once, when the next write is refused.
     pub(super) after_refusal: Option<fn(&mut StandIn)>,
-    /// So many of the next reads are refused, as beyond the rates.
+    /// The number of the next reads that are refused because of the rate limit.
     pub(super) refused_reads: u32,
     delayed: Vec<Value>,
 }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Answers with the keys under a prefix that follow another.
+    /// Returns a page of the keys under a prefix that follow a given key.
     fn page(&self, query: &str) -> Response {
         let fields: BTreeMap<&str, &str> = query
             .split('&')
@@ -128,7 +128,7 @@
         Response::json(200, &page)
     }
 
-    /// Carries out a transaction if its conditions hold.
+    /// Executes a transaction if its conditions hold.
     fn execute(&mut self, txn: &Value) -> Response {
         let list = |field: &str| txn[field].as_array().cloned().unwrap_or_default();
         let text = |v: &Value| v.as_str().expect("key").to_owned();
@@ -157,21 +157,21 @@
         Response::json(200, &json!({"edition": self.revision}))
     }
 
-    /// Carries out the changes that were delayed.
+    /// Executes the transactions that were delayed.
     pub(super) fn execute_delayed(&mut self) {
         for txn in std::mem::take(&mut self.delayed) {
             self.execute(&txn);
         }
     }
 
-    /// Writes a record as somebody else's change.
+    /// Writes a record as another client would.
     pub(super) fn put(&mut self, key: String, record: &impl Serialize) {
         self.revision += 1;
         let value = serde_json::to_value(record).expect("json");
         self.keys.insert(key, (value, self.revision));
     }
 
-    /// Ends a job as somebody else's change.
+    /// Ends a job as another controller would.
     pub(super) fn end(&mut self, id: &str, state: JobState) {
         let id = JobId::from(id);
         self.keys.remove(&keys::job(&id));
@@ -179,16 +179,16 @@
     }
 }
 
-/// A key-value store that controllers of a test share.
+/// A fake key-value store, served over HTTP, that several controllers share.
 pub(super) struct Scene {
-    /// What the store holds.
+    /// The fake store.
     pub(super) state: Rc<RefCell<StandIn>>,
     addr: SocketAddr,
     _served: Scope,
 }
 
 impl Scene {
-    /// Starts an empty store.
+    /// Starts a server with an empty store.
     pub(super) fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
@@ -206,8 +206,8 @@
         }
     }
 
-    /// The API of a controller that has just started: its watch cache shows no job, and the machine
-    /// types only with `types`.
+    /// Creates the API of a controller that has just started. Its watch cache shows no job, and
+    /// shows the machine types only with `types`.
     pub(super) fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let limits = generous_limits(&config);
@@ -215,14 +215,14 @@
         controller_api(&config, store, types)
     }
 
-    /// Brings a controller's watch cache up to what the key-value store holds, as the watch does.
+    /// Loads the contents of the store into a controller's watch cache, as the watch does.
     pub(super) fn catch_up(&self, api: &JobApi) {
         catch_up(&self.state.borrow(), api);
     }
 }
 
-/// The API of a controller that has just started, with a key-value store in memory that answers at
-/// once: for tests in virtual time.
+/// Creates the API of a controller that has just started, with an in-memory key-value store that
+/// answers at once, for tests in virtual time.
 pub(super) fn api_in_memory(state: &Rc<RefCell<StandIn>>) -> (JobApi, Receiver<Cancellation>) {
     let config = sample_config();
     let answering = state.clone();
@@ -235,7 +235,7 @@
     controller_api(&config, store, true)
 }
 
-/// Limits that no test reaches.
+/// Returns rate limits that no test reaches.
 fn generous_limits(config: &Config) -> StoreLimits {
     let mut limits = config.store_limits;
     limits.rates.requests = 1e4;
@@ -244,8 +244,8 @@
     limits
 }
 
-/// Runs a test in virtual time and returns what is to be judged: a panic inside the event loop would
-/// end the test process.
+/// Runs a test in virtual time and returns its result. The result has to be checked outside, since
+/// a panic inside the event loop would end the test process.
 pub(super) fn in_virtual_time<T: 'static>(test: impl Future<Output = T> + 'static) -> T {
     let result = Rc::new(RefCell::new(None));
     let shown = result.clone();
@@ -256,7 +256,8 @@
     result.take().expect("the event loop has ended")
 }
 
-/// The API of a controller that has just started with a client of the key-value store.
+/// Creates the API of a controller that has just started, with the given client of the key-value
+/// store.
 pub(super) fn controller_api(
     config: &Config,
     store: StoreClient,
@@ -279,7 +280,7 @@
     (api, cancellations)
 }
 
-/// Brings a controller's watch cache up to what a key-value store holds.
+/// Loads the contents of a store into a controller's watch cache.
 pub(super) fn catch_up(state: &StandIn, api: &JobApi) {
     let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE_PREFIX);
     let mut cache = WatchCache::new(&api.config);
@@ -298,14 +299,14 @@
     controller.on_snapshot(MonotonicTime(1), cache);
 }
 
-/// A valid submission with a change.
+/// Returns the body of a valid submission after applying a change to it.
 pub(super) fn body(id: &str, change: impl Fn(&mut Value)) -> Vec<u8> {
     let mut body = crate::protocol::tests::submission(id);
     change(&mut body);
     body.to_string().into_bytes()
 }
 
-/// The status code and the job's state of an answer.
+/// Returns the status code and the job's state of a response.
 pub(super) fn job_state(response: &Response) -> (u16, String) {
     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let standing = body["standing"].as_str().unwrap_or_default();
--- a/src/api/tests/busy_cluster.rs
+++ b/src/api/tests/busy_cluster.rs
@@ -1,5 +1,5 @@
-//! Five controllers that share a key-value store at its published rates, in virtual time, while
-//! placements ask for most of the requests there are.
+//! Five controllers that share a key-value store with rate limits, in virtual time, while
+//! placements use most of the request rate.
 
 use super::{StandIn, catch_up, controller_api};
 use crate::api::JobApi;
@@ -17,32 +17,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How many controllers share the store.
+/// The number of controllers that share the store.
 pub(crate) const CONTROLLERS: usize = 5;
-/// The share of each in the store's rates, as the daemon gives it.
+/// The share of each controller in the store's rates, as the daemon sets it.
 const RATE_SHARE: f64 = 1.3 / CONTROLLERS as f64;
 const REQUESTS_PER_S: f64 = 200.0;
 const CHANGES_PER_S: f64 = 80.0;
 const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
-/// Ends of jobs that each controller writes.
+/// The interval at which each controller writes the end of a job.
 const END_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is asked of the store, and how fast it is.
+/// The load on the store, and the store's latency and outages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
-    /// The time between two placements of a controller.
+    /// The interval between two placements of a controller.
     pub(crate) placement_interval: Duration,
-    /// The time that the store takes to answer.
+    /// The latency of the store's responses.
     pub(crate) store_latency: Duration,
-    /// The part of the time in which the store answers every request with an error, in one outage
-    /// in each half minute.
+    /// The fraction of time in which the store answers every request with an error, in one outage
+    /// per half minute.
     pub(crate) outage_part: f64,
-    /// The controller that the store refuses all the time, if any.
+    /// The index of a controller whose requests the store always refuses, if any.
     pub(crate) refused_controller: Option<usize>,
 }
 
 impl Default for Load {
-    /// A controller's placements ask for four fifths of its requests.
+    /// A load in which a controller's placements use four fifths of its request rate.
     fn default() -> Self {
         Self {
             placement_interval: Duration::from_millis(24),
@@ -53,13 +53,13 @@
     }
 }
 
-/// The store has an outage in each of these.
+/// The interval between the starts of two outages.
 const OUTAGE_PERIOD: Duration = Duration::from_secs(30);
-/// The store, the controllers and their load.
+/// A store, controllers and their load.
 pub(crate) struct BusyCluster {
-    /// What the store holds.
+    /// The fake store.
     pub(crate) state: Rc<RefCell<StandIn>>,
-    /// Ends of jobs that were written.
+    /// The number of job ends that were written.
     pub(crate) written_ends: Rc<Cell<u64>>,
     controllers: RefCell<Vec<BusyController>>,
     config: Config,
@@ -68,15 +68,15 @@
     started: Instant,
 }
 
-/// A controller and what else it asks of the store.
+/// A controller and the tasks that produce its other store requests.
 struct BusyController {
     api: Rc<JobApi>,
     _background: Scope,
 }
 
 impl BusyCluster {
-    /// Starts controllers that have just come back: their watch caches show the live jobs, and no
-    /// final state was read yet. Both kinds of jobs are stored first.
+    /// Stores live and ended jobs and starts controllers as after a restart: their watch caches
+    /// show the live jobs, and no final state is cached.
     pub(crate) fn start(load: Load, live: &[JobId], ended: &[JobId]) -> Self {
         let mut config = sample_config();
         config.store_limits.rates.requests = REQUESTS_PER_S;
@@ -98,18 +98,18 @@
         cluster
     }
 
-    /// Ends all controllers, if there are any, and starts new ones.
+    /// Stops all controllers, if there are any, and starts new ones.
     pub(crate) fn restart_controllers(&self) {
         let controllers = (0..CONTROLLERS).map(|index| self.start_controller(index));
         self.controllers.replace(controllers.collect());
     }
 
-    /// A controller by its number.
+    /// Returns the API of a controller by its index.
     pub(crate) fn controller(&self, index: usize) -> Rc<JobApi> {
         self.controllers.borrow()[index].api.clone()
     }
 
-    /// Whether a job's final state is on record.
+    /// Returns whether the store has a final state of the job.
     pub(crate) fn has_ended(&self, job: &JobId) -> bool {
         let key = keys::final_state(job);
         self.state.borrow().keys.contains_key(&key)
@@ -157,7 +157,8 @@
     }
 }
 
-/// Answers for the store after its latency, or with 429 above its rate of requests.
+/// Returns a transport to the store that adds its latency and answers with 429 above its request
+/// rate.
 fn rate_limited(state: Rc<RefCell<StandIn>>, load: Load, started: Instant) -> FakeTransport {
     let bucket = Rc::new(RefCell::new(TokenBucket::new(REQUESTS_PER_S)));
     Rc::new(move |request: Request| {
@@ -181,7 +182,7 @@
     })
 }
 
-/// Answers for a store that does not serve a controller.
+/// Returns a transport to a store that refuses every request of a controller.
 fn refusing(latency: Duration) -> FakeTransport {
     Rc::new(move |_| {
         Box::pin(async move {
@@ -191,10 +192,10 @@
     })
 }
 
-/// Follows the changes, as often as the daemon does.
+/// Watches for changes at the same interval as the daemon.
 async fn watch(store: Rc<StoreClient>) {
     loop {
-        // The answer is not used here, but its request counts.
+        // The response is not used here, but the request counts towards the rate limit.
         let _ = store
             .watch(keys::LIVE_PREFIX, Revision(0), Duration::ZERO)
             .await;
@@ -209,7 +210,7 @@
     }
 }
 
-/// Asks for placements. Each one that is refused is dropped.
+/// Sends placement transactions. A refused one is not retried.
 async fn place(store: Rc<StoreClient>, interval: Duration) {
     let mut txn = Txn::default();
     txn.require(keys::LEADER.to_owned(), Revision(0));
@@ -222,7 +223,7 @@
     }
 }
 
-/// Writes ends of jobs, and counts those that the store has taken.
+/// Writes ends of jobs and counts those that the store has committed.
 async fn end_jobs(store: Rc<StoreClient>, written: Rc<Cell<u64>>) {
     let mut txn = Txn::default();
     txn.put("over/job-900000".to_owned(), &1, None);
--- a/src/api/tests/users.rs
+++ b/src/api/tests/users.rs
@@ -1,4 +1,5 @@
-//! Users who ask a busy cluster about its jobs, and what they experience.
+//! Simulated users who send requests about jobs to a busy cluster, and statistics of the answers
+//! they get.
 
 use super::busy_cluster::{BusyCluster, CONTROLLERS, Load};
 use super::{body, in_virtual_time};
@@ -10,45 +11,46 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An accepted job without an answer for so long is forgotten.
+/// The maximum time for which the user of an accepted job may stay without an answer.
 pub(crate) const FORGOTTEN_AFTER: Duration = Duration::from_secs(75);
 const TEST_DURATION: Duration = Duration::from_secs(160);
-/// How long users wait for an answer.
+/// The time for which users wait for an answer.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after an answer, or after none, users ask again.
+/// The time after an answer or a timeout until users send the next request.
 const ASK_INTERVAL: Duration = Duration::from_secs(5);
-/// Unfinished jobs that are polled at the same time.
+/// The number of live jobs that are polled at the same time.
 const LIVE_JOBS: usize = 500;
 const FIRST_CANCELLED_ID: usize = 500;
 const FIRST_ENDED_ID: usize = 1000;
 
-/// What a user asks about a job.
+/// A kind of request about a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Question {
     Poll,
     RepeatedSubmission,
-    /// A repetition of a submission that lacks a field.
+    /// A resubmission without a required field.
     IncompleteRepetition,
-    /// A repetition of a submission whose team is no longer known.
+    /// A resubmission whose team is no longer configured.
     InfeasibleRepetition,
     Cancellation,
-    /// A cancellation of a job that has not ended. It is over once it is on record: the watch caches of
-    /// a busy cluster never show that the job has no dependents left.
+    /// A cancellation of a live job. It counts as answered once the final state is stored, since
+    /// the watch caches of a busy cluster never show that the job has no dependents left.
     LiveCancellation,
     /// A submission of another job that depends on the job.
     DependentSubmission,
-    /// The leader's question how a job ended that others depend on.
+    /// The leader's lookup of the final state of a dependency.
     FinalOutcome,
 }
 
 impl Question {
-    /// Whether it begins with a write: until then it can't be told from a new submission.
+    /// Returns whether it begins with a write. Until the write it can't be distinguished from a new
+    /// submission.
     fn begins_with_write(self) -> bool {
         matches!(self, Self::RepeatedSubmission | Self::DependentSubmission)
     }
 }
 
-/// Asks a controller once. `true`: it was answered.
+/// Sends one request to a controller and returns whether it was answered.
 async fn ask(cluster: &BusyCluster, api: &JobApi, question: Question, job: &JobId) -> bool {
     let id = job.as_str();
     let response = match question {
@@ -79,14 +81,14 @@
     response.status != 503
 }
 
-/// What users have experienced.
+/// Statistics of the answers that a group of users got.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Experience {
-    /// Questions that were answered.
+    /// The number of requests that were answered.
     pub(crate) answered: usize,
-    /// Questions without an answer.
+    /// The number of requests that were not answered.
     pub(crate) unanswered: usize,
-    /// The longest time in which a user had no answer.
+    /// The longest time for which a user had no answer.
     pub(crate) longest_silence: Duration,
 }
 
@@ -100,7 +102,8 @@
     }
 }
 
-/// Asks one controller after another until it is answered; for ever if the job is `live`.
+/// Sends requests to one controller after another until one is answered, or for ever if the job is
+/// `live`.
 async fn keep_asking(
     cluster: Rc<BusyCluster>,
     job: JobId,
@@ -109,7 +112,7 @@
     live: bool,
     experience: Rc<RefCell<Experience>>,
 ) {
-    // Users do not ask all at once.
+    // Users do not send their first requests at the same time.
     runtime::sleep(ASK_INTERVAL.mul_f64((user % 97) as f64 / 97.0)).await;
     let mut silent_since = runtime::now();
     for attempt in 0.. {
@@ -129,24 +132,24 @@
     }
 }
 
-/// What the users of live jobs and those of ended ones have experienced.
+/// The statistics of all groups of users after a run.
 #[derive(Debug)]
 pub(crate) struct Outcome {
-    /// The users of live jobs.
+    /// The users who poll live jobs.
     pub(crate) live: Experience,
-    /// Those of ended jobs whose questions begin with a read.
+    /// The users of ended jobs whose requests begin with a read.
     pub(crate) ended: Experience,
-    /// Those of ended jobs whose questions begin with a write.
+    /// The users of ended jobs whose requests begin with a write.
     pub(crate) begun_with_writes: Experience,
-    /// Those who cancel live jobs.
+    /// The users who cancel live jobs.
     pub(crate) cancelled: Experience,
-    /// Ends of other jobs that were written.
+    /// The number of ends of other jobs that were written.
     pub(crate) written_ends: u64,
 }
 
 impl Outcome {
-    /// Checks that no user stayed without an answer for too long, and that those of all ended jobs
-    /// were answered.
+    /// Checks that no user stayed without an answer for too long, and that the users of all ended
+    /// jobs were answered.
     pub(crate) fn assert_answered(&self, ended_jobs: usize, context: &str) {
         for experience in [
             self.live,
@@ -164,24 +167,25 @@
     }
 }
 
-/// Which users there are, and what happens meanwhile.
+/// The users, the load and the faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scenario {
-    /// What else is asked of the store.
+    /// The other load on the store.
     pub(crate) load: Load,
-    /// What is asked about ended jobs, by turns.
+    /// The kinds of requests about ended jobs, assigned to the users in turn.
     pub(crate) questions: &'static [Question],
-    /// Ended jobs that users ask about.
+    /// The number of ended jobs that users send requests about.
     pub(crate) ended_jobs: usize,
-    /// Ended jobs that nobody asks about, between each two that somebody does.
+    /// The number of ended jobs without requests between two ended jobs with requests, in the order
+    /// of their ids.
     pub(crate) unasked_between: usize,
-    /// Live jobs that are cancelled.
+    /// The number of live jobs that are cancelled.
     pub(crate) cancelled_jobs: usize,
-    /// When all controllers are restarted.
+    /// The time after which all controllers are restarted, if they are.
     pub(crate) restart_at: Option<Duration>,
 }
 
-/// Lets users poll live jobs, and others ask about jobs that have ended.
+/// Runs a scenario in which users poll live jobs and others send requests about ended jobs.
 pub(crate) fn ask_about_ended_jobs(
     load: Load,
     questions: &'static [Question],
@@ -199,8 +203,8 @@
 }
 
 impl Scenario {
-    /// Plays it. The outcome is judged after the event loop has ended, since a panic inside would end
-    /// the test process.
+    /// Runs the scenario. The outcome has to be checked after the event loop has ended, since a
+    /// panic inside it would end the test process.
     pub(crate) fn play(self) -> Outcome {
         in_virtual_time(async move {
             let polled = job_ids(0, LIVE_JOBS);
@@ -257,7 +261,7 @@
     }
 }
 
-/// The cluster and what its users have experienced so far.
+/// The cluster and the statistics of its groups of users so far.
 struct Crowd {
     cluster: Rc<BusyCluster>,
     live: Rc<RefCell<Experience>>,
--- a/src/api/waiting_questions/tests.rs
+++ b/src/api/waiting_questions/tests.rs
@@ -6,7 +6,7 @@
     waiting.add(MonotonicTime(at), &id.into(), question)
 }
 
-/// The job to be read next, whose read begins.
+/// Starts the read of the next job and returns the job.
 fn begin_next(waiting: &mut WaitingQuestions, at: u64) -> Option<JobId> {
     let next = waiting.next(MonotonicTime(at))?;
     waiting.begin(&next.job);
@@ -19,7 +19,8 @@
     assert!(add(&mut waiting, 0, "job-1") && add(&mut waiting, 300, "job-2"));
     assert!(add(&mut waiting, 400, "job-3"));
     assert_eq!(begin_next(&mut waiting, 500), Some("job-1".into()));
-    // The read was refused: the job keeps its rank, and waits for its user's next question.
+    // The read was refused: the job keeps its place, but is read only once its user sends another
+    // request.
     waiting.put_back(&"job-1".into());
     assert_eq!(begin_next(&mut waiting, 650), Some("job-2".into()));
     assert!(add(&mut waiting, 700, "job-1"));
@@ -57,8 +58,9 @@
     assert_eq!(waiting.jobs.len(), 1);
 }
 
-/// A job may end while it is read: who asks then has perhaps just seen that its live record is gone,
-/// and would take "it has not ended" for "it was never accepted".
+/// A job may end while it is read. A user who sends a request during the read may have just seen
+/// that the live record is gone, and would take the result "it has not ended" for "it was never
+/// accepted".
 #[test]
 fn question_during_a_read_is_not_answered_by_its_negative_result() {
     let mut waiting = WaitingQuestions::default();
