--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -39,7 +39,7 @@
                 None => Ok(no_such_job()),
             },
             Err(error @ (StoreError::HeldBack | StoreError::Refused)) => {
-                self.cancel_unread(id, error.into()).await
+                self.respond_unread_cancellation(id, error.into()).await
             }
             Err(error) => Err(error.into()),
         }
@@ -48,7 +48,7 @@
     /// Answers the cancellation of a job whose record could not be read, so that the job can't be
     /// cancelled now. If the job has ended, no write is needed, and the user is answered as for a
     /// poll.
-    async fn cancel_unread(&self, id: &JobId, reason: RetryReason) -> Answer {
+    async fn respond_unread_cancellation(&self, id: &JobId, reason: RetryReason) -> Answer {
         match self.known_job(id).await? {
             KnownJob::Ended(final_state) => self.settled_status(id, final_state, None).await,
             KnownJob::NeverAccepted => Ok(no_such_job()),
@@ -67,11 +67,11 @@
         txn.require(keys::job(id), revision);
         txn.put(keys::final_state(id), &record, None);
         txn.delete(keys::job(id));
-        let since = runtime::now();
+        let sent_at = runtime::now();
         match self.store.txn(RequestClass::Accept, &txn).await {
             TxnOutcome::Committed(revision) => {
-                let final_state = self.remember_final_state(id, record, revision);
-                self.settled_status(id, final_state, Some(since)).await
+                let final_state = self.cache_final_state(id, record, revision);
+                self.settled_status(id, final_state, Some(sent_at)).await
             }
             // The job was completed, cancelled or released in between. A retry finds its current
             // state.
--- a/src/api/cancel/tests.rs
+++ b/src/api/cancel/tests.rs
@@ -1,6 +1,6 @@
 use crate::api::Cancellation;
 use crate::api::responses::RETRY_AFTER_S;
-use crate::api::tests::{Scene, body, job_state};
+use crate::api::tests::{StoreFixture, body, job_state};
 use crate::runtime::{self, Receiver, Scope};
 use std::rc::Rc;
 
@@ -9,23 +9,23 @@
 #[test]
 fn no_controller_answers_a_cancellation_before_its_tasks_are_gone() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (first, mut asked) = scene.api(true);
-        let (other, mut asked_there) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (first, mut cancellations) = fixture.api(true);
+        let (other, mut other_cancellations) = fixture.api(true);
         assert_eq!(first.submit(&body("job-1", |_| ())).await.status, 201);
         let gone = Rc::new(std::cell::Cell::new(false));
-        let answer = |mut asked: Receiver<Cancellation>| {
+        let answer = |mut cancellations: Receiver<Cancellation>| {
             let gone = gone.clone();
             async move {
-                while let Some(cancellation) = asked.recv().await {
+                while let Some(cancellation) = cancellations.recv().await {
                     cancellation.settled.send(gone.get());
                 }
             }
         };
-        assert!(asked.try_recv().is_none() && asked_there.try_recv().is_none());
+        assert!(cancellations.try_recv().is_none() && other_cancellations.try_recv().is_none());
         let mut scope = Scope::default();
-        scope.spawn(answer(asked));
-        scope.spawn(answer(asked_there));
+        scope.spawn(answer(cancellations));
+        scope.spawn(answer(other_cancellations));
         for api in [&first, &other, &first] {
             let refused = api.cancel("job-1").await;
             assert_eq!(
@@ -36,10 +36,10 @@
             assert_eq!(api.submit(&body("job-1", |_| ())).await.status, 503);
         }
         gone.set(true);
-        scene.catch_up(&first);
-        scene.catch_up(&other);
+        fixture.sync_watch_cache(&first);
+        fixture.sync_watch_cache(&other);
         // Controllers that have read the record before also answer during a store outage.
-        scene.state.borrow_mut().away = true;
+        fixture.store.borrow_mut().unavailable = true;
         for api in [&first, &other] {
             assert_eq!(
                 job_state(&api.cancel("job-1").await),
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -49,8 +49,8 @@
         }
         let mut changed = BTreeSet::new();
         for _ in 0..MAX_ATTEMPTS {
-            let looked_up = self.look_up(&spec, &changed);
-            let Some(dependencies) = runtime::timeout(LOOKUP_TIMEOUT, looked_up).await else {
+            let lookup = self.look_up(&spec, &changed);
+            let Some(dependencies) = runtime::timeout(LOOKUP_TIMEOUT, lookup).await else {
                 return Err(self.dependencies_unread());
             };
             if let CombinedDependencyState::Refused(reason) = &dependencies {
@@ -66,7 +66,7 @@
                 TxnOutcome::Failed(failed, _) => {
                     let own = [keys::job(&id), keys::final_state(&id)];
                     if failed.iter().any(|key| own.contains(key)) {
-                        return Ok(self.found_status(&id, &failed).await?);
+                        return Ok(self.existing_status(&id, &failed).await?);
                     }
                     let dependencies = spec.dependencies.iter();
                     let stale = dependencies.filter(|d| failed.contains(&keys::job(d)));
@@ -102,8 +102,8 @@
     }
 
     async fn dependency_state(&self, id: &JobId, changed: bool) -> DependencyState {
-        let shown = cached_dependency_state(id, &self.controller.borrow().cache);
-        if let Some(live) = shown.filter(|_| !changed) {
+        let cached = cached_dependency_state(id, &self.controller.borrow().cache);
+        if let Some(live) = cached.filter(|_| !changed) {
             return live;
         }
         match self.find(id).await {
@@ -127,10 +127,10 @@
     /// store revision that cancelled the job. Returns `false` if some dependents have not been
     /// cancelled yet.
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
-        let until = runtime::now() + CASCADE_TIMEOUT;
+        let deadline = runtime::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
         let ops = self.config.store_limits.txn_ops;
-        while runtime::now() < until {
+        while runtime::now() < deadline {
             let step = cascade.next(&self.controller.borrow().cache, ops);
             let (txn, jobs) = match step {
                 CascadeStep::Complete => return true,
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// The number of conditions of a submission that do not concern its dependencies; see [`new_job`].
-const OWN_CONDITIONS: usize = 2;
+const NEW_JOB_CONDITIONS: usize = 2;
 
 /// The state of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,10 +64,10 @@
 impl CombinedDependencyState {
     /// Combines the states of a job's dependencies. An invalid dependency takes precedence over one
     /// that could not be read, which takes precedence over a cancelled one.
-    pub(crate) fn of(job: &JobId, named: Vec<(JobId, DependencyState)>) -> Self {
-        let mut open = Vec::new();
+    pub(crate) fn of(job: &JobId, dependencies: Vec<(JobId, DependencyState)>) -> Self {
+        let mut live = Vec::new();
         let (mut unknown, mut cancelled) = (false, false);
-        for (id, state) in named {
+        for (id, state) in dependencies {
             if id == *job {
                 return Self::Refused(InvalidDependency::OnItself(id));
             }
@@ -79,7 +79,7 @@
                 DependencyState::NeverAccepted => {
                     return Self::Refused(InvalidDependency::NeverAccepted(id));
                 }
-                DependencyState::Live { revision, .. } => open.push((id, revision)),
+                DependencyState::Live { revision, .. } => live.push((id, revision)),
                 DependencyState::Done => {}
                 DependencyState::Cancelled => cancelled = true,
                 DependencyState::Unknown => unknown = true,
@@ -89,10 +89,10 @@
             Self::Unknown
         } else if cancelled {
             Self::Cancelled
-        } else if open.is_empty() {
+        } else if live.is_empty() {
             Self::Done
         } else {
-            Self::Live(open)
+            Self::Live(live)
         }
     }
 
@@ -112,7 +112,7 @@
         max_ops: usize,
     ) -> Option<(Txn, JobState)> {
         let mut txn = new_job(&spec.id);
-        let open = match self {
+        let live = match self {
             Self::Refused(_) | Self::Unknown => return None,
             Self::Cancelled => {
                 let record = FinalRecord {
@@ -123,14 +123,14 @@
                 return Some((txn, JobState::Cancelled));
             }
             Self::Done => &[][..],
-            Self::Live(open) => open.as_slice(),
+            Self::Live(dependencies) => dependencies.as_slice(),
         };
-        let max_checked = Txn::CONDITIONS_PER_CHANGE * max_ops - OWN_CONDITIONS;
-        for (job, revision) in open.iter().take(max_checked) {
+        let max_checked = Txn::CONDITIONS_PER_CHANGE * max_ops - NEW_JOB_CONDITIONS;
+        for (job, revision) in live.iter().take(max_checked) {
             txn.require(keys::job(job), *revision);
         }
         let mut record = JobRecord::new(spec.clone(), now);
-        record.released_at = open.is_empty().then_some(now);
+        record.released_at = live.is_empty().then_some(now);
         txn.put(keys::job(&spec.id), &record, None);
         Some((txn, JobState::Queued))
     }
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -8,16 +8,18 @@
     DependencyState::Live { kind, revision }
 }
 
-fn decide(named: &[(&str, DependencyState)]) -> CombinedDependencyState {
-    let named = named.iter().map(|(id, state)| (JobId::from(*id), *state));
-    CombinedDependencyState::of(&"job-9".into(), named.collect())
+fn decide(dependencies: &[(&str, DependencyState)]) -> CombinedDependencyState {
+    let dependencies = dependencies
+        .iter()
+        .map(|(id, state)| (JobId::from(*id), *state));
+    CombinedDependencyState::of(&"job-9".into(), dependencies.collect())
 }
 
 /// Returns the name of a combined state, and checks its details.
-fn outcome_of(decided: &CombinedDependencyState) -> &'static str {
-    match decided {
-        CombinedDependencyState::Live(open) => {
-            assert_eq!(open.len(), 1);
+fn outcome_of(combined: &CombinedDependencyState) -> &'static str {
+    match combined {
+        CombinedDependencyState::Live(dependencies) => {
+            assert_eq!(dependencies.len(), 1);
             "open"
         }
         CombinedDependencyState::Done => "done",
@@ -34,7 +36,7 @@
 /// An invalid dependency takes precedence over one that could not be read, and a live one comes
 /// last.
 #[test]
-fn dependencies_are_summed_up_by_the_worst_of_them() {
+fn combined_state_follows_the_most_severe_dependency() {
     use DependencyState::{Cancelled, Done, NeverAccepted, Unknown};
     let array = live(JobKind::Array);
     let service = live(JobKind::Service);
@@ -47,15 +49,19 @@
         ([("job-1", array), ("job-2", service)], "refused"),
         ([("job-1", Cancelled), ("job-9", array)], "refused"),
     ];
-    for (named, expected) in cases {
-        assert_eq!(outcome_of(&decide(&named)), expected, "{named:?}");
+    for (dependencies, expected) in cases {
+        assert_eq!(
+            outcome_of(&decide(&dependencies)),
+            expected,
+            "{dependencies:?}"
+        );
     }
 }
 
 /// Users see these texts in error responses.
 #[test]
 fn refusals_keep_their_texts() {
-    let reason = |named: &[(&str, DependencyState)]| match decide(named) {
+    let reason = |dependencies: &[(&str, DependencyState)]| match decide(dependencies) {
         CombinedDependencyState::Refused(reason) => reason.to_string(),
         other => panic!("{other:?}"),
     };
@@ -86,8 +92,8 @@
         };
         serde_json::from_value(value.clone()).expect("record")
     };
-    let open = decide(&[("job-1", live(JobKind::Gang))]);
-    let (txn, state) = open
+    let combined = decide(&[("job-1", live(JobKind::Gang))]);
+    let (txn, state) = combined
         .acceptance_txn(&job, UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!(state, JobState::Queued);
@@ -114,14 +120,14 @@
 
 #[test]
 fn conditions_on_a_long_list_of_dependencies_are_bounded() {
-    let named = (0..100).map(|n| {
+    let dependencies = (0..100).map(|n| {
         (
             JobId::from(format!("job-{n}").as_str()),
             live(JobKind::Array),
         )
     });
-    let open = CombinedDependencyState::of(&"job-1000".into(), named.collect());
-    let (txn, _) = open
+    let combined = CombinedDependencyState::of(&"job-1000".into(), dependencies.collect());
+    let (txn, _) = combined
         .acceptance_txn(&spec("job-1000"), UnixTime(5), OPS)
         .expect("accepted");
     assert_eq!(txn.conditions.len(), Txn::CONDITIONS_PER_CHANGE * OPS);
--- a/src/api/dependencies/tests.rs
+++ b/src/api/dependencies/tests.rs
@@ -1,7 +1,7 @@
 //! Submissions with dependencies, over HTTP against a fake key-value store.
 
 use crate::api::JobApi;
-use crate::api::tests::{Scene, body, job_state};
+use crate::api::tests::{StoreFixture, body, job_state};
 use crate::http::Response;
 use crate::ids::{Incarnation, LeaseId, MemberId};
 use crate::protocol::JobState;
@@ -23,14 +23,14 @@
 #[test]
 fn valid_dependencies_are_accepted_and_invalid_ones_refused() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, _asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, _cancellations) = fixture.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         let service = body("job-2", |b| b["shape"] = json!("daemon"));
         assert_eq!(api.submit(&service).await.status, 201);
         // Covers the controller that accepted the jobs, and one whose watch cache shows them.
-        let (other, _asked_there) = scene.api(true);
-        scene.catch_up(&other);
+        let (other, _other_cancellations) = fixture.api(true);
+        fixture.sync_watch_cache(&other);
         for (n, api) in [&api, &other].into_iter().enumerate() {
             let id = format!("job-1{n}");
             let cases = [
@@ -61,16 +61,16 @@
 #[test]
 fn long_lists_are_refused_and_store_outages_ask_for_a_retry() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, _asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, _cancellations) = fixture.api(true);
         let many: Vec<String> = (0..2000).map(|n| format!("job-{n:06}")).collect();
         assert_eq!(submit(&api, "job-1", json!(many)).await.status, 422);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
-        scene.state.borrow_mut().away = true;
-        let (fresh, _asked_there) = scene.api(true);
+        fixture.store.borrow_mut().unavailable = true;
+        let (fresh, _other_cancellations) = fixture.api(true);
         let refused = submit(&fresh, "job-3", json!(["job-1"])).await;
         assert!(refused.status == 503 && refused.retry_after.is_some());
-        scene.state.borrow_mut().away = false;
+        fixture.store.borrow_mut().unavailable = false;
         // The next submission probes whether the store is up again.
         let mut answer = submit(&fresh, "job-4", json!(["job-1"])).await;
         for _ in 0..2 {
@@ -87,8 +87,8 @@
 #[test]
 fn retry_of_an_accepted_job_succeeds_before_all_checks() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, _asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, _cancellations) = fixture.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         assert_eq!(submit(&api, "job-3", json!(["job-1"])).await.status, 201);
         for dependencies in [
@@ -107,35 +107,36 @@
 /// A dependent of a cancelled job is accepted as cancelled. A job whose dependencies are done is
 /// not blocked.
 #[test]
-fn dependencies_that_have_ended_decide_at_once() {
+fn ended_dependencies_are_resolved_at_submission() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, _asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, _cancellations) = fixture.api(true);
         for (id, state) in [("job-1", JobState::Done), ("job-2", JobState::Cancelled)] {
             let record = json!(FinalRecord { state, tasks: 4 });
-            let mut held = scene.state.borrow_mut();
-            held.revision += 1;
-            let at = held.revision;
-            held.keys
+            let mut store = fixture.store.borrow_mut();
+            store.revision += 1;
+            let at = store.revision;
+            store
+                .keys
                 .insert(keys::final_state(&id.into()), (record, at));
         }
         let cancelled = submit(&api, "job-3", json!(["job-1", "job-2"])).await;
         assert_eq!(job_state(&cancelled), (201, "withdrawn".into()));
-        assert!(!scene.state.borrow().keys.contains_key("live/job/job-3"));
+        assert!(!fixture.store.borrow().keys.contains_key("live/job/job-3"));
         let ready = submit(&api, "job-4", json!(["job-1"])).await;
         assert_eq!(job_state(&ready), (201, "pending".into()));
-        let held = scene.state.borrow();
-        assert!(held.keys["live/job/job-4"].0["released"].is_u64());
+        let store = fixture.store.borrow();
+        assert!(store.keys["live/job/job-4"].0["released"].is_u64());
     })
     .expect("loop");
 }
 
 /// A controller of an earlier version would start such jobs without waiting for their dependencies.
 #[test]
-fn dependent_jobs_are_put_off_while_an_earlier_version_takes_part() {
+fn dependent_jobs_get_a_retry_while_an_earlier_version_is_a_member() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, _asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, _cancellations) = fixture.api(true);
         assert_eq!(submit(&api, "job-1", json!(null)).await.status, 201);
         let key = keys::member(&MemberId::from("c1"));
         let write = |version| {
@@ -143,16 +144,16 @@
                 version,
                 ..MemberRecord::new(Incarnation(3), LeaseId(4))
             };
-            let mut held = scene.state.borrow_mut();
-            held.revision += 1;
-            let at = held.revision;
-            held.keys.insert(key.clone(), (json!(record), at));
-            drop(held);
-            scene.catch_up(&api);
+            let mut store = fixture.store.borrow_mut();
+            store.revision += 1;
+            let at = store.revision;
+            store.keys.insert(key.clone(), (json!(record), at));
+            drop(store);
+            fixture.sync_watch_cache(&api);
         };
         write(ProgramVersion::default());
-        let put_off = submit(&api, "job-3", json!(["job-1"])).await;
-        assert!(put_off.status == 503 && put_off.retry_after.is_some());
+        let refused = submit(&api, "job-3", json!(["job-1"])).await;
+        assert!(refused.status == 503 && refused.retry_after.is_some());
         assert_eq!(submit(&api, "job-2", json!(null)).await.status, 201);
         write(ProgramVersion::CURRENT);
         assert_eq!(submit(&api, "job-3", json!(["job-1"])).await.status, 201);
@@ -164,11 +165,11 @@
 #[test]
 fn cancellation_is_answered_after_all_dependents_are_cancelled() {
     runtime::run(async {
-        let scene = Scene::new();
-        let (api, mut asked) = scene.api(true);
+        let fixture = StoreFixture::new();
+        let (api, mut cancellations) = fixture.api(true);
         let mut scope = runtime::Scope::default();
         scope.spawn(async move {
-            while let Some(cancellation) = asked.recv().await {
+            while let Some(cancellation) = cancellations.recv().await {
                 cancellation.settled.send(true);
             }
         });
@@ -178,21 +179,21 @@
         // The watch cache lags behind the cancellation, so it may not show all dependents of the
         // job.
         assert_eq!(api.cancel("job-1").await.status, 503);
-        assert!(scene.state.borrow().keys.contains_key("live/job/job-2"));
-        scene.catch_up(&api);
+        assert!(fixture.store.borrow().keys.contains_key("live/job/job-2"));
+        fixture.sync_watch_cache(&api);
         let mut answer = api.cancel("job-1").await;
         for _ in 0..3 {
             if answer.status == 200 {
                 break;
             }
-            scene.catch_up(&api);
+            fixture.sync_watch_cache(&api);
             answer = api.cancel("job-1").await;
         }
         assert_eq!(job_state(&answer), (200, "withdrawn".into()));
         for job in ["job-2", "job-3"] {
             let live = keys::job(&job.into());
-            assert!(!scene.state.borrow().keys.contains_key(&live), "{job}");
-            let record = &scene.state.borrow().keys[&keys::final_state(&job.into())].0;
+            assert!(!fixture.store.borrow().keys.contains_key(&live), "{job}");
+            let record = &fixture.store.borrow().keys[&keys::final_state(&job.into())].0;
             assert_eq!(record["state"], "withdrawn", "{job}");
         }
     })
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -43,11 +43,11 @@
     if is_spread && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::ZoneConflict);
     }
-    let at_once = match spec.kind {
+    let concurrent_tasks = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks.into(),
     };
-    if !spec.need().times(at_once).fits(team.limit()) {
+    if !spec.need().times(concurrent_tasks).fits(team.limit()) {
         return Err(Infeasible::OverTeamLimit);
     }
     if record_size(spec) > config.store_limits.value_bytes {
--- a/src/api/feasibility/tests.rs
+++ b/src/api/feasibility/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::tests::sample_config;
 
 #[test]
-fn infeasible_jobs_are_told_from_those_that_must_wait() {
+fn only_jobs_that_can_never_run_are_infeasible() {
     let config = sample_config();
     let base = crate::protocol::tests::spec("job-000001");
     let check_changed = |change: &dyn Fn(&mut JobSpec)| {
@@ -34,15 +34,15 @@
     assert!(check_changed(&|s| s.machine_types = Some(vec!["t9".into()])).is_err());
     assert!(check_changed(&|s| s.gpus = 1.0).is_err());
     // Two spread replicas, of which at most one may be in a zone, need two zones.
-    let apart = |kind: JobKind| {
+    let check_spread = |kind: JobKind| {
         check_changed(&move |s| {
             s.tasks = 2;
             s.kind = kind;
             s.spread = true;
         })
     };
-    assert!(apart(JobKind::Service).is_err() && apart(JobKind::Gang).is_err());
-    assert!(apart(JobKind::Array).is_ok());
+    assert!(check_spread(JobKind::Service).is_err() && check_spread(JobKind::Gang).is_err());
+    assert!(check_spread(JobKind::Array).is_ok());
 }
 
 /// Users see these texts in error responses.
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -11,8 +11,8 @@
 //! other final states are cached for later requests.
 
 use super::final_state::{FinalState, FinalStateCache};
+use super::read_queue::{MAX_WAIT, ReadQueue, ReadResult};
 use super::retry_reason::RetryReason;
-use super::waiting_questions::{MAX_WAIT, ReadResult, WaitingQuestions};
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
 use crate::protocol::JobState;
 use crate::protocol::store::{KeyValue, Page};
@@ -26,18 +26,18 @@
 use std::time::Duration;
 
 /// The fraction of this controller's request rate that is reserved for reads.
-const RESERVED_PART: f64 = 0.1;
+const RESERVED_FRACTION: f64 = 0.1;
 /// The reserved fraction while a request has waited for longer than [`URGENT_AFTER`]. No job may
 /// stay unanswered, and there may be requests about thousands of jobs at once when all controllers
 /// have restarted.
-const URGENT_PART: f64 = 0.3;
+const URGENT_RESERVED_FRACTION: f64 = 0.3;
 /// The time without an answer after which a job's read is urgent. Users give up after a minute.
 const URGENT_AFTER: Millis = Millis(15_000);
 /// The time without an answer after which a job's read may use the reserved fraction.
 const RESERVE_AFTER: Millis = Millis(200);
 /// The minimum number of waiting jobs in the range of a page for which the page is read. Below this
 /// number reading a single record costs less.
-const PAGE_FROM_JOBS: usize = 4;
+const MIN_JOBS_FOR_PAGE: usize = 4;
 /// The maximum number of final states on a page, which take about 40 kB and less than a millisecond
 /// to read.
 const PAGE_ITEMS: usize = 500;
@@ -64,11 +64,11 @@
 pub(super) struct FinalStateReader {
     store: Rc<StoreClient>,
     cache: Rc<RefCell<FinalStateCache>>,
-    waiting: Rc<RefCell<WaitingQuestions>>,
+    queue: Rc<RefCell<ReadQueue>>,
     reserve: Rc<RefCell<TokenBucket>>,
     counters: Rc<RefCell<FinalStateReadCounters>>,
     /// Whether the task that dispatches reads is running.
-    is_admitting: Rc<Cell<bool>>,
+    is_dispatching: Rc<Cell<bool>>,
 }
 
 impl FinalStateReader {
@@ -76,13 +76,13 @@
     pub(super) fn new(store: Rc<StoreClient>) -> Self {
         Self {
             reserve: Rc::new(RefCell::new(TokenBucket::new(
-                store.own_request_rate() * RESERVED_PART,
+                store.own_request_rate() * RESERVED_FRACTION,
             ))),
             store,
             cache: Rc::default(),
-            waiting: Rc::default(),
+            queue: Rc::default(),
             counters: Rc::default(),
-            is_admitting: Rc::default(),
+            is_dispatching: Rc::default(),
         }
     }
 
@@ -98,7 +98,7 @@
 
     /// Caches a final state, which never changes. A cancelled job is not settled at first, as its
     /// tasks may still run.
-    pub(super) fn remember(
+    pub(super) fn cache_final_state(
         &self,
         id: &JobId,
         record: FinalRecord,
@@ -114,7 +114,7 @@
     }
 
     /// Records that it is confirmed that no task of a cancelled job is running.
-    pub(super) fn settle(&self, id: &JobId, final_state: FinalState) {
+    pub(super) fn mark_settled(&self, id: &JobId, final_state: FinalState) {
         let settled_state = FinalState {
             settled: true,
             ..final_state
@@ -127,102 +127,98 @@
         if let Some(final_state) = self.cached(id) {
             return Ok(Some(final_state));
         }
-        let (question, result) = oneshot();
-        if !self
-            .waiting
-            .borrow_mut()
-            .add(self.store.now(), id, question)
-        {
+        let (waiter, result) = oneshot();
+        if !self.queue.borrow_mut().add(self.store.now(), id, waiter) {
             return Err(RetryReason::TooManyQuestions);
         }
-        self.ensure_admitting();
+        self.ensure_dispatching();
         let result = runtime::timeout(MAX_WAIT.to_duration(), result.get()).await;
         result.flatten().unwrap_or(Err(RetryReason::HeldBack))
     }
 
     /// Starts the task that dispatches reads, unless it is running.
-    fn ensure_admitting(&self) {
-        if !self.is_admitting.replace(true) {
-            runtime::spawn(self.clone().admit_waiting());
+    fn ensure_dispatching(&self) {
+        if !self.is_dispatching.replace(true) {
+            runtime::spawn(self.clone().dispatch_reads());
         }
     }
 
     /// Starts one read after another while any user waits.
-    async fn admit_waiting(self) {
+    async fn dispatch_reads(self) {
         loop {
             let now = self.store.now();
-            let Some(next) = self.waiting.borrow().next(now) else {
+            let Some(next) = self.queue.borrow().next(now) else {
                 break;
             };
-            match self.admit(now, now.since(next.first_asked)) {
-                Some(admitted) => self.begin_read(now, admitted, next.job),
+            match self.try_admit(now, now.since(next.first_requested_at)) {
+                Some(permit) => self.start_read(now, permit, next.job),
                 None => {
                     self.counters.borrow_mut().held_back += 1;
                     runtime::sleep(RETRY_DELAY).await;
                 }
             }
         }
-        self.is_admitting.set(false);
+        self.is_dispatching.set(false);
     }
 
     /// Acquires a token for a job that has waited for `waited`, from the reserved fraction if
     /// necessary.
-    fn admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
-        if let Some(admitted) = self.store.admit_read(RequestClass::Poll) {
-            return Some(admitted);
+    fn try_admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
+        if let Some(permit) = self.store.admit_read(RequestClass::Poll) {
+            return Some(permit);
         }
         let mut reserve = self.reserve.borrow_mut();
-        let part = match waited < URGENT_AFTER {
-            true => RESERVED_PART,
-            false => URGENT_PART,
+        let fraction = match waited < URGENT_AFTER {
+            true => RESERVED_FRACTION,
+            false => URGENT_RESERVED_FRACTION,
         };
-        reserve.set_rate(now, self.store.own_request_rate() * part);
+        reserve.set_rate(now, self.store.own_request_rate() * fraction);
         if waited < RESERVE_AFTER || !reserve.allows(now, 1.0, RequestClass::Accept) {
             return None;
         }
-        let admitted = self.store.admit_read(RequestClass::Accept)?;
+        let permit = self.store.admit_read(RequestClass::Accept)?;
         reserve.spend(1.0);
-        Some(admitted)
+        Some(permit)
     }
 
     /// Starts a read of the job's record, or of the page that begins with it.
-    fn begin_read(&self, now: MonotonicTime, admitted: ReadPermit, first: JobId) {
-        let mut waiting = self.waiting.borrow_mut();
-        let jobs = waiting.awaited_from(now, &first, PAGE_ITEMS);
-        if jobs.len() < PAGE_FROM_JOBS {
-            waiting.begin(&first);
+    fn start_read(&self, now: MonotonicTime, permit: ReadPermit, first: JobId) {
+        let mut queue = self.queue.borrow_mut();
+        let jobs = queue.waiting_jobs_from(now, &first, PAGE_ITEMS);
+        if jobs.len() < MIN_JOBS_FOR_PAGE {
+            queue.start_read(&first);
             self.counters.borrow_mut().records += 1;
-            runtime::spawn(self.clone().read_record(admitted, first));
+            runtime::spawn(self.clone().read_record(permit, first));
             return;
         }
         for job in &jobs {
-            waiting.begin(job);
+            queue.start_read(job);
         }
         self.counters.borrow_mut().pages += 1;
-        runtime::spawn(self.clone().read_page(admitted, first, jobs));
+        runtime::spawn(self.clone().read_page(permit, first, jobs));
     }
 
-    async fn read_record(self, admitted: ReadPermit, id: JobId) {
+    async fn read_record(self, permit: ReadPermit, id: JobId) {
         let key = keys::final_state(&id);
-        match self.store.get_admitted(admitted, &key).await {
+        match self.store.get_admitted(permit, &key).await {
             Ok(item) => self.answer(&id, self.decode_item(&id, item)),
             Err(error) => self.on_failed_read(&[id], error),
         }
-        self.ensure_admitting();
+        self.ensure_dispatching();
     }
 
     /// Reads the page that begins with the job `first`. `jobs` are the waiting jobs in the range of
     /// the page, by id.
-    async fn read_page(self, admitted: ReadPermit, first: JobId, jobs: Vec<JobId>) {
+    async fn read_page(self, permit: ReadPermit, first: JobId, jobs: Vec<JobId>) {
         let after = keys::final_state_predecessor(&first);
         let page = self
             .store
-            .page_admitted(admitted, keys::FINAL_STATE_PREFIX, &after, PAGE_ITEMS);
+            .page_admitted(permit, keys::FINAL_STATE_PREFIX, &after, PAGE_ITEMS);
         match page.await {
             Ok(page) => self.on_page(&jobs, page),
             Err(error) => self.on_failed_read(&jobs, error),
         }
-        self.ensure_admitting();
+        self.ensure_dispatching();
     }
 
     /// Answers the users of the jobs that a page covers. The other jobs are queued again.
@@ -241,7 +237,7 @@
                 None if end.covers(id) => self.answer(id, Ok(None)),
                 // The page does not even cover the job with which it begins.
                 None if position == 0 => self.answer(id, Err(RetryReason::Unreadable)),
-                None => self.waiting.borrow_mut().put_back(id),
+                None => self.queue.borrow_mut().requeue(id),
             }
         }
     }
@@ -255,7 +251,7 @@
             return Ok(Some(final_state));
         }
         serde_json::from_value(item.value)
-            .map(|record| Some(self.remember(id, record, item.revision)))
+            .map(|record| Some(self.cache_final_state(id, record, item.revision)))
             .map_err(|_| RetryReason::Unreadable)
     }
 
@@ -267,7 +263,7 @@
         for id in jobs {
             match error {
                 // The users continue to wait: the job is read again as soon as there is a token.
-                StoreError::Refused => self.waiting.borrow_mut().put_back(id),
+                StoreError::Refused => self.queue.borrow_mut().requeue(id),
                 error => self.answer(id, Err(error.into())),
             }
         }
@@ -277,10 +273,10 @@
     fn answer(&self, id: &JobId, result: ReadResult) {
         tracing::debug!(job = %id, ?result, "final state read");
         let has_ended = matches!(result, Ok(Some(_)));
-        let answered = self.waiting.borrow_mut().finish(id, has_ended);
+        let answered = self.queue.borrow_mut().finish_read(id, has_ended);
         self.counters.borrow_mut().answered_jobs += u64::from(!answered.is_empty());
-        for question in answered {
-            question.send(result);
+        for waiter in answered {
+            waiter.send(result);
         }
     }
 }
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -4,7 +4,7 @@
 use super::final_state_reader::{FinalStateReadCounters, FinalStateReader};
 use super::retry_reason::RetryReason;
 use super::revision_check::RevisionChecker;
-use super::unanswered::{UnansweredQuestions, UnansweredReport};
+use super::unanswered::{UnansweredReport, UnansweredRequests};
 use crate::config::Config;
 use crate::controller::Controller;
 use crate::http::Response;
@@ -47,7 +47,7 @@
     /// The channel for cancellations that the other controllers have to confirm.
     pub(super) cancellations: Sender<Cancellation>,
     /// The requests that this controller could not answer.
-    unanswered: RefCell<UnansweredQuestions>,
+    unanswered: RefCell<UnansweredRequests>,
 }
 
 impl JobApi {
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -53,13 +53,13 @@
     }
 
     /// Caches a final state that this controller has written.
-    pub(super) fn remember_final_state(
+    pub(super) fn cache_final_state(
         &self,
         id: &JobId,
         record: FinalRecord,
         revision: Revision,
     ) -> FinalState {
-        self.final_states.remember(id, record, revision)
+        self.final_states.cache_final_state(id, record, revision)
     }
 
     /// Returns the state in which a job ended, or `None` if it has not ended or can't be read now.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -9,6 +9,7 @@
 mod job_api;
 mod job_lookup;
 mod query;
+mod read_queue;
 mod responses;
 mod retries;
 mod retry_reason;
@@ -17,7 +18,6 @@
 #[cfg(test)]
 mod tests;
 mod unanswered;
-mod waiting_questions;
 
 pub(crate) use final_state_reader::FinalStateReadCounters;
 pub(crate) use job_api::{Cancellation, JobApi};
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -76,7 +76,7 @@
         };
         match self.revision_checker.check(id, cached).await {
             StoredJob::Live => Ok(KnownJob::Live),
-            StoredJob::Ended => Ok(KnownJob::Ended(self.read_ended(id).await?)),
+            StoredJob::Ended => Ok(KnownJob::Ended(self.read_final_state(id).await?)),
             // Either the job has ended, or its record has changed because it was released. A record
             // is deleted only by the transaction that writes the final state, so a job without a
             // final state is live.
@@ -90,18 +90,18 @@
     }
 
     /// Reads the final state of a job that is known to have one.
-    async fn read_ended(&self, id: &JobId) -> Result<FinalState, RetryReason> {
+    async fn read_final_state(&self, id: &JobId) -> Result<FinalState, RetryReason> {
         let final_state = self.final_states.read(id).await?;
         final_state.ok_or(RetryReason::Unreadable)
     }
 
     /// Answers a submission whose transaction failed because records of its job exist.
-    /// `found` are the keys of those records.
-    pub(super) async fn found_status(&self, id: &JobId, found: &[String]) -> Answer {
-        if !found.contains(&keys::final_state(id)) {
+    /// `existing_keys` are the keys of those records.
+    pub(super) async fn existing_status(&self, id: &JobId, existing_keys: &[String]) -> Answer {
+        if !existing_keys.contains(&keys::final_state(id)) {
             return Ok(self.live_status(id));
         }
-        let final_state = self.read_ended(id).await?;
+        let final_state = self.read_final_state(id).await?;
         self.settled_status(id, final_state, None).await
     }
 
@@ -126,19 +126,19 @@
     /// that no task is running and all dependents are cancelled. That usually takes some tens of
     /// milliseconds; if it takes longer, the user has to retry.
     ///
-    /// `since` is the time at which this request sent the cancellation, if it did.
+    /// `sent_at` is the time at which this request sent the cancellation, if it did.
     pub(super) async fn settled_status(
         &self,
         id: &JobId,
         final_state: FinalState,
-        since: Option<Instant>,
+        sent_at: Option<Instant>,
     ) -> Answer {
         if !final_state.settled {
             let (settled, result) = oneshot();
             self.cancellations.send(Cancellation {
                 job: id.clone(),
                 revision: final_state.revision,
-                sent_at: since,
+                sent_at,
                 settled,
             });
             if result.get().await != Some(true) {
@@ -147,7 +147,7 @@
             if !self.cancel_dependents(id, final_state.revision).await {
                 return Err(RetryReason::DependentsStopping);
             }
-            self.final_states.settle(id, final_state);
+            self.final_states.mark_settled(id, final_state);
         }
         Ok(final_status(id, final_state.record))
     }
--- a/src/api/query/tests.rs
+++ b/src/api/query/tests.rs
@@ -11,8 +11,8 @@
 mod random_loads;
 
 use crate::api::tests::busy_cluster::Load;
-use crate::api::tests::users::{FORGOTTEN_AFTER, Question, ask_about_ended_jobs};
-use random_loads::{search, soak, soak_widely};
+use crate::api::tests::users::{MAX_UNANSWERED_TIME, UserRequest, run_requests_about_ended_jobs};
+use random_loads::{run_random_load, run_seeds, run_wide_random_load};
 
 const ENDED_JOBS: usize = 200;
 /// The reads of this many jobs take several times as long as users wait for an answer.
@@ -20,49 +20,50 @@
 /// A cluster of 4,000 machines ends this many jobs in a few minutes.
 const THOUSANDS_OF_ENDED_JOBS: usize = 3000;
 
-fn assert_all_answered(questions: &'static [Question]) {
-    let outcome = ask_about_ended_jobs(Load::default(), questions, ENDED_JOBS);
+fn assert_all_answered(requests: &'static [UserRequest]) {
+    let outcome = run_requests_about_ended_jobs(Load::default(), requests, ENDED_JOBS);
     outcome.assert_answered(ENDED_JOBS, "");
 }
 
 #[test]
-fn polls_of_ended_jobs_are_answered_however_much_placements_ask() {
-    assert_all_answered(&[Question::Poll]);
+fn polls_of_ended_jobs_are_answered_under_heavy_placement_load() {
+    assert_all_answered(&[UserRequest::Poll]);
 }
 
 #[test]
-fn repeated_submissions_of_ended_jobs_are_answered_however_much_placements_ask() {
+fn resubmissions_of_ended_jobs_are_answered_under_heavy_placement_load() {
     assert_all_answered(&[
-        Question::RepeatedSubmission,
-        Question::IncompleteRepetition,
-        Question::InfeasibleRepetition,
+        UserRequest::Resubmission,
+        UserRequest::IncompleteResubmission,
+        UserRequest::InfeasibleResubmission,
     ]);
 }
 
 #[test]
-fn cancellations_and_dependents_of_ended_jobs_are_answered_however_much_placements_ask() {
+fn cancellations_and_dependents_of_ended_jobs_are_answered_under_heavy_placement_load() {
     assert_all_answered(&[
-        Question::Cancellation,
-        Question::DependentSubmission,
-        Question::FinalOutcome,
+        UserRequest::Cancellation,
+        UserRequest::DependentSubmission,
+        UserRequest::FinalStateLookup,
     ]);
 }
 
 /// Requests about many ended jobs must not reduce the rate of job completions, nor delay the users
 /// of live jobs.
 #[test]
-fn questions_about_ended_jobs_leave_requests_for_ends_and_live_jobs() {
-    let without = ask_about_ended_jobs(Load::default(), &[Question::Poll], 0);
-    let with = ask_about_ended_jobs(Load::default(), &[Question::Poll], MANY_ENDED_JOBS);
+fn requests_about_ended_jobs_leave_capacity_for_job_ends_and_live_jobs() {
+    let without = run_requests_about_ended_jobs(Load::default(), &[UserRequest::Poll], 0);
+    let with =
+        run_requests_about_ended_jobs(Load::default(), &[UserRequest::Poll], MANY_ENDED_JOBS);
     let ends = (without.written_ends, with.written_ends);
     assert!(ends.1 * 100 >= ends.0 * 95, "ends {ends:?}");
     let live = (without.live, with.live);
     assert!(live.1.answered * 100 >= live.0.answered * 98, "{live:?}");
-    assert!(live.1.longest_silence < FORGOTTEN_AFTER, "{live:?}");
+    assert!(live.1.longest_wait < MAX_UNANSWERED_TIME, "{live:?}");
     // Requests about this many jobs at once, just after all controllers have restarted, have to be
     // queued.
     assert!(
-        with.ended.longest_silence < FORGOTTEN_AFTER,
+        with.ended.longest_wait < MAX_UNANSWERED_TIME,
         "{:?}",
         with.ended
     );
@@ -75,9 +76,13 @@
 /// controllers allow 26, or 78 for jobs that have waited long. No order of single reads would be
 /// fast enough, so a read has to answer several jobs.
 #[test]
-fn questions_about_thousands_of_ended_jobs_are_answered_in_time() {
-    let without = ask_about_ended_jobs(Load::default(), &[Question::Poll], 0);
-    let with = ask_about_ended_jobs(Load::default(), &[Question::Poll], THOUSANDS_OF_ENDED_JOBS);
+fn requests_about_thousands_of_ended_jobs_are_answered_in_time() {
+    let without = run_requests_about_ended_jobs(Load::default(), &[UserRequest::Poll], 0);
+    let with = run_requests_about_ended_jobs(
+        Load::default(),
+        &[UserRequest::Poll],
+        THOUSANDS_OF_ENDED_JOBS,
+    );
     let ends = (without.written_ends, with.written_ends);
     assert!(ends.1 * 100 >= ends.0 * 95, "ends {ends:?}");
     let live = (without.live, with.live);
@@ -86,9 +91,9 @@
 }
 
 #[test]
-fn questions_about_ended_jobs_are_answered_under_random_loads() {
+fn requests_about_ended_jobs_are_answered_under_random_loads() {
     for seed in 0..12 {
-        soak(seed);
+        run_random_load(seed);
     }
 }
 
@@ -97,33 +102,33 @@
 /// the write. In this load placements use more than the whole request rate, and the store is down
 /// for 8.5 s of every 30 s.
 #[test]
-fn repeated_submissions_are_answered_under_overload_and_outages() {
-    soak(1874);
+fn resubmissions_are_answered_under_overload_and_outages() {
+    run_random_load(1874);
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
-fn search_many_random_loads_for_unanswered_questions() {
+fn search_many_random_loads_for_unanswered_requests() {
     for seed in 0..2000 {
-        soak(seed);
+        run_random_load(seed);
     }
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
-fn search_further_random_loads_for_unanswered_questions() {
-    search(2000..4000, soak);
+fn search_further_random_loads_for_unanswered_requests() {
+    run_seeds(2000..4000, run_random_load);
 }
 
 #[test]
-fn questions_are_answered_under_wider_random_loads() {
+fn requests_are_answered_under_wider_random_loads() {
     for seed in 0..3 {
-        soak_widely(seed);
+        run_wide_random_load(seed);
     }
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
-fn search_wider_random_loads_for_unanswered_questions() {
-    search(0..1000, soak_widely);
+fn search_wider_random_loads_for_unanswered_requests() {
+    run_seeds(0..1000, run_wide_random_load);
 }
--- a/src/api/waiting_questions.rs
+++ b/src/api/read_queue.rs
@@ -11,17 +11,17 @@
 /// before the read.
 pub(super) const MAX_WAIT: Millis = Millis(600);
 /// The maximum number of queued jobs. Users of further jobs are asked to retry at once.
-const MAX_JOBS: usize = 4000;
+const MAX_QUEUED_JOBS: usize = 4000;
 /// The time without requests after which a job loses its place in the queue, as its user was
 /// answered by another controller.
-const FORGET_AFTER: Millis = Millis(60_000);
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 
 /// The final state of a job, or `None` if the job has not ended.
 pub(super) type ReadResult = Result<Option<FinalState>, RetryReason>;
 
 /// The jobs about which there were requests that have not been answered.
 #[derive(Default)]
-pub(super) struct WaitingQuestions {
+pub(super) struct ReadQueue {
     /// The jobs in the order of the first request about each.
     order: VecDeque<JobId>,
     jobs: BTreeMap<JobId, WaitingJob>,
@@ -33,55 +33,55 @@
     /// The job to be read.
     pub(super) job: JobId,
     /// The time of the first unanswered request about the job.
-    pub(super) first_asked: MonotonicTime,
+    pub(super) first_requested_at: MonotonicTime,
 }
 
 struct WaitingJob {
     /// The time of the first unanswered request.
-    first_asked: MonotonicTime,
+    first_requested_at: MonotonicTime,
     /// The time of the latest request.
-    asked_at: MonotonicTime,
+    last_requested_at: MonotonicTime,
     is_being_read: bool,
     /// The requests that arrived after the read in progress began, or all requests if no read is in
     /// progress.
-    questions: Vec<Sender<ReadResult>>,
+    waiters: Vec<Sender<ReadResult>>,
     /// The requests that had arrived when the read in progress began.
-    asked_before_read: Vec<Sender<ReadResult>>,
+    read_waiters: Vec<Sender<ReadResult>>,
 }
 
 impl WaitingJob {
     /// Returns whether a user is still waiting.
-    fn is_awaited(&self, now: MonotonicTime) -> bool {
-        now.since(self.asked_at) < MAX_WAIT
+    fn has_waiting_user(&self, now: MonotonicTime) -> bool {
+        now.since(self.last_requested_at) < MAX_WAIT
     }
 }
 
-impl WaitingQuestions {
+impl ReadQueue {
     /// Adds a request. Returns `false` if the queue is full.
     pub(super) fn add(
         &mut self,
         now: MonotonicTime,
         id: &JobId,
-        question: Sender<ReadResult>,
+        waiter: Sender<ReadResult>,
     ) -> bool {
-        self.forget_old(now);
+        self.evict_idle(now);
         if let Some(job) = self.jobs.get_mut(id) {
-            if !job.is_being_read && !job.is_awaited(now) {
-                job.questions.clear();
+            if !job.is_being_read && !job.has_waiting_user(now) {
+                job.waiters.clear();
             }
-            job.asked_at = now;
-            job.questions.push(question);
+            job.last_requested_at = now;
+            job.waiters.push(waiter);
             return true;
         }
-        if self.order.len() >= MAX_JOBS {
+        if self.order.len() >= MAX_QUEUED_JOBS {
             return false;
         }
         let job = WaitingJob {
-            first_asked: now,
-            asked_at: now,
+            first_requested_at: now,
+            last_requested_at: now,
             is_being_read: false,
-            questions: vec![question],
-            asked_before_read: Vec::new(),
+            waiters: vec![waiter],
+            read_waiters: Vec::new(),
         };
         self.jobs.insert(id.clone(), job);
         self.order.push_back(id.clone());
@@ -94,17 +94,17 @@
     pub(super) fn next(&self, now: MonotonicTime) -> Option<NextRead> {
         self.order.iter().find_map(|id| {
             let job = self.jobs.get(id)?;
-            let is_next = !job.is_being_read && job.is_awaited(now);
+            let is_next = !job.is_being_read && job.has_waiting_user(now);
             is_next.then(|| NextRead {
                 job: id.clone(),
-                first_asked: job.first_asked,
+                first_requested_at: job.first_requested_at,
             })
         })
     }
 
     /// Returns the jobs with waiting users in the order of their ids, beginning with `first`. These
     /// are the jobs that a page that begins there may contain.
-    pub(super) fn awaited_from(
+    pub(super) fn waiting_jobs_from(
         &self,
         now: MonotonicTime,
         first: &JobId,
@@ -112,26 +112,26 @@
     ) -> Vec<JobId> {
         let following = self.jobs.range(first..);
         following
-            .filter(|(_, job)| !job.is_being_read && job.is_awaited(now))
+            .filter(|(_, job)| !job.is_being_read && job.has_waiting_user(now))
             .map(|(id, _)| id.clone())
             .take(max_jobs)
             .collect()
     }
 
     /// Records that a read of the job begins.
-    pub(super) fn begin(&mut self, id: &JobId) {
+    pub(super) fn start_read(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_being_read = true;
-            job.asked_before_read = std::mem::take(&mut job.questions);
+            job.read_waiters = std::mem::take(&mut job.waiters);
         }
     }
 
     /// Queues a job again after its read was refused. It keeps its place, and its users continue to
     /// wait.
-    pub(super) fn put_back(&mut self, id: &JobId) {
+    pub(super) fn requeue(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_being_read = false;
-            job.questions.append(&mut job.asked_before_read);
+            job.waiters.append(&mut job.read_waiters);
         }
     }
 
@@ -139,16 +139,16 @@
     /// answers all requests. The result that the job has not ended answers only the requests that
     /// arrived before the read began, since the job may have ended since; the others wait for the
     /// next read.
-    pub(super) fn finish(&mut self, id: &JobId, has_ended: bool) -> Vec<Sender<ReadResult>> {
+    pub(super) fn finish_read(&mut self, id: &JobId, has_ended: bool) -> Vec<Sender<ReadResult>> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
         };
         job.is_being_read = false;
-        let mut answered = std::mem::take(&mut job.asked_before_read);
+        let mut answered = std::mem::take(&mut job.read_waiters);
         if has_ended {
-            answered.append(&mut job.questions);
+            answered.append(&mut job.waiters);
         }
-        if job.questions.is_empty() {
+        if job.waiters.is_empty() {
             self.jobs.remove(id);
             self.order.retain(|waiting| waiting != id);
         }
@@ -156,10 +156,12 @@
     }
 
     /// Removes the jobs at the front of the queue that had no request during the idle timeout.
-    fn forget_old(&mut self, now: MonotonicTime) {
+    fn evict_idle(&mut self, now: MonotonicTime) {
         while let Some(id) = self.order.front() {
             let job = self.jobs.get(id);
-            if job.is_some_and(|job| job.is_being_read || now.since(job.asked_at) < FORGET_AFTER) {
+            if job.is_some_and(|job| {
+                job.is_being_read || now.since(job.last_requested_at) < IDLE_TIMEOUT
+            }) {
                 break;
             }
             self.jobs.remove(id);
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -119,8 +119,8 @@
             cached,
             answer,
         });
-        let lost = StoredJob::Unknown(RetryReason::StoreSilent);
-        result.get().await.unwrap_or(lost)
+        let no_answer = StoredJob::Unknown(RetryReason::StoreSilent);
+        result.get().await.unwrap_or(no_answer)
     }
 }
 
--- a/src/api/revision_check/tests.rs
+++ b/src/api/revision_check/tests.rs
@@ -7,37 +7,37 @@
 /// comparison must be admitted within its attempts, so that no job stays without an answer for
 /// long.
 #[test]
-fn polls_are_answered_however_much_placements_ask() {
-    let (most, jobs) = (96, 3000);
+fn polls_are_answered_under_heavy_placement_load() {
+    let (max_batch, jobs) = (96, 3000);
     let mut bucket = TokenBucket::new(25.0);
-    let mut last = vec![0u64; jobs];
-    let mut longest = 0;
+    let mut last_answered = vec![0u64; jobs];
+    let mut longest_wait = 0;
     // Comparisons in progress: the time of the next attempt, the number of attempts so far, and the
     // jobs.
-    let mut open: Vec<(u64, u32, Vec<usize>)> = Vec::new();
-    let mut asked: Vec<usize> = Vec::new();
+    let mut in_progress: Vec<(u64, u32, Vec<usize>)> = Vec::new();
+    let mut queued: Vec<usize> = Vec::new();
     for ms in (0..200_000u64).step_by(10) {
         let now = MonotonicTime(ms);
         if ms % 50 == 0 {
             bucket.try_acquire(now, 1.0, RequestClass::Place);
         }
-        asked.extend(
+        queued.extend(
             (0..jobs).filter(|job| (*job as u64 * 5000 / jobs as u64) / 10 == ms % 5000 / 10),
         );
-        if ms % 150 == 0 && !asked.is_empty() {
-            for batch in asked.chunks(most) {
-                open.push((ms, 0, batch.to_vec()));
+        if ms % 150 == 0 && !queued.is_empty() {
+            for batch in queued.chunks(max_batch) {
+                in_progress.push((ms, 0, batch.to_vec()));
             }
-            asked.clear();
+            queued.clear();
         }
-        open.retain_mut(|(at, attempt, batch)| {
+        in_progress.retain_mut(|(at, attempt, batch)| {
             if *at > ms {
                 return true;
             }
             if bucket.try_acquire(now, 1.0, request_class(*attempt)) {
                 for job in batch.iter() {
-                    longest = longest.max(ms - last[*job]);
-                    last[*job] = ms;
+                    longest_wait = longest_wait.max(ms - last_answered[*job]);
+                    last_answered[*job] = ms;
                 }
                 return false;
             }
@@ -46,6 +46,10 @@
             *attempt < MAX_ATTEMPTS
         });
     }
-    let waits = last.iter().map(|at| 200_000 - at).max().unwrap_or(0);
-    assert!(longest.max(waits) < 75_000, "{longest} {waits}");
+    let waits = last_answered
+        .iter()
+        .map(|at| 200_000 - at)
+        .max()
+        .unwrap_or(0);
+    assert!(longest_wait.max(waits) < 75_000, "{longest_wait} {waits}");
 }
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -58,7 +58,7 @@
     pub(crate) async fn try_submit(&self, body: &[u8]) -> Result<Response, UnwrittenSubmission> {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(error) => return Ok(self.malformed(body, &error.to_string()).await),
+            Err(error) => return Ok(self.respond_malformed(body, &error.to_string()).await),
         };
         let id = spec.id.clone();
         match self.submit_valid(spec).await {
@@ -124,7 +124,7 @@
         txn.put(keys::job(&id), &record, None);
         match self.store.txn(RequestClass::Accept, &txn).await {
             TxnOutcome::Committed(_) => Ok(job_status(201, &id, JobState::Queued, None)),
-            TxnOutcome::Failed(failed, _) => Ok(self.found_status(&id, &failed).await?),
+            TxnOutcome::Failed(failed, _) => Ok(self.existing_status(&id, &failed).await?),
             outcome => Err(SubmissionError::not_written(&outcome)),
         }
     }
@@ -136,7 +136,7 @@
     }
 
     /// Refuses a malformed submission, unless it has the id of an accepted job.
-    async fn malformed(&self, body: &[u8], message: &str) -> Response {
+    async fn respond_malformed(&self, body: &[u8], message: &str) -> Response {
         let Some(id) = submitted_id(body) else {
             return Response::error(400, message);
         };
--- a/src/api/submit/tests/refused_writes.rs
+++ b/src/api/submit/tests/refused_writes.rs
@@ -11,7 +11,7 @@
 
 use crate::api::JobApi;
 use crate::api::tests::{
-    StandIn, Writes, api_in_memory, body, catch_up, in_virtual_time, job_state,
+    FakeStore, WriteMode, api_in_memory, body, in_virtual_time, job_state, sync_watch_cache,
 };
 use crate::http::Response;
 use crate::ids::{Incarnation, LeaseId, MemberId};
@@ -26,7 +26,11 @@
 
 /// The time for which users wait for the answer to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-const WRITES_NOT_TAKEN: [Writes; 3] = [Writes::Refused, Writes::AnswerLost, Writes::Delayed];
+const WRITES_NOT_TAKEN: [WriteMode; 3] = [
+    WriteMode::Refused,
+    WriteMode::AnswerLost,
+    WriteMode::Delayed,
+];
 
 async fn submit(api: &JobApi, id: &str) -> Response {
     api.submit(&body(id, |_| ())).await
@@ -39,8 +43,8 @@
 
 /// Accepts a job with two dependents and a job without dependencies, at a separate controller. One
 /// of the dependents and the independent job end.
-async fn accept_jobs(state: &Rc<RefCell<StandIn>>) {
-    let (api, _asked) = api_in_memory(state);
+async fn accept_jobs(state: &Rc<RefCell<FakeStore>>) {
+    let (api, _cancellations) = api_in_memory(state);
     submit(&api, "job-1").await;
     submit(&api, "job-2").await;
     submit_dependent(&api, "job-3", "job-1").await;
@@ -53,13 +57,13 @@
 /// Covers live and ended jobs, with and without dependencies, at a controller whose watch cache
 /// does not show them.
 #[test]
-fn repeated_submission_is_answered_like_a_poll_if_its_write_is_not_taken() {
+fn resubmission_is_answered_like_a_poll_if_its_write_is_not_taken() {
     for writes in WRITES_NOT_TAKEN {
         let answers = in_virtual_time(async move {
             let state = Rc::default();
             accept_jobs(&state).await;
             state.borrow_mut().writes = writes;
-            let (api, _asked) = api_in_memory(&state);
+            let (api, _cancellations) = api_in_memory(&state);
             [
                 job_state(&submit(&api, "job-1").await),
                 job_state(&submit(&api, "job-2").await),
@@ -75,18 +79,18 @@
 /// A new job is neither accepted nor refused permanently, and its user is answered within the
 /// timeout of a poll.
 #[test]
-fn new_job_whose_write_is_not_taken_is_asked_to_come_back() {
-    for writes in [Writes::Refused, Writes::Delayed] {
-        let (answer, took) = in_virtual_time(async move {
-            let state = Rc::<RefCell<StandIn>>::default();
+fn new_job_whose_write_is_not_taken_gets_a_retry_response() {
+    for writes in [WriteMode::Refused, WriteMode::Delayed] {
+        let (answer, elapsed) = in_virtual_time(async move {
+            let state = Rc::<RefCell<FakeStore>>::default();
             state.borrow_mut().writes = writes;
-            let (api, _asked) = api_in_memory(&state);
-            let asked_at = runtime::now();
+            let (api, _cancellations) = api_in_memory(&state);
+            let started_at = runtime::now();
             let answer = submit(&api, "job-1").await;
-            (answer, runtime::now() - asked_at)
+            (answer, runtime::now() - started_at)
         });
         assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-        assert!(took < POLL_TIMEOUT, "{took:?}");
+        assert!(elapsed < POLL_TIMEOUT, "{elapsed:?}");
     }
 }
 
@@ -96,18 +100,18 @@
 /// single store request.
 #[test]
 fn submission_that_is_not_written_is_handed_back_before_the_lookup() {
-    for writes in [Writes::Refused, Writes::Delayed] {
-        let (handed_back, calls, took) = in_virtual_time(async move {
-            let state = Rc::<RefCell<StandIn>>::default();
+    for writes in [WriteMode::Refused, WriteMode::Delayed] {
+        let (handed_back, calls, elapsed) = in_virtual_time(async move {
+            let state = Rc::<RefCell<FakeStore>>::default();
             state.borrow_mut().writes = writes;
-            let (api, _asked) = api_in_memory(&state);
-            let asked_at = runtime::now();
+            let (api, _cancellations) = api_in_memory(&state);
+            let started_at = runtime::now();
             let result = api.try_submit(&body("job-1", |_| ())).await;
-            let took = runtime::now() - asked_at;
-            (result.is_err(), api.store.counters().calls, took)
+            let elapsed = runtime::now() - started_at;
+            (result.is_err(), api.store.counters().calls, elapsed)
         });
         assert!(handed_back);
-        assert_eq!((calls, took), (1, Duration::ZERO));
+        assert_eq!((calls, elapsed), (1, Duration::ZERO));
     }
 }
 
@@ -116,14 +120,14 @@
 #[test]
 fn submission_that_is_written_late_is_accepted_once() {
     let (answers, revision) = in_virtual_time(async move {
-        let state = Rc::<RefCell<StandIn>>::default();
-        let (api, _asked) = api_in_memory(&state);
-        state.borrow_mut().writes = Writes::Delayed;
+        let state = Rc::<RefCell<FakeStore>>::default();
+        let (api, _cancellations) = api_in_memory(&state);
+        state.borrow_mut().writes = WriteMode::Delayed;
         let unknown = submit(&api, "job-1").await;
         let repeated = submit(&api, "job-1").await;
         state.borrow_mut().execute_delayed();
         let written = submit(&api, "job-1").await;
-        state.borrow_mut().writes = Writes::Answered;
+        state.borrow_mut().writes = WriteMode::Answered;
         let known = submit(&api, "job-1").await;
         let revision = state.borrow().revision;
         ([unknown, repeated, written, known], revision)
@@ -139,21 +143,22 @@
     let answers = in_virtual_time(async move {
         let state = Rc::default();
         accept_jobs(&state).await;
-        state.borrow_mut().writes = Writes::Refused;
-        let (api, mut asked) = api_in_memory(&state);
-        state.borrow_mut().after_refusal = Some(|state| state.end("job-1", JobState::Done));
+        state.borrow_mut().writes = WriteMode::Refused;
+        let (api, mut cancellations) = api_in_memory(&state);
+        state.borrow_mut().after_refused_write = Some(|state| state.end("job-1", JobState::Done));
         let done = job_state(&submit(&api, "job-1").await);
-        state.borrow_mut().after_refusal = Some(|state| state.end("job-3", JobState::Cancelled));
+        state.borrow_mut().after_refused_write =
+            Some(|state| state.end("job-3", JobState::Cancelled));
         // At first it is not confirmed that none of its tasks are running.
-        let mut proofs = Scope::default();
-        proofs.spawn(async move {
+        let mut confirmations = Scope::default();
+        confirmations.spawn(async move {
             for settled in [false, true] {
-                let cancellation = asked.recv().await.expect("asked");
+                let cancellation = cancellations.recv().await.expect("cancellation sent");
                 cancellation.settled.send(settled);
             }
         });
         let stopping = job_state(&submit_dependent(&api, "job-3", "job-1").await);
-        catch_up(&state.borrow(), &api);
+        sync_watch_cache(&state.borrow(), &api);
         let cancelled = job_state(&submit_dependent(&api, "job-3", "job-1").await);
         [done, stopping, cancelled]
     });
@@ -166,16 +171,16 @@
 
 /// The watch cache still shows a job that has ended, and does not show yet a job that was accepted.
 #[test]
-fn watch_cache_that_lags_does_not_matter() {
+fn lagging_watch_cache_does_not_change_answers() {
     let answers = in_virtual_time(async move {
         let state = Rc::default();
-        let (api, _asked) = api_in_memory(&state);
+        let (api, _cancellations) = api_in_memory(&state);
         submit(&api, "job-1").await;
-        catch_up(&state.borrow(), &api);
+        sync_watch_cache(&state.borrow(), &api);
         state.borrow_mut().end("job-1", JobState::Done);
-        let (other, _asked_there) = api_in_memory(&state);
+        let (other, _other_cancellations) = api_in_memory(&state);
         submit(&other, "job-2").await;
-        state.borrow_mut().writes = Writes::Refused;
+        state.borrow_mut().writes = WriteMode::Refused;
         [
             job_state(&submit(&api, "job-1").await),
             job_state(&submit(&api, "job-2").await),
@@ -187,16 +192,16 @@
 
 /// A controller that the store does not serve asks the user to retry; the other controllers answer.
 #[test]
-fn controller_that_the_store_refuses_alone_asks_for_a_retry() {
+fn controller_without_store_access_asks_for_a_retry() {
     let answers = in_virtual_time(async move {
         let state = Rc::default();
         accept_jobs(&state).await;
-        let (alone, _asked) = api_in_memory(&state);
-        state.borrow_mut().away = true;
-        let refused = submit(&alone, "job-2").await.status;
-        state.borrow_mut().away = false;
-        let (other, _asked_there) = api_in_memory(&state);
-        state.borrow_mut().writes = Writes::Refused;
+        let (rejected, _cancellations) = api_in_memory(&state);
+        state.borrow_mut().unavailable = true;
+        let refused = submit(&rejected, "job-2").await.status;
+        state.borrow_mut().unavailable = false;
+        let (other, _other_cancellations) = api_in_memory(&state);
+        state.borrow_mut().writes = WriteMode::Refused;
         [refused, submit(&other, "job-2").await.status]
     });
     assert_eq!(answers, [503, 200]);
@@ -205,7 +210,7 @@
 /// While a controller of an earlier version is a member, new jobs with dependencies are not
 /// accepted, but resubmissions of accepted ones are answered.
 #[test]
-fn dependent_job_is_known_while_an_earlier_version_takes_part() {
+fn accepted_dependent_job_is_found_while_an_earlier_version_is_a_member() {
     let answers = in_virtual_time(async move {
         let state = Rc::default();
         accept_jobs(&state).await;
@@ -216,8 +221,8 @@
         state
             .borrow_mut()
             .put(keys::member(&MemberId::from("c0")), &earlier);
-        let (api, _asked) = api_in_memory(&state);
-        catch_up(&state.borrow(), &api);
+        let (api, _cancellations) = api_in_memory(&state);
+        sync_watch_cache(&state.borrow(), &api);
         [
             submit_dependent(&api, "job-4", "job-1").await.status,
             submit_dependent(&api, "job-5", "job-1").await.status,
@@ -233,7 +238,7 @@
     let answers = in_virtual_time(async move {
         let state = Rc::default();
         accept_jobs(&state).await;
-        let (api, _asked) = api_in_memory(&state);
+        let (api, _cancellations) = api_in_memory(&state);
         state.borrow_mut().refused_reads = 1;
         let ended = job_state(&api.cancel("job-2").await);
         state.borrow_mut().refused_reads = 1;
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -34,7 +34,7 @@
 
 /// How the fake store handles transactions that change something.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) enum Writes {
+pub(super) enum WriteMode {
     /// They are executed and answered.
     #[default]
     Answered,
@@ -48,25 +48,25 @@
 
 /// A fake key-value store with the operations that the API needs.
 #[derive(Default)]
-pub(super) struct StandIn {
+pub(super) struct FakeStore {
     /// The values by key, each with the revision of its last change.
     pub(super) keys: BTreeMap<String, (Value, u64)>,
     /// The revision of the last change.
     pub(super) revision: u64,
     /// Whether the store answers every request with an error.
-    pub(super) away: bool,
+    pub(super) unavailable: bool,
     /// How transactions that change something are handled.
-    pub(super) writes: Writes,
+    pub(super) writes: WriteMode,
     /// A change by another client that is made once, when the next write is refused.
-    pub(super) after_refusal: Option<fn(&mut StandIn)>,
+    pub(super) after_refused_write: Option<fn(&mut FakeStore)>,
     /// The number of the next reads that are refused because of the rate limit.
     pub(super) refused_reads: u32,
     delayed: Vec<Value>,
 }
 
-impl StandIn {
-    pub(super) fn answer(&mut self, request: &Request) -> Response {
-        if self.away {
+impl FakeStore {
+    pub(super) fn respond(&mut self, request: &Request) -> Response {
+        if self.unavailable {
             return Response::error(503, "trouble");
         }
         if request.method == Method::Get && self.refused_reads > 0 {
@@ -88,17 +88,17 @@
         let txn: Value = serde_json::from_slice(&request.body).expect("transaction");
         let changes = txn["then"].as_array().is_some_and(|then| !then.is_empty());
         match self.writes {
-            Writes::Refused if changes => {
-                if let Some(change) = self.after_refusal.take() {
+            WriteMode::Refused if changes => {
+                if let Some(change) = self.after_refused_write.take() {
                     change(self);
                 }
                 Response::error(429, "too many changes")
             }
-            Writes::Delayed if changes => {
+            WriteMode::Delayed if changes => {
                 self.delayed.push(txn);
                 Response::error(500, "no answer")
             }
-            Writes::AnswerLost if changes => {
+            WriteMode::AnswerLost if changes => {
                 self.execute(&txn);
                 Response::error(500, "no answer")
             }
@@ -113,18 +113,18 @@
             .filter_map(|field| field.split_once('='))
             .collect();
         let after = fields["after"].to_owned();
-        let most: usize = fields["most"].parse().expect("number");
+        let page_size: usize = fields["most"].parse().expect("number");
         let following = self
             .keys
             .range((Bound::Excluded(after), Bound::Unbounded))
             .filter(|(key, _)| key.starts_with(fields["prefix"]));
         let mut items: Vec<Value> = following
-            .take(most + 1)
+            .take(page_size + 1)
             .map(|(key, (value, at))| json!({"key": key, "data": value, "amendment": at}))
             .collect();
-        let more = items.len() > most;
-        items.truncate(most);
-        let page = json!({"items": items, "has_next": more, "edition": self.revision});
+        let has_next = items.len() > page_size;
+        items.truncate(page_size);
+        let page = json!({"items": items, "has_next": has_next, "edition": self.revision});
         Response::json(200, &page)
     }
 
@@ -180,54 +180,54 @@
 }
 
 /// A fake key-value store, served over HTTP, that several controllers share.
-pub(super) struct Scene {
+pub(super) struct StoreFixture {
     /// The fake store.
-    pub(super) state: Rc<RefCell<StandIn>>,
+    pub(super) store: Rc<RefCell<FakeStore>>,
     addr: SocketAddr,
-    _served: Scope,
+    _server: Scope,
 }
 
-impl Scene {
+impl StoreFixture {
     /// Starts a server with an empty store.
     pub(super) fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
-        let state = Rc::new(RefCell::new(StandIn::default()));
-        let mut served = Scope::default();
-        let answering = state.clone();
-        served.spawn(serve(listener, 100, move |request| {
-            let response = answering.borrow_mut().answer(&request);
+        let store = Rc::new(RefCell::new(FakeStore::default()));
+        let mut server = Scope::default();
+        let store_in_transport = store.clone();
+        server.spawn(serve(listener, 100, move |request| {
+            let response = store_in_transport.borrow_mut().respond(&request);
             async move { response }
         }));
         Self {
-            state,
+            store,
             addr,
-            _served: served,
+            _server: server,
         }
     }
 
     /// Creates the API of a controller that has just started. Its watch cache shows no job, and
-    /// shows the machine types only with `types`.
-    pub(super) fn api(&self, types: bool) -> (JobApi, Receiver<Cancellation>) {
+    /// shows the machine types only with `with_catalog`.
+    pub(super) fn api(&self, with_catalog: bool) -> (JobApi, Receiver<Cancellation>) {
         let config = sample_config();
         let limits = generous_limits(&config);
         let store = StoreClient::new(self.addr, &limits, 1.0, 1 << 20, Instant::now());
-        controller_api(&config, store, types)
+        controller_api(&config, store, with_catalog)
     }
 
     /// Loads the contents of the store into a controller's watch cache, as the watch does.
-    pub(super) fn catch_up(&self, api: &JobApi) {
-        catch_up(&self.state.borrow(), api);
+    pub(super) fn sync_watch_cache(&self, api: &JobApi) {
+        sync_watch_cache(&self.store.borrow(), api);
     }
 }
 
 /// Creates the API of a controller that has just started, with an in-memory key-value store that
 /// answers at once, for tests in virtual time.
-pub(super) fn api_in_memory(state: &Rc<RefCell<StandIn>>) -> (JobApi, Receiver<Cancellation>) {
+pub(super) fn api_in_memory(state: &Rc<RefCell<FakeStore>>) -> (JobApi, Receiver<Cancellation>) {
     let config = sample_config();
-    let answering = state.clone();
+    let store_in_transport = state.clone();
     let client = Client::with_fake_transport(Rc::new(move |request: Request| {
-        let answer = answering.borrow_mut().answer(&request);
+        let answer = store_in_transport.borrow_mut().respond(&request);
         Box::pin(std::future::ready(answer))
     }));
     let limits = generous_limits(&config);
@@ -248,10 +248,10 @@
 /// a panic inside the event loop would end the test process.
 pub(super) fn in_virtual_time<T: 'static>(test: impl Future<Output = T> + 'static) -> T {
     let result = Rc::new(RefCell::new(None));
-    let shown = result.clone();
+    let result_slot = result.clone();
     run_in_virtual_time(async move {
         let value = test.await;
-        shown.replace(Some(value));
+        result_slot.replace(Some(value));
     });
     result.take().expect("the event loop has ended")
 }
@@ -261,11 +261,11 @@
 pub(super) fn controller_api(
     config: &Config,
     store: StoreClient,
-    types: bool,
+    with_catalog: bool,
 ) -> (JobApi, Receiver<Cancellation>) {
     let mut controller = Controller::new(config, Incarnation(1));
     let mut cache = WatchCache::new(config);
-    if types {
+    if with_catalog {
         cache.load(KeyValue {
             key: keys::CATALOG.to_owned(),
             value: serde_json::to_value(catalog()).expect("json"),
@@ -274,14 +274,14 @@
         });
     }
     controller.on_snapshot(MonotonicTime(1), cache);
-    let (asked, cancellations) = channel();
+    let (cancellation_sender, cancellations) = channel();
     let controller = Rc::new(RefCell::new(controller));
-    let api = JobApi::new(config, Rc::new(store), controller, asked);
+    let api = JobApi::new(config, Rc::new(store), controller, cancellation_sender);
     (api, cancellations)
 }
 
 /// Loads the contents of a store into a controller's watch cache.
-pub(super) fn catch_up(state: &StandIn, api: &JobApi) {
+pub(super) fn sync_watch_cache(state: &FakeStore, api: &JobApi) {
     let live = |(key, _): &(&String, _)| key.starts_with(keys::LIVE_PREFIX);
     let mut cache = WatchCache::new(&api.config);
     for (key, (value, revision)) in state.keys.iter().filter(live) {
--- a/src/api/tests/busy_cluster.rs
+++ b/src/api/tests/busy_cluster.rs
@@ -1,7 +1,7 @@
 //! Five controllers that share a key-value store with rate limits, in virtual time, while
 //! placements use most of the request rate.
 
-use super::{StandIn, catch_up, controller_api};
+use super::{FakeStore, controller_api, sync_watch_cache};
 use crate::api::JobApi;
 use crate::config::Config;
 use crate::config::tests::sample_config;
@@ -25,7 +25,7 @@
 const CHANGES_PER_S: f64 = 80.0;
 const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
 /// The interval at which each controller writes the end of a job.
-const END_INTERVAL: Duration = Duration::from_millis(500);
+const JOB_END_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The load on the store, and the store's latency and outages.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
     pub(crate) store_latency: Duration,
     /// The fraction of time in which the store answers every request with an error, in one outage
     /// per half minute.
-    pub(crate) outage_part: f64,
+    pub(crate) outage_fraction: f64,
     /// The index of a controller whose requests the store always refuses, if any.
     pub(crate) refused_controller: Option<usize>,
 }
@@ -47,7 +47,7 @@
         Self {
             placement_interval: Duration::from_millis(24),
             store_latency: Duration::from_millis(3),
-            outage_part: 0.0,
+            outage_fraction: 0.0,
             refused_controller: None,
         }
     }
@@ -58,13 +58,13 @@
 /// A store, controllers and their load.
 pub(crate) struct BusyCluster {
     /// The fake store.
-    pub(crate) state: Rc<RefCell<StandIn>>,
+    pub(crate) state: Rc<RefCell<FakeStore>>,
     /// The number of job ends that were written.
     pub(crate) written_ends: Rc<Cell<u64>>,
     controllers: RefCell<Vec<BusyController>>,
     config: Config,
     load: Load,
-    answers: FakeTransport,
+    transport: FakeTransport,
     started: Instant,
 }
 
@@ -82,11 +82,11 @@
         config.store_limits.rates.requests = REQUESTS_PER_S;
         config.store_limits.rates.writes = CHANGES_PER_S;
         config.store_limits.min_rates = config.store_limits.rates;
-        let state = Rc::new(RefCell::new(StandIn::default()));
+        let state = Rc::new(RefCell::new(FakeStore::default()));
         store_jobs(&mut state.borrow_mut(), live, ended);
         let started = runtime::now();
         let cluster = Self {
-            answers: rate_limited(state.clone(), load, started),
+            transport: rate_limited_transport(state.clone(), load, started),
             state,
             written_ends: Rc::default(),
             controllers: RefCell::default(),
@@ -116,15 +116,15 @@
     }
 
     fn start_controller(&self, index: usize) -> BusyController {
-        let answers = match self.load.refused_controller == Some(index) {
-            true => refusing(self.load.store_latency),
-            false => self.answers.clone(),
+        let transport = match self.load.refused_controller == Some(index) {
+            true => unavailable_transport(self.load.store_latency),
+            false => self.transport.clone(),
         };
-        let client = Client::with_fake_transport(answers);
+        let client = Client::with_fake_transport(transport);
         let (addr, limits) = (self.config.store_addr, &self.config.store_limits);
         let store = StoreClient::with_client(client, addr, limits, RATE_SHARE, self.started);
         let (api, mut cancellations) = controller_api(&self.config, store, true);
-        catch_up(&self.state.borrow(), &api);
+        sync_watch_cache(&self.state.borrow(), &api);
         let api = Rc::new(api);
         let mut background = Scope::default();
         background.spawn(async move {
@@ -145,7 +145,7 @@
 }
 
 /// Stores live jobs and jobs that have ended.
-fn store_jobs(state: &mut StandIn, live: &[JobId], ended: &[JobId]) {
+fn store_jobs(state: &mut FakeStore, live: &[JobId], ended: &[JobId]) {
     for id in live {
         let spec = crate::protocol::tests::submission(id.as_str()).to_string();
         let spec = crate::protocol::JobSpec::parse(spec.as_bytes()).expect("valid");
@@ -159,7 +159,11 @@
 
 /// Returns a transport to the store that adds its latency and answers with 429 above its request
 /// rate.
-fn rate_limited(state: Rc<RefCell<StandIn>>, load: Load, started: Instant) -> FakeTransport {
+fn rate_limited_transport(
+    state: Rc<RefCell<FakeStore>>,
+    load: Load,
+    started: Instant,
+) -> FakeTransport {
     let bucket = Rc::new(RefCell::new(TokenBucket::new(REQUESTS_PER_S)));
     Rc::new(move |request: Request| {
         let elapsed = runtime::now() - started;
@@ -168,12 +172,12 @@
             .borrow_mut()
             .try_acquire(now, 1.0, RequestClass::Accept);
         let in_period = elapsed.as_secs_f64() % OUTAGE_PERIOD.as_secs_f64();
-        let is_away = in_period < load.outage_part * OUTAGE_PERIOD.as_secs_f64();
+        let is_away = in_period < load.outage_fraction * OUTAGE_PERIOD.as_secs_f64();
         let answer = match request.target.as_str() {
             _ if is_away => Response::error(503, "trouble"),
             _ if !admitted => Response::error(429, "too many requests"),
             path if path.starts_with("/grants") => Response::json(200, &()),
-            _ => state.borrow_mut().answer(&request),
+            _ => state.borrow_mut().respond(&request),
         };
         Box::pin(async move {
             runtime::sleep(load.store_latency).await;
@@ -183,7 +187,7 @@
 }
 
 /// Returns a transport to a store that refuses every request of a controller.
-fn refusing(latency: Duration) -> FakeTransport {
+fn unavailable_transport(latency: Duration) -> FakeTransport {
     Rc::new(move |_| {
         Box::pin(async move {
             runtime::sleep(latency).await;
@@ -228,7 +232,7 @@
     let mut txn = Txn::default();
     txn.put("over/job-900000".to_owned(), &1, None);
     loop {
-        runtime::sleep(END_INTERVAL).await;
+        runtime::sleep(JOB_END_INTERVAL).await;
         let outcome = store.txn(RequestClass::Accept, &txn).await;
         if matches!(outcome, TxnOutcome::Committed(_)) {
             written.set(written.get() + 1);
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// The time without an answer after which a job is logged.
-const ANNOUNCE_AFTER: Millis = Millis(20_000);
+const LOG_AFTER: Millis = Millis(20_000);
 /// The time without requests after which a job is no longer tracked, as other controllers may have
 /// answered its users.
-const QUIET_AFTER: Millis = Millis(60_000);
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 /// The maximum number of tracked jobs, which take about 200 kB.
-const MAX_FOLLOWED_JOBS: usize = 2000;
+const MAX_TRACKED_JOBS: usize = 2000;
 
 /// Statistics of unanswered requests, serialized as `/admin/status` shows them.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
@@ -26,21 +26,21 @@
 
 /// The requests that this controller has not answered.
 #[derive(Debug)]
-pub(super) struct UnansweredQuestions {
+pub(super) struct UnansweredRequests {
     counts: BTreeMap<RetryReason, u64>,
     jobs: Episodes<JobId>,
 }
 
-impl Default for UnansweredQuestions {
+impl Default for UnansweredRequests {
     fn default() -> Self {
         Self {
             counts: BTreeMap::new(),
-            jobs: Episodes::new(ANNOUNCE_AFTER, QUIET_AFTER, MAX_FOLLOWED_JOBS),
+            jobs: Episodes::new(LOG_AFTER, IDLE_TIMEOUT, MAX_TRACKED_JOBS),
         }
     }
 }
 
-impl UnansweredQuestions {
+impl UnansweredRequests {
     /// Records that a request about a job was not answered.
     pub(super) fn record(&mut self, now: MonotonicTime, job: &JobId, reason: RetryReason) {
         *self.counts.entry(reason).or_default() += 1;
