--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -62,8 +62,8 @@
 }
 
 impl CombinedDependencyState {
-    /// Combines the states of a job's dependencies. An invalid dependency takes precedence over one
-    /// that could not be read, which takes precedence over a cancelled one.
+    /// Combines the states of a job's dependencies. An invalid dependency takes priority over one
+    /// that could not be read, which takes priority over a cancelled one.
     pub(crate) fn of(job: &JobId, dependencies: Vec<(JobId, DependencyState)>) -> Self {
         let mut live = Vec::new();
         let (mut unknown, mut cancelled) = (false, false);
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -33,8 +33,7 @@
     }
 }
 
-/// An invalid dependency takes precedence over one that could not be read, and a live one comes
-/// last.
+/// An invalid dependency takes priority over one that could not be read, and a live one comes last.
 #[test]
 fn combined_state_follows_the_most_severe_dependency() {
     use DependencyState::{Cancelled, Done, NeverAccepted, Unknown};
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -151,7 +151,7 @@
                 break;
             };
             match self.try_admit(now, now.since(next.first_requested_at)) {
-                Some(permit) => self.start_read(now, permit, next.job),
+                Some(read_permit) => self.start_read(now, read_permit, next.job),
                 None => {
                     self.counters.borrow_mut().held_back += 1;
                     runtime::sleep(RETRY_DELAY).await;
@@ -164,8 +164,8 @@
     /// Acquires a token for a job that has waited for `waited`, from the reserved fraction if
     /// necessary.
     fn try_admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
-        if let Some(permit) = self.store.admit_read(RequestClass::Poll) {
-            return Some(permit);
+        if let Some(read_permit) = self.store.admit_read(RequestClass::Poll) {
+            return Some(read_permit);
         }
         let mut reserve = self.reserve.borrow_mut();
         let fraction = match waited < URGENT_AFTER {
@@ -176,31 +176,31 @@
         if waited < RESERVE_AFTER || !reserve.allows(now, 1.0, RequestClass::Accept) {
             return None;
         }
-        let permit = self.store.admit_read(RequestClass::Accept)?;
+        let read_permit = self.store.admit_read(RequestClass::Accept)?;
         reserve.spend(1.0);
-        Some(permit)
+        Some(read_permit)
     }
 
-    /// Starts a read of the job's record, or of the page that begins with it.
-    fn start_read(&self, now: MonotonicTime, permit: ReadPermit, first: JobId) {
+    /// Starts a read of the record of the job `first`, or of the page that begins with it.
+    fn start_read(&self, now: MonotonicTime, read_permit: ReadPermit, first: JobId) {
         let mut queue = self.queue.borrow_mut();
         let jobs = queue.waiting_jobs_from(now, &first, PAGE_ITEMS);
         if jobs.len() < MIN_JOBS_FOR_PAGE {
             queue.start_read(&first);
             self.counters.borrow_mut().records += 1;
-            runtime::spawn(self.clone().read_record(permit, first));
+            runtime::spawn(self.clone().read_record(read_permit, first));
             return;
         }
         for job in &jobs {
             queue.start_read(job);
         }
         self.counters.borrow_mut().pages += 1;
-        runtime::spawn(self.clone().read_page(permit, first, jobs));
+        runtime::spawn(self.clone().read_page(read_permit, first, jobs));
     }
 
-    async fn read_record(self, permit: ReadPermit, id: JobId) {
+    async fn read_record(self, read_permit: ReadPermit, id: JobId) {
         let key = keys::final_state(&id);
-        match self.store.get_admitted(permit, &key).await {
+        match self.store.get_admitted(read_permit, &key).await {
             Ok(item) => self.answer(&id, self.decode_item(&id, item)),
             Err(error) => self.on_failed_read(&[id], error),
         }
@@ -209,11 +209,11 @@
 
     /// Reads the page that begins with the job `first`. `jobs` are the waiting jobs in the range of
     /// the page, by id.
-    async fn read_page(self, permit: ReadPermit, first: JobId, jobs: Vec<JobId>) {
+    async fn read_page(self, read_permit: ReadPermit, first: JobId, jobs: Vec<JobId>) {
         let after = keys::final_state_predecessor(&first);
-        let page = self
-            .store
-            .page_admitted(permit, keys::FINAL_STATE_PREFIX, &after, PAGE_ITEMS);
+        let page =
+            self.store
+                .page_admitted(read_permit, keys::FINAL_STATE_PREFIX, &after, PAGE_ITEMS);
         match page.await {
             Ok(page) => self.on_page(&jobs, page),
             Err(error) => self.on_failed_read(&jobs, error),
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -83,7 +83,7 @@
         self.final_states.counters()
     }
 
-    /// Logs the jobs whose users have stopped sending requests without having been answered.
+    /// Logs the jobs that were logged as unanswered and that users no longer send requests about.
     pub(crate) fn log_ended_episodes(&self) {
         self.unanswered.borrow_mut().log_ended(self.store.now());
     }
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Stops tracking the jobs without requests during the idle timeout, and logs those that were
-    /// never answered.
+    /// Stops tracking the jobs without requests during the idle timeout, and logs the end for those
+    /// that were logged as unanswered.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
         for (job, episode) in self.jobs.take_ended(now) {
             tracing::info!(
