--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,5 @@
-//! The client: a small pool of idle connections for each address, and a timeout on every call.
+//! The HTTP client. It keeps a small pool of idle connections for each address, and every call has
+//! a timeout.
 
 use super::framing::{Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks, invalid, too_large};
 #[cfg(test)]
@@ -16,46 +17,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections kept for one address.
+/// Maximum number of idle connections that are kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 const READ_CHUNK_BYTES: usize = 8192;
 
-/// Why a call has no response. The difference decides what may be concluded from it.
+/// The reason why a call has no response. The variants differ in what the caller may conclude about
+/// the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CallError {
-    /// The other side has seen nothing of the request.
-    #[error("not sent")]
+    /// No part of the request was sent.
+    #[error("request not sent")]
     NotSent,
-    /// The request may have been carried out or not.
-    #[error("sent, outcome unknown")]
+    /// The request may have reached the server, which may or may not have processed it.
+    #[error("no response received; the request may have been processed")]
     Unknown,
-    /// Carried out, and answered with more than the client reads.
-    #[error("the answer is too large")]
+    /// The server responded, but the response body exceeds the client's limit.
+    #[error("response body too large")]
     TooLarge,
 }
 
-/// Answers a request in place of the network.
+/// A function that responds to requests in place of the network.
 #[cfg(test)]
 pub(crate) type FakeTransport = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response>>>>;
 
-/// A client whose clones share their connections.
+/// An HTTP client. Its clones share one connection pool.
 #[derive(Clone)]
 pub(crate) struct Client {
-    /// Idle connections, by the address of the other side.
+    /// Idle connections, by server address.
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<TcpStream>>>>,
-    /// Most addresses with idle connections: with fewer than there are to call, connections would
-    /// be opened anew all the time.
+    /// Maximum number of addresses with idle connections. If it is lower than the number of servers
+    /// in use, connections are reopened all the time.
     max_idle_addresses: usize,
-    /// Largest body of a response, in bytes.
+    /// Maximum size of a response body, in bytes.
     body_limit: usize,
-    /// Answers all calls in place of the network.
+    /// If set, responds to all calls in place of the network.
     #[cfg(test)]
     stand_in: Option<FakeTransport>,
 }
 
 impl Client {
-    /// A client that reads bodies of at most `body_limit` bytes and keeps idle connections for at
-    /// most `max_idle_addresses` addresses.
+    /// Creates a client that accepts response bodies of at most `body_limit` bytes and keeps idle
+    /// connections for at most `max_idle_addresses` addresses.
     pub(crate) fn new(body_limit: usize, max_idle_addresses: usize) -> Self {
         Self {
             idle: Rc::default(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// A client whose calls a function answers, without sockets.
+    /// Creates a client whose calls are served by a function, without sockets.
     #[cfg(test)]
     pub(crate) fn with_fake_transport(stand_in: FakeTransport) -> Self {
         Self {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Sends a request and waits at most `limit` for its response, of any status.
+    /// Sends a request and waits at most `limit` for the response. Responses of every status are
+    /// returned as `Ok`.
     pub(crate) async fn call(
         &self,
         addr: SocketAddr,
@@ -94,7 +97,7 @@
             let answer = runtime::timeout(limit, answer).await;
             return answer.ok_or(CallError::Unknown);
         }
-        // What an error or the end of the time means at the point that the exchange has reached.
+        // The error that a failure or the timeout stands for at the current stage of the exchange.
         let mut failure = CallError::NotSent;
         let exchange = async {
             let mut stream = match self.take_idle(addr) {
@@ -112,7 +115,7 @@
         match runtime::timeout(limit, exchange).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
-                tracing::debug!(%addr, path, %error, "call failed");
+                tracing::debug!(%addr, path, %error, "HTTP request failed");
                 match error.kind() {
                     io::ErrorKind::FileTooLarge => Err(CallError::TooLarge),
                     _ => Err(failure),
@@ -122,7 +125,7 @@
         }
     }
 
-    /// An idle connection that the other side has not closed.
+    /// Takes an idle connection that the server has not closed, if there is one.
     fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_mut(&addr)?;
@@ -135,13 +138,15 @@
         None
     }
 
-    /// How many idle connections to an address are kept.
+    /// Returns the number of idle connections that are kept for an address.
     #[cfg(test)]
     pub(crate) fn idle_count(&self, addr: SocketAddr) -> usize {
         self.idle.borrow().get(&addr).map_or(0, Vec::len)
     }
 
-    /// Keeps a connection for later calls, unless there are enough.
+    /// Returns a connection to the pool for later calls. The connection is closed if the address
+    /// already has `MAX_IDLE_PER_ADDRESS`. If the pool has no room for another address, the idle
+    /// connections of the lowest address are closed.
     fn keep(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() >= self.max_idle_addresses && !idle.contains_key(&addr) {
@@ -169,7 +174,7 @@
     }
 }
 
-/// A request as it is sent.
+/// Encodes a request.
 fn encode(addr: SocketAddr, method: Method, path: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "{} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -181,16 +186,17 @@
     bytes
 }
 
-/// A response that arrived in full.
+/// A completely received response.
 #[derive(Debug)]
 pub(super) struct ReceivedResponse {
     response: Response,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be used for another call.
     reusable: bool,
 }
 
-/// Reads a response from the bytes so far, with a body of at most `limit` bytes. `None`: more bytes
-/// are needed. `at_end`: no more will come.
+/// Parses a response, with a body of at most `limit` bytes, from the bytes received so far. Returns
+/// `None` if more bytes are needed. `at_end`: the server has closed the connection, so no more
+/// bytes will arrive.
 pub(super) fn parse(
     buffer: &[u8],
     limit: usize,
@@ -228,7 +234,7 @@
             .map(|body| received(body.to_vec(), keep_alive && rest.len() == length))),
         None if status == 204 || status == 304 => Ok(Some(received(Vec::new(), keep_alive))),
         None if rest.len() > limit => Err(too_large()),
-        // Without a length the body lasts as long as the connection.
+        // A body without a length ends when the server closes the connection.
         None => Ok(at_end.then(|| received(rest.to_vec(), false))),
     }
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,38 +1,38 @@
-//! Where a message's body ends, for both sides.
+//! Message framing: finds the end of a message's body, for the client and the server.
 
 use std::io;
 
-/// A head larger than this is refused before it is parsed, in bytes.
+/// Maximum size of a message head, in bytes. The size is checked while the head is incomplete.
 pub(super) const HEAD_LIMIT: usize = 16 * 1024;
-/// Most headers of one message.
+/// Maximum number of headers in one message.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// The error for a body over its bound, told from a broken one: the same call would end the same
-/// way.
+/// Returns the error for a body that exceeds its size limit. Its kind differs from that of a
+/// malformed message because repeating the call would give the same error.
 pub(super) fn too_large() -> io::Error {
     io::Error::new(io::ErrorKind::FileTooLarge, "body too large")
 }
 
-/// The error for a message that is not HTTP/1.1.
+/// Returns the error for a message that is not valid HTTP/1.1.
 pub(super) fn invalid(message: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-/// What a head says of the body and the connection.
+/// The body framing and connection options that a message head specifies.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Framing {
-    /// The body's length in bytes.
+    /// The `Content-Length` of the body in bytes, if there is one.
     pub(super) length: Option<usize>,
-    /// Whether the connection ends after this message.
+    /// Whether the sender closes the connection after this message.
     pub(super) close: bool,
-    /// Whether the body comes in chunks.
+    /// Whether the body uses the chunked transfer coding.
     pub(super) chunked: bool,
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
 
 impl Framing {
-    /// Reads the headers of a message.
+    /// Parses the headers of a message.
     pub(super) fn read(headers: &[httparse::Header<'_>]) -> io::Result<Self> {
         let mut framing = Self::default();
         for header in headers {
@@ -57,17 +57,17 @@
     }
 }
 
-/// A body that arrived in full.
+/// A completely received body.
 #[derive(Debug)]
 pub(super) struct DecodedBody {
-    /// The body without its framing.
+    /// The body without chunk framing.
     pub(super) bytes: Vec<u8>,
-    /// How many bytes of the input it took up.
+    /// The number of input bytes that the body took up, with its framing.
     pub(super) consumed: usize,
 }
 
-/// Decodes a chunked body of at most `limit` bytes at the front of `input`. `None`: more input is
-/// needed.
+/// Decodes a chunked body of at most `limit` bytes at the start of `input`. Returns `None` if more
+/// input is needed.
 pub(super) fn decode_chunks(input: &[u8], limit: usize) -> io::Result<Option<DecodedBody>> {
     let (mut bytes, mut consumed) = (Vec::new(), 0);
     loop {
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses, as handlers and callers see them.
+//! HTTP requests and responses as request handlers and clients use them.
 
 /// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,12 +11,12 @@
     Put,
     /// `DELETE`
     Delete,
-    /// Any other, which no endpoint serves.
+    /// Any other method; no endpoint serves it.
     Other,
 }
 
 impl Method {
-    /// The method's name in a request line.
+    /// Returns the method's name as it stands in a request line.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The method with this name.
+    /// Returns the method with this name, or `Other`.
     pub(super) fn parse(text: &str) -> Self {
         match text {
             "GET" => Self::Get,
@@ -39,39 +39,39 @@
     }
 }
 
-/// A request that arrived in full.
+/// A completely received request.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its target: the path, and the query after a `?`.
+    /// The request target: the path and, after a `?`, the query.
     pub target: String,
-    /// Its body, of any bytes.
+    /// The body. Its content is not validated.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The path up to its query.
+    /// Returns the path without the query.
     pub(crate) fn path_without_query(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
-/// A response that is to be sent or was received.
+/// A response to be sent, or one that was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Response {
     /// The status code.
     pub status: u16,
-    /// The body: JSON, in all responses of this program.
+    /// The body. All responses of this program have JSON bodies.
     pub body: Vec<u8>,
-    /// Seconds for `Retry-After`.
+    /// The value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
-    /// The methods for `Allow`.
+    /// The value of the `Allow` header.
     pub allow: Option<&'static str>,
 }
 
 impl Response {
-    /// A response without headers of its own.
+    /// Creates a response without `Retry-After` and `Allow` headers.
     pub(crate) fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -81,7 +81,8 @@
         }
     }
 
-    /// A response with a value as JSON; an error 500 if it can't be written as such.
+    /// Creates a response with a value serialized as JSON, or an error response of status 500 if
+    /// the value can't be serialized.
     pub(crate) fn json(status: u16, value: &impl serde::Serialize) -> Self {
         serde_json::to_vec(value).map_or_else(
             |error| Self::error(500, &error.to_string()),
@@ -89,12 +90,12 @@
         )
     }
 
-    /// A response whose body names what went wrong.
+    /// Creates a response whose body contains an error message.
     pub(crate) fn error(status: u16, message: &str) -> Self {
         Self::json(status, &serde_json::json!({ "error": message }))
     }
 
-    /// The response to what can't be done now, with the seconds after which to retry.
+    /// Creates a response of status 503 that asks the client to retry after a number of seconds.
     pub(crate) fn retry_later(message: &str, seconds: u32) -> Self {
         Self {
             retry_after: Some(seconds),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The response to a method that the path does not serve, with those that it does.
+    /// Creates a response of status 405 that lists the methods that the path supports.
     pub(crate) fn wrong_method(allow: &'static str) -> Self {
         Self {
             allow: Some(allow),
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 on `httparse`: a server for users, workers and operators, and a client for what is
-//! called.
+//! HTTP/1.1 on top of `httparse`: a server for users, workers and operators, and a client for the
+//! key-value store, the cloud and the workers.
 //!
-//! Both keep connections open, honour `Connection: close`, and bound heads and bodies.
+//! Both use persistent connections, honour `Connection: close`, and limit the sizes of message
+//! heads and bodies.
 
 mod client;
 mod framing;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,5 @@
-//! The server: one routine for each connection. Connections, bodies and waiting times are bounded.
+//! The HTTP server. It runs one routine for each connection, and limits the number of connections,
+//! the size of request bodies and the waiting times.
 
 use super::framing::{DecodedBody, Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks};
 use super::message::{Method, Request, Response};
@@ -8,23 +9,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_LIMIT: usize = 64 * 1024;
 const READ_CHUNK_BYTES: usize = 4096;
-/// How long a connection may be open without a request.
+/// Maximum time that a connection may stay open without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long a client may take for the next part of its request, or to accept a response.
+/// Maximum time that a client may take to send the next part of a request or to accept a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The last one in so many of the connections are closed after each response, so that many more
-/// clients than there are connections take turns: a cluster may have more machines than a
+/// If fewer than one in this many of the allowed connections are free, each connection is closed
+/// after its next response. Clients then take turns, as a cluster may have more machines than a
 /// controller has sockets.
 const SHARED_PART: usize = 4;
 
-/// Accepts connections for ever, at most `limit` at a time, and answers each request with
-/// `handler`.
+/// Accepts connections until it is cancelled, at most `limit` at a time, and responds to each
+/// request with the result of `handler`.
 pub(crate) async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
@@ -33,7 +34,8 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         match listener.accept().await {
-            // Over the limit the connection is closed at once: the client tries another node.
+            // Above the limit a connection is closed at once, so that the client tries another
+            // controller.
             Ok(stream) if open.get() >= limit => drop(stream),
             Ok(stream) => {
                 let slot = ConnectionSlot::take(&open);
@@ -45,14 +47,14 @@
                 });
             }
             Err(error) => {
-                tracing::debug!(%error, "accept failed");
+                tracing::debug!(%error, "cannot accept a connection; retrying after a delay");
                 runtime::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts one open connection until it is dropped.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
@@ -72,24 +74,24 @@
     }
 }
 
-/// How far the bytes so far go towards a request.
+/// The result of parsing the bytes received so far as a request.
 #[derive(Debug)]
 pub(super) enum Progress {
-    /// The rest has not arrived yet.
+    /// The request is incomplete.
     More {
         /// Whether the client waits for `100 Continue`.
         expects_continue: bool,
     },
-    /// A request arrived in full.
+    /// The request is complete.
     Ready {
-        /// The request.
+        /// The parsed request.
         request: Request,
-        /// How many bytes it took up.
+        /// The number of bytes that the request took up.
         used: usize,
-        /// Whether the client wants the connection closed after the response.
+        /// Whether the client asks to close the connection after the response.
         close: bool,
     },
-    /// The bytes are no request that is served: this is sent, and the connection closed.
+    /// The bytes are not a valid request. The response is sent and the connection closed.
     Refused(Response),
 }
 
@@ -99,7 +101,7 @@
     }
 }
 
-/// Reads the first request from the bytes so far.
+/// Parses the first request in the bytes received so far.
 pub(super) fn parse(buffer: &[u8]) -> Progress {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -138,8 +140,9 @@
     }
 }
 
-/// Reads a body from the bytes after the head. `None`: more bytes are needed. An error says why the
-/// body is refused. `received`: the bytes of the head and of all that came after it.
+/// Parses a request body from `input`, the bytes after the head. Returns `None` if more bytes are
+/// needed, and the reason if the body is rejected. `received` is the size of the head and `input`
+/// together, in bytes.
 fn read_body(
     input: &[u8],
     framing: &Framing,
@@ -147,7 +150,7 @@
 ) -> Result<Option<DecodedBody>, &'static str> {
     if framing.chunked {
         return match decode_chunks(input, BODY_LIMIT) {
-            // Chunk heads cost bytes too: an endless run of tiny chunks is cut off here.
+            // Chunk headers take up bytes too: this check stops an endless sequence of tiny chunks.
             Ok(None) if received > 2 * BODY_LIMIT + HEAD_LIMIT => Err("body too large"),
             Ok(body) => Ok(body),
             Err(_) => Err("bad or oversized body"),
@@ -163,8 +166,8 @@
     }))
 }
 
-/// Serves one connection until either side closes it. `is_shared`: whether others wait for
-/// connections, so that this one is closed after its next response.
+/// Serves one connection until either side closes it. `is_shared` returns whether the connection is
+/// to be closed after its next response because few connections are left for other clients.
 async fn serve_connection<F, A>(mut stream: TcpStream, handler: F, is_shared: impl Fn() -> bool)
 where
     F: Fn(Request) -> A,
@@ -213,7 +216,7 @@
     }
 }
 
-/// Whether the bytes could be written in time.
+/// Writes the bytes and returns whether this succeeded within `TRANSFER_TIMEOUT`.
 async fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
     let written = runtime::timeout(TRANSFER_TIMEOUT, stream.write_all(bytes)).await;
     matches!(written, Some(Ok(())))
@@ -234,7 +237,7 @@
     }
 }
 
-/// A response as it is sent; `close` announces the end of the connection.
+/// Encodes a response. `close` adds a `Connection: close` header.
 pub(super) fn encode(response: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,4 +1,5 @@
-//! Requests and responses are parsed from any bytes without a panic; connections are bounded.
+//! Tests of the parsers, which must accept any bytes without a panic, and of the limits on
+//! connections.
 
 use super::server::{Progress, parse};
 use super::{Response, client};
@@ -52,7 +53,7 @@
     assert!(text.expect("text").contains("\r\nRetry-After: 3\r\n"));
 }
 
-/// Over the limit connections are closed at once; once others end, new ones are served.
+/// Connections above the limit are closed at once. When open connections end, new ones are served.
 #[test]
 fn server_connections_and_client_idle_connections_are_bounded() {
     use crate::runtime::{self, TcpListener, TcpStream};
@@ -81,7 +82,7 @@
             let limit = std::time::Duration::from_secs(20);
             async move { client.call(addr, super::Method::Get, "/", b"", limit).await }
         };
-        // The server sees the others end only at its next turn.
+        // The server notices that the other connections have ended only when its routines run next.
         while call().await.is_err() {
             runtime::sleep(std::time::Duration::from_millis(1)).await;
         }
@@ -106,7 +107,8 @@
     }
 }
 
-/// Past a part of the limit each response ends its connection, so that all clients get a turn.
+/// When few connections are left, the server closes each connection after a response, so that all
+/// clients are served.
 #[test]
 fn more_clients_than_connections_are_all_served() {
     use crate::http::{Client, Method};
@@ -119,7 +121,7 @@
         let mut scope = runtime::Scope::default();
         let answer = |_| async { Response::new(200, b"{}".to_vec()) };
         scope.spawn(super::serve(listener, 8, answer));
-        // Each caller keeps its connection as long as it may.
+        // Each client keeps its connection until the server closes it.
         let callers: Vec<Rc<Client>> = (0..40).map(|_| Rc::new(Client::new(1024, 4))).collect();
         for _ in 0..3 {
             for caller in &callers {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,5 @@
-//! Ids, versions, amounts and times: small types of their own, so that none is taken for another.
+//! Ids, revisions, resource amounts and times. Each has its own type, so that the compiler catches
+//! mix-ups.
 
 mod names;
 mod numbers;
--- a/src/ids/names.rs
+++ b/src/ids/names.rs
@@ -1,4 +1,4 @@
-//! Names: texts that identify things, each kind with a type of its own.
+//! Textual ids, with a separate type for each kind of object.
 
 use super::numbers::ShardId;
 use serde::{Deserialize, Serialize, Serializer};
@@ -7,13 +7,14 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// A shared text whose first bytes are kept beside it, so that most comparisons need not follow the
-/// pointer. Looking up ids in ordered maps is much of what a controller does, and comparing texts of
-/// a dozen bytes was nearly all of its cost (a third of the processor time: Savannah fleet, calm).
+/// A reference-counted text with a copy of its first bytes next to the pointer, so that most
+/// comparisons need not follow the pointer. Lookups of ids in ordered maps take much of a
+/// controller's processor time, and comparing short texts through the pointer was nearly all of
+/// their cost.
 #[derive(Clone, Deserialize)]
 #[serde(from = "Rc<str>")]
 struct Name {
-    /// The first bytes as big-endian numbers; a shorter text is padded with zeros.
+    /// The first 16 bytes as two big-endian numbers. A shorter text is padded with zeros.
     head: [u64; 2],
     text: Rc<str>,
 }
@@ -38,7 +39,7 @@
         self.head.cmp(&other.head).then_with(|| {
             let both_in_head = self.text.len() < HEAD_BYTES && other.text.len() < HEAD_BYTES;
             if both_in_head {
-                // Equal but for zeros at the end.
+                // The texts can differ only in the number of trailing zero bytes.
                 self.text.len().cmp(&other.text.len())
             } else {
                 self.text.cmp(&other.text)
@@ -80,9 +81,9 @@
         #[serde(transparent)]
         pub(crate) struct $name(Name);
 
-        #[allow(dead_code, reason = "not every kind of name is taken apart")]
+        #[allow(dead_code, reason = "not every kind of id uses this method")]
         impl $name {
-            /// The name as a text.
+            /// Returns the id as a text.
             pub(crate) fn as_str(&self) -> &str {
                 &self.0.text
             }
@@ -109,41 +110,43 @@
 }
 
 name_type! {
-    /// A job, by the name that its owner gave it.
+    /// The id of a job, chosen by its user.
     JobId,
-    /// A team, which shares quotas.
+    /// The name of a team, whose jobs share quotas.
     TeamId,
-    /// A class of jobs that repeats: its history predicts the next one.
+    /// The name of a class of recurring jobs. The history of the class is used to predict its next
+    /// jobs.
     Pipeline,
-    /// A machine, by the name that the cloud gave it.
+    /// The id of a machine, chosen by the cloud.
     MachineId,
-    /// A machine type of the cloud.
+    /// The name of a machine type of the cloud.
     MachineTypeName,
-    /// A zone of the cloud: what may fail as one.
+    /// The name of a zone of the cloud. A zone is a failure domain: its machines may fail together.
     Zone,
-    /// A container image.
+    /// The name of a container image.
     Image,
-    /// A controller.
+    /// The id of a controller.
     MemberId,
 }
 
 impl MachineId {
-    /// The shard that the machine belongs to, out of so many. Machines never move between shards, so
-    /// a fencing token rises only when the shard's owner changes. The cloud numbers machines
-    /// consecutively: the remainder spreads them evenly.
+    /// Returns the shard that the machine belongs to, if there are `shards` shards. A machine
+    /// always belongs to the same shard, so its fencing token rises only when the shard's owner
+    /// changes. The cloud numbers machines consecutively, so the remainder spreads them evenly.
     pub(crate) fn shard(&self, shards: u32) -> ShardId {
         let number = self.number().unwrap_or_else(|| self.text_hash());
         ShardId((number % u64::from(shards.max(1))) as u32)
     }
 
-    /// All digits of the name as one number, modulo 2^64, if it has any.
+    /// Returns all digits of the id as one number, modulo 2^64, or `None` if it has no digits.
     fn number(&self) -> Option<u64> {
         let digits = self.as_str().bytes().filter(u8::is_ascii_digit);
         let values = digits.map(|digit| u64::from(digit - b'0'));
         values.reduce(|number, value| number.wrapping_mul(10).wrapping_add(value))
     }
 
-    /// The same on every controller and in every version, unlike the standard library's hashes.
+    /// Returns a hash of the id that is the same on every controller and in every version, unlike
+    /// the standard library's hashes.
     fn text_hash(&self) -> u64 {
         let bytes = self.as_str().bytes().map(u64::from);
         bytes.fold(0, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte))
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify or order things, each kind with a type of its own.
+//! Numeric ids, revisions and sequence numbers, with a separate type for each kind.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -19,60 +19,66 @@
 }
 
 number_type! {
-    /// A revision of the key-value store, or of a key's last change there; 0: there is no such key.
+    /// A revision of the key-value store, or of a key's last change; 0 if the key does not exist.
     Revision,
-    /// Proves who may command a machine: the revision of its shard's record, and how often the
-    /// shard's owner has raised the token for this machine alone. Workers refuse a lower one.
+    /// The fencing token that authorizes commands to a machine. It combines the revision of the
+    /// machine's shard record with the number of times that the shard's owner has raised the token
+    /// for this machine alone. Workers refuse commands with a lower token than the highest that
+    /// they have seen.
     FencingToken,
-    /// Distinguishes one start of a task from another. Never used twice.
+    /// The number of an attempt, which distinguishes the starts of a task. It is never reused.
     AttemptNumber,
-    /// The time of a worker between two expiries of its lease.
+    /// The epoch of a worker, which changes with each expiry of the worker's lease.
     WorkerEpoch,
-    /// Orders the heartbeats of one epoch.
+    /// The sequence number of a heartbeat within a worker epoch.
     HeartbeatSequence,
-    /// A lease of the key-value store.
+    /// The id of a lease of the key-value store.
     LeaseId,
-    /// One process of a controller; a restarted controller has another.
+    /// The id of a controller process. A restarted controller has a new one.
     Incarnation,
-    /// A round of asking the other controllers about a cancellation, among those of one process of a
-    /// controller.
+    /// The id of a cancellation round, in which a controller asks the others about a cancellation.
+    /// It is unique within one process of the controller.
     CancellationRoundId,
 }
 
-/// Bits of an attempt's number that count the attempts of one leader's term.
+/// Low bits of an attempt number that count the attempts of one leader's term. The bits above hold
+/// the term.
 const ATTEMPT_BITS: u32 = 20;
 
 impl AttemptNumber {
-    /// The number of an attempt that the leader of a term allots. The term leads it, so that no
-    /// number is ever used twice.
+    /// Returns the number for an attempt that the leader of a term assigns. The term is in the high
+    /// bits, so that numbers are never reused across terms.
     pub(crate) fn of(term: Revision, counter: u64) -> Self {
         Self((term.0 << ATTEMPT_BITS) + counter)
     }
 }
 
-/// Bits of a token that count the shard owner's raises; the shard's revision is in those above.
+/// Low bits of a fencing token that count its raises by the shard's owner. The bits above hold the
+/// revision of the shard record.
 const RAISE_BITS: u32 = 20;
 
 impl FencingToken {
-    /// The token of a machine under a shard's record. Any later record of the shard outranks all
-    /// raises under an earlier one, so raises need no record of their own.
+    /// Returns the token of a machine after `raise` raises under the shard record of revision
+    /// `fence`. A later record of the shard gives a higher token than any raise under an earlier
+    /// one, so raises need not be recorded.
     pub(crate) fn of(fence: Revision, raise: u32) -> Self {
         Self((fence.0 << RAISE_BITS) | u64::from(raise))
     }
 
-    /// The revision of the shard's record.
+    /// Returns the revision of the shard record.
     pub(crate) fn fence(self) -> Revision {
         Revision(self.0 >> RAISE_BITS)
     }
 
-    /// The token after one more raise under the same record; none once all its bits are used.
+    /// Returns the token after one more raise under the same shard record, or `None` if all raise
+    /// bits are used up.
     pub(crate) fn checked_increment(self) -> Option<Self> {
         let next = Self(self.0 + 1);
         (next.fence() == self.fence()).then_some(next)
     }
 }
 
-/// A shard of machines that have one owner. A machine's shard follows from its name.
+/// The id of a shard, a group of machines with one owner. A machine's shard follows from its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct ShardId(pub u32);
@@ -83,10 +89,10 @@
     }
 }
 
-/// A shard under one record of its ownership.
+/// A shard together with the revision of its ownership record, which serves as a fence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ShardFence {
-    /// The shard.
+    /// The shard's id.
     pub shard: ShardId,
     /// The revision of the shard's record.
     pub fence: Revision,
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -1,29 +1,30 @@
-//! Amounts of processors, graphics processors and memory.
+//! Amounts of CPUs, GPUs and memory.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// Parts of a unit that an amount counts.
+/// Number of parts in one unit: amounts are counted in thousandths.
 const PER_UNIT: f64 = 1000.0;
-/// The error of a product of decimal fractions, in these parts, that rounding must not see.
+/// Tolerance for the floating-point error of a decimal fraction multiplied by `PER_UNIT`, in
+/// thousandths of a unit. Rounding ignores differences up to this size.
 const TOLERANCE: f64 = 1e-6;
 
-/// What a task needs and a machine has, as whole thousandths, so that sums are exact.
+/// The resources that a task needs or a machine has, in whole thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Resources {
-    /// Thousandths of a processor.
+    /// CPUs, in thousandths.
     #[serde(rename = "cpus")]
     pub milli_cpus: u64,
-    /// Thousandths of a graphics processor.
+    /// GPUs, in thousandths.
     #[serde(rename = "gpus")]
     pub milli_gpus: u64,
-    /// Thousandths of a gigabyte.
+    /// Memory, in thousandths of a GB.
     #[serde(rename = "memory")]
     pub memory_mb: u64,
 }
 
 impl Resources {
-    /// What is needed, rounded up, so that a sum never understates it.
+    /// Creates the amounts that a task needs, rounded up, so that sums never understate the need.
     pub(crate) fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |v: f64| (v.max(0.0) * PER_UNIT - TOLERANCE).ceil().max(0.0) as u64;
         Self {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// What is there, rounded down.
+    /// Creates the amounts that a machine has, rounded down.
     pub(crate) fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |v: f64| (v.max(0.0) * PER_UNIT + TOLERANCE).floor() as u64;
         Self {
@@ -43,14 +44,14 @@
         }
     }
 
-    /// Whether this fits into what is free.
+    /// Returns whether these amounts fit into `free`.
     pub(crate) fn fits(self, free: Self) -> bool {
         self.milli_cpus <= free.milli_cpus
             && self.milli_gpus <= free.milli_gpus
             && self.memory_mb <= free.memory_mb
     }
 
-    /// So many times this.
+    /// Returns `n` times these amounts.
     pub(crate) fn times(self, n: u64) -> Self {
         Self {
             milli_cpus: self.milli_cpus.saturating_mul(n),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// How many times this fits into what is free.
+    /// Returns how many times these amounts fit into `free`.
     pub(crate) fn fit_count(self, free: Self) -> u64 {
         let count = |need: u64, free: u64| free.checked_div(need).unwrap_or(u64::MAX);
         count(self.milli_cpus, free.milli_cpus)
--- a/src/ids/tasks.rs
+++ b/src/ids/tasks.rs
@@ -1,16 +1,16 @@
-//! A job's tasks and their starts.
+//! Ids of tasks and task attempts.
 
 use super::names::JobId;
 use super::numbers::AttemptNumber;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One task of a job.
+/// The id of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct TaskId {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// The task's index in it, from 0.
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl TaskId {
-    /// Reads an id as it is displayed.
+    /// Parses an id in its `Display` form.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self {
@@ -31,12 +31,12 @@
     }
 }
 
-/// One start of one task.
+/// The id of a task attempt, which is one start of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct TaskAttempt {
-    /// The task.
+    /// The id of the task.
     pub task: TaskId,
-    /// Which of its starts.
+    /// The number of the attempt.
     pub number: AttemptNumber,
 }
 
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -26,7 +26,8 @@
     assert!(TaskId::parse("job-000412").is_none() && TaskId::parse("a/-1").is_none());
 }
 
-/// Whatever the texts, names are in the order of the texts.
+/// Names must compare like their texts, also if the texts contain zero bytes or differ only after
+/// their first 16 bytes.
 #[test]
 fn names_are_ordered_like_their_texts() {
     let texts = [
--- a/src/ids/time.rs
+++ b/src/ids/time.rs
@@ -1,37 +1,37 @@
-//! Moments and lengths of time, in milliseconds.
+//! Points in time and durations, in milliseconds.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment of this process's monotonic clock, in milliseconds since it started.
+/// A point in time on this process's monotonic clock, in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MonotonicTime(pub u64);
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct Millis(pub u64);
 
 impl Millis {
-    /// Rounded down; 0 for a negative number of seconds.
+    /// Converts from seconds, rounded down. Negative values become 0.
     pub(crate) fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// This length in seconds.
+    /// Returns the duration in seconds.
     pub(crate) fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// This length as the standard library's type.
+    /// Converts to the standard library's type.
     pub(crate) fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 }
 
 impl MonotonicTime {
-    /// The time since an earlier moment; 0 if that is later.
+    /// Returns the time since `earlier`; 0 if `earlier` is later than this point in time.
     pub(crate) fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -58,13 +58,14 @@
     }
 }
 
-/// Milliseconds since the Unix epoch. Controllers' clocks differ by up to the settings' bound.
+/// A point in time, in milliseconds since the Unix epoch. The clocks of controllers may differ by
+/// at most the bound in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct UnixTime(pub u64);
 
 impl UnixTime {
-    /// This host's clock.
+    /// Returns the current time of this host's clock.
     pub(crate) fn now() -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Self(since.map_or(0, |d| d.as_millis() as u64))
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The messages that controllers exchange with users, workers, the cloud and the key-value store.
-//! The protocol's own words are mapped to the code's terms here, by serde attributes, and occur
-//! nowhere else.
+//! The serde attributes here map the protocol's names to the names that the rest of the code uses;
+//! the protocol's names occur nowhere else.
 
 mod cloud;
 mod dependencies;
@@ -23,31 +23,31 @@
     Command, ExitReason, Heartbeat, TaskState, encode_commands, encode_redirect,
 };
 
-/// Paths and parts of paths of HTTP requests.
+/// Paths and path segments of HTTP requests.
 pub(crate) mod path {
-    /// Users submit and poll jobs here.
+    /// The endpoint where users submit and poll jobs.
     pub(crate) const JOBS: &str = "/work";
-    /// The last part of a path under `JOBS` that cancels a job.
+    /// The last path segment, under `JOBS`, of a request that cancels a job.
     pub(crate) const CANCEL: &str = "withdraw";
-    /// Whether the controller is ready.
+    /// The readiness endpoint of a controller.
     pub(crate) const READY: &str = "/ready";
-    /// Workers send heartbeats here.
+    /// The endpoint to which workers send heartbeats.
     pub(crate) const HEARTBEAT: &str = "/checkin";
-    /// Direct commands to workers.
+    /// The endpoint of workers for direct commands.
     pub(crate) const COMMANDS: &str = "/do";
     /// The cloud's catalog of machine types.
     pub(crate) const CATALOG: &str = "/catalog";
-    /// The cloud's machines: they are listed and rented here.
+    /// The cloud's endpoint that lists and rents machines.
     pub(crate) const MACHINES: &str = "/machines";
-    /// The cloud deletes machines here.
+    /// The cloud's endpoint that deletes machines.
     pub(crate) const DELETE_MACHINES: &str = "/machines/delete";
-    /// Leases of the key-value store.
+    /// The key-value store's endpoint for leases.
     pub(crate) const LEASES: &str = "/grants";
-    /// Transactions of the key-value store.
+    /// The key-value store's endpoint for transactions.
     pub(crate) const TXN: &str = "/txn";
-    /// Reads of keys and of pages of keys.
+    /// The key-value store's endpoint that reads single keys and pages of keys.
     pub(crate) const KV: &str = "/kv";
-    /// Watches of changes.
+    /// The key-value store's endpoint for watches.
     pub(crate) const WATCH: &str = "/follow";
 }
 
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -1,4 +1,4 @@
-//! The jobs that have to be done before a submitted job's tasks start.
+//! Parsing of a submitted job's dependencies: the jobs that must be done before its tasks start.
 
 use super::is_valid_job_id;
 use crate::ids::JobId;
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The field's name on the wire.
+/// The field's name in the protocol.
 pub(super) const FIELD: &str = "awaits";
 
-/// Reads the list; a job that is named twice counts once. Null is the same as an empty list.
+/// Deserializes the list of job ids. Duplicates are removed, and null is the same as an empty list.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<JobId>, D::Error> {
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,26 +1,26 @@
-//! Jobs as users submit them, and the states that users see.
+//! Jobs as users submit them, and the job states that are reported to users.
 
 use super::dependencies;
 use crate::ids::{Image, JobId, MachineTypeName, Pipeline, Resources, TeamId, Zone};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub(crate) const MAX_TASKS: u32 = 100_000;
 
-/// The longest name of a pipeline, team or image, in bytes. Names become parts of keys, which hold
-/// no spaces and at most 200 bytes.
+/// Maximum length of the name of a pipeline, team or image, in bytes. Names become parts of store
+/// keys, which may not contain spaces and have at most 200 bytes.
 const MAX_NAME_BYTES: usize = 100;
-/// The largest amount and duration that is accepted.
+/// Maximum value of resource amounts and durations in a submission.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// How the tasks of a job belong together.
+/// The kind of a job, which defines how its tasks run in relation to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// All tasks run at the same time, or none does.
+    /// Tasks that run at the same time: either all of them run or none does.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -28,99 +28,101 @@
     Service,
 }
 
-/// A job's priority, lowest first. Work of a higher one may preempt work of a lower one.
+/// A job's priority, lowest first. Jobs of a higher priority may preempt jobs of a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Priority {
-    /// Runs on what nobody else needs.
+    /// Runs only on capacity that no other job needs.
     #[serde(rename = "idle")]
     Low,
-    /// The usual one.
+    /// The normal priority.
     #[serde(rename = "normal")]
     Normal,
-    /// More urgent work.
+    /// More urgent than normal.
     #[serde(rename = "high")]
     High,
-    /// Production.
+    /// Production jobs.
     #[serde(rename = "prod")]
     Production,
 }
 
-/// A job as submitted; also its form in the key-value store, so that one description serves both.
+/// A job as submitted. The key-value store holds the same form, so that one type serves both.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct JobSpec {
-    /// Its unique id, chosen by its user; a retry uses the same.
+    /// The job's unique id, chosen by its user. A retry of the submission uses the same id.
     pub id: JobId,
-    /// The class of jobs that it belongs to, whose history predicts it.
+    /// The class of jobs that the job belongs to. The history of the class is used to predict the
+    /// job.
     #[serde(rename = "docket")]
     pub pipeline: Pipeline,
     /// The team whose guaranteed quota and quota limit apply.
     #[serde(rename = "crew")]
     pub team: TeamId,
-    /// How its tasks belong together.
+    /// The kind of the job.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Whom it may preempt.
+    /// The job's priority.
     #[serde(rename = "precedence")]
     pub priority: Priority,
-    /// How many tasks it has, numbered from 0.
+    /// Number of tasks; they are numbered from 0.
     #[serde(rename = "sheets")]
     pub tasks: u32,
-    /// CPUs that each task takes.
+    /// CPUs that each task needs.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs that each task takes.
+    /// GPUs that each task needs.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory that each task takes, in GB.
+    /// Memory that each task needs, in GB.
     pub memory_gb: f64,
-    /// The image that a machine must have before a task can start.
+    /// The container image, which a machine must have fetched before a task can start.
     #[serde(rename = "plate")]
     pub image: Image,
     /// The image's size in GB.
     pub image_gb: f64,
-    /// The allowed machine types; `None`: any.
+    /// The allowed machine types; `None` allows any.
     #[serde(rename = "hulls", default)]
     pub machine_types: Option<Vec<MachineTypeName>>,
-    /// The only allowed zone; `None`: any.
+    /// The only allowed zone; `None` allows any.
     #[serde(rename = "berth", default)]
     pub zone: Option<Zone>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// The job may use spot machines.
+    /// Whether the job may use spot machines.
     #[serde(rename = "ebb")]
     pub allow_spot: bool,
-    /// The user's estimate of a task's run time, without the image's fetch.
+    /// The user's estimate of a task's run time in seconds, without the time to fetch the image.
     #[serde(rename = "reckon_s")]
     pub estimate_s: f64,
-    /// The checkpoint interval, in seconds of progress; 0: tasks never save.
+    /// The checkpoint interval, in seconds of progress; 0 if tasks write no checkpoints.
     #[serde(rename = "fix_s")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Time that a task needs to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_duration_s: f64,
-    /// Seconds from its submission until it should be done; `None`: no deadline.
+    /// The deadline, in seconds from the submission; `None` if there is no deadline.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts. Left out when there are none,
-    /// so that other records stay as versions without the field write them.
+    /// The jobs that must be done before any task of this job starts. The field is omitted if there
+    /// are none, so that the records of jobs without dependencies stay the same as those that
+    /// versions without this field write.
     #[serde(rename = "awaits", default)]
     #[serde(deserialize_with = "dependencies::deserialize")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
 }
 
-/// Whether a text has the form of a job's id.
+/// Returns whether a text has the form of a job id.
 pub(crate) fn is_valid_job_id(text: &str) -> bool {
     text.strip_prefix("job-").is_some_and(|digits| {
         (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// The id of a submission that may be malformed otherwise.
+/// Returns the job id of a submission, even if other fields of the submission are malformed.
 pub(crate) fn submitted_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct Submitted {
@@ -130,31 +132,31 @@
     is_valid_job_id(&submitted.id).then(|| submitted.id.as_str().into())
 }
 
-/// Why a submission is malformed. The texts are shown to users.
+/// The reason why a submission is malformed. Users see these texts.
 #[derive(Debug, Error)]
 pub(crate) enum MalformedSubmission {
-    /// Not JSON, not an object, or a field is missing or of the wrong type.
+    /// The submission is not JSON or not an object, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The id is not one of a job.
+    /// The id does not have the form of a job id.
     #[error("field `id` must have the form job-000412")]
     Id,
-    /// A name is empty, too long, or has characters that keys can't hold.
+    /// A name is empty or too long, or contains characters that store keys may not contain.
     #[error("field `{0}` must be a name of 1 to {max} bytes", max = MAX_NAME_BYTES)]
     Name(&'static str),
-    /// There are no tasks, or too many.
+    /// The number of tasks is 0 or above the limit.
     #[error("field `sheets` must be from 1 to {max}", max = MAX_TASKS)]
     TaskCount,
-    /// An amount or a duration is negative or far too large.
+    /// An amount or a duration is negative or above the limit.
     #[error("field `{0}` is out of range")]
     Amount(&'static str),
-    /// Tasks take no CPUs.
+    /// The tasks need no CPUs.
     #[error("field `cores` must be above 0")]
     NoCpus,
 }
 
 impl JobSpec {
-    /// Reads a submission; the error says which field is wrong.
+    /// Parses and validates a submission. The error names the invalid field.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, MalformedSubmission> {
         let spec: Self = serde_json::from_slice(body)?;
         spec.check()?;
@@ -209,12 +211,13 @@
         Ok(())
     }
 
-    /// What each task takes of its machine.
+    /// Returns the resources that each task needs.
     pub(crate) fn need(&self) -> Resources {
         Resources::need(self.cpus, self.gpus, self.memory_gb)
     }
 
-    /// Whether its tasks may run on such machines, whatever their size.
+    /// Returns whether the job's constraints allow machines of this type, zone and spot status. The
+    /// capacity of the machine type is not checked.
     pub(crate) fn allows(&self, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> bool {
         (self.allow_spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
@@ -225,10 +228,10 @@
     }
 }
 
-/// A job's state as its user sees it.
+/// A job's state as it is reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobState {
-    /// No task runs.
+    /// No task is running.
     #[serde(rename = "pending")]
     Queued,
     /// At least one task is placed.
@@ -237,23 +240,23 @@
     /// All tasks are done.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user, or with a job that it depends on.
+    /// The job was cancelled by its user, or together with a job that it depends on.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// The answer to a submission, a poll or a cancellation.
+/// The response to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct JobStatus<'a> {
-    /// The job.
+    /// The job's id.
     pub id: &'a str,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// How many of its tasks are done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u64>,
-    /// How many of its tasks are placed, for display.
+    /// Number of tasks that are placed, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,15 +1,15 @@
-//! The key-value store's messages.
+//! Messages of the key-value store's API.
 
 use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A comparison on which a transaction depends.
+/// A condition of a transaction: a key's revision is compared with an expected one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Condition {
     /// The key to compare.
     pub key: String,
-    /// The revision that the key must have; 0: there must be no such key.
+    /// The revision that the key must have; 0 if the key must not exist.
     #[serde(rename = "amendment")]
     pub revision: Revision,
 }
@@ -23,10 +23,11 @@
         /// The key to write.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value of the key.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease with which the key expires, if any.
+        /// The lease to which the key is attached, if any. The key is deleted when the lease
+        /// expires.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
@@ -38,22 +39,24 @@
     },
 }
 
-/// A compare-and-swap transaction: all changes are made if all conditions hold, else none.
+/// A compare-and-swap transaction: either all conditions hold and all changes are made, or none is
+/// made.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Txn {
-    /// What has to hold, at most once for each key.
+    /// The conditions, at most one for each key.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed.
+    /// The changes that are made if all conditions hold.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
 impl Txn {
-    /// Conditions that a transaction may have for each change that one may have.
+    /// Ratio of the maximum number of conditions in a transaction to the maximum number of changes.
     pub(crate) const CONDITIONS_PER_CHANGE: usize = 4;
 
-    /// Adds a condition, unless the key has one already.
+    /// Adds a condition on a key's revision, unless the transaction already has a condition on this
+    /// key.
     pub(crate) fn require(&mut self, key: impl Into<String>, revision: Revision) {
         let key = key.into();
         if !self.conditions.iter().any(|c| c.key == key) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Adds a write, under a lease if one is given.
+    /// Adds a write of a key, attached to a lease if one is given.
     pub(crate) fn put(
         &mut self,
         key: impl Into<String>,
@@ -75,19 +78,20 @@
         });
     }
 
-    /// Adds a deletion.
+    /// Adds the deletion of a key.
     pub(crate) fn delete(&mut self, key: impl Into<String>) {
         self.changes.push(Change::Delete { key: key.into() });
     }
 }
 
-/// The store's answer to a transaction.
+/// The store's response to a transaction.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct TxnResponseBody {
     /// The keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// The store's revision then: that of the transaction's changes, if it was committed.
+    /// The store's revision after the transaction. If the transaction was committed, its changes
+    /// have this revision.
     #[serde(rename = "edition", default)]
     pub revision: Revision,
 }
@@ -97,21 +101,21 @@
 pub(crate) struct KeyValue {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The key's value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last change.
+    /// The revision of the key's last change.
     #[serde(rename = "amendment")]
     pub revision: Revision,
-    /// The lease with which it expires, if any.
+    /// The lease to which the key is attached, if any.
     #[serde(rename = "permit", default)]
     pub lease: Option<LeaseId>,
 }
 
-/// A page of the keys under a prefix.
+/// A page of the keys under a prefix, with their values.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Page {
-    /// The items of this page, by key.
+    /// The keys and values of this page, ordered by key.
     pub items: Vec<KeyValue>,
     /// Whether another page follows.
     pub has_next: bool,
@@ -120,16 +124,16 @@
     pub revision: Revision,
 }
 
-/// A change that a watch reports: of a key that was put or of one that was deleted.
+/// A change that a watch reports: either a write or a deletion of a key.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Event {
-    /// The key that was written, if one was.
+    /// The written key; `None` for a deletion.
     #[serde(rename = "write", default)]
     pub put: Option<String>,
-    /// The key that was deleted, if one was.
+    /// The deleted key; `None` for a write.
     #[serde(rename = "delete", default)]
     pub delete: Option<String>,
-    /// The value that was written; null for a deletion.
+    /// The written value; null for a deletion.
     #[serde(rename = "data", default)]
     pub value: Value,
     /// The revision of the change.
@@ -137,57 +141,59 @@
     pub revision: Revision,
 }
 
-/// A watch's answer.
+/// The response to a watch request.
 #[derive(Debug, Deserialize)]
 pub(crate) struct WatchResponseBody {
-    /// The revision up to which these are all changes.
+    /// The revision up to which the response contains all changes.
     #[serde(rename = "edition")]
     pub revision: Revision,
-    /// The changes in the order of their revisions.
+    /// The changes, ordered by revision.
     pub events: Vec<Event>,
 }
 
-/// The answer to a new lease.
+/// The response to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub(crate) struct LeaseResponseBody {
-    /// Its id.
+    /// The id of the new lease.
     #[serde(rename = "permit")]
     pub id: LeaseId,
 }
 
-/// The body of a request for a lease of so many milliseconds.
+/// Returns the body of a request for a lease that expires after `life_ms` milliseconds unless it is
+/// renewed.
 pub(crate) fn lease_request(life_ms: u64) -> Vec<u8> {
     serde_json::json!({ "life_ms": life_ms })
         .to_string()
         .into_bytes()
 }
 
-/// The path of a lease.
+/// Returns the path of a lease.
 pub(crate) fn lease_path(lease: LeaseId) -> String {
     format!("{}/{lease}", super::path::LEASES)
 }
 
-/// The path that renews a lease.
+/// Returns the path of requests that renew a lease.
 pub(crate) fn renewal_path(lease: LeaseId) -> String {
     format!("{}/{lease}/extend", super::path::LEASES)
 }
 
-/// The path of a key.
+/// Returns the path of a key.
 pub(crate) fn key_path(key: &str) -> String {
     format!("{}/{key}", super::path::KV)
 }
 
-/// The most items that the store puts on a page.
+/// Maximum number of items that the store puts on one page.
 pub(crate) const MAX_PAGE_ITEMS: usize = 1000;
 
-/// The path of the page of so many keys under a prefix that follows a key; `None`: the first page.
+/// Returns the path of a page of at most `max_items` keys under a prefix. The page starts after the
+/// key `after`, or at the first key if `after` is `None`.
 pub(crate) fn page_path(prefix: &str, after: Option<&str>, max_items: usize) -> String {
     let tail = after.map_or_else(String::new, |a| format!("&after={a}"));
     format!("{}?prefix={prefix}{tail}&most={max_items}", super::path::KV)
 }
 
-/// The path of a watch of the changes under a prefix after a revision. The store waits up to
-/// `wait_ms` milliseconds for one.
+/// Returns the path of a watch for changes under a prefix that are later than the revision `after`.
+/// If there are none, the store waits up to `wait_ms` milliseconds for one.
 pub(crate) fn watch_path(prefix: &str, after: Revision, wait_ms: u64) -> String {
     format!(
         "{}?prefix={prefix}&after={after}&block_ms={wait_ms}",
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// A valid submission of an array, as JSON.
+/// Returns a valid submission of a job array, as JSON.
 pub(crate) fn submission(id: &str) -> serde_json::Value {
     json!({"id": id, "docket": "batch", "crew": "red", "shape": "array", "precedence": "normal",
            "sheets": 4, "cores": 2.0, "cards": 0.0, "memory_gb": 4.0, "plate": "img-1",
@@ -11,7 +11,7 @@
            "reckon_s": 30.0, "fix_s": 0.0, "stow_s": 0.0, "due_s": 90.0, "novelty": [1]})
 }
 
-/// The same, as it is read.
+/// Returns the same submission, parsed.
 pub(crate) fn spec(id: &str) -> JobSpec {
     JobSpec::parse(submission(id).to_string().as_bytes()).expect("a valid submission")
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// The errors are parts of the answers that users get.
+/// The errors are part of the responses that users get.
 #[test]
 fn errors_keep_their_texts() {
     let cases = [
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, and commands to them.
+//! Heartbeats of workers, and commands to workers.
 
 use crate::ids::{
     AttemptNumber, FencingToken, HeartbeatSequence, MachineId, MachineTypeName, MemberId, Millis,
@@ -9,48 +9,48 @@
 /// The state of a task attempt on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub(crate) enum TaskState {
-    /// It waits for its image.
+    /// The attempt waits until the machine has fetched its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It waits for the other tasks of its gang's attempt.
+    /// The attempt waits for the other tasks of the same attempt of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It runs, or exits soon because its gang ends.
+    /// The attempt runs. It may be about to exit because its gang is ending.
     #[serde(rename = "running")]
     Running,
-    /// It was stopped and writes a checkpoint.
+    /// The attempt was stopped and is writing a checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// It has ended, for an `ExitReason`.
+    /// The attempt has ended; the `ExitReason` says why.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why a task attempt has ended.
+/// The reason why a task attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub(crate) enum ExitReason {
     /// The task is done.
     #[serde(rename = "done")]
     Done,
-    /// A command stopped it.
+    /// A stop command ended the attempt.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of the gang has ended or was lost.
     #[serde(rename = "mates_gone")]
     GangMemberGone,
-    /// The gang was not complete in time.
+    /// The gang was not complete within the time limit.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// Launch refused: the machine has no free capacity for it.
+    /// The worker refused the launch: the machine has too little free capacity.
     #[serde(rename = "full")]
     NoCapacity,
-    /// Launch refused: the machine has this task with another attempt.
+    /// The worker refused the launch: the machine already has another attempt of this task.
     #[serde(rename = "busy")]
     OtherAttemptPresent,
-    /// Launch refused: there is no such job or task.
+    /// The worker refused the launch: the job or task does not exist.
     #[serde(rename = "unknown")]
     Unknown,
-    /// It failed, or it ended for a reason that this version does not know.
+    /// The attempt failed, or it ended for a reason that this version does not know.
     #[serde(rename = "error", other)]
     Error,
 }
@@ -61,27 +61,27 @@
     /// The task's id as text.
     #[serde(rename = "sheet")]
     pub task: String,
-    /// The attempt of it.
+    /// The number of the attempt.
     #[serde(rename = "sortie")]
     pub attempt_number: AttemptNumber,
-    /// Its state.
+    /// The state of the attempt.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it ended, if it did.
+    /// The reason why the attempt ended, if it has ended.
     #[serde(rename = "cause", default)]
     pub exit_reason: Option<ExitReason>,
-    /// Whether its progress was saved, if it was stopped.
+    /// Whether a checkpoint was saved, if the attempt was stopped.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
 
-/// A worker's report of its machine.
+/// A worker's report on its machine and the task attempts there.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Heartbeat {
     /// The machine's id.
     #[serde(rename = "mooring")]
     pub machine: MachineId,
-    /// Where the worker takes direct commands.
+    /// The address at which the worker accepts direct commands.
     pub addr: String,
     /// The machine's type.
     #[serde(rename = "hull")]
@@ -89,28 +89,29 @@
     /// The machine's zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "ebb")]
     pub spot: bool,
-    /// The worker's epoch: one more with each expiry of its lease.
+    /// The worker's epoch, which increases by one with each expiry of the worker's lease.
     #[serde(rename = "watch")]
     pub epoch: WorkerEpoch,
-    /// Orders the heartbeats of one epoch.
+    /// The sequence number of the heartbeat within its epoch.
     #[serde(rename = "log_no")]
     pub sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine back, after a spot interruption notice.
+    /// Seconds until the cloud reclaims the machine; present after a spot interruption notice.
     #[serde(rename = "warning_s", default)]
     pub until_interruption_s: Option<f64>,
-    /// All task attempts on the machine, and those that exited until they are forgotten.
+    /// All task attempts on the machine, including those that have exited and are not forgotten
+    /// yet.
     #[serde(rename = "sheets")]
     pub tasks: Vec<TaskStatus>,
 }
 
 impl Heartbeat {
-    /// Reads a heartbeat; the error names the field that is wrong.
+    /// Parses a heartbeat. The error names the invalid field.
     pub(crate) fn parse(body: &[u8]) -> serde_json::Result<Self> {
         serde_json::from_slice(body)
     }
@@ -121,14 +122,14 @@
 pub(crate) enum Command {
     /// Launch a task attempt.
     Launch(TaskAttempt),
-    /// Stop one; it has so long to write its checkpoint.
+    /// Stop a task attempt, which has the given time to write its checkpoint.
     Stop(TaskAttempt, Millis),
-    /// Forget one that has ended: its outcome is recorded.
+    /// Forget a task attempt that has ended and whose outcome is recorded.
     Forget(TaskAttempt),
 }
 
 impl Command {
-    /// The task attempt that the command is for.
+    /// Returns the task attempt that the command is for.
     pub(crate) fn attempt(&self) -> &TaskAttempt {
         match self {
             Self::Launch(attempt) | Self::Stop(attempt, _) | Self::Forget(attempt) => attempt,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A command's form on the wire.
+/// The serialized form of a command.
 #[derive(Serialize)]
 struct CommandMessage {
     #[serde(rename = "order")]
@@ -166,7 +167,7 @@
     }
 }
 
-/// The form of several commands on the wire.
+/// The serialized form of a list of commands.
 #[derive(Serialize)]
 struct CommandsMessage {
     #[serde(rename = "helm")]
@@ -177,7 +178,7 @@
     commands: Vec<CommandMessage>,
 }
 
-/// The body of a heartbeat's answer, or, with an epoch, of direct commands.
+/// Returns the body of a heartbeat response or, if `epoch` is given, of a direct command request.
 pub(crate) fn encode_commands(
     token: FencingToken,
     epoch: Option<WorkerEpoch>,
@@ -191,7 +192,8 @@
     serde_json::to_vec(&message).unwrap_or_default()
 }
 
-/// The body that redirects a worker to the owner of its machine's shard, as far as it is known.
+/// Returns the body of a response that redirects a worker to the owner of its machine's shard. The
+/// body is an empty object if the owner is unknown.
 pub(crate) fn encode_redirect(owner: Option<&MemberId>) -> Vec<u8> {
     let body = match owner {
         Some(member) => serde_json::json!({ "harbormaster": member }),
--- a/src/runtime/channel.rs
+++ b/src/runtime/channel.rs
@@ -1,4 +1,4 @@
-//! Unbounded queues between the routines of one thread.
+//! Unbounded channels between the routines of one thread.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,13 +12,13 @@
     senders: usize,
 }
 
-/// The writing end; the channel closes when the last one is dropped.
+/// The sending end of a channel. The channel closes when the last sender is dropped.
 pub(crate) struct Sender<T>(Rc<RefCell<Shared<T>>>);
 
-/// The reading end.
+/// The receiving end of a channel.
 pub(crate) struct Receiver<T>(Rc<RefCell<Shared<T>>>);
 
-/// A queue with its first writing end.
+/// Creates a channel with one sender.
 pub(crate) fn channel<T>() -> (Sender<T>, Receiver<T>) {
     let shared = Rc::new(RefCell::new(Shared {
         queue: VecDeque::new(),
@@ -29,7 +29,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Appends a value and wakes the reader.
+    /// Appends a value to the queue and wakes the receiver.
     pub(crate) fn send(&self, value: T) {
         let mut shared = self.0.borrow_mut();
         shared.queue.push_back(value);
@@ -38,7 +38,8 @@
         }
     }
 
-    /// How many values are unread, so that writers can keep a bound.
+    /// Returns the number of unread values. The queue is unbounded, so senders that need a limit
+    /// check this number.
     pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
@@ -64,7 +65,8 @@
 }
 
 impl<T> Receiver<T> {
-    /// The next value, or `None` once every sender is gone.
+    /// Waits for the next value. Returns `None` once the queue is empty and all senders are
+    /// dropped.
     pub(crate) async fn recv(&mut self) -> Option<T> {
         poll_fn(|cx| {
             let mut shared = self.0.borrow_mut();
@@ -80,17 +82,18 @@
         .await
     }
 
-    /// How many values are unread.
+    /// Returns the number of unread values.
     pub(crate) fn backlog(&self) -> usize {
         self.0.borrow().queue.len()
     }
 
-    /// The next value, if there is one.
+    /// Removes and returns the next value, if there is one.
     pub(crate) fn try_recv(&mut self) -> Option<T> {
         self.try_recv_if(|_| true)
     }
 
-    /// The next value, if there is one and it is accepted; otherwise it stays.
+    /// Removes and returns the next value if there is one and `accept` returns true for it.
+    /// Otherwise the value stays in the queue.
     pub(crate) fn try_recv_if(&mut self, accept: impl FnOnce(&T) -> bool) -> Option<T> {
         let mut shared = self.0.borrow_mut();
         let accepted = shared.queue.front().is_some_and(accept);
@@ -98,17 +101,17 @@
     }
 }
 
-/// The reading end of a channel for a single answer.
+/// The receiving end of a channel for a single value.
 pub(crate) struct Oneshot<T>(Receiver<T>);
 
-/// A channel for a single answer.
+/// Creates a channel for a single value.
 pub(crate) fn oneshot<T>() -> (Sender<T>, Oneshot<T>) {
     let (sender, receiver) = channel();
     (sender, Oneshot(receiver))
 }
 
 impl<T> Oneshot<T> {
-    /// The answer, or `None` if it will never come.
+    /// Waits for the value. Returns `None` if all senders are dropped without sending one.
     pub(crate) async fn get(mut self) -> Option<T> {
         self.0.recv().await
     }
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,9 +1,9 @@
-//! The clock of the event loop. In tests it can be virtual: it then stands still while a routine
-//! can run, and jumps to the next timer when none can.
+//! The clock of the event loop. Tests can use a virtual clock, which stands still while a routine
+//! is ready to run and otherwise advances to the next timer.
 
 use std::time::Instant;
 
-/// The present time, for all that is measured against the event loop's timers.
+/// Returns the current time of the clock that the timers of the event loop use.
 pub(crate) fn now() -> Instant {
     #[cfg(test)]
     if let Some(now) = virtual_time::now() {
--- a/src/runtime/clock/virtual_time.rs
+++ b/src/runtime/clock/virtual_time.rs
@@ -1,4 +1,5 @@
-//! A virtual clock for tests without sockets: minutes pass in milliseconds, and always alike.
+//! A virtual clock for tests without sockets. Simulated minutes take milliseconds, and every run
+//! has the same sequence of events.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -8,12 +9,13 @@
     static VIRTUAL_NOW: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// The virtual time, if this thread's clock is virtual.
+/// Returns the virtual time, or `None` if this thread uses the real clock.
 pub(super) fn now() -> Option<Instant> {
     VIRTUAL_NOW.get()
 }
 
-/// Jumps to the next timer. `false`: this thread's clock is real.
+/// Advances the virtual clock to the next timer. Returns `false` if this thread uses the real
+/// clock.
 pub(in crate::runtime) fn advance(next_timer: Option<Instant>) -> bool {
     let Some(now) = VIRTUAL_NOW.get() else {
         return false;
@@ -23,7 +25,7 @@
     true
 }
 
-/// Runs until `main` is complete, in virtual time.
+/// Runs the event loop in virtual time until `main` is complete.
 pub(crate) fn run_in_virtual_time(main: impl Future<Output = ()> + 'static) {
     VIRTUAL_NOW.set(Some(Instant::now()));
     crate::runtime::run(main).expect("loop");
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -1,4 +1,4 @@
-//! The executor of one thread: its routines, and what each of them waits for.
+//! The single-threaded executor: its routines, and the sockets and timers that they wait for.
 
 use super::clock;
 use std::cell::{Cell, RefCell};
@@ -15,7 +15,7 @@
 
 type Routine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Routines that were woken and wait for their turn.
+/// The slots of routines that were woken and have yet to run.
 #[derive(Default)]
 struct ReadyQueue(Mutex<VecDeque<usize>>);
 
@@ -50,23 +50,23 @@
     }
 }
 
-/// What a routine waits for a socket to become.
+/// The state of a socket that a routine waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Readiness {
-    /// Bytes or a connection can be read.
+    /// Bytes can be read or a connection can be accepted.
     Readable,
     /// Bytes can be written.
     Writable,
 }
 
-/// Who waits for a socket.
+/// The wakers of the routines that wait for a socket.
 #[derive(Default)]
 struct Interest {
     read: Option<Waker>,
     write: Option<Waker>,
 }
 
-/// Orders timers by their time; the id tells those of the same time apart.
+/// The key of a timer. Timers are ordered by time; the id distinguishes timers of the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     at: Instant,
@@ -74,14 +74,15 @@
 }
 
 struct Slot {
-    /// Taken out while the routine runs.
+    /// The routine's future; `None` while the routine runs.
     future: Option<Routine>,
     generation: u64,
     waker: Waker,
     cancelled: bool,
 }
 
-/// Names a routine so that its scope can end it; the generation keeps a reused slot safe.
+/// Identifies a routine, so that its scope can cancel it. The generation distinguishes it from a
+/// later routine in the same slot.
 #[derive(Clone, Copy)]
 struct RoutineId {
     slot: usize,
@@ -91,7 +92,7 @@
 /// The routines of a thread with their sockets and timers.
 pub(super) struct Executor {
     registry: mio::Registry,
-    /// By the token under which the socket is registered.
+    /// The wakers of each socket, indexed by the socket's `mio` token. `None` for unused tokens.
     interests: Vec<Option<Interest>>,
     free_interests: Vec<usize>,
     timers: BTreeMap<TimerKey, Waker>,
@@ -142,7 +143,7 @@
         self.free_interests.push(token);
     }
 
-    /// Wakes `waker` once the socket is ready again.
+    /// Registers `waker` to be woken once the socket becomes ready.
     pub(super) fn wait_for_socket(&mut self, token: usize, readiness: Readiness, waker: Waker) {
         if let Some(interest) = self.interests[token].as_mut() {
             let waiting = match readiness {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Wakes `waker` at a time.
+    /// Adds a timer that wakes `waker` at a given time.
     pub(super) fn add_timer(&mut self, at: Instant, waker: Waker) -> TimerKey {
         self.last_timer += 1;
         let key = TimerKey {
@@ -164,23 +165,24 @@
         key
     }
 
-    /// Wakes another waker at a timer's time.
+    /// Replaces the waker of a timer.
     pub(super) fn replace_timer(&mut self, key: TimerKey, waker: Waker) {
         self.timers.insert(key, waker);
     }
 
-    /// Cancels a timer.
+    /// Cancels a timer and returns its waker, if the timer has not expired.
     pub(super) fn remove_timer(&mut self, key: TimerKey) -> Option<Waker> {
         self.timers.remove(&key)
     }
 
-    /// How many timers are set.
+    /// Returns the number of pending timers.
     #[cfg(test)]
     pub(super) fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
-    /// Takes the wakers of all that `events` and the clock make ready.
+    /// Removes and returns the wakers of the sockets that `events` report as ready and of the
+    /// timers that have expired.
     fn take_due_wakers(&mut self, events: &mio::Events) -> Vec<Waker> {
         let mut wakers = Vec::new();
         for event in events {
@@ -241,12 +243,14 @@
     static CURRENT: RefCell<Option<Executor>> = const { RefCell::new(None) };
 }
 
-/// Runs `f` on this thread's executor. Nothing that is called inside may call back into it.
+/// Runs `f` on this thread's executor. `f` must not call anything that uses the executor, which
+/// can't be borrowed twice: an inner call of `with` returns `None`, as it does on a thread without
+/// an executor.
 pub(super) fn with<T>(f: impl FnOnce(&mut Executor) -> T) -> Option<T> {
     CURRENT.with(|current| current.try_borrow_mut().ok()?.as_mut().map(f))
 }
 
-/// Starts the loop on this thread and runs until `main` is complete.
+/// Runs the event loop on this thread until `main` is complete.
 pub(crate) fn run(main: impl Future<Output = ()> + 'static) -> io::Result<()> {
     let mut poll = mio::Poll::new()?;
     let ready = Arc::new(ReadyQueue::default());
@@ -270,14 +274,15 @@
             waker.wake();
         }
     }
-    // Routines are dropped outside the borrow: their destructors use the executor.
+    // The routines are dropped while the executor is not borrowed, because their destructors use
+    // it.
     let unfinished = with(|executor| std::mem::take(&mut executor.slots));
     drop(unfinished);
     CURRENT.with(|current| *current.borrow_mut() = None);
     Ok(())
 }
 
-/// Runs routines until none is ready, or the first one is complete.
+/// Runs ready routines until none is left or the main routine is complete.
 fn run_ready_routines(ready: &ReadyQueue, finished: &Cell<bool>) {
     while !finished.get()
         && let Some(slot) = ready.pop()
@@ -286,7 +291,7 @@
     }
 }
 
-/// Waits for the sockets, until the next timer at most.
+/// Waits for socket events, at most until the next timer expires.
 fn wait_for_events(poll: &mut mio::Poll, events: &mut mio::Events) -> io::Result<()> {
     let next_timer = with(|executor| executor.timers.keys().next().map(|key| key.at)).flatten();
     #[cfg(test)]
@@ -300,7 +305,7 @@
     }
 }
 
-/// Gives a routine its turn, or drops it if it was cancelled.
+/// Polls a routine once, or drops it if it was cancelled.
 fn run_routine(id: usize) {
     let taken = with(|executor| {
         let slot = executor.slots.get_mut(id)?.as_mut()?;
@@ -316,7 +321,7 @@
             .poll(&mut Context::from_waker(&waker))
             .is_ready();
     if done {
-        // Before its slot is free: destructors use the executor.
+        // The future is dropped before its slot is freed, because destructors use the executor.
         drop(future);
         with(|executor| {
             executor.slots[id] = None;
@@ -331,19 +336,19 @@
     }
 }
 
-/// Starts a routine that lives until it returns.
+/// Starts a routine that runs until it is complete.
 pub(crate) fn spawn(future: impl Future<Output = ()> + 'static) {
     with(|executor| executor.add_routine(Box::pin(future)));
 }
 
-/// Owns routines: dropping it cancels them all.
+/// A set of routines. Dropping the scope cancels all of them.
 #[derive(Default)]
 pub(crate) struct Scope {
     routines: Vec<RoutineId>,
 }
 
 impl Scope {
-    /// Starts a routine that lives until it returns or the scope is dropped.
+    /// Starts a routine that runs until it is complete or the scope is dropped.
     pub(crate) fn spawn(&mut self, future: impl Future<Output = ()> + 'static) {
         let routine = with(|executor| executor.add_routine(Box::pin(future)));
         self.routines.extend(routine);
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,8 +1,9 @@
-//! The project's own event loop: a single-threaded executor for Rust futures on `mio`.
+//! A single-threaded event loop and executor for Rust futures, built on `mio`.
 //!
-//! Every connection and every long-lived duty is a routine of its own. Routines are
-//! spawned with [`spawn`] and cancelled in order by dropping the [`Scope`] that owns
-//! them: the future is dropped at its next turn, and with it all it holds.
+//! A routine is an asynchronous task of the executor; the word "task" is reserved for the tasks of
+//! jobs. Each connection and each long-running activity has its own routine. Routines are started
+//! with [`spawn`] or [`Scope::spawn`]. Dropping a [`Scope`] cancels its routines: the executor
+//! drops each one's future, with the values it owns, when the routine's turn comes next.
 
 mod channel;
 mod clock;
--- a/src/runtime/net.rs
+++ b/src/runtime/net.rs
@@ -1,5 +1,5 @@
-//! TCP sockets for routines: edge-triggered, so each operation is tried first and awaited only when
-//! it would block.
+//! TCP sockets for routines. Readiness events are edge-triggered, so each operation is attempted
+//! first and waits for an event only if it would block.
 
 use super::executor::{Readiness, with};
 use std::future::poll_fn;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::task::{Context, Poll};
 
-/// A socket's registration with the executor; it ends when the socket is dropped.
+/// The registration of a socket with the executor, by its token. Dropping it frees the token.
 struct Registration(usize);
 
 impl Registration {
@@ -16,7 +16,7 @@
             .unwrap_or_else(|| Err(io::Error::other("no event loop on this thread")))
     }
 
-    /// Polls an operation: complete, or pending until the socket is ready for it again.
+    /// Attempts an operation. Pending until the socket is ready again if the operation would block.
     fn attempt<T>(
         &self,
         cx: &Context<'_>,
@@ -45,14 +45,15 @@
 
 /// A TCP connection.
 pub(crate) struct TcpStream {
-    // Declared first: it ends while the socket is still open.
+    // Declared first, so that it is dropped while the socket is still open.
     registration: Registration,
     socket: mio::net::TcpStream,
 }
 
 impl TcpStream {
     fn register(mut socket: mio::net::TcpStream) -> io::Result<Self> {
-        // Messages are small and answered one by one: waiting to fill packets only delays them.
+        // Messages are small and answered one by one, so waiting to fill packets would only delay
+        // them.
         socket.set_nodelay(true).ok();
         let registration = Registration::new(&mut socket)?;
         Ok(Self {
@@ -82,7 +83,7 @@
         Ok(stream)
     }
 
-    /// Reads some bytes into `buffer` and returns how many. 0: the other side has closed.
+    /// Reads bytes into `buffer` and returns their number; 0 if the peer has closed the connection.
     pub(crate) async fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let Self {
             registration,
@@ -109,21 +110,22 @@
         Ok(())
     }
 
-    /// Whether the other side has closed an idle connection, or sent bytes unasked.
+    /// Returns whether an idle connection can't be reused because the peer has closed it or has
+    /// sent unexpected bytes.
     pub(crate) fn is_stale(&mut self) -> bool {
         let mut byte = [0; 1];
         !matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// A TCP socket that accepts connections.
+/// A listening TCP socket.
 pub(crate) struct TcpListener {
     registration: Registration,
     socket: mio::net::TcpListener,
 }
 
 impl TcpListener {
-    /// Listens on an address.
+    /// Binds a socket to an address and starts listening.
     pub(crate) fn bind(addr: SocketAddr) -> io::Result<Self> {
         let mut socket = mio::net::TcpListener::bind(addr)?;
         let registration = Registration::new(&mut socket)?;
@@ -133,13 +135,13 @@
         })
     }
 
-    /// The address with the port that was chosen.
+    /// Returns the local address, with the port that the system chose.
     #[cfg(test)]
     pub(crate) fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Waits for the next connection.
+    /// Waits for the next connection and accepts it.
     pub(crate) async fn accept(&self) -> io::Result<TcpStream> {
         let (socket, _) = poll_fn(|cx| {
             self.registration
--- a/src/runtime/timer.rs
+++ b/src/runtime/timer.rs
@@ -1,4 +1,4 @@
-//! Waiting for a time.
+//! Timers: sleeps and timeouts.
 
 use super::clock;
 use super::executor::{TimerKey, with};
@@ -7,13 +7,13 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Completes after a time; its timer is removed when it is dropped early.
+/// A future that completes at a given time. Its timer is removed when it is dropped.
 pub(crate) struct Sleep {
     at: Instant,
     timer: Option<TimerKey>,
 }
 
-/// Waits for a time, which begins now.
+/// Returns a future that completes once `duration` has passed, counted from this call.
 pub(crate) fn sleep(duration: Duration) -> Sleep {
     Sleep {
         at: clock::now() + duration,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Runs a future for at most `limit`; `None` means that it was dropped unfinished.
+/// Runs a future for at most `limit`. Returns `None` if the future did not complete in time and was
+/// dropped.
 pub(crate) async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let mut future = std::pin::pin!(future);
     let mut timer = std::pin::pin!(sleep(limit));
