--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,7 +1,9 @@
 //! The HTTP client. It keeps a small pool of idle connections for each address, and every call has
 //! a timeout.
 
-use super::framing::{Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks, invalid, too_large};
+use super::framing::{
+    Framing, MAX_HEAD_BYTES, MAX_HEADERS, body_too_large, decode_chunks, invalid_message,
+};
 #[cfg(test)]
 use super::message::Request;
 use super::message::{Method, Response};
@@ -49,53 +51,53 @@
     /// in use, connections are reopened all the time.
     max_idle_addresses: usize,
     /// Maximum size of a response body, in bytes.
-    body_limit: usize,
+    max_body_bytes: usize,
     /// If set, responds to all calls in place of the network.
     #[cfg(test)]
-    stand_in: Option<FakeTransport>,
+    fake_transport: Option<FakeTransport>,
 }
 
 impl Client {
-    /// Creates a client that accepts response bodies of at most `body_limit` bytes and keeps idle
+    /// Creates a client that accepts response bodies of at most `max_body_bytes` and keeps idle
     /// connections for at most `max_idle_addresses` addresses.
-    pub(crate) fn new(body_limit: usize, max_idle_addresses: usize) -> Self {
+    pub(crate) fn new(max_body_bytes: usize, max_idle_addresses: usize) -> Self {
         Self {
             idle: Rc::default(),
             max_idle_addresses,
-            body_limit,
+            max_body_bytes,
             #[cfg(test)]
-            stand_in: None,
+            fake_transport: None,
         }
     }
 
     /// Creates a client whose calls are served by a function, without sockets.
     #[cfg(test)]
-    pub(crate) fn with_fake_transport(stand_in: FakeTransport) -> Self {
+    pub(crate) fn with_fake_transport(fake_transport: FakeTransport) -> Self {
         Self {
-            stand_in: Some(stand_in),
+            fake_transport: Some(fake_transport),
             ..Self::new(0, 0)
         }
     }
 
-    /// Sends a request and waits at most `limit` for the response. Responses of every status are
-    /// returned as `Ok`.
+    /// Sends a request and waits at most `timeout` for the response. Responses of every status
+    /// are returned as `Ok`.
     pub(crate) async fn call(
         &self,
         addr: SocketAddr,
         method: Method,
         path: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, CallError> {
         #[cfg(test)]
-        if let Some(stand_in) = &self.stand_in {
-            let answer = stand_in(Request {
+        if let Some(fake_transport) = &self.fake_transport {
+            let response = fake_transport(Request {
                 method,
                 target: path.to_owned(),
                 body: body.to_vec(),
             });
-            let answer = runtime::timeout(limit, answer).await;
-            return answer.ok_or(CallError::Unknown);
+            let response = runtime::timeout(timeout, response).await;
+            return response.ok_or(CallError::Unknown);
         }
         // The error that a failure or the timeout stands for at the current stage of the exchange.
         let mut failure = CallError::NotSent;
@@ -106,13 +108,13 @@
             };
             failure = CallError::Unknown;
             stream.write_all(&encode(addr, method, path, body)).await?;
-            let received = self.read(&mut stream).await?;
+            let received = self.read_response(&mut stream).await?;
             if received.reusable {
-                self.keep(addr, stream);
+                self.put_idle(addr, stream);
             }
             Ok::<_, io::Error>(received.response)
         };
-        match runtime::timeout(limit, exchange).await {
+        match runtime::timeout(timeout, exchange).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 tracing::debug!(%addr, path, %error, "HTTP request failed");
@@ -147,7 +149,7 @@
     /// Returns a connection to the pool for later calls. The connection is closed if the address
     /// already has `MAX_IDLE_PER_ADDRESS`. If the pool has no room for another address, the idle
     /// connections of the lowest address are closed.
-    fn keep(&self, addr: SocketAddr, stream: TcpStream) {
+    fn put_idle(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() >= self.max_idle_addresses && !idle.contains_key(&addr) {
             idle.pop_first();
@@ -158,13 +160,13 @@
         }
     }
 
-    async fn read(&self, stream: &mut TcpStream) -> io::Result<ReceivedResponse> {
+    async fn read_response(&self, stream: &mut TcpStream) -> io::Result<ReceivedResponse> {
         let mut buffer = Vec::new();
         let mut chunk = vec![0; READ_CHUNK_BYTES];
         loop {
             let n = stream.read(&mut chunk).await?;
             buffer.extend_from_slice(&chunk[..n]);
-            if let Some(received) = parse(&buffer, self.body_limit, n == 0)? {
+            if let Some(received) = parse(&buffer, self.max_body_bytes, n == 0)? {
                 return Ok(received);
             }
             if n == 0 {
@@ -194,23 +196,23 @@
     reusable: bool,
 }
 
-/// Parses a response, with a body of at most `limit` bytes, from the bytes received so far. Returns
-/// `None` if more bytes are needed. `at_end`: the server has closed the connection, so no more
-/// bytes will arrive.
+/// Parses a response, with a body of at most `max_body_bytes`, from the bytes received so far.
+/// Returns `None` if more bytes are needed. `is_eof`: the server has closed the connection, so no
+/// more bytes will arrive.
 pub(super) fn parse(
     buffer: &[u8],
-    limit: usize,
-    at_end: bool,
+    max_body_bytes: usize,
+    is_eof: bool,
 ) -> io::Result<Option<ReceivedResponse>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_length = match head.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Err(invalid("response head too large"));
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+            return Err(invalid_message("response head too large"));
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(invalid("not an HTTP response")),
+        Err(_) => return Err(invalid_message("not an HTTP response")),
     };
     let framing = Framing::read(head.headers)?;
     let status = head.code.unwrap_or(0);
@@ -221,20 +223,20 @@
     };
     let keep_alive = !framing.close;
     if framing.chunked {
-        return match decode_chunks(rest, limit)? {
+        return match decode_chunks(rest, max_body_bytes)? {
             Some(body) => Ok(Some(received(body.bytes, keep_alive))),
-            None if buffer.len() > 2 * limit + HEAD_LIMIT => Err(too_large()),
+            None if buffer.len() > 2 * max_body_bytes + MAX_HEAD_BYTES => Err(body_too_large()),
             None => Ok(None),
         };
     }
     match framing.length {
-        Some(length) if length > limit => Err(too_large()),
+        Some(length) if length > max_body_bytes => Err(body_too_large()),
         Some(length) => Ok(rest
             .get(..length)
             .map(|body| received(body.to_vec(), keep_alive && rest.len() == length))),
         None if status == 204 || status == 304 => Ok(Some(received(Vec::new(), keep_alive))),
-        None if rest.len() > limit => Err(too_large()),
+        None if rest.len() > max_body_bytes => Err(body_too_large()),
         // A body without a length ends when the server closes the connection.
-        None => Ok(at_end.then(|| received(rest.to_vec(), false))),
+        None => Ok(is_eof.then(|| received(rest.to_vec(), false))),
     }
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -3,18 +3,18 @@
 use std::io;
 
 /// Maximum size of a message head, in bytes. The size is checked while the head is incomplete.
-pub(super) const HEAD_LIMIT: usize = 16 * 1024;
+pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of headers in one message.
 pub(super) const MAX_HEADERS: usize = 64;
 
 /// Returns the error for a body that exceeds its size limit. Its kind differs from that of a
 /// malformed message because repeating the call would give the same error.
-pub(super) fn too_large() -> io::Error {
+pub(super) fn body_too_large() -> io::Error {
     io::Error::new(io::ErrorKind::FileTooLarge, "body too large")
 }
 
 /// Returns the error for a message that is not valid HTTP/1.1.
-pub(super) fn invalid(message: &str) -> io::Error {
+pub(super) fn invalid_message(message: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
@@ -38,9 +38,11 @@
         for header in headers {
             let text = || std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                let length = text().parse().map_err(|_| invalid("bad content-length"))?;
+                let length = text()
+                    .parse()
+                    .map_err(|_| invalid_message("bad content-length"))?;
                 if framing.length.is_some_and(|old| old != length) {
-                    return Err(invalid("conflicting content-length"));
+                    return Err(invalid_message("conflicting content-length"));
                 }
                 framing.length = Some(length);
             } else if header.name.eq_ignore_ascii_case("connection") {
@@ -66,16 +68,16 @@
     pub(super) consumed: usize,
 }
 
-/// Decodes a chunked body of at most `limit` bytes at the start of `input`. Returns `None` if more
+/// Decodes a chunked body of at most `max_bytes` at the start of `input`. Returns `None` if more
 /// input is needed.
-pub(super) fn decode_chunks(input: &[u8], limit: usize) -> io::Result<Option<DecodedBody>> {
+pub(super) fn decode_chunks(input: &[u8], max_bytes: usize) -> io::Result<Option<DecodedBody>> {
     let (mut bytes, mut consumed) = (Vec::new(), 0);
     loop {
         match httparse::parse_chunk_size(&input[consumed..]) {
             Ok(httparse::Status::Complete((head, size))) => {
                 let size = usize::try_from(size).unwrap_or(usize::MAX);
-                if size > limit.saturating_sub(bytes.len()) {
-                    return Err(too_large());
+                if size > max_bytes.saturating_sub(bytes.len()) {
+                    return Err(body_too_large());
                 }
                 let start = consumed + head;
                 // Each chunk ends with CR LF.
@@ -89,7 +91,7 @@
                 }
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(invalid("bad chunk")),
+            Err(_) => return Err(invalid_message("bad chunk")),
         }
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server. It runs one routine for each connection, and limits the number of connections,
 //! the size of request bodies and the waiting times.
 
-use super::framing::{DecodedBody, Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks};
+use super::framing::{DecodedBody, Framing, MAX_HEAD_BYTES, MAX_HEADERS, decode_chunks};
 use super::message::{Method, Request, Response};
 use crate::runtime::{self, TcpListener, TcpStream};
 use std::cell::Cell;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Maximum size of a request body, in bytes.
-const BODY_LIMIT: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 const READ_CHUNK_BYTES: usize = 4096;
 /// Maximum time that a connection may stay open without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -22,27 +22,30 @@
 /// If fewer than one in this many of the allowed connections are free, each connection is closed
 /// after its next response. Clients then take turns, as a cluster may have more machines than a
 /// controller has sockets.
-const SHARED_PART: usize = 4;
+const KEEP_ALIVE_MIN_FREE_DIVISOR: usize = 4;
 
-/// Accepts connections until it is cancelled, at most `limit` at a time, and responds to each
-/// request with the result of `handler`.
-pub(crate) async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
+/// Accepts connections until it is cancelled, at most `max_connections` at a time, and responds to
+/// each request with the result of `handler`.
+pub(crate) async fn serve<F, A>(listener: TcpListener, max_connections: usize, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response> + 'static,
 {
-    let open = Rc::new(Cell::new(0usize));
+    let open_count = Rc::new(Cell::new(0usize));
     loop {
         match listener.accept().await {
             // Above the limit a connection is closed at once, so that the client tries another
             // controller.
-            Ok(stream) if open.get() >= limit => drop(stream),
+            Ok(stream) if open_count.get() >= max_connections => drop(stream),
             Ok(stream) => {
-                let slot = ConnectionSlot::take(&open);
+                let slot = ConnectionSlot::take(&open_count);
                 let handler = handler.clone();
                 runtime::spawn(async move {
-                    let is_shared = || slot.open_connections() + limit / SHARED_PART > limit;
-                    serve_connection(stream, handler, is_shared).await;
+                    let connections_are_scarce = || {
+                        slot.open_connections() + max_connections / KEEP_ALIVE_MIN_FREE_DIVISOR
+                            > max_connections
+                    };
+                    serve_connection(stream, handler, connections_are_scarce).await;
                     drop(slot);
                 });
             }
@@ -58,9 +61,9 @@
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
-    fn take(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(open.clone())
+    fn take(open_count: &Rc<Cell<usize>>) -> Self {
+        open_count.set(open_count.get() + 1);
+        Self(open_count.clone())
     }
 
     fn open_connections(&self) -> usize {
@@ -76,66 +79,66 @@
 
 /// The result of parsing the bytes received so far as a request.
 #[derive(Debug)]
-pub(super) enum Progress {
+pub(super) enum RequestProgress {
     /// The request is incomplete.
-    More {
+    Incomplete {
         /// Whether the client waits for `100 Continue`.
         expects_continue: bool,
     },
     /// The request is complete.
-    Ready {
+    Complete {
         /// The parsed request.
         request: Request,
         /// The number of bytes that the request took up.
-        used: usize,
+        consumed: usize,
         /// Whether the client asks to close the connection after the response.
         close: bool,
     },
     /// The bytes are not a valid request. The response is sent and the connection closed.
-    Refused(Response),
+    Rejected(Response),
 }
 
-impl Progress {
-    fn refused(status: u16, message: &str) -> Self {
-        Self::Refused(Response::error(status, message))
+impl RequestProgress {
+    fn rejected(status: u16, message: &str) -> Self {
+        Self::Rejected(Response::error(status, message))
     }
 }
 
 /// Parses the first request in the bytes received so far.
-pub(super) fn parse(buffer: &[u8]) -> Progress {
+pub(super) fn parse(buffer: &[u8]) -> RequestProgress {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Progress::refused(431, "request head too large");
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+            return RequestProgress::rejected(431, "request head too large");
         }
         Ok(httparse::Status::Partial) => {
-            return Progress::More {
+            return RequestProgress::Incomplete {
                 expects_continue: false,
             };
         }
-        Err(_) => return Progress::refused(400, "not HTTP/1.1"),
+        Err(_) => return RequestProgress::rejected(400, "not HTTP/1.1"),
     };
     let Ok(framing) = Framing::read(head.headers) else {
-        return Progress::refused(400, "bad request head");
+        return RequestProgress::rejected(400, "bad request head");
     };
     let body = match read_body(&buffer[head_length..], &framing, buffer.len()) {
         Ok(Some(body)) => body,
         Ok(None) => {
-            return Progress::More {
+            return RequestProgress::Incomplete {
                 expects_continue: framing.expects_continue,
             };
         }
-        Err(message) => return Progress::refused(400, message),
+        Err(message) => return RequestProgress::rejected(400, message),
     };
-    Progress::Ready {
+    RequestProgress::Complete {
         request: Request {
             method: Method::parse(head.method.unwrap_or("")),
             target: head.path.unwrap_or("/").to_owned(),
             body: body.bytes,
         },
-        used: head_length + body.consumed,
+        consumed: head_length + body.consumed,
         close: framing.close || head.version == Some(0),
     }
 }
@@ -149,15 +152,15 @@
     received: usize,
 ) -> Result<Option<DecodedBody>, &'static str> {
     if framing.chunked {
-        return match decode_chunks(input, BODY_LIMIT) {
+        return match decode_chunks(input, MAX_BODY_BYTES) {
             // Chunk headers take up bytes too: this check stops an endless sequence of tiny chunks.
-            Ok(None) if received > 2 * BODY_LIMIT + HEAD_LIMIT => Err("body too large"),
+            Ok(None) if received > 2 * MAX_BODY_BYTES + MAX_HEAD_BYTES => Err("body too large"),
             Ok(body) => Ok(body),
             Err(_) => Err("bad or oversized body"),
         };
     }
     let length = framing.length.unwrap_or(0);
-    if length > BODY_LIMIT {
+    if length > MAX_BODY_BYTES {
         return Err("body over 64 KiB");
     }
     Ok(input.get(..length).map(|body| DecodedBody {
@@ -166,10 +169,13 @@
     }))
 }
 
-/// Serves one connection until either side closes it. `is_shared` returns whether the connection is
-/// to be closed after its next response because few connections are left for other clients.
-async fn serve_connection<F, A>(mut stream: TcpStream, handler: F, is_shared: impl Fn() -> bool)
-where
+/// Serves one connection until either side closes it. `connections_are_scarce` returns whether the
+/// connection has to be closed after its next response because few are left for other clients.
+async fn serve_connection<F, A>(
+    mut stream: TcpStream,
+    handler: F,
+    connections_are_scarce: impl Fn() -> bool,
+) where
     F: Fn(Request) -> A,
     A: Future<Output = Response>,
 {
@@ -178,36 +184,36 @@
     let mut continue_sent = false;
     loop {
         match parse(&buffer) {
-            Progress::Ready {
+            RequestProgress::Complete {
                 request,
-                used,
+                consumed,
                 close,
             } => {
-                buffer.drain(..used);
+                buffer.drain(..consumed);
                 continue_sent = false;
                 let response = handler(request).await;
-                let close = close || is_shared();
+                let close = close || connections_are_scarce();
                 if !write(&mut stream, &encode(&response, close)).await || close {
                     return;
                 }
             }
-            Progress::Refused(response) => {
+            RequestProgress::Rejected(response) => {
                 write(&mut stream, &encode(&response, true)).await;
                 return;
             }
-            Progress::More { expects_continue } => {
+            RequestProgress::Incomplete { expects_continue } => {
                 if expects_continue && !continue_sent {
                     continue_sent = true;
                     if !write(&mut stream, CONTINUE).await {
                         return;
                     }
                 }
-                let limit = if buffer.is_empty() {
+                let read_timeout = if buffer.is_empty() {
                     IDLE_TIMEOUT
                 } else {
                     TRANSFER_TIMEOUT
                 };
-                match runtime::timeout(limit, stream.read(&mut chunk)).await {
+                match runtime::timeout(read_timeout, stream.read(&mut chunk)).await {
                     Some(Ok(n)) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
                     _ => return,
                 }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,16 +1,16 @@
 //! Tests of the parsers, which must accept any bytes without a panic, and of the limits on
 //! connections.
 
-use super::server::{Progress, parse};
+use super::server::{RequestProgress, parse};
 use super::{Response, client};
 use proptest::prelude::*;
 
 #[test]
 fn requests_are_parsed_from_a_stream() {
     let text = b"POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}GET / HTTP/1.1\r\n";
-    let Progress::Ready {
+    let RequestProgress::Complete {
         request,
-        used,
+        consumed,
         close,
     } = parse(text)
     else {
@@ -20,15 +20,18 @@
         (request.target.as_str(), request.body.as_slice()),
         ("/work", &b"{}"[..])
     );
-    assert!(!close && text[used..].starts_with(b"GET"));
-    let half = b"POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}";
-    assert!(matches!(parse(half), Progress::More { .. }));
+    assert!(!close && text[consumed..].starts_with(b"GET"));
+    let incomplete = b"POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}";
+    assert!(matches!(
+        parse(incomplete),
+        RequestProgress::Incomplete { .. }
+    ));
 }
 
 #[test]
 fn chunked_body_and_connection_close_are_parsed() {
     let text = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
-    let Progress::Ready { request, close, .. } = parse(text) else {
+    let RequestProgress::Complete { request, close, .. } = parse(text) else {
         panic!("not ready");
     };
     assert_eq!(request.body, b"abc");
@@ -38,10 +41,10 @@
 #[test]
 fn oversized_bodies_and_heads_are_refused_early() {
     let body = b"POST /work HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
-    assert!(matches!(parse(body), Progress::Refused(r) if r.status == 400));
+    assert!(matches!(parse(body), RequestProgress::Rejected(r) if r.status == 400));
     let mut head = b"GET / HTTP/1.1\r\nX: ".to_vec();
     head.resize(20_000, b'a');
-    assert!(matches!(parse(&head), Progress::Refused(r) if r.status == 431));
+    assert!(matches!(parse(&head), RequestProgress::Rejected(r) if r.status == 431));
 }
 
 #[test]
@@ -61,26 +64,30 @@
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
         let mut scope = runtime::Scope::default();
-        let answer = |_| async { Response::new(200, b"{}".to_vec()) };
-        scope.spawn(super::serve(listener, 2, answer));
+        let handler = |_| async { Response::new(200, b"{}".to_vec()) };
+        scope.spawn(super::serve(listener, 2, handler));
         let request = b"GET / HTTP/1.1\r\n\r\n";
-        let mut held = Vec::new();
+        let mut open_streams = Vec::new();
         for _ in 0..2 {
             let mut stream = TcpStream::connect(addr).await.expect("connect");
             stream.write_all(request).await.expect("write");
             let mut buffer = [0; 256];
             assert!(stream.read(&mut buffer).await.expect("read") > 0);
-            held.push(stream);
+            open_streams.push(stream);
         }
         let mut third = TcpStream::connect(addr).await.expect("connect");
         let mut buffer = [0; 256];
         assert!(!matches!(third.read(&mut buffer).await, Ok(n) if n > 0));
-        drop(held);
+        drop(open_streams);
         let client = super::Client::new(1000, 4);
         let call = || {
             let client = client.clone();
-            let limit = std::time::Duration::from_secs(20);
-            async move { client.call(addr, super::Method::Get, "/", b"", limit).await }
+            let timeout = std::time::Duration::from_secs(20);
+            async move {
+                client
+                    .call(addr, super::Method::Get, "/", b"", timeout)
+                    .await
+            }
         };
         // The server notices that the other connections have ended only when its routines run next.
         while call().await.is_err() {
@@ -119,15 +126,15 @@
         let listener = TcpListener::bind("127.0.0.1:0".parse().expect("addr")).expect("bind");
         let addr = listener.local_addr().expect("addr");
         let mut scope = runtime::Scope::default();
-        let answer = |_| async { Response::new(200, b"{}".to_vec()) };
-        scope.spawn(super::serve(listener, 8, answer));
+        let handler = |_| async { Response::new(200, b"{}".to_vec()) };
+        scope.spawn(super::serve(listener, 8, handler));
         // Each client keeps its connection until the server closes it.
-        let callers: Vec<Rc<Client>> = (0..40).map(|_| Rc::new(Client::new(1024, 4))).collect();
+        let clients: Vec<Rc<Client>> = (0..40).map(|_| Rc::new(Client::new(1024, 4))).collect();
         for _ in 0..3 {
-            for caller in &callers {
-                let patience = Duration::from_secs(2);
-                let answer = caller.call(addr, Method::Get, "/", b"", patience).await;
-                assert_eq!(answer.map(|r| r.status).ok(), Some(200));
+            for client in &clients {
+                let timeout = Duration::from_secs(2);
+                let response = client.call(addr, Method::Get, "/", b"", timeout).await;
+                assert_eq!(response.map(|r| r.status).ok(), Some(200));
             }
         }
     })
--- a/src/ids/names.rs
+++ b/src/ids/names.rs
@@ -130,12 +130,12 @@
 }
 
 impl MachineId {
-    /// Returns the shard that the machine belongs to, if there are `shards` shards. A machine
-    /// always belongs to the same shard, so its fencing token rises only when the shard's owner
-    /// changes. The cloud numbers machines consecutively, so the remainder spreads them evenly.
-    pub(crate) fn shard(&self, shards: u32) -> ShardId {
+    /// Returns the shard that the machine belongs to, out of `shard_count` shards. Machines never
+    /// move between shards, so a fencing token rises only when the shard's owner changes. The cloud
+    /// numbers machines consecutively, so the remainder spreads them evenly.
+    pub(crate) fn shard(&self, shard_count: u32) -> ShardId {
         let number = self.number().unwrap_or_else(|| self.text_hash());
-        ShardId((number % u64::from(shards.max(1))) as u32)
+        ShardId((number % u64::from(shard_count.max(1))) as u32)
     }
 
     /// Returns all digits of the id as one number, modulo 2^64, or `None` if it has no digits.
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -43,31 +43,31 @@
 
 /// Low bits of an attempt number that count the attempts of one leader's term. The bits above hold
 /// the term.
-const ATTEMPT_BITS: u32 = 20;
+const ATTEMPT_COUNTER_BITS: u32 = 20;
 
 impl AttemptNumber {
     /// Returns the number for an attempt that the leader of a term assigns. The term is in the high
     /// bits, so that numbers are never reused across terms.
     pub(crate) fn of(term: Revision, counter: u64) -> Self {
-        Self((term.0 << ATTEMPT_BITS) + counter)
+        Self((term.0 << ATTEMPT_COUNTER_BITS) + counter)
     }
 }
 
 /// Low bits of a fencing token that count its raises by the shard's owner. The bits above hold the
 /// revision of the shard record.
-const RAISE_BITS: u32 = 20;
+const RAISE_COUNTER_BITS: u32 = 20;
 
 impl FencingToken {
-    /// Returns the token of a machine after `raise` raises under the shard record of revision
+    /// Returns the token of a machine after `raise_count` raises under the shard record of revision
     /// `fence`. A later record of the shard gives a higher token than any raise under an earlier
     /// one, so raises need not be recorded.
-    pub(crate) fn of(fence: Revision, raise: u32) -> Self {
-        Self((fence.0 << RAISE_BITS) | u64::from(raise))
+    pub(crate) fn of(fence: Revision, raise_count: u32) -> Self {
+        Self((fence.0 << RAISE_COUNTER_BITS) | u64::from(raise_count))
     }
 
     /// Returns the revision of the shard record.
     pub(crate) fn fence(self) -> Revision {
-        Revision(self.0 >> RAISE_BITS)
+        Revision(self.0 >> RAISE_COUNTER_BITS)
     }
 
     /// Returns the token after one more raise under the same shard record, or `None` if all raise
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -7,7 +7,7 @@
 const PER_UNIT: f64 = 1000.0;
 /// Tolerance for the floating-point error of a decimal fraction multiplied by `PER_UNIT`, in
 /// thousandths of a unit. Rounding ignores differences up to this size.
-const TOLERANCE: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The resources that a task needs or a machine has, in whole thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,21 +26,21 @@
 impl Resources {
     /// Creates the amounts that a task needs, rounded up, so that sums never understate the need.
     pub(crate) fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let up = |v: f64| (v.max(0.0) * PER_UNIT - TOLERANCE).ceil().max(0.0) as u64;
+        let round_up = |v: f64| (v.max(0.0) * PER_UNIT - ROUNDING_TOLERANCE).ceil().max(0.0) as u64;
         Self {
-            milli_cpus: up(cpus),
-            milli_gpus: up(gpus),
-            memory_mb: up(memory_gb),
+            milli_cpus: round_up(cpus),
+            milli_gpus: round_up(gpus),
+            memory_mb: round_up(memory_gb),
         }
     }
 
     /// Creates the amounts that a machine has, rounded down.
     pub(crate) fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let down = |v: f64| (v.max(0.0) * PER_UNIT + TOLERANCE).floor() as u64;
+        let round_down = |v: f64| (v.max(0.0) * PER_UNIT + ROUNDING_TOLERANCE).floor() as u64;
         Self {
-            milli_cpus: down(cpus),
-            milli_gpus: down(gpus),
-            memory_mb: down(memory_gb),
+            milli_cpus: round_down(cpus),
+            milli_gpus: round_down(gpus),
+            memory_mb: round_down(memory_gb),
         }
     }
 
--- a/src/ids/time.rs
+++ b/src/ids/time.rs
@@ -46,15 +46,15 @@
 
 impl Add<Millis> for MonotonicTime {
     type Output = Self;
-    fn add(self, span: Millis) -> Self {
-        Self(self.0.saturating_add(span.0))
+    fn add(self, duration: Millis) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
 
 impl Sub<Millis> for MonotonicTime {
     type Output = Self;
-    fn sub(self, span: Millis) -> Self {
-        Self(self.0.saturating_sub(span.0))
+    fn sub(self, duration: Millis) -> Self {
+        Self(self.0.saturating_sub(duration.0))
     }
 }
 
@@ -67,7 +67,7 @@
 impl UnixTime {
     /// Returns the current time of this host's clock.
     pub(crate) fn now() -> Self {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        Self(since.map_or(0, |d| d.as_millis() as u64))
+        let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        Self(since_epoch.map_or(0, |d| d.as_millis() as u64))
     }
 }
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -14,11 +14,11 @@
     deserializer: D,
 ) -> Result<Vec<JobId>, D::Error> {
     let value = Value::deserialize(deserializer)?;
-    read(&value)
+    parse_ids(&value)
         .ok_or_else(|| D::Error::custom(format!("field `{FIELD}` must be a list of job ids")))
 }
 
-fn read(value: &Value) -> Option<Vec<JobId>> {
+fn parse_ids(value: &Value) -> Option<Vec<JobId>> {
     if value.is_null() {
         return Some(Vec::new());
     }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -180,9 +180,9 @@
             ("crew", self.team.as_str()),
             ("plate", self.image.as_str()),
         ];
-        let is_bad = |c: char| c.is_whitespace() || c.is_control() || c == '/';
+        let is_forbidden = |c: char| c.is_whitespace() || c.is_control() || c == '/';
         for (field, name) in names {
-            if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains(is_bad) {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains(is_forbidden) {
                 return Err(MalformedSubmission::Name(field));
             }
         }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -159,10 +159,10 @@
     pub id: LeaseId,
 }
 
-/// Returns the body of a request for a lease that expires after `life_ms` milliseconds unless it is
+/// Returns the body of a request for a lease that expires after `ttl_ms` milliseconds unless it is
 /// renewed.
-pub(crate) fn lease_request(life_ms: u64) -> Vec<u8> {
-    serde_json::json!({ "life_ms": life_ms })
+pub(crate) fn lease_request(ttl_ms: u64) -> Vec<u8> {
+    serde_json::json!({ "life_ms": ttl_ms })
         .to_string()
         .into_bytes()
 }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -63,7 +63,7 @@
 
 /// The errors are part of the responses that users get.
 #[test]
-fn errors_keep_their_texts() {
+fn submission_errors_keep_their_texts() {
     let cases = [
         (
             "id",
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn commands_are_written_as_the_protocol_has_them() {
+fn commands_are_encoded_in_the_protocol_format() {
     let attempt = TaskAttempt {
         task: TaskId::parse("job-1/2").expect("task"),
         number: AttemptNumber(3),
     };
-    let list = [
+    let commands = [
         Command::Launch(attempt.clone()),
         Command::Stop(attempt.clone(), Millis(1500)),
         Command::Forget(attempt),
@@ -119,7 +119,7 @@
     let body: serde_json::Value = serde_json::from_slice(&encode_commands(
         FencingToken(9),
         Some(WorkerEpoch(2)),
-        &list,
+        &commands,
     ))
     .expect("json");
     assert_eq!(
--- a/src/runtime/channel.rs
+++ b/src/runtime/channel.rs
@@ -8,7 +8,7 @@
 
 struct Shared<T> {
     queue: VecDeque<T>,
-    reader: Option<Waker>,
+    receiver_waker: Option<Waker>,
     senders: usize,
 }
 
@@ -22,7 +22,7 @@
 pub(crate) fn channel<T>() -> (Sender<T>, Receiver<T>) {
     let shared = Rc::new(RefCell::new(Shared {
         queue: VecDeque::new(),
-        reader: None,
+        receiver_waker: None,
         senders: 1,
     }));
     (Sender(shared.clone()), Receiver(shared))
@@ -33,7 +33,7 @@
     pub(crate) fn send(&self, value: T) {
         let mut shared = self.0.borrow_mut();
         shared.queue.push_back(value);
-        if let Some(waker) = shared.reader.take() {
+        if let Some(waker) = shared.receiver_waker.take() {
             waker.wake();
         }
     }
@@ -57,7 +57,7 @@
         let mut shared = self.0.borrow_mut();
         shared.senders -= 1;
         if shared.senders == 0
-            && let Some(waker) = shared.reader.take()
+            && let Some(waker) = shared.receiver_waker.take()
         {
             waker.wake();
         }
@@ -76,7 +76,7 @@
             if shared.senders == 0 {
                 return Poll::Ready(None);
             }
-            shared.reader = Some(cx.waker().clone());
+            shared.receiver_waker = Some(cx.waker().clone());
             Poll::Pending
         })
         .await
--- a/src/runtime/clock/virtual_time.rs
+++ b/src/runtime/clock/virtual_time.rs
@@ -20,7 +20,7 @@
     let Some(now) = VIRTUAL_NOW.get() else {
         return false;
     };
-    let next_timer = next_timer.expect("a routine that can run, or a timer");
+    let next_timer = next_timer.expect("deadlock: no routine is ready and no timer is set");
     VIRTUAL_NOW.set(Some(now.max(next_timer)));
     true
 }
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -61,7 +61,7 @@
 
 /// The wakers of the routines that wait for a socket.
 #[derive(Default)]
-struct Interest {
+struct SocketWakers {
     read: Option<Waker>,
     write: Option<Waker>,
 }
@@ -69,7 +69,7 @@
 /// The key of a timer. Timers are ordered by time; the id distinguishes timers of the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
-    at: Instant,
+    deadline: Instant,
     id: u64,
 }
 
@@ -93,10 +93,10 @@
 pub(super) struct Executor {
     registry: mio::Registry,
     /// The wakers of each socket, indexed by the socket's `mio` token. `None` for unused tokens.
-    interests: Vec<Option<Interest>>,
-    free_interests: Vec<usize>,
+    socket_wakers: Vec<Option<SocketWakers>>,
+    free_tokens: Vec<usize>,
     timers: BTreeMap<TimerKey, Waker>,
-    last_timer: u64,
+    last_timer_id: u64,
     slots: Vec<Option<Slot>>,
     free_slots: Vec<usize>,
     last_generation: u64,
@@ -107,10 +107,10 @@
     fn new(registry: mio::Registry, ready: Arc<ReadyQueue>) -> Self {
         Self {
             registry,
-            interests: Vec::new(),
-            free_interests: Vec::new(),
+            socket_wakers: Vec::new(),
+            free_tokens: Vec::new(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_timer_id: 0,
             slots: Vec::new(),
             free_slots: Vec::new(),
             last_generation: 0,
@@ -120,18 +120,21 @@
 
     /// Registers a socket and returns its token.
     pub(super) fn register(&mut self, source: &mut impl mio::event::Source) -> io::Result<usize> {
-        let token = self.free_interests.pop().unwrap_or_else(|| {
-            self.interests.push(None);
-            self.interests.len() - 1
+        let token = self.free_tokens.pop().unwrap_or_else(|| {
+            self.socket_wakers.push(None);
+            self.socket_wakers.len() - 1
         });
-        let both = mio::Interest::READABLE | mio::Interest::WRITABLE;
-        match self.registry.register(source, mio::Token(token), both) {
+        let read_and_write = mio::Interest::READABLE | mio::Interest::WRITABLE;
+        match self
+            .registry
+            .register(source, mio::Token(token), read_and_write)
+        {
             Ok(()) => {
-                self.interests[token] = Some(Interest::default());
+                self.socket_wakers[token] = Some(SocketWakers::default());
                 Ok(token)
             }
             Err(error) => {
-                self.free_interests.push(token);
+                self.free_tokens.push(token);
                 Err(error)
             }
         }
@@ -139,27 +142,27 @@
 
     /// Frees the token of a socket that is about to be closed.
     pub(super) fn deregister(&mut self, token: usize) {
-        self.interests[token] = None;
-        self.free_interests.push(token);
+        self.socket_wakers[token] = None;
+        self.free_tokens.push(token);
     }
 
     /// Registers `waker` to be woken once the socket becomes ready.
     pub(super) fn wait_for_socket(&mut self, token: usize, readiness: Readiness, waker: Waker) {
-        if let Some(interest) = self.interests[token].as_mut() {
-            let waiting = match readiness {
-                Readiness::Readable => &mut interest.read,
-                Readiness::Writable => &mut interest.write,
+        if let Some(socket_wakers) = self.socket_wakers[token].as_mut() {
+            let waker_slot = match readiness {
+                Readiness::Readable => &mut socket_wakers.read,
+                Readiness::Writable => &mut socket_wakers.write,
             };
-            *waiting = Some(waker);
+            *waker_slot = Some(waker);
         }
     }
 
     /// Adds a timer that wakes `waker` at a given time.
-    pub(super) fn add_timer(&mut self, at: Instant, waker: Waker) -> TimerKey {
-        self.last_timer += 1;
+    pub(super) fn add_timer(&mut self, deadline: Instant, waker: Waker) -> TimerKey {
+        self.last_timer_id += 1;
         let key = TimerKey {
-            at,
-            id: self.last_timer,
+            deadline,
+            id: self.last_timer_id,
         };
         self.timers.insert(key, waker);
         key
@@ -186,19 +189,19 @@
     fn take_due_wakers(&mut self, events: &mio::Events) -> Vec<Waker> {
         let mut wakers = Vec::new();
         for event in events {
-            let Some(Some(interest)) = self.interests.get_mut(event.token().0) else {
+            let Some(Some(socket_wakers)) = self.socket_wakers.get_mut(event.token().0) else {
                 continue;
             };
             if event.is_readable() || event.is_read_closed() || event.is_error() {
-                wakers.extend(interest.read.take());
+                wakers.extend(socket_wakers.read.take());
             }
             if event.is_writable() || event.is_write_closed() || event.is_error() {
-                wakers.extend(interest.write.take());
+                wakers.extend(socket_wakers.write.take());
             }
         }
         let now = clock::now();
         while let Some(entry) = self.timers.first_entry() {
-            if entry.key().at > now {
+            if entry.key().deadline > now {
                 break;
             }
             wakers.push(entry.remove());
@@ -293,7 +296,8 @@
 
 /// Waits for socket events, at most until the next timer expires.
 fn wait_for_events(poll: &mut mio::Poll, events: &mut mio::Events) -> io::Result<()> {
-    let next_timer = with(|executor| executor.timers.keys().next().map(|key| key.at)).flatten();
+    let next_timer =
+        with(|executor| executor.timers.keys().next().map(|key| key.deadline)).flatten();
     #[cfg(test)]
     if clock::virtual_time::advance(next_timer) {
         return Ok(());
@@ -306,30 +310,30 @@
 }
 
 /// Polls a routine once, or drops it if it was cancelled.
-fn run_routine(id: usize) {
+fn run_routine(slot_index: usize) {
     let taken = with(|executor| {
-        let slot = executor.slots.get_mut(id)?.as_mut()?;
+        let slot = executor.slots.get_mut(slot_index)?.as_mut()?;
         let future = slot.future.take()?;
         Some((future, slot.waker.clone(), slot.cancelled))
     });
     let Some((mut future, waker, cancelled)) = taken.flatten() else {
         return;
     };
-    let done = cancelled
+    let is_complete = cancelled
         || future
             .as_mut()
             .poll(&mut Context::from_waker(&waker))
             .is_ready();
-    if done {
+    if is_complete {
         // The future is dropped before its slot is freed, because destructors use the executor.
         drop(future);
         with(|executor| {
-            executor.slots[id] = None;
-            executor.free_slots.push(id);
+            executor.slots[slot_index] = None;
+            executor.free_slots.push(slot_index);
         });
     } else {
         with(|executor| {
-            if let Some(slot) = executor.slots[id].as_mut() {
+            if let Some(slot) = executor.slots[slot_index].as_mut() {
                 slot.future = Some(future);
             }
         });
--- a/src/runtime/net.rs
+++ b/src/runtime/net.rs
@@ -17,7 +17,7 @@
     }
 
     /// Attempts an operation. Pending until the socket is ready again if the operation would block.
-    fn attempt<T>(
+    fn poll_operation<T>(
         &self,
         cx: &Context<'_>,
         readiness: Readiness,
@@ -66,18 +66,20 @@
     pub(crate) async fn connect(addr: SocketAddr) -> io::Result<Self> {
         let stream = Self::register(mio::net::TcpStream::connect(addr)?)?;
         poll_fn(|cx| {
-            stream.registration.attempt(cx, Readiness::Writable, || {
-                if let Some(error) = stream.socket.take_error()? {
-                    return Err(error);
-                }
-                match stream.socket.peer_addr() {
-                    Ok(_) => Ok(()),
-                    Err(e) if e.kind() == io::ErrorKind::NotConnected => {
-                        Err(io::ErrorKind::WouldBlock.into())
+            stream
+                .registration
+                .poll_operation(cx, Readiness::Writable, || {
+                    if let Some(error) = stream.socket.take_error()? {
+                        return Err(error);
                     }
-                    Err(e) => Err(e),
-                }
-            })
+                    match stream.socket.peer_addr() {
+                        Ok(_) => Ok(()),
+                        Err(e) if e.kind() == io::ErrorKind::NotConnected => {
+                            Err(io::ErrorKind::WouldBlock.into())
+                        }
+                        Err(e) => Err(e),
+                    }
+                })
         })
         .await?;
         Ok(stream)
@@ -89,7 +91,8 @@
             registration,
             socket,
         } = self;
-        poll_fn(|cx| registration.attempt(cx, Readiness::Readable, || socket.read(buffer))).await
+        poll_fn(|cx| registration.poll_operation(cx, Readiness::Readable, || socket.read(buffer)))
+            .await
     }
 
     /// Writes all bytes.
@@ -99,9 +102,10 @@
             socket,
         } = self;
         while !bytes.is_empty() {
-            let n =
-                poll_fn(|cx| registration.attempt(cx, Readiness::Writable, || socket.write(bytes)))
-                    .await?;
+            let n = poll_fn(|cx| {
+                registration.poll_operation(cx, Readiness::Writable, || socket.write(bytes))
+            })
+            .await?;
             if n == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
@@ -145,7 +149,7 @@
     pub(crate) async fn accept(&self) -> io::Result<TcpStream> {
         let (socket, _) = poll_fn(|cx| {
             self.registration
-                .attempt(cx, Readiness::Readable, || self.socket.accept())
+                .poll_operation(cx, Readiness::Readable, || self.socket.accept())
         })
         .await?;
         TcpStream::register(socket)
--- a/src/runtime/timer.rs
+++ b/src/runtime/timer.rs
@@ -9,14 +9,14 @@
 
 /// A future that completes at a given time. Its timer is removed when it is dropped.
 pub(crate) struct Sleep {
-    at: Instant,
+    deadline: Instant,
     timer: Option<TimerKey>,
 }
 
 /// Returns a future that completes once `duration` has passed, counted from this call.
 pub(crate) fn sleep(duration: Duration) -> Sleep {
     Sleep {
-        at: clock::now() + duration,
+        deadline: clock::now() + duration,
         timer: None,
     }
 }
@@ -25,16 +25,16 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if clock::now() >= self.at {
+        if clock::now() >= self.deadline {
             return Poll::Ready(());
         }
-        let at = self.at;
+        let deadline = self.deadline;
         let waker = cx.waker().clone();
         match self.timer {
             Some(timer) => {
                 with(|executor| executor.replace_timer(timer, waker));
             }
-            None => self.timer = with(|executor| executor.add_timer(at, waker)),
+            None => self.timer = with(|executor| executor.add_timer(deadline, waker)),
         }
         Poll::Pending
     }
