--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,6 +1,7 @@
-//! The server: one routine for each connection. Connections, bodies and waiting times are bounded.
+//! The HTTP server. It runs one routine for each connection, and limits the number of connections,
+//! the size of request bodies and the waiting times.
 
-use super::framing::{DecodedBody, Framing, HEAD_LIMIT, MAX_HEADERS, decode_chunks};
+use super::framing::{DecodedBody, Framing, MAX_HEAD_BYTES, MAX_HEADERS, decode_chunks};
 use super::message::{Method, Request, Response};
 use crate::runtime::{self, TcpListener, TcpStream};
 use std::cell::Cell;
@@ -8,57 +9,61 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest body of a request, in bytes.
-const BODY_LIMIT: usize = 64 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 const READ_CHUNK_BYTES: usize = 4096;
-/// How long a connection may be open without a request.
+/// Maximum time that a connection may stay open without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long a client may take for the next part of its request, or to accept a response.
+/// Maximum time that a client may take to send the next part of a request or to accept a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The last one in so many of the connections are closed after each response, so that many more
-/// clients than there are connections take turns: a cluster may have more machines than a
+/// If fewer than one in this many of the allowed connections are free, each connection is closed
+/// after its next response. Clients then take turns, as a cluster may have more machines than a
 /// controller has sockets.
-const SHARED_PART: usize = 4;
+const KEEP_ALIVE_MIN_FREE_DIVISOR: usize = 4;
 
-/// Accepts connections for ever, at most `limit` at a time, and answers each request with
-/// `handler`.
-pub(crate) async fn serve<F, A>(listener: TcpListener, limit: usize, handler: F)
+/// Accepts connections until it is cancelled, at most `max_connections` at a time, and responds to
+/// each request with the result of `handler`.
+pub(crate) async fn serve<F, A>(listener: TcpListener, max_connections: usize, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response> + 'static,
 {
-    let open = Rc::new(Cell::new(0usize));
+    let open_count = Rc::new(Cell::new(0usize));
     loop {
         match listener.accept().await {
-            // Over the limit the connection is closed at once: the client tries another node.
-            Ok(stream) if open.get() >= limit => drop(stream),
+            // Above the limit a connection is closed at once, so that the client tries another
+            // controller.
+            Ok(stream) if open_count.get() >= max_connections => drop(stream),
             Ok(stream) => {
-                let slot = ConnectionSlot::take(&open);
+                let slot = ConnectionSlot::take(&open_count);
                 let handler = handler.clone();
                 runtime::spawn(async move {
-                    let is_shared = || slot.open_connections() + limit / SHARED_PART > limit;
-                    serve_connection(stream, handler, is_shared).await;
+                    let connections_are_scarce = || {
+                        slot.open_connections() + max_connections / KEEP_ALIVE_MIN_FREE_DIVISOR
+                            > max_connections
+                    };
+                    serve_connection(stream, handler, connections_are_scarce).await;
                     drop(slot);
                 });
             }
             Err(error) => {
-                tracing::debug!(%error, "accept failed");
+                tracing::debug!(%error, "cannot accept a connection; retrying after a delay");
                 runtime::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts one open connection until it is dropped.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
-    fn take(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(open.clone())
+    fn take(open_count: &Rc<Cell<usize>>) -> Self {
+        open_count.set(open_count.get() + 1);
+        Self(open_count.clone())
     }
 
     fn open_connections(&self) -> usize {
@@ -72,89 +77,90 @@
     }
 }
 
-/// How far the bytes so far go towards a request.
+/// The result of parsing the bytes received so far as a request.
 #[derive(Debug)]
-pub(super) enum Progress {
-    /// The rest has not arrived yet.
-    More {
+pub(super) enum RequestProgress {
+    /// The request is incomplete.
+    Incomplete {
         /// Whether the client waits for `100 Continue`.
         expects_continue: bool,
     },
-    /// A request arrived in full.
-    Ready {
-        /// The request.
+    /// The request is complete.
+    Complete {
+        /// The parsed request.
         request: Request,
-        /// How many bytes it took up.
-        used: usize,
-        /// Whether the client wants the connection closed after the response.
+        /// The number of bytes that the request took up.
+        consumed: usize,
+        /// Whether the client asks to close the connection after the response.
         close: bool,
     },
-    /// The bytes are no request that is served: this is sent, and the connection closed.
-    Refused(Response),
+    /// The bytes are not a valid request. The response is sent and the connection closed.
+    Rejected(Response),
 }
 
-impl Progress {
-    fn refused(status: u16, message: &str) -> Self {
-        Self::Refused(Response::error(status, message))
+impl RequestProgress {
+    fn rejected(status: u16, message: &str) -> Self {
+        Self::Rejected(Response::error(status, message))
     }
 }
 
-/// Reads the first request from the bytes so far.
-pub(super) fn parse(buffer: &[u8]) -> Progress {
+/// Parses the first request in the bytes received so far.
+pub(super) fn parse(buffer: &[u8]) -> RequestProgress {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Progress::refused(431, "request head too large");
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+            return RequestProgress::rejected(431, "request head too large");
         }
         Ok(httparse::Status::Partial) => {
-            return Progress::More {
+            return RequestProgress::Incomplete {
                 expects_continue: false,
             };
         }
-        Err(_) => return Progress::refused(400, "not HTTP/1.1"),
+        Err(_) => return RequestProgress::rejected(400, "not HTTP/1.1"),
     };
     let Ok(framing) = Framing::read(head.headers) else {
-        return Progress::refused(400, "bad request head");
+        return RequestProgress::rejected(400, "bad request head");
     };
     let body = match read_body(&buffer[head_length..], &framing, buffer.len()) {
         Ok(Some(body)) => body,
         Ok(None) => {
-            return Progress::More {
+            return RequestProgress::Incomplete {
                 expects_continue: framing.expects_continue,
             };
         }
-        Err(message) => return Progress::refused(400, message),
+        Err(message) => return RequestProgress::rejected(400, message),
     };
-    Progress::Ready {
+    RequestProgress::Complete {
         request: Request {
             method: Method::parse(head.method.unwrap_or("")),
             target: head.path.unwrap_or("/").to_owned(),
             body: body.bytes,
         },
-        used: head_length + body.consumed,
+        consumed: head_length + body.consumed,
         close: framing.close || head.version == Some(0),
     }
 }
 
-/// Reads a body from the bytes after the head. `None`: more bytes are needed. An error says why the
-/// body is refused. `received`: the bytes of the head and of all that came after it.
+/// Parses a request body from `input`, the bytes after the head. Returns `None` if more bytes are
+/// needed, and the reason if the body is rejected. `received` is the size of the head and `input`
+/// together, in bytes.
 fn read_body(
     input: &[u8],
     framing: &Framing,
     received: usize,
 ) -> Result<Option<DecodedBody>, &'static str> {
     if framing.chunked {
-        return match decode_chunks(input, BODY_LIMIT) {
-            // Chunk heads cost bytes too: an endless run of tiny chunks is cut off here.
-            Ok(None) if received > 2 * BODY_LIMIT + HEAD_LIMIT => Err("body too large"),
+        return match decode_chunks(input, MAX_BODY_BYTES) {
+            // Chunk headers take up bytes too: this check stops an endless sequence of tiny chunks.
+            Ok(None) if received > 2 * MAX_BODY_BYTES + MAX_HEAD_BYTES => Err("body too large"),
             Ok(body) => Ok(body),
             Err(_) => Err("bad or oversized body"),
         };
     }
     let length = framing.length.unwrap_or(0);
-    if length > BODY_LIMIT {
+    if length > MAX_BODY_BYTES {
         return Err("body over 64 KiB");
     }
     Ok(input.get(..length).map(|body| DecodedBody {
@@ -163,10 +169,13 @@
     }))
 }
 
-/// Serves one connection until either side closes it. `is_shared`: whether others wait for
-/// connections, so that this one is closed after its next response.
-async fn serve_connection<F, A>(mut stream: TcpStream, handler: F, is_shared: impl Fn() -> bool)
-where
+/// Serves one connection until either side closes it. `connections_are_scarce` returns whether the
+/// connection has to be closed after its next response because few are left for other clients.
+async fn serve_connection<F, A>(
+    mut stream: TcpStream,
+    handler: F,
+    connections_are_scarce: impl Fn() -> bool,
+) where
     F: Fn(Request) -> A,
     A: Future<Output = Response>,
 {
@@ -175,36 +184,36 @@
     let mut continue_sent = false;
     loop {
         match parse(&buffer) {
-            Progress::Ready {
+            RequestProgress::Complete {
                 request,
-                used,
+                consumed,
                 close,
             } => {
-                buffer.drain(..used);
+                buffer.drain(..consumed);
                 continue_sent = false;
                 let response = handler(request).await;
-                let close = close || is_shared();
+                let close = close || connections_are_scarce();
                 if !write(&mut stream, &encode(&response, close)).await || close {
                     return;
                 }
             }
-            Progress::Refused(response) => {
+            RequestProgress::Rejected(response) => {
                 write(&mut stream, &encode(&response, true)).await;
                 return;
             }
-            Progress::More { expects_continue } => {
+            RequestProgress::Incomplete { expects_continue } => {
                 if expects_continue && !continue_sent {
                     continue_sent = true;
                     if !write(&mut stream, CONTINUE).await {
                         return;
                     }
                 }
-                let limit = if buffer.is_empty() {
+                let read_timeout = if buffer.is_empty() {
                     IDLE_TIMEOUT
                 } else {
                     TRANSFER_TIMEOUT
                 };
-                match runtime::timeout(limit, stream.read(&mut chunk)).await {
+                match runtime::timeout(read_timeout, stream.read(&mut chunk)).await {
                     Some(Ok(n)) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
                     _ => return,
                 }
@@ -213,7 +222,7 @@
     }
 }
 
-/// Whether the bytes could be written in time.
+/// Writes the bytes and returns whether this succeeded within `TRANSFER_TIMEOUT`.
 async fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
     let written = runtime::timeout(TRANSFER_TIMEOUT, stream.write_all(bytes)).await;
     matches!(written, Some(Ok(())))
@@ -234,7 +243,7 @@
     }
 }
 
-/// A response as it is sent; `close` announces the end of the connection.
+/// Encodes a response. `close` adds a `Connection: close` header.
 pub(super) fn encode(response: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
