--- a/src/simulation/active_faults.rs
+++ b/src/simulation/active_faults.rs
@@ -15,7 +15,7 @@
 
 impl ZonePartition {
     /// Until when two zones can't reach each other.
-    pub(super) fn between(&self, one: &str, other: &str) -> MonotonicTime {
+    pub(super) fn blocked_until(&self, one: &str, other: &str) -> MonotonicTime {
         let [a, b] = self.zones;
         match (a, b) == (one, other) || (b, a) == (one, other) {
             true => self.until,
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -29,23 +29,23 @@
     /// A user's request to cancel, handled by some controller as the API does it.
     pub(super) fn request_cancellation(&mut self, job: JobId) {
         let now = self.now;
-        let able = |n: &usize| {
+        let can_serve = |n: &usize| {
             let node = &self.nodes[*n];
-            let served = node.store_cut_until <= now || node.final_records_seen.contains(&job);
-            node.controller.is_some() && node.frozen_until <= now && served
+            let can_answer = node.store_cut_until <= now || node.final_records_seen.contains(&job);
+            node.controller.is_some() && node.paused_until <= now && can_answer
         };
-        let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
-        if able.is_empty() {
+        let serving_nodes: Vec<usize> = (0..self.nodes.len()).filter(can_serve).collect();
+        if serving_nodes.is_empty() {
             return self.retry_cancellation(job);
         }
-        let node = able[self.pick(0, able.len() as u64 - 1) as usize];
+        let node = serving_nodes[self.pick(0, serving_nodes.len() as u64 - 1) as usize];
         let Some(revision) = self.commit_cancellation(&job) else {
             self.pending_cancellations.remove(&job);
             return;
         };
         self.nodes[node].final_records_seen.insert(job.clone());
         if self.disabled_guard == DisabledGuard::CancellationConfirmedOnCommit {
-            self.confirm(&job);
+            self.confirm_cancellation(&job);
             return;
         }
         let process = self.process(node);
@@ -86,8 +86,8 @@
         // Counted where the controller that the key-value store refuses owns a machine with the
         // job on it.
         if self
-            .refused_alone()
-            .is_some_and(|node| self.serves_job(node, job))
+            .only_refused_node()
+            .is_some_and(|node| self.receives_heartbeats_for_job(node, job))
         {
             self.observed.fault_occurrences += 1;
         }
@@ -132,13 +132,15 @@
     }
 
     /// The user is told that the job is cancelled.
-    pub(super) fn confirm(&mut self, job: &JobId) {
+    pub(super) fn confirm_cancellation(&mut self, job: &JobId) {
         self.pending_cancellations.remove(job);
-        self.cancelled.entry(job.clone()).or_insert(self.now);
+        self.confirmed_cancellations
+            .entry(job.clone())
+            .or_insert(self.now);
     }
 
     /// The only controller that the key-value store refuses.
-    fn refused_alone(&self) -> Option<usize> {
+    fn only_refused_node(&self) -> Option<usize> {
         let refused = |n: &usize| self.nodes[*n].store_cut_until > self.now;
         let refused: Vec<usize> = (0..self.nodes.len()).filter(refused).collect();
         match refused[..] {
@@ -148,7 +150,7 @@
     }
 
     /// Whether a task of the job is on a machine that sends heartbeats to this controller.
-    fn serves_job(&self, node: usize, job: &JobId) -> bool {
+    fn receives_heartbeats_for_job(&self, node: usize, job: &JobId) -> bool {
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
             let mut tasks = w.tasks.iter();
@@ -163,15 +165,15 @@
     }
 
     /// The outage ends, unless another one has begun meanwhile.
-    pub(super) fn store_outage_ends(&mut self) {
-        if self.active.store_outage_until <= self.now {
+    pub(super) fn on_store_outage_end(&mut self) {
+        if self.active_faults.store_outage_until <= self.now {
             self.end_store_outage();
         }
     }
 
     /// All leases have their full time again.
     pub(super) fn end_store_outage(&mut self) {
-        self.active.store_outage_until = self.now;
+        self.active_faults.store_outage_until = self.now;
         let until = self.time_in(MEMBER_LEASE_MS);
         for end in self.store.leases.values_mut() {
             *end = until;
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -19,12 +19,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that a day begins with.
-const FIRST_MACHINES: usize = 4;
+const INITIAL_MACHINES: usize = 4;
 /// The time between the starts of two controllers, in ms.
 const START_INTERVAL_MS: u64 = 10;
 /// When users, gangs, faults and stops of leaders begin, in ms.
-const FIRST_USER_TURN_MS: u64 = 3000;
-const FIRST_GANG_TURN_MS: u64 = 500;
+const FIRST_USER_TICK_MS: u64 = 3000;
+const FIRST_GANG_TICK_MS: u64 = 500;
 const FIRST_FAULTS_MS: u64 = 8000;
 const FIRST_LEADER_STOP_MS: u64 = 12_000;
 
@@ -39,7 +39,7 @@
     /// The kinds of fault that are injected.
     pub faults: Faults,
     /// The faults that last at the moment.
-    pub active: ActiveFaults,
+    pub active_faults: ActiveFaults,
     /// The guard that is disabled.
     pub disabled_guard: DisabledGuard,
     /// The key-value store.
@@ -49,15 +49,15 @@
     /// The workers of all machines that were not deleted.
     pub workers: BTreeMap<MachineId, Worker>,
     /// The number of the machine that was rented last.
-    pub last_machine: u64,
+    pub last_machine_number: u64,
     /// The machines of each rental request, so that a repeated one rents nothing.
-    pub rented: BTreeMap<String, Vec<MachineId>>,
+    pub machines_by_rent_request: BTreeMap<String, Vec<MachineId>>,
     /// How many zones there are.
-    pub zones: usize,
+    pub zone_count: usize,
     /// Jobs that users have submitted.
     pub jobs: BTreeMap<JobId, JobSpec>,
     /// When users were told that their jobs are cancelled.
-    pub cancelled: BTreeMap<JobId, MonotonicTime>,
+    pub confirmed_cancellations: BTreeMap<JobId, MonotonicTime>,
     /// Cancellations that users wait for.
     pub pending_cancellations: BTreeSet<JobId>,
     /// Set for a large fleet only.
@@ -88,16 +88,16 @@
             queue: EventQueue::default(),
             rng: StdRng::seed_from_u64(seed),
             faults,
-            active: ActiveFaults::default(),
+            active_faults: ActiveFaults::default(),
             disabled_guard,
             store: FakeStore::default(),
             nodes: nodes.collect(),
             workers: BTreeMap::new(),
-            last_machine: 0,
-            rented: BTreeMap::new(),
-            zones: size.zones,
+            last_machine_number: 0,
+            machines_by_rent_request: BTreeMap::new(),
+            zone_count: size.zone_count,
             jobs: BTreeMap::new(),
-            cancelled: BTreeMap::new(),
+            confirmed_cancellations: BTreeMap::new(),
             pending_cancellations: BTreeSet::new(),
             fleet: None,
             observed: Observations::default(),
@@ -109,7 +109,7 @@
     }
 
     fn schedule_first_events(&mut self) {
-        for _ in 0..FIRST_MACHINES {
+        for _ in 0..INITIAL_MACHINES {
             let id = self.new_machine(false);
             self.schedule_in(0, SimulationEvent::MachineBoot(id));
         }
@@ -117,8 +117,8 @@
             let ms = START_INTERVAL_MS * node as u64;
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
         }
-        self.schedule_in(FIRST_USER_TURN_MS, SimulationEvent::UserTurn);
-        self.schedule_in(FIRST_GANG_TURN_MS, SimulationEvent::GangTurn);
+        self.schedule_in(FIRST_USER_TICK_MS, SimulationEvent::UserTick);
+        self.schedule_in(FIRST_GANG_TICK_MS, SimulationEvent::GangTick);
         self.schedule_in(FIRST_FAULTS_MS, SimulationEvent::InjectFaults);
         if self.faults.rolling_upgrade || self.faults.lowered_store_limits {
             self.schedule_upgrades();
@@ -158,7 +158,7 @@
         while let Some((due, event)) = self.queue.pop_until(MonotonicTime(until)) {
             self.now = due;
             // In an outage of the store leases don't expire.
-            if self.active.store_outage_until <= self.now {
+            if self.active_faults.store_outage_until <= self.now {
                 self.store.expire(self.now);
             }
             self.handle_event(event);
@@ -169,12 +169,12 @@
     pub(super) fn heal(&mut self) {
         let now = self.now;
         self.faults = Faults::default();
-        self.active.healed = true;
-        self.active.slow_store_until = now;
-        self.active.zone_isolated_until = now;
-        self.active.partition.until = now;
+        self.active_faults.healed = true;
+        self.active_faults.slow_store_until = now;
+        self.active_faults.zone_isolated_until = now;
+        self.active_faults.partition.until = now;
         for node in &mut self.nodes {
-            node.frozen_until = now;
+            node.paused_until = now;
             node.store_cut_until = now;
             node.peers_cut_until = now;
         }
@@ -189,7 +189,7 @@
 
     /// Whether workers ignore launches: a guard is disabled, and all faults are healed.
     pub(super) fn ignores_launches(&self) -> bool {
-        self.disabled_guard == DisabledGuard::LaunchesIgnoredAfterHeal && self.active.healed
+        self.disabled_guard == DisabledGuard::LaunchesIgnoredAfterHeal && self.active_faults.healed
     }
 
     /// Jobs other than services that have no final state yet.
@@ -201,8 +201,8 @@
 
     /// Adds a machine that has not booted yet.
     pub(super) fn new_machine(&mut self, spot: bool) -> MachineId {
-        self.last_machine += 1;
-        let id = MachineId::from(format!("vm-{:04}", self.last_machine).as_str());
+        self.last_machine_number += 1;
+        let id = MachineId::from(format!("vm-{:04}", self.last_machine_number).as_str());
         let worker = self.new_worker(spot);
         self.workers.insert(id.clone(), worker);
         id
@@ -210,14 +210,14 @@
 
     /// The worker of the machine that was rented last.
     pub(super) fn new_worker(&self, spot: bool) -> Worker {
-        let zone = ZONES[(self.last_machine % self.zones as u64) as usize];
-        let node = (self.last_machine % self.nodes.len() as u64) as usize;
+        let zone = ZONES[(self.last_machine_number % self.zone_count as u64) as usize];
+        let node = (self.last_machine_number % self.nodes.len() as u64) as usize;
         Worker::booting(spot, zone, node, self.now)
     }
 
     /// Handles an event; what comes to a controller that is paused waits for it.
     fn handle_event(&mut self, event: SimulationEvent) {
-        let paused_until = event.node().map(|n| self.nodes[n].frozen_until);
+        let paused_until = event.node().map(|n| self.nodes[n].paused_until);
         if let Some(until) = paused_until.filter(|until| *until > self.now) {
             self.schedule_in(until.since(self.now).0 + 1, event);
             return;
@@ -239,21 +239,21 @@
             Event::Peer(delivery) => self.receive_peer_message(delivery),
             Event::CloudCall(caller, effect) => self.handle_cloud_call(caller, effect),
             Event::MachineBoot(id) => self.boot_machine(id),
-            Event::WorkerTurn(id) => self.worker_turn(&id),
+            Event::WorkerTick(id) => self.worker_tick(&id),
             Event::Heartbeat(delivery) => self.receive_heartbeat(delivery),
             Event::DuplicateHeartbeat(node, copy) => self.receive_duplicate_heartbeat(node, &copy),
             Event::HeartbeatResponse(response) => self.receive_heartbeat_response(response),
             Event::HeartbeatRedirect(redirect) => self.receive_redirect(&redirect),
-            Event::GangTurn => self.gang_turn(),
-            Event::CheckUnreachable(id) => self.check_unreachable_given_up(&id),
+            Event::GangTick => self.gang_tick(),
+            Event::CheckUnreachable(id) => self.check_unreachable_machine_removed(&id),
             Event::InjectFaults => self.inject_faults(),
             Event::RestartControllers => self.restart_controllers(),
             Event::StopLeader => self.stop_leader(),
             Event::StoreOutage(ms) => self.begin_store_outage(ms),
-            Event::StoreOutageEnds => self.store_outage_ends(),
+            Event::StoreOutageEnd => self.on_store_outage_end(),
             Event::LowerStoreLimits => self.lower_store_limits(),
             Event::Upgrade(node) => self.upgrade(node),
-            Event::UserTurn => self.user_turn(),
+            Event::UserTick => self.user_tick(),
             Event::SubmitDependent(spec) => self.submit_dependent(spec),
             Event::RequestCancellation(job) => self.request_cancellation(job),
             Event::CancelRunning => self.cancel_running(),
--- a/src/simulation/controller_processes.rs
+++ b/src/simulation/controller_processes.rs
@@ -49,9 +49,9 @@
     /// Starts a controller. Without the key-value store there is no watch cache and no lease, so
     /// it waits for the store.
     pub(super) fn start_controller(&mut self, node: usize) {
-        let cut = self.nodes[node].store_cut_until;
-        if cut > self.now {
-            let ms = cut.since(self.now).0;
+        let cut_until = self.nodes[node].store_cut_until;
+        if cut_until > self.now {
+            let ms = cut_until.since(self.now).0;
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
             return;
         }
@@ -155,7 +155,7 @@
                 self.with_controller(self.process(node), |c| c.on_events(now, revision, events).0);
             }
         }
-        let slow = self.active.slow_store_until > self.now;
+        let slow = self.active_faults.slow_store_until > self.now;
         let (from, to) = if slow {
             SLOW_WATCH_LAG_MS
         } else {
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -24,7 +24,7 @@
 /// How often a controller goes on with a cascade, in ms.
 const CASCADE_INTERVAL_MS: u64 = 15;
 /// Percent of the cancelled jobs that users name as dependencies all the same.
-const CANCELLED_PARENT_PERCENT: u64 = 10;
+const CANCELLED_DEPENDENCY_PERCENT: u64 = 10;
 
 impl SimulatedCluster {
     /// Adds some recent jobs as dependencies, whatever has become of them. Users know only those
@@ -36,16 +36,16 @@
             .map(|(id, _)| id.clone())
             .take(RECENT_JOBS as usize)
             .collect();
-        let most = (recent.len() as u64).min(3);
-        let mut named = BTreeSet::new();
-        for _ in 0..self.pick(0, most) {
+        let max_count = (recent.len() as u64).min(3);
+        let mut chosen = BTreeSet::new();
+        for _ in 0..self.pick(0, max_count) {
             let at = self.pick(0, recent.len() as u64 - 1) as usize;
             let cancelled = self.final_state(&recent[at]) == Some(JobState::Cancelled);
-            if !cancelled || self.chance(CANCELLED_PARENT_PERCENT) {
-                named.insert(recent[at].clone());
+            if !cancelled || self.chance(CANCELLED_DEPENDENCY_PERCENT) {
+                chosen.insert(recent[at].clone());
             }
         }
-        spec.dependencies = named.into_iter().collect();
+        spec.dependencies = chosen.into_iter().collect();
     }
 
     fn is_accepted(&self, id: &JobId) -> bool {
@@ -71,13 +71,13 @@
             return;
         }
         let ids = spec.dependencies.iter();
-        let named = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
-        let dependencies = CombinedDependencyState::of(&spec.id, named.collect());
+        let dependency_states = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
+        let dependencies = CombinedDependencyState::of(&spec.id, dependency_states.collect());
         self.write_submission(&spec, &dependencies);
     }
 
     fn write_submission(&mut self, spec: &JobSpec, dependencies: &CombinedDependencyState) {
-        let decided = match self.disabled_guard {
+        let effective_state = match self.disabled_guard {
             DisabledGuard::DependenciesIgnored => &CombinedDependencyState::Done,
             _ => dependencies,
         };
@@ -85,7 +85,7 @@
             UnixTime(self.now.0),
             self.nodes[0].config.store_limits.txn_ops,
         );
-        let Some((txn, state)) = decided.acceptance_txn(spec, now, ops) else {
+        let Some((txn, state)) = effective_state.acceptance_txn(spec, now, ops) else {
             self.record_violation(
                 ViolationKind::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
@@ -112,29 +112,29 @@
 
     /// A controller that can decide: it runs, and the key-value store serves it.
     fn serving_node(&mut self) -> Option<usize> {
-        let able = |n: &usize| {
+        let can_serve = |n: &usize| {
             let node = &self.nodes[*n];
-            let served = node.store_cut_until <= self.now && node.frozen_until <= self.now;
-            node.controller.is_some() && served
+            let store_reachable = node.store_cut_until <= self.now && node.paused_until <= self.now;
+            node.controller.is_some() && store_reachable
         };
-        let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
-        let last = able.len().checked_sub(1)? as u64;
+        let serving_nodes: Vec<usize> = (0..self.nodes.len()).filter(can_serve).collect();
+        let last = serving_nodes.len().checked_sub(1)? as u64;
         let at = self.pick(0, last) as usize;
-        able.get(at).copied()
+        serving_nodes.get(at).copied()
     }
 
     fn dependency_state(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
-        let shown = controller.and_then(|c| cached_dependency_state(id, &c.cache));
+        let cached = controller.and_then(|c| cached_dependency_state(id, &c.cache));
         // What the watch cache shows may be old: the conditions of the write fail then, and the
         // records are read.
-        let found = self.store.revision_of(&keys::job(id));
-        let is_current = |state: &DependencyState| matches!(state, DependencyState::Live { revision, .. } if found == Some(*revision));
-        if let Some(live) = shown.filter(is_current) {
+        let live_revision = self.store.revision_of(&keys::job(id));
+        let is_current = |state: &DependencyState| matches!(state, DependencyState::Live { revision, .. } if live_revision == Some(*revision));
+        if let Some(live) = cached.filter(is_current) {
             return live;
         }
         if let (Some(record), Some(revision)) =
-            (self.store.read::<JobRecord>(&keys::job(id)), found)
+            (self.store.read::<JobRecord>(&keys::job(id)), live_revision)
         {
             let kind = record.spec.kind;
             return DependencyState::Live { kind, revision };
@@ -155,23 +155,23 @@
     /// Cancels the dependents of a cancelled job before its user is told, as the API does it.
     pub(super) fn step_cascade(&mut self, mut due: CascadeStepDue) {
         if self.disabled_guard == DisabledGuard::DependentsNotCancelled {
-            self.confirm(&due.job);
+            self.confirm_cancellation(&due.job);
             return;
         }
         let ControllerProcess { node, generation } = due.process;
         let ops = self.nodes[node].config.store_limits.txn_ops;
-        let served = self.nodes[node].store_cut_until <= self.now;
+        let store_reachable = self.nodes[node].store_cut_until <= self.now;
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(due.job);
         };
         match due.cascade.next(&controller.cache, ops) {
             CascadeStep::Complete => {
-                self.count_left_dependents(&due.job);
-                self.confirm(&due.job);
+                self.count_live_dependents(&due.job);
+                self.confirm_cancellation(&due.job);
                 return;
             }
             _ if self.now > due.deadline => return self.retry_cancellation(due.job),
-            CascadeStep::Write(txn, jobs) if served => {
+            CascadeStep::Write(txn, jobs) if store_reachable => {
                 self.write_cascade(due.process, &mut due.cascade, txn, &jobs);
             }
             CascadeStep::Write(..) | CascadeStep::Wait => {}
@@ -198,21 +198,22 @@
         }
     }
 
-    fn count_left_dependents(&mut self, cancelled: &JobId) {
-        let left = self.jobs.keys().filter(|id| {
-            self.store.contains(&keys::job(id)) && self.ancestors(id).contains(cancelled)
+    fn count_live_dependents(&mut self, cancelled: &JobId) {
+        let live = self.jobs.keys().filter(|id| {
+            self.store.contains(&keys::job(id))
+                && self.transitive_dependencies(id).contains(cancelled)
         });
-        self.observed.dependencies.live_at_confirmation += left.count() as u64;
+        self.observed.dependencies.live_at_confirmation += live.count() as u64;
     }
 
     /// All jobs that a job needs, directly or through others.
-    pub(super) fn ancestors(&self, id: &JobId) -> BTreeSet<JobId> {
+    pub(super) fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut open = vec![id.clone()];
-        while let Some(next) = open.pop() {
-            for parent in &self.jobs[&next].dependencies {
-                if found.insert(parent.clone()) {
-                    open.push(parent.clone());
+        let mut pending = vec![id.clone()];
+        while let Some(next) = pending.pop() {
+            for dependency in &self.jobs[&next].dependencies {
+                if found.insert(dependency.clone()) {
+                    pending.push(dependency.clone());
                 }
             }
         }
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -68,7 +68,7 @@
         if dependents && self.disabled_guard == DisabledGuard::DependentsNotCancelled {
             return;
         }
-        let slow = self.active.slow_store_until > self.now;
+        let slow = self.active_faults.slow_store_until > self.now;
         let lost = (self.faults.lost_responses && self.chance(LOST_TXN_PERCENT))
             || (slow && self.chance(SLOW_STORE_LOST_TXN_PERCENT));
         let (from, to) = match (lost, slow) {
@@ -78,25 +78,28 @@
         };
         let ms = self.pick(from, to);
         if lost {
-            let given_up = TxnResponse {
+            let timeout_response = TxnResponse {
                 caller,
                 requester: requester.clone(),
                 outcome: TxnOutcome::Unknown,
             };
-            self.schedule_in(CALL_TIMEOUT_MS, SimulationEvent::TxnResponse(given_up));
+            self.schedule_in(
+                CALL_TIMEOUT_MS,
+                SimulationEvent::TxnResponse(timeout_response),
+            );
         }
         let request = TxnRequest {
             caller,
             requester,
             txn,
-            answered: !lost,
+            expects_response: !lost,
         };
         self.schedule_in(ms, SimulationEvent::TxnRequest(request));
     }
 
     fn send_to_cloud(&mut self, caller: ControllerProcess, effect: Effect) {
-        let at_once = self.disabled_guard == DisabledGuard::MissingDependencyCountsAsDone;
-        let ms = match at_once {
+        let immediate = self.disabled_guard == DisabledGuard::MissingDependencyCountsAsDone;
+        let ms = match immediate {
             true => 0,
             false => self.pick(CLOUD_CALL_MS.0, CLOUD_CALL_MS.1),
         };
@@ -109,17 +112,18 @@
             caller,
             requester,
             txn,
-            answered,
+            expects_response,
         } = request;
-        let cut = self.nodes[caller.node].store_cut_until > self.now;
-        let outcome = if (cut && answered) || !self.admits(caller.node, &requester, &txn) {
-            TxnOutcome::Refused(Refusal::StoreUnavailable)
-        } else {
-            self.store.txn(&txn)
-        };
+        let store_cut = self.nodes[caller.node].store_cut_until > self.now;
+        let outcome =
+            if (store_cut && expects_response) || !self.admits(caller.node, &requester, &txn) {
+                TxnOutcome::Refused(Refusal::StoreUnavailable)
+            } else {
+                self.store.txn(&txn)
+            };
         self.check_final_states();
         self.duplicate_txn(caller, &requester, txn);
-        if !answered {
+        if !expects_response {
             return;
         }
         self.check_recreated_records(&outcome);
@@ -134,13 +138,13 @@
 
     fn duplicate_txn(&mut self, caller: ControllerProcess, requester: &TxnRequester, txn: Txn) {
         if let Some(ms) = self.duplicate_delay() {
-            let again = TxnRequest {
+            let duplicate = TxnRequest {
                 caller,
                 requester: requester.clone(),
                 txn,
-                answered: false,
+                expects_response: false,
             };
-            self.schedule_in(ms, SimulationEvent::TxnRequest(again));
+            self.schedule_in(ms, SimulationEvent::TxnRequest(duplicate));
         }
     }
 
@@ -150,7 +154,7 @@
         let late_requests = self.faults.lost_responses || self.faults.slow_store;
         if let TxnOutcome::Committed(revision) = outcome
             && !late_requests
-            && !self.active.healed
+            && !self.active_faults.healed
         {
             self.check_no_record_recreated(*revision);
         }
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -20,7 +20,7 @@
 
 impl ControllerProcess {
     /// Nobody waits for the response any more.
-    pub(super) fn gone(node: usize) -> Self {
+    pub(super) fn stopped(node: usize) -> Self {
         Self {
             node,
             generation: u64::MAX,
@@ -37,7 +37,7 @@
     /// The transaction itself.
     pub txn: Txn,
     /// The caller still waits for the outcome.
-    pub answered: bool,
+    pub expects_response: bool,
 }
 
 /// The outcome of a transaction on its way back.
@@ -171,7 +171,7 @@
     /// A machine has booted.
     MachineBoot(MachineId),
     /// A worker has its regular turn.
-    WorkerTurn(MachineId),
+    WorkerTick(MachineId),
     /// A heartbeat arrives.
     Heartbeat(HeartbeatDelivery),
     /// A heartbeat arrives once more.
@@ -181,7 +181,7 @@
     /// A redirect arrives in place of a response.
     HeartbeatRedirect(HeartbeatRedirect),
     /// Gangs start and end together.
-    GangTurn,
+    GangTick,
     /// A machine could not be reached for long, and its record must be gone.
     CheckUnreachable(MachineId),
     /// Faults are injected again.
@@ -193,13 +193,13 @@
     /// The key-value store is out for everybody for so many ms.
     StoreOutage(u64),
     /// An outage of the key-value store ends.
-    StoreOutageEnds,
+    StoreOutageEnd,
     /// The key-value store takes less from now on.
     LowerStoreLimits,
     /// A controller stops and comes back as the present version.
     Upgrade(usize),
     /// Users submit the next job.
-    UserTurn,
+    UserTick,
     /// A user submits a job that depends on others, or does so again.
     SubmitDependent(JobSpec),
     /// A user asks for a cancellation, or asks again.
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/fake_services/cloud.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 /// The most machines that the cloud has for a small fleet.
-const SMALL_FLEET_MACHINES: usize = 14;
+const SMALL_FLEET_MAX_MACHINES: usize = 14;
 /// The slots of a machine of a small fleet.
 const SMALL_FLEET_SLOTS: u64 = 4;
 /// How long a machine takes to boot, in ms.
@@ -48,18 +48,18 @@
         let Some(ms) = self.duplicate_delay() else {
             return;
         };
-        let again = match effect {
+        let duplicate = match effect {
             Effect::RentMachines(request) => Effect::RentMachines(request.clone()),
             Effect::DeleteMachines(ids) => Effect::DeleteMachines(ids.clone()),
             _ => return,
         };
-        let caller = ControllerProcess::gone(node);
-        self.schedule_in(ms, SimulationEvent::CloudCall(caller, again));
+        let caller = ControllerProcess::stopped(node);
+        self.schedule_in(ms, SimulationEvent::CloudCall(caller, duplicate));
     }
 
     fn rent(&mut self, caller: ControllerProcess, request: &RentRequest) {
         let now = self.now;
-        let known = self.rented.get(&request.request).cloned();
+        let known = self.machines_by_rent_request.get(&request.request).cloned();
         let ids = known.unwrap_or_else(|| self.provide_machines(request));
         let outcome = match ids.is_empty() {
             true => RentOutcome::NoCapacity,
@@ -72,9 +72,9 @@
     }
 
     fn provide_machines(&mut self, request: &RentRequest) -> Vec<MachineId> {
-        let scale = self.fleet.as_ref();
-        let most = scale.map_or(SMALL_FLEET_MACHINES, |s| s.max_machines);
-        let free = most.saturating_sub(self.workers.len());
+        let fleet = self.fleet.as_ref();
+        let max_machines = fleet.map_or(SMALL_FLEET_MAX_MACHINES, |s| s.max_machines);
+        let free = max_machines.saturating_sub(self.workers.len());
         let free = free.min(request.count as usize);
         let ids: Vec<_> = (0..free).map(|_| self.new_machine(request.spot)).collect();
         for id in &ids {
@@ -83,7 +83,8 @@
                 self.schedule_in(boot, SimulationEvent::MachineBoot(id.clone()));
             }
         }
-        self.rented.insert(request.request.clone(), ids.clone());
+        self.machines_by_rent_request
+            .insert(request.request.clone(), ids.clone());
         ids
     }
 
@@ -91,8 +92,8 @@
     pub(in crate::simulation) fn boot_machine(&mut self, id: MachineId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.dead = false;
-            worker.answered = self.now;
-            self.schedule_in(0, SimulationEvent::WorkerTurn(id));
+            worker.last_answered_heartbeat = self.now;
+            self.schedule_in(0, SimulationEvent::WorkerTick(id));
         }
     }
 
@@ -151,7 +152,7 @@
         let catalog: Catalog = serde_json::from_value(json!({"hulls": [
             {"name": "t8", "cores": 2 * slots, "cards": 0, "memory_gb": 16 * slots, "cache_gb": 50,
              "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
-             "berths": &ZONES[..self.zones]}]}))
+             "berths": &ZONES[..self.zone_count]}]}))
         .expect("catalog");
         self.with_controller(caller, |c| c.on_catalog(now, Some(catalog)));
     }
--- a/src/simulation/stand_ins/direct_calls.rs
+++ b/src/simulation/fake_services/direct_calls.rs
@@ -14,7 +14,7 @@
 /// How late a call arrives that was lost for its sender, in ms.
 const LOST_CALL_DELAY_MS: u64 = 15_000;
 /// A delayed call arrives so long after the machine goes on, in ms.
-const AFTER_DELAY_MS: u64 = 3;
+const REDELIVERY_DELAY_MS: u64 = 3;
 
 impl SimulatedCluster {
     /// Delivers direct commands, now or later.
@@ -23,13 +23,14 @@
         let Some(worker) = self.workers.get(&call.machine).filter(|w| !w.dead) else {
             return self.call_missing_machine(&call);
         };
-        let link_until = self.blocked_until(call.caller.node, worker.zone);
-        let ignored = worker.inbound_cut_until > self.now;
-        let blocked_until = worker.unreachable_until().max(link_until);
-        if ignored && self.disabled_guard == DisabledGuard::UnreachableMachinesAcknowledge {
-            return self.acknowledge_call(&call);
+        let link_blocked_until = self.blocked_until(call.caller.node, worker.zone);
+        let inbound_cut = worker.inbound_cut_until > self.now;
+        let blocked_until = worker.unreachable_until().max(link_blocked_until);
+        if inbound_cut && self.disabled_guard == DisabledGuard::UnreachableMachinesAcknowledge {
+            return self.acknowledge_without_execution(&call);
         }
-        let lost = lost || (call.redeliveries == 0 && self.is_dropped_by_partition(link_until));
+        let lost =
+            lost || (call.redeliveries == 0 && self.is_dropped_by_partition(link_blocked_until));
         if blocked_until > self.now || (lost && call.redeliveries == 0) {
             return self.delay_call(call, blocked_until, lost);
         }
@@ -37,8 +38,8 @@
     }
 
     fn is_dropped_by_partition(&self, link_until: MonotonicTime) -> bool {
-        let blocked = link_until > self.now && link_until == self.active.partition.until;
-        blocked && !self.active.partition.delays_messages
+        let blocked = link_until > self.now && link_until == self.active_faults.partition.until;
+        blocked && !self.active_faults.partition.delays_messages
     }
 
     /// The machine is deleted, dead or has not booted.
@@ -55,7 +56,7 @@
     }
 
     /// The commands count as carried out, though they are not.
-    fn acknowledge_call(&mut self, call: &DirectCall) {
+    fn acknowledge_without_execution(&mut self, call: &DirectCall) {
         if let Some(worker) = self.workers.get_mut(&call.machine) {
             let heartbeat = worker.heartbeat(call.machine.as_str());
             self.respond_to_call(call, RESPONSE_MS, DirectCallOutcome::Done(heartbeat));
@@ -70,7 +71,10 @@
         let blocked_ms = blocked_until.since(self.now).0;
         let wait = blocked_ms.max(if lost { LOST_CALL_DELAY_MS } else { 0 });
         call.redeliveries += 1;
-        self.schedule_in(wait + AFTER_DELAY_MS, SimulationEvent::DirectCall(call));
+        self.schedule_in(
+            wait + REDELIVERY_DELAY_MS,
+            SimulationEvent::DirectCall(call),
+        );
     }
 
     fn deliver_call(&mut self, mut call: DirectCall) {
--- a/src/simulation/stand_ins/gangs.rs
+++ b/src/simulation/fake_services/gangs.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 /// How long a gang runs, in ms.
-const GANG_MS: u64 = 4000;
+const GANG_RUN_MS: u64 = 4000;
 /// How often gangs look for their members, in ms.
-const GANG_TURN_MS: u64 = 500;
+const GANG_TICK_MS: u64 = 500;
 
 /// The states of a gang's members, by job and attempt.
 type GangMembers = BTreeMap<(JobId, AttemptNumber), Vec<TaskState>>;
@@ -24,9 +24,9 @@
 
 impl SimulatedCluster {
     /// One turn of all gangs, and of the invariants that are checked regularly.
-    pub(in crate::simulation) fn gang_turn(&mut self) {
+    pub(in crate::simulation) fn gang_tick(&mut self) {
         self.check_cancelled_tasks_stopped();
-        self.check_no_orphans();
+        self.check_no_orphaned_dependents();
         self.check_no_starvation();
         self.check_deleted_records_removed();
         let members = self.gang_members();
@@ -35,7 +35,7 @@
             let completed = self.observed.completed_indices.entry(job).or_default();
             completed.extend(0..tasks);
         }
-        self.schedule_in(GANG_TURN_MS, SimulationEvent::GangTurn);
+        self.schedule_in(GANG_TICK_MS, SimulationEvent::GangTick);
     }
 
     fn gang_members(&self) -> GangMembers {
@@ -62,13 +62,13 @@
                 let Some(states) = members.get(&(job.clone(), attempt.number)) else {
                     continue;
                 };
-                let alive = states.iter().filter(|s| **s != TaskState::Exited).count();
-                let complete = alive == self.jobs[job].tasks as usize;
+                let live = states.iter().filter(|s| **s != TaskState::Exited).count();
+                let complete = live == self.jobs[job].tasks as usize;
                 let Some(next) = transition(task, complete, now) else {
                     continue;
                 };
                 if next.state == TaskState::Running {
-                    task.until = MonotonicTime(now.0 + GANG_MS);
+                    task.until = MonotonicTime(now.0 + GANG_RUN_MS);
                 }
                 if next.exit_reason == Some(ExitReason::Done) {
                     finished.push(job.clone());
--- a/src/simulation/stand_ins/heartbeats.rs
+++ b/src/simulation/fake_services/heartbeats.rs
@@ -13,7 +13,7 @@
 use crate::worker_control::HeartbeatAnswer;
 
 /// How often a worker has its turn, in ms.
-const WORKER_TURN_MS: u64 = 100;
+const WORKER_TICK_MS: u64 = 100;
 /// The interval between heartbeats, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
 /// The interval once something has changed, in ms.
@@ -27,7 +27,7 @@
 
 impl SimulatedCluster {
     /// One worker's turn.
-    pub(in crate::simulation) fn worker_turn(&mut self, id: &MachineId) {
+    pub(in crate::simulation) fn worker_tick(&mut self, id: &MachineId) {
         let ticket = self.queue.next_sequence();
         let now = self.now;
         let Some(worker) = self.workers.get(id).filter(|w| !w.dead) else {
@@ -46,20 +46,20 @@
         if let Some(delivery) = delivery {
             self.send_heartbeat(delivery);
         }
-        self.schedule_in(WORKER_TURN_MS, SimulationEvent::WorkerTurn(id.clone()));
+        self.schedule_in(WORKER_TICK_MS, SimulationEvent::WorkerTick(id.clone()));
     }
 
     /// Without a response for a lease, a worker ends all tasks and begins a new epoch.
     fn expire_worker_lease(&mut self, id: &MachineId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id)
-            && now.since(worker.answered).0 > SHARD_LEASE_MS
+            && now.since(worker.last_answered_heartbeat).0 > SHARD_LEASE_MS
         {
             worker.epoch.0 += 1;
             self.observed.tasks_lost += worker.running_tasks();
             worker.tasks.clear();
-            worker.answered = now;
-            worker.awaiting = None;
+            worker.last_answered_heartbeat = now;
+            worker.awaited_response = None;
         }
     }
 
@@ -85,32 +85,32 @@
                 worker.next_heartbeat = worker.next_heartbeat.min(now);
             }
         }
-        if let Some(scale) = &mut self.fleet {
-            scale.counts.ended += ended.len() as u64;
+        if let Some(fleet) = &mut self.fleet {
+            fleet.counts.ended += ended.len() as u64;
         }
         ended
     }
 
     /// The next heartbeat, if it is due and can be sent.
     fn next_delivery(&mut self, id: &MachineId, ticket: u64) -> Option<HeartbeatDelivery> {
-        let (now, members) = (self.now, self.nodes.len());
+        let (now, controller_count) = (self.now, self.nodes.len());
         let next_controller_at = MonotonicTime(now.0 + NEXT_CONTROLLER_MS);
         let worker = self.workers.get_mut(id)?;
         let timed_out =
             |awaited: AwaitedResponse| now.since(awaited.sent).0 >= HEARTBEAT_TIMEOUT_MS;
-        if worker.awaiting.is_some_and(timed_out) {
-            worker.awaiting = None;
-            worker.try_next_node(members, next_controller_at);
+        if worker.awaited_response.is_some_and(timed_out) {
+            worker.awaited_response = None;
+            worker.try_next_node(controller_count, next_controller_at);
         }
-        let due = worker.awaiting.is_none() && now >= worker.next_heartbeat;
+        let due = worker.awaited_response.is_none() && now >= worker.next_heartbeat;
         if !due || worker.cut_until > now {
             return None;
         }
         if worker.outbound_cut_until > now {
-            worker.try_next_node(members, next_controller_at);
+            worker.try_next_node(controller_count, next_controller_at);
             return None;
         }
-        worker.awaiting = Some(AwaitedResponse { ticket, sent: now });
+        worker.awaited_response = Some(AwaitedResponse { ticket, sent: now });
         worker.next_heartbeat = MonotonicTime(now.0 + HEARTBEAT_INTERVAL_MS);
         Some(HeartbeatDelivery {
             node: worker.node,
@@ -145,14 +145,14 @@
     pub(in crate::simulation) fn receive_heartbeat(&mut self, delivery: HeartbeatDelivery) {
         let now = self.now;
         let node = delivery.node;
-        let link_until = self.blocked_until(node, delivery.heartbeat.zone.as_str());
-        if link_until > now {
-            let partition = &self.active.partition;
-            if link_until == partition.until && !partition.delays_messages {
+        let link_blocked_until = self.blocked_until(node, delivery.heartbeat.zone.as_str());
+        if link_blocked_until > now {
+            let partition = &self.active_faults.partition;
+            if link_blocked_until == partition.until && !partition.delays_messages {
                 return;
             }
             // It arrives after the cut; nobody waits for the response any more.
-            let ms = link_until.since(now).0 + 3;
+            let ms = link_blocked_until.since(now).0 + 3;
             let copy = SimulationEvent::DuplicateHeartbeat(node, delivery.heartbeat);
             self.schedule_in(ms, copy);
             return;
@@ -227,20 +227,20 @@
         let Some(worker) = self.workers.get_mut(&response.machine).filter(|w| !w.dead) else {
             return;
         };
-        let Some(awaited) = worker.awaiting else {
+        let Some(awaited) = worker.awaited_response else {
             return;
         };
         let late = now.since(awaited.sent).0 >= HEARTBEAT_TIMEOUT_MS;
         if awaited.ticket != response.ticket || late || worker.unreachable_until() > now {
             return;
         }
-        worker.awaiting = None;
+        worker.awaited_response = None;
         if response.token < worker.token {
             return;
         }
         let commands = &response.commands;
         let launched = worker.execute(now, if ignores_launches { &[] } else { commands });
-        worker.answered = awaited.sent;
+        worker.last_answered_heartbeat = awaited.sent;
         if self.disabled_guard == DisabledGuard::ExitedTasksForgottenOnReport {
             worker.forget_exited();
         }
@@ -253,21 +253,21 @@
 
     /// A worker turns to the controller that it was pointed to, or to the next one.
     pub(in crate::simulation) fn receive_redirect(&mut self, redirect: &HeartbeatRedirect) {
-        let (now, members) = (self.now, self.nodes.len());
+        let (now, controller_count) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(&redirect.machine) else {
             return;
         };
-        let awaited = worker.awaiting.map(|awaited| awaited.ticket);
+        let awaited = worker.awaited_response.map(|awaited| awaited.ticket);
         if worker.inbound_cut_until > now || awaited != Some(redirect.ticket) {
             return;
         }
-        worker.awaiting = None;
+        worker.awaited_response = None;
         match redirect.to {
             Some(to) if to != worker.node => {
                 worker.node = to;
                 worker.next_heartbeat = now;
             }
-            _ => worker.try_next_node(members, MonotonicTime(now.0 + NEXT_CONTROLLER_MS)),
+            _ => worker.try_next_node(controller_count, MonotonicTime(now.0 + NEXT_CONTROLLER_MS)),
         }
     }
 }
--- a/src/simulation/stand_ins/network.rs
+++ b/src/simulation/fake_services/network.rs
@@ -14,28 +14,31 @@
 /// How long a message between controllers takes, in ms.
 const TRANSIT_MS: (u64, u64) = (1, 5);
 /// How long a relayed message takes, in ms.
-const RELAYED_MS: u64 = 10;
+const RELAY_TRANSIT_MS: u64 = 10;
 /// Percent of the messages between controllers that get lost.
 const LOST_MESSAGE_PERCENT: u64 = 5;
 
 impl SimulatedCluster {
     /// Until when messages between a controller and a machine are blocked.
     pub(in crate::simulation) fn blocked_until(&self, node: usize, zone: &str) -> MonotonicTime {
-        let partition = &self.active.partition;
-        let partitioned = partition.between(zone_of(node, self.nodes.len()), zone);
+        let partition = &self.active_faults.partition;
+        let partitioned = partition.blocked_until(zone_of(node, self.nodes.len()), zone);
         let same_side = (node == ISOLATED_ZONE_CONTROLLER) == (zone == ISOLATED_ZONE);
         let isolated = match same_side {
             true => MonotonicTime(0),
-            false => self.active.zone_isolated_until,
+            false => self.active_faults.zone_isolated_until,
         };
         partitioned.max(isolated)
     }
 
     /// Whether two controllers are in zones that can't reach each other.
     fn is_partitioned(&self, one: usize, other: usize) -> bool {
-        let members = self.nodes.len();
-        let partition = &self.active.partition;
-        partition.between(zone_of(one, members), zone_of(other, members)) > self.now
+        let controller_count = self.nodes.len();
+        let partition = &self.active_faults.partition;
+        partition.blocked_until(
+            zone_of(one, controller_count),
+            zone_of(other, controller_count),
+        ) > self.now
     }
 
     /// Sends a message to another controller, if need be through a third.
@@ -47,15 +50,15 @@
     ) {
         let to = member_index(to.as_str()).unwrap_or(0);
         let now = self.now;
-        let cut = |node: usize| self.nodes[node].peers_cut_until > now;
+        let is_cut_off = |node: usize| self.nodes[node].peers_cut_until > now;
         let partitioned = self.is_partitioned(from, to);
-        let cut = cut(from) || cut(to) || partitioned;
+        let blocked = is_cut_off(from) || is_cut_off(to) || partitioned;
         if partitioned && let Some(relay) = self.relay_between(from, to) {
-            self.deliver_to_peer(RELAYED_MS, from, to, message);
+            self.deliver_to_peer(RELAY_TRANSIT_MS, from, to, message);
             self.observed.relayed_messages += u64::from(relay != from);
             return;
         }
-        let lost = cut || (self.faults.lost_responses && self.chance(LOST_MESSAGE_PERCENT));
+        let lost = blocked || (self.faults.lost_responses && self.chance(LOST_MESSAGE_PERCENT));
         if !lost {
             let ms = self.pick(TRANSIT_MS.0, TRANSIT_MS.1);
             self.deliver_to_peer(ms, from, to, message);
@@ -71,27 +74,27 @@
     /// What a controller knows from the status messages of the others, which they send all the time.
     fn routes(&self, node: usize) -> RelayRoutes {
         let now = self.now;
-        let members = self.nodes.len();
+        let controller_count = self.nodes.len();
         let reachable_peers = |one: usize, other: usize| {
-            let able = |n: usize| {
+            let is_running = |n: usize| {
                 let node = &self.nodes[n];
-                let serving = node.frozen_until <= now && node.peers_cut_until <= now;
+                let serving = node.paused_until <= now && node.peers_cut_until <= now;
                 node.controller.is_some() && serving
             };
             let partitioned = self.is_partitioned(one, other);
-            one != other && able(one) && able(other) && !partitioned
+            one != other && is_running(one) && is_running(other) && !partitioned
         };
         let mut routes = RelayRoutes::default();
-        for other in (0..members).filter(|other| reachable_peers(node, *other)) {
-            let heard = (0..members).filter(|n| reachable_peers(other, *n));
-            let heard = heard.map(|n| MemberId::from(MEMBERS[n])).collect();
+        for other in (0..controller_count).filter(|other| reachable_peers(node, *other)) {
+            let peers = (0..controller_count).filter(|n| reachable_peers(other, *n));
+            let peer_ids = peers.map(|n| MemberId::from(MEMBERS[n])).collect();
             let controller = self.nodes[other].controller.as_ref();
             let machines_without_direct_heartbeats =
                 controller.map_or_else(Vec::new, |c| c.machines_without_direct_heartbeats(now));
             routes.on_peer_status(
                 now,
                 &MemberId::from(MEMBERS[other]),
-                heard,
+                peer_ids,
                 machines_without_direct_heartbeats,
             );
         }
@@ -124,8 +127,8 @@
             return None;
         }
         let to = member_index(owner.as_str())?;
-        let able = self.nodes[to].frozen_until <= now;
-        let reached = able && self.relay_between(node, to).is_some()
+        let owner_running = self.nodes[to].paused_until <= now;
+        let reached = owner_running && self.relay_between(node, to).is_some()
             || routes.reachable_peers(now).contains(&owner);
         let controller = self.nodes[to].controller.as_mut().filter(|_| reached)?;
         let (answer, effects) = controller.on_relayed_heartbeat(now, heartbeat);
@@ -140,11 +143,11 @@
     /// Tells a controller whether its zone is cut off from another one, as the daemon does.
     pub(in crate::simulation) fn report_partition(&mut self, node: usize) {
         if self.faults.zone_partition {
-            let partition = &self.active.partition;
-            let cut = partition.until > self.now
+            let partition = &self.active_faults.partition;
+            let is_partitioned = partition.until > self.now
                 && partition.zones.contains(&zone_of(node, self.nodes.len()));
             if let Some(controller) = self.nodes[node].controller.as_mut() {
-                controller.set_partitioned(cut);
+                controller.set_partitioned(is_partitioned);
             }
         }
     }
--- a/src/simulation/fakes/store.rs
+++ b/src/simulation/fakes/store.rs
@@ -110,16 +110,16 @@
     /// Ends a lease and deletes the keys that depend on it.
     pub(in crate::simulation) fn revoke_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
-        let gone: Vec<String> = self
+        let owned_keys: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, v)| v.lease == Some(lease))
             .map(|(k, _)| k.clone())
             .collect();
-        if !gone.is_empty() {
+        if !owned_keys.is_empty() {
             self.revision.0 += 1;
         }
-        for key in gone {
+        for key in owned_keys {
             self.keys.remove(&key);
             self.append_log(key, None);
         }
@@ -127,13 +127,13 @@
 
     /// Ends the leases that have run out.
     pub(in crate::simulation) fn expire(&mut self, now: MonotonicTime) {
-        let over: Vec<LeaseId> = self
+        let expired: Vec<LeaseId> = self
             .leases
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.revoke_lease(lease);
         }
     }
@@ -165,9 +165,9 @@
     fn failed_conditions(&self, txn: &Txn) -> Vec<String> {
         let mut failed = Vec::new();
         for condition in &txn.conditions {
-            let found = self.revision_of(&condition.key).unwrap_or_default();
+            let revision = self.revision_of(&condition.key).unwrap_or_default();
             let fence = condition.key.contains("/block/") || condition.key.contains("/machine/");
-            if found != condition.revision && !(self.ignore_fences && fence) {
+            if revision != condition.revision && !(self.ignore_fences && fence) {
                 failed.push(condition.key.clone());
             }
         }
--- a/src/simulation/fakes/worker.rs
+++ b/src/simulation/fakes/worker.rs
@@ -49,11 +49,11 @@
     /// The controller that it sends heartbeats to.
     pub node: usize,
     /// When the last heartbeat that was answered was sent.
-    pub answered: MonotonicTime,
+    pub last_answered_heartbeat: MonotonicTime,
     /// When the next heartbeat is due.
     pub next_heartbeat: MonotonicTime,
     /// The heartbeat that has no response yet.
-    pub awaiting: Option<AwaitedResponse>,
+    pub awaited_response: Option<AwaitedResponse>,
     /// Nothing gets in or out until then.
     pub cut_until: MonotonicTime,
     /// The process does nothing until then.
@@ -82,9 +82,9 @@
             token: FencingToken(0),
             tasks: BTreeMap::new(),
             node,
-            answered: now,
+            last_answered_heartbeat: now,
             next_heartbeat: now,
-            awaiting: None,
+            awaited_response: None,
             cut_until: MonotonicTime(0),
             hang_until: MonotonicTime(0),
             inbound_cut_until: MonotonicTime(0),
@@ -107,8 +107,12 @@
     }
 
     /// Turns to the next controller after a while.
-    pub(in crate::simulation) fn try_next_node(&mut self, members: usize, at: MonotonicTime) {
-        self.node = (self.node + 1) % members;
+    pub(in crate::simulation) fn try_next_node(
+        &mut self,
+        controller_count: usize,
+        at: MonotonicTime,
+    ) {
+        self.node = (self.node + 1) % controller_count;
         self.next_heartbeat = at;
     }
 
@@ -166,26 +170,26 @@
         if self.tasks.contains_key(&attempt) {
             return None;
         }
-        if self.is_alive(&attempt.task) {
-            let busy = WorkerTask {
+        if self.has_live_attempt(&attempt.task) {
+            let refused = WorkerTask {
                 state: TaskState::Exited,
                 exit_reason: Some(ExitReason::OtherAttemptPresent),
                 until: now,
             };
-            self.tasks.insert(attempt, busy);
+            self.tasks.insert(attempt, refused);
             return None;
         }
-        let added = u64::from(attempt.task.index) * TASK_MS_PER_INDEX % MAX_ADDED_TASK_MS;
+        let added_ms = u64::from(attempt.task.index) * TASK_MS_PER_INDEX % MAX_ADDED_TASK_MS;
         let running = WorkerTask {
             state: TaskState::Running,
             exit_reason: None,
-            until: MonotonicTime(now.0 + MIN_TASK_MS + added),
+            until: MonotonicTime(now.0 + MIN_TASK_MS + added_ms),
         };
         self.tasks.insert(attempt.clone(), running);
         Some(attempt)
     }
 
-    fn is_alive(&self, task: &TaskId) -> bool {
+    fn has_live_attempt(&self, task: &TaskId) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|(other, t)| other.task == *task && t.state != TaskState::Exited)
     }
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -30,7 +30,7 @@
         self.cut_inbound_of_machine();
         self.disconnect_store();
         self.fail_machine();
-        if !self.active.healed {
+        if !self.active_faults.healed {
             let ms = self.pick(INJECTION_INTERVAL_MS.0, INJECTION_INTERVAL_MS.1);
             self.schedule_in(ms, SimulationEvent::InjectFaults);
         }
@@ -88,30 +88,31 @@
     }
 
     fn isolate_zone(&mut self) {
-        let possible = self.faults.zone_isolation && self.active.zone_isolated_until <= self.now;
+        let possible =
+            self.faults.zone_isolation && self.active_faults.zone_isolated_until <= self.now;
         if !(possible && self.chance(20)) {
             return;
         }
         let ms = self.pick(SHARD_LEASE_MS, 4 * SHARD_LEASE_MS);
         let until = self.time_in(ms);
-        self.active.zone_isolated_until = until;
+        self.active_faults.zone_isolated_until = until;
         self.nodes[ISOLATED_ZONE_CONTROLLER].store_cut_until = until;
         self.nodes[ISOLATED_ZONE_CONTROLLER].peers_cut_until = until;
     }
 
     fn partition_zones(&mut self) {
-        let possible = self.faults.zone_partition && self.active.partition.until <= self.now;
+        let possible = self.faults.zone_partition && self.active_faults.partition.until <= self.now;
         if !(possible && self.chance(40)) {
             return;
         }
-        let spared = self.pick(0, self.zones as u64 - 1) as usize;
-        let zones = ZONES[..self.zones].iter().enumerate();
-        let mut partitioned = zones.filter(|(n, _)| *n != spared);
+        let unaffected = self.pick(0, self.zone_count as u64 - 1) as usize;
+        let zones = ZONES[..self.zone_count].iter().enumerate();
+        let mut partitioned = zones.filter(|(n, _)| *n != unaffected);
         if let (Some((_, one)), Some((_, other))) = (partitioned.next(), partitioned.next()) {
             let ms = self.pick(SHARD_LEASE_MS, 4 * SHARD_LEASE_MS);
-            self.active.partition.zones = [one, other];
-            self.active.partition.until = self.time_in(ms);
-            self.active.partition.delays_messages = self.chance(50);
+            self.active_faults.partition.zones = [one, other];
+            self.active_faults.partition.until = self.time_in(ms);
+            self.active_faults.partition.delays_messages = self.chance(50);
             self.observed.fault_occurrences += 1;
         }
     }
@@ -134,7 +135,7 @@
         if self.faults.slow_store && self.chance(35) {
             self.observed.fault_occurrences += 1;
             let ms = self.pick(3000, 15_000);
-            self.active.slow_store_until = self.time_in(ms);
+            self.active_faults.slow_store_until = self.time_in(ms);
         }
     }
 
@@ -152,27 +153,27 @@
     /// for everybody, before the leader's lease has expired. Now and then a controller stops as
     /// well, its links are cut, or machines hang.
     fn begin_refusal_then_outage(&mut self) {
-        let possible =
-            self.faults.store_refusal_then_outage && self.active.store_outage_until <= self.now;
+        let possible = self.faults.store_refusal_then_outage
+            && self.active_faults.store_outage_until <= self.now;
         if !(possible && self.chance(40)) {
             return;
         }
         let Some(leader) = self.leader() else { return };
-        let refusal = self.pick(300, 4000);
-        let outage = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
-        self.nodes[leader].store_cut_until = self.time_in(refusal);
-        let before = self.pick(50, refusal);
-        self.schedule_in(before, SimulationEvent::CancelRunning);
-        self.schedule_in(refusal, SimulationEvent::StoreOutage(outage));
+        let refusal_ms = self.pick(300, 4000);
+        let outage_ms = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
+        self.nodes[leader].store_cut_until = self.time_in(refusal_ms);
+        let cancel_delay_ms = self.pick(50, refusal_ms);
+        self.schedule_in(cancel_delay_ms, SimulationEvent::CancelRunning);
+        self.schedule_in(refusal_ms, SimulationEvent::StoreOutage(outage_ms));
         match self.pick(0, 5) {
             0 => {
-                let ms = self.pick(500, refusal + outage);
+                let ms = self.pick(500, refusal_ms + outage_ms);
                 self.nodes[leader].peers_cut_until = self.time_in(ms);
             }
-            1 => self.schedule_in(before + 100, SimulationEvent::RestartControllers),
+            1 => self.schedule_in(cancel_delay_ms + 100, SimulationEvent::RestartControllers),
             2 => {
                 let ms = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
-                let until = self.time_in(before + ms);
+                let until = self.time_in(cancel_delay_ms + ms);
                 for worker in self.workers.values_mut().step_by(3) {
                     worker.hang_until = until;
                 }
@@ -186,8 +187,8 @@
             let victim = self.pick_node();
             let ms = self.pick(4000, 2 * SHARD_LEASE_MS);
             let until = self.time_in(ms);
-            self.nodes[victim].frozen_until = until;
-            self.active.last_pause_until = self.active.last_pause_until.max(until);
+            self.nodes[victim].paused_until = until;
+            self.active_faults.last_pause_until = self.active_faults.last_pause_until.max(until);
         }
     }
 
@@ -255,7 +256,7 @@
 
     /// The leader stops; now and then the key-value store is out as well.
     pub(super) fn stop_leader(&mut self) {
-        if self.active.healed {
+        if self.active_faults.healed {
             return;
         }
         if let Some(leader) = self.leader() {
@@ -263,7 +264,7 @@
             let ms = self.restart_delay();
             self.stop_controller(leader, ms);
         }
-        if self.active.store_outage_until <= self.now && self.chance(20) {
+        if self.active_faults.store_outage_until <= self.now && self.chance(20) {
             let ms = self.pick(3000, 20_000);
             self.begin_store_outage(ms);
         }
@@ -274,10 +275,10 @@
     /// The key-value store is out for everybody for so many ms.
     pub(super) fn begin_store_outage(&mut self, ms: u64) {
         let until = self.time_in(ms);
-        self.active.store_outage_until = until;
+        self.active_faults.store_outage_until = until;
         for node in &mut self.nodes {
             node.store_cut_until = until;
         }
-        self.schedule_in(ms, SimulationEvent::StoreOutageEnds);
+        self.schedule_in(ms, SimulationEvent::StoreOutageEnd);
     }
 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -21,11 +21,11 @@
 impl SimulatedCluster {
     /// All attempts on machines that have not exited, whether anything reaches them or not.
     fn live_attempts(&self) -> impl Iterator<Item = LiveAttempt<'_>> {
-        let up = self.workers.iter().filter(|(_, worker)| !worker.dead);
-        up.flat_map(|(machine, worker)| {
-            let alive = worker.tasks.iter();
-            let alive = alive.filter(|(_, task)| task.state != TaskState::Exited);
-            alive.map(move |(attempt, _)| LiveAttempt { machine, attempt })
+        let running_workers = self.workers.iter().filter(|(_, worker)| !worker.dead);
+        running_workers.flat_map(|(machine, worker)| {
+            let tasks = worker.tasks.iter();
+            let live_tasks = tasks.filter(|(_, task)| task.state != TaskState::Exited);
+            live_tasks.map(move |(attempt, _)| LiveAttempt { machine, attempt })
         })
     }
 
@@ -34,18 +34,18 @@
         let jobs = self
             .live_attempts()
             .filter_map(|live| self.jobs.get(&live.attempt.task.job));
-        let ours = jobs.filter(|spec| spec.team == job.team);
-        ours.map(|spec| spec.need().milli_cpus).sum()
+        let team_jobs = jobs.filter(|spec| spec.team == job.team);
+        team_jobs.map(|spec| spec.need().milli_cpus).sum()
     }
 
     /// Notes that a rule does not hold, and for what.
     pub(super) fn record_violation(
         &mut self,
-        rule: ViolationKind,
+        kind: ViolationKind,
         subject: impl std::fmt::Display,
     ) {
         self.observed.violations.push(Violation {
-            kind: rule,
+            kind,
             at: self.now,
             subject: subject.to_string(),
         });
--- a/src/simulation/invariants/cancellations.rs
+++ b/src/simulation/invariants/cancellations.rs
@@ -7,41 +7,44 @@
 
 impl SimulatedCluster {
     /// For how many ms a job's user has known that it is cancelled.
-    fn cancelled_for(&self, job: &JobId) -> Option<u64> {
-        let told = self.cancelled.get(job)?;
-        Some(self.now.since(*told).0)
+    fn ms_since_cancellation(&self, job: &JobId) -> Option<u64> {
+        let confirmed_at = self.confirmed_cancellations.get(job)?;
+        Some(self.now.since(*confirmed_at).0)
     }
 
     /// Whether the user was told so long before that nothing of the job may be left.
-    pub(super) fn is_cancelled_for_long(&self, job: &JobId) -> bool {
-        let ms = self.cancelled_for(job);
+    pub(super) fn is_past_cancellation_limit(&self, job: &JobId) -> bool {
+        let ms = self.ms_since_cancellation(job);
         ms.is_some_and(|ms| ms > CANCELLATION_LIMIT_MS)
     }
 
     /// Whether the user was told before a command was sent that takes so many ms.
     pub(super) fn is_cancelled_for_more_than(&self, job: &JobId, transit_ms: u64) -> bool {
-        self.cancelled_for(job).is_some_and(|ms| ms > transit_ms)
+        self.ms_since_cancellation(job)
+            .is_some_and(|ms| ms > transit_ms)
     }
 
     /// `CancelledTaskRan` for what is on a machine, reachable or not.
     pub(in crate::simulation) fn check_cancelled_tasks_stopped(&mut self) {
-        let kept = self.live_attempts();
-        let kept = kept.filter(|live| self.is_cancelled_for_long(&live.attempt.task.job));
-        let kept: Vec<String> = kept
+        let attempts = self.live_attempts();
+        let overdue =
+            attempts.filter(|live| self.is_past_cancellation_limit(&live.attempt.task.job));
+        let subjects: Vec<String> = overdue
             .map(|live| format!("{} on {}", live.attempt, live.machine))
             .collect();
-        for what in kept {
-            self.record_violation(ViolationKind::CancelledTaskRan, what);
+        for subject in subjects {
+            self.record_violation(ViolationKind::CancelledTaskRan, subject);
         }
     }
 
     /// A job is only cancelled if its user has asked for it, or with one that it needs.
     pub(in crate::simulation) fn check_cancellation_reason(&mut self, id: &JobId) {
-        let asked =
-            |id: &JobId| self.pending_cancellations.contains(id) || self.cancelled.contains_key(id);
-        let mut reasons = self.ancestors(id);
+        let is_requested = |id: &JobId| {
+            self.pending_cancellations.contains(id) || self.confirmed_cancellations.contains_key(id)
+        };
+        let mut reasons = self.transitive_dependencies(id);
         reasons.insert(id.clone());
-        if !reasons.iter().any(asked) {
+        if !reasons.iter().any(is_requested) {
             self.record_violation(ViolationKind::CancelledWithoutReason, id);
         }
     }
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -30,7 +30,7 @@
     /// `DeletedRecordKept`: a record that a late request brought back for a deleted machine has to go
     /// again.
     pub(in crate::simulation) fn check_deleted_records_removed(&mut self) {
-        if !self.active.healed || self.fleet.is_some() {
+        if !self.active_faults.healed || self.fleet.is_some() {
             return;
         }
         let recorded = |id: &&MachineId| self.store.contains(&keys::machine(id));
@@ -58,18 +58,18 @@
 
     /// `UnreachableMachineKept`: a machine that nothing has reached for long must have lost its record. Without
     /// a leader, or a key-value store, no record of a machine goes.
-    pub(in crate::simulation) fn check_unreachable_given_up(&mut self, id: &MachineId) {
-        let up = self.workers.get(id).is_some_and(|w| !w.dead);
+    pub(in crate::simulation) fn check_unreachable_machine_removed(&mut self, id: &MachineId) {
+        let is_running = self.workers.get(id).is_some_and(|w| !w.dead);
         let faults = &self.faults;
-        let no_leader = faults.controller_crashes
+        let removals_may_stall = faults.controller_crashes
             || faults.store_refusal_then_outage
             || faults.leader_crashes
             || faults.control_plane_outage
             || faults.slow_store;
-        if !up || no_leader || self.active.healed {
+        if !is_running || removals_may_stall || self.active_faults.healed {
             return;
         }
-        let due = MonotonicTime(self.active.last_pause_until.0 + UNREACHABLE_LIMIT_MS);
+        let due = MonotonicTime(self.active_faults.last_pause_until.0 + UNREACHABLE_LIMIT_MS);
         if self.now < due {
             // Nobody could notice while controllers were paused.
             let worker = self.workers.get(id);
--- a/src/simulation/invariants/dependencies.rs
+++ b/src/simulation/invariants/dependencies.rs
@@ -18,23 +18,23 @@
     }
 
     /// `DependencyNotDone`.
-    pub(in crate::simulation) fn check_parents_done(&mut self, spec: &JobSpec) {
-        let open = spec.dependencies.iter().find(|id| !self.is_done(id));
-        if let Some(open) = open.cloned() {
+    pub(in crate::simulation) fn check_dependencies_done(&mut self, spec: &JobSpec) {
+        let unfinished = spec.dependencies.iter().find(|id| !self.is_done(id));
+        if let Some(unfinished) = unfinished.cloned() {
             self.record_violation(
                 ViolationKind::DependencyNotDone,
-                format!("{} before {open}", spec.id),
+                format!("{} before {unfinished}", spec.id),
             );
         }
     }
 
     /// `OrphanedDependent`: it would still be called queued or running.
-    pub(in crate::simulation) fn check_no_orphans(&mut self) {
+    pub(in crate::simulation) fn check_no_orphaned_dependents(&mut self) {
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.contains(&keys::job(id)));
         let orphaned = live.filter(|id| {
-            let mut needed = self.ancestors(id).into_iter();
-            needed.any(|parent| self.is_cancelled_for_long(&parent))
+            let mut dependencies = self.transitive_dependencies(id).into_iter();
+            dependencies.any(|dependency| self.is_past_cancellation_limit(&dependency))
         });
         let orphaned: Vec<JobId> = orphaned.cloned().collect();
         for orphan in orphaned {
@@ -44,7 +44,7 @@
 
     /// Whether something that a job needs is not done: it may wait however much room there is.
     pub(in crate::simulation) fn has_unfinished_dependencies(&self, spec: &JobSpec) -> bool {
-        let mut needed = spec.dependencies.iter();
-        needed.any(|id| self.final_state(id) != Some(JobState::Done))
+        let mut dependencies = spec.dependencies.iter();
+        dependencies.any(|id| self.final_state(id) != Some(JobState::Done))
     }
 }
--- a/src/simulation/invariants/final_states.rs
+++ b/src/simulation/invariants/final_states.rs
@@ -37,8 +37,8 @@
         let done = completed.map_or(0, BTreeSet::len);
         if state == JobState::Done && done < spec.tasks as usize {
             let (kind, tasks) = (spec.kind, spec.tasks);
-            let what = format!("{id} {kind:?} {completed:?} of {tasks}");
-            self.record_violation(ViolationKind::DoneTooEarly, what);
+            let subject = format!("{id} {kind:?} {completed:?} of {tasks}");
+            self.record_violation(ViolationKind::DoneTooEarly, subject);
         }
     }
 }
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -30,8 +30,8 @@
             if spec.kind == JobKind::Gang {
                 self.wait_for_gang(machine, attempt);
             }
-            self.check_runs_once(machine, attempt);
-            self.check_parents_done(&spec);
+            self.check_single_live_attempt(machine, attempt);
+            self.check_dependencies_done(&spec);
             self.check_quota(&spec, attempt);
             self.check_placement(&spec, machine, attempt);
             self.check_not_cancelled(attempt, just_sent);
@@ -49,7 +49,7 @@
     }
 
     /// `RanTwice`: no other attempt of the task is on another machine.
-    fn check_runs_once(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
+    fn check_single_live_attempt(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let mut live = self.live_attempts();
         if live.any(|other| other.attempt.task == attempt.task && other.machine != machine) {
             drop(live);
@@ -67,14 +67,16 @@
 
     /// `WrongPlacement`: zone constraints hold, and only what may run on spot machines does.
     fn check_placement(&mut self, spec: &JobSpec, machine: &MachineId, attempt: &TaskAttempt) {
-        let here = &self.workers[machine];
+        let worker = &self.workers[machine];
         let live = self.live_attempts();
-        let ours = live.filter(|other| other.attempt.task.job == spec.id);
-        let zones: Vec<&str> = ours.map(|other| self.workers[other.machine].zone).collect();
-        let in_zone = zones.iter().filter(|zone| **zone == here.zone).count();
+        let job_attempts = live.filter(|other| other.attempt.task.job == spec.id);
+        let zones: Vec<&str> = job_attempts
+            .map(|other| self.workers[other.machine].zone)
+            .collect();
+        let in_zone = zones.iter().filter(|zone| **zone == worker.zone).count();
         let one_zone = !spec.one_zone || in_zone == zones.len();
         let spread = !spec.spread || in_zone <= spec.tasks.div_ceil(2) as usize;
-        if !one_zone || !spread || (here.spot && !spec.allow_spot) {
+        if !one_zone || !spread || (worker.spot && !spec.allow_spot) {
             self.record_violation(ViolationKind::WrongPlacement, attempt);
         }
     }
@@ -82,7 +84,7 @@
     /// `CancelledTaskRan` and `CancelledTaskLaunched`.
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
-        if self.is_cancelled_for_long(job) {
+        if self.is_past_cancellation_limit(job) {
             self.record_violation(ViolationKind::CancelledTaskRan, attempt);
         }
         if just_sent && self.is_cancelled_for_more_than(job, COMMAND_TRANSIT_MS) {
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 /// The CPUs of a machine of a small fleet, in thousandths.
-const MACHINE_CPUS: u64 = 8000;
+const MACHINE_MILLI_CPUS: u64 = 8000;
 /// No job waits for longer beside room that fits, in ms.
 const STARVATION_LIMIT_MS: u64 = 90_000;
 
@@ -17,11 +17,11 @@
     /// `Starved`: no job waits for long while a machine that fits has room for one of its
     /// tasks and its team is under its limit.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
-        if !self.active.healed || self.fleet.is_some() {
+        if !self.active_faults.healed || self.fleet.is_some() {
             return;
         }
         let now = self.now;
-        let waiting = self.jobs_waiting_beside_room();
+        let waiting = self.starving_jobs();
         let since = &mut self.observed.starving_since;
         since.retain(|id, _| waiting.contains(id));
         for id in waiting {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn jobs_waiting_beside_room(&self) -> Vec<JobId> {
+    fn starving_jobs(&self) -> Vec<JobId> {
         let live = self.live_attempts();
         let on_machines: BTreeSet<&JobId> = live.map(|live| &live.attempt.task.job).collect();
         let jobs = self.jobs.iter();
@@ -59,16 +59,17 @@
         };
         let need = spec.need().milli_cpus * u64::from(tasks);
         let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
-        let mut up = self.workers.iter().filter(|(_, w)| !w.dead);
-        self.team_cpus(spec) + need <= limit && up.any(|(id, w)| self.fits(spec, need, id, w))
+        let mut running_workers = self.workers.iter().filter(|(_, w)| !w.dead);
+        self.team_cpus(spec) + need <= limit
+            && running_workers.any(|(id, w)| self.fits(spec, need, id, w))
     }
 
     fn fits(&self, spec: &JobSpec, need: u64, id: &MachineId, worker: &Worker) -> bool {
-        let alive = worker.tasks.iter();
-        let alive = alive.filter(|(_, task)| task.state != TaskState::Exited);
-        let jobs = alive.filter_map(|(attempt, _)| self.jobs.get(&attempt.task.job));
+        let tasks = worker.tasks.iter();
+        let live_tasks = tasks.filter(|(_, task)| task.state != TaskState::Exited);
+        let jobs = live_tasks.filter_map(|(attempt, _)| self.jobs.get(&attempt.task.job));
         let taken: u64 = jobs.map(|other| other.need().milli_cpus).sum();
         let recorded = self.store.contains(&keys::machine(id));
-        recorded && taken + need <= MACHINE_CPUS && (spec.allow_spot || !worker.spot)
+        recorded && taken + need <= MACHINE_MILLI_CPUS && (spec.allow_spot || !worker.spot)
     }
 }
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -16,15 +16,15 @@
 use serde_json::json;
 
 /// The part of the changes that each controller may use.
-const CHANGES_SHARE: f64 = 0.5;
+const CONTROLLER_CHANGES_FRACTION: f64 = 0.5;
 /// What the key-value store takes, in requests a second.
 const REQUESTS_PER_S: f64 = 200.0;
 /// The slots of each machine.
-const SLOTS: u64 = 16;
+const SLOTS_PER_MACHINE: u64 = 16;
 /// Between two services, in ms.
 const SERVICE_INTERVAL_MS: u64 = 560;
 /// How many tasks an array has.
-const ARRAY_TASKS: (u64, u64) = (20, 220);
+const TASKS_PER_ARRAY: (u64, u64) = (20, 220);
 /// Beyond so many, each new service ends an old one.
 const MAX_SERVICES: u64 = 200;
 
@@ -37,11 +37,11 @@
         array_interval_ms: u64,
     ) -> Self {
         let mut cluster = Self::new(seed, Faults::default(), DisabledGuard::None);
-        let limiter = TokenBucket::new(changes_per_s * CHANGES_SHARE);
+        let limiter = TokenBucket::new(changes_per_s * CONTROLLER_CHANGES_FRACTION);
         cluster.fleet = Some(LargeFleetState {
             min_machines: machines.0,
             max_machines: machines.1,
-            slots: SLOTS,
+            slots: SLOTS_PER_MACHINE,
             array_interval_ms,
             services: 0,
             changes_per_s,
@@ -54,10 +54,10 @@
 
     /// Boots the machines of a large fleet and applies its rates.
     fn start_large_fleet(&mut self) {
-        let Some(scale) = &self.fleet else { return };
-        let changes = scale.changes_per_s;
-        let more = scale.min_machines.saturating_sub(self.workers.len());
-        for _ in 0..more {
+        let Some(fleet) = &self.fleet else { return };
+        let changes = fleet.changes_per_s;
+        let missing_machines = fleet.min_machines.saturating_sub(self.workers.len());
+        for _ in 0..missing_machines {
             let id = self.new_machine(false);
             self.schedule_in(0, SimulationEvent::MachineBoot(id));
         }
@@ -74,7 +74,7 @@
     /// Whether the rates let a transaction through, each controller within its share.
     pub(super) fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
         let now = self.now;
-        let Some(scale) = &mut self.fleet else {
+        let Some(fleet) = &mut self.fleet else {
             return true;
         };
         let (name, class) = match requester {
@@ -88,8 +88,8 @@
             TxnRequester::Catalog | TxnRequester::Nobody => ("other", RequestClass::Place),
         };
         let changes = txn.changes.len() as u64;
-        let admitted = scale.limiters[node].try_acquire(now, changes as f64, class);
-        let counts = &mut scale.counts;
+        let admitted = fleet.limiters[node].try_acquire(now, changes as f64, class);
+        let counts = &mut fleet.counts;
         counts.transactions += 1;
         if admitted {
             counts.changes += changes;
@@ -102,27 +102,27 @@
 
     /// Submits the next array or service; services end after a while.
     pub(super) fn submit_to_large_fleet(&mut self) {
-        let Some(scale) = self.fleet.as_ref().filter(|_| !self.active.healed) else {
+        let Some(fleet) = self.fleet.as_ref().filter(|_| !self.active_faults.healed) else {
             return;
         };
-        let interval_ms = scale.array_interval_ms;
-        let service = self.now.0 / SERVICE_INTERVAL_MS > scale.services;
-        let services = scale.services + u64::from(service);
+        let interval_ms = fleet.array_interval_ms;
+        let service = self.now.0 / SERVICE_INTERVAL_MS > fleet.services;
+        let services = fleet.services + u64::from(service);
         let spec = self.new_large_fleet_job(service);
         let mut txn = Txn::default();
         let record = JobRecord::new(spec.clone(), UnixTime(self.now.0));
         txn.put(keys::job(&spec.id), &record, None);
         self.store.txn(&txn);
         self.jobs.insert(spec.id.clone(), spec);
-        if let Some(scale) = &mut self.fleet {
-            scale.services = services;
+        if let Some(fleet) = &mut self.fleet {
+            fleet.services = services;
         }
         if service && services > MAX_SERVICES {
             self.cancel_oldest_service();
         }
-        let both = SERVICE_INTERVAL_MS + interval_ms;
-        let next = SERVICE_INTERVAL_MS.min(interval_ms) * interval_ms / both;
-        self.schedule_in(next.max(1), SimulationEvent::UserTurn);
+        let interval_sum_ms = SERVICE_INTERVAL_MS + interval_ms;
+        let next = SERVICE_INTERVAL_MS.min(interval_ms) * interval_ms / interval_sum_ms;
+        self.schedule_in(next.max(1), SimulationEvent::UserTick);
     }
 
     fn new_large_fleet_job(&mut self, service: bool) -> JobSpec {
@@ -135,7 +135,7 @@
             body["precedence"] = json!("high");
             body["sheets"] = json!(1);
         } else {
-            body["sheets"] = json!(self.pick(ARRAY_TASKS.0, ARRAY_TASKS.1));
+            body["sheets"] = json!(self.pick(TASKS_PER_ARRAY.0, TASKS_PER_ARRAY.1));
         }
         JobSpec::parse(body.to_string().as_bytes()).expect("valid")
     }
--- a/src/simulation/node.rs
+++ b/src/simulation/node.rs
@@ -26,7 +26,7 @@
     /// Messages from and to other controllers are lost until then.
     pub peers_cut_until: MonotonicTime,
     /// The process is paused until then.
-    pub frozen_until: MonotonicTime,
+    pub paused_until: MonotonicTime,
     /// Cancelled jobs whose record this process has written or read.
     pub final_records_seen: BTreeSet<JobId>,
     /// It runs the earlier version of the program.
@@ -35,12 +35,14 @@
 
 impl Node {
     /// A node of so many, before its controller starts.
-    pub(super) fn new(index: usize, members: usize, earlier_version: bool) -> Self {
+    pub(super) fn new(index: usize, controller_count: usize, earlier_version: bool) -> Self {
         let mut config = sample_config();
         config.member = MEMBERS[index].into();
         let addr = config.peer_listen;
-        let others = MEMBERS[..members].iter().filter(|m| **m != MEMBERS[index]);
-        config.controller_count = members as u32;
+        let others = MEMBERS[..controller_count]
+            .iter()
+            .filter(|m| **m != MEMBERS[index]);
+        config.controller_count = controller_count as u32;
         config.peers = others.map(|m| (MemberId::from(*m), addr)).collect();
         Self {
             config,
@@ -51,7 +53,7 @@
             previous_lease: None,
             store_cut_until: MonotonicTime(0),
             peers_cut_until: MonotonicTime(0),
-            frozen_until: MonotonicTime(0),
+            paused_until: MonotonicTime(0),
             final_records_seen: BTreeSet::new(),
             earlier_version,
         }
--- a/src/simulation/topology.rs
+++ b/src/simulation/topology.rs
@@ -6,18 +6,18 @@
     /// How many controllers there are.
     pub controller_count: usize,
     /// How many zones there are.
-    pub zones: usize,
+    pub zone_count: usize,
 }
 
 /// The small deployment: three controllers in two zones.
 pub(super) const THREE_CONTROLLERS: ClusterSize = ClusterSize {
     controller_count: 3,
-    zones: 2,
+    zone_count: 2,
 };
 /// The large deployment: five controllers in three zones.
 pub(super) const FIVE_CONTROLLERS: ClusterSize = ClusterSize {
     controller_count: 5,
-    zones: 3,
+    zone_count: 3,
 };
 /// The names of the zones; a cluster uses the first ones.
 pub(super) const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -29,8 +29,8 @@
 pub(super) const ISOLATED_ZONE_CONTROLLER: usize = 2;
 
 /// The zone of a controller: of five, two are in the first zone and two in the second.
-pub(super) fn zone_of(node: usize, members: usize) -> &'static str {
-    match (members, node) {
+pub(super) fn zone_of(node: usize, controller_count: usize) -> &'static str {
+    match (controller_count, node) {
         (5, node) => ZONES[node / 2],
         (_, ISOLATED_ZONE_CONTROLLER) => ISOLATED_ZONE,
         _ => ZONES[0],
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -13,10 +13,10 @@
 /// How long an upgraded process is down, in ms.
 const RESTART_MS: (u64, u64) = (60, 5000);
 /// When the key-value store lowers its limits, in ms.
-const LOWER_LIMITS_MS: (u64, u64) = (50_000, 70_000);
+const LIMIT_REDUCTION_AT_MS: (u64, u64) = (50_000, 70_000);
 /// The later limits, in bytes and changes.
-const VALUE_BYTES: usize = 1024;
-const TXN_OPS: usize = 4;
+const LOWERED_VALUE_BYTES: usize = 1024;
+const LOWERED_TXN_OPS: usize = 4;
 
 impl SimulatedCluster {
     /// Schedules the upgrade of each controller, and the lower limits.
@@ -35,7 +35,7 @@
             }
         }
         if limits {
-            let at = self.pick(LOWER_LIMITS_MS.0, LOWER_LIMITS_MS.1);
+            let at = self.pick(LIMIT_REDUCTION_AT_MS.0, LIMIT_REDUCTION_AT_MS.1);
             self.schedule_in(at, SimulationEvent::LowerStoreLimits);
         }
     }
@@ -43,9 +43,9 @@
     /// This version keeps to the later limits from its start.
     fn configure_limits(&mut self, node: usize) {
         if self.faults.lowered_store_limits {
-            let state = &mut self.nodes[node].config.store_limits;
-            state.value_bytes = VALUE_BYTES;
-            state.txn_ops = TXN_OPS;
+            let limits = &mut self.nodes[node].config.store_limits;
+            limits.value_bytes = LOWERED_VALUE_BYTES;
+            limits.txn_ops = LOWERED_TXN_OPS;
         }
     }
 
@@ -63,8 +63,8 @@
     /// The key-value store takes less from now on.
     pub(super) fn lower_store_limits(&mut self) {
         self.store.limits = Some(FakeStoreLimits {
-            value_bytes: VALUE_BYTES,
-            changes: TXN_OPS,
+            value_bytes: LOWERED_VALUE_BYTES,
+            changes: LOWERED_TXN_OPS,
         });
     }
 }
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -17,17 +17,17 @@
 
 impl SimulatedCluster {
     /// Submits a job, and cancels one now and then.
-    pub(super) fn user_turn(&mut self) {
+    pub(super) fn user_tick(&mut self) {
         if self.fleet.is_some() {
             return self.submit_to_large_fleet();
         }
-        if self.active.healed {
+        if self.active_faults.healed {
             return self.cancel_services();
         }
         let submitted = self.jobs.len() as u64;
         let spec = self.new_job();
         if spec.dependencies.is_empty() {
-            self.submit_alone(&spec);
+            self.submit_independent(&spec);
             self.jobs.insert(spec.id.clone(), spec);
         } else {
             self.jobs.insert(spec.id.clone(), spec.clone());
@@ -40,7 +40,7 @@
             false => USER_INTERVAL_MS,
         };
         let ms = self.pick(from, to);
-        self.schedule_in(ms, SimulationEvent::UserTurn);
+        self.schedule_in(ms, SimulationEvent::UserTick);
     }
 
     /// What never ends by itself is cancelled, so that the day can end.
@@ -91,7 +91,7 @@
         }
     }
 
-    fn submit_alone(&mut self, spec: &JobSpec) {
+    fn submit_independent(&mut self, spec: &JobSpec) {
         let mut txn = Txn::default();
         txn.require(keys::job(&spec.id), Revision(0));
         txn.require(keys::final_state(&spec.id), Revision(0));
@@ -107,13 +107,13 @@
     pub(super) fn write_as_user(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
         if let Some(ms) = self.duplicate_delay() {
-            let again = TxnRequest {
-                caller: ControllerProcess::gone(0),
+            let duplicate = TxnRequest {
+                caller: ControllerProcess::stopped(0),
                 requester: TxnRequester::Nobody,
                 txn,
-                answered: false,
+                expects_response: false,
             };
-            self.schedule_in(ms, SimulationEvent::TxnRequest(again));
+            self.schedule_in(ms, SimulationEvent::TxnRequest(duplicate));
         }
         outcome
     }
