--- a/src/simulation/active_faults.rs
+++ b/src/simulation/active_faults.rs
@@ -1,20 +1,20 @@
-//! The faults that act on the whole cluster at the moment.
+//! The faults that currently affect the whole cluster.
 
 use crate::ids::MonotonicTime;
 
-/// Two zones that can't reach each other.
+/// A network partition between two zones.
 #[derive(Default)]
 pub(super) struct ZonePartition {
     /// The names of the two zones.
     pub zones: [&'static str; 2],
     /// When the partition ends.
     pub until: MonotonicTime,
-    /// What was sent meanwhile arrives afterwards; otherwise it is lost.
+    /// Whether messages sent during the partition arrive after it ends; otherwise they are lost.
     pub delays_messages: bool,
 }
 
 impl ZonePartition {
-    /// Until when two zones can't reach each other.
+    /// Returns when the partition between these zones ends, or time 0 if they are not partitioned.
     pub(super) fn blocked_until(&self, one: &str, other: &str) -> MonotonicTime {
         let [a, b] = self.zones;
         match (a, b) == (one, other) || (b, a) == (one, other) {
@@ -24,19 +24,19 @@
     }
 }
 
-/// Until when each fault lasts.
+/// The end time of each active fault.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
-    /// One zone and the controller in it can't reach anything outside.
+    /// Until when one zone and the controller in it can't reach anything outside the zone.
     pub zone_isolated_until: MonotonicTime,
-    /// The last partition between two zones.
+    /// The most recent partition between two zones.
     pub partition: ZonePartition,
-    /// The key-value store is out for everybody.
+    /// When the outage of the key-value store ends.
     pub store_outage_until: MonotonicTime,
-    /// The key-value store is slow.
+    /// Until when the key-value store is slow.
     pub slow_store_until: MonotonicTime,
-    /// When the last pause of a controller ends or has ended.
+    /// The latest end of any controller pause so far.
     pub last_pause_until: MonotonicTime,
-    /// No faults are injected any more.
+    /// Whether all faults have ended and no more are injected.
     pub healed: bool,
 }
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -1,4 +1,5 @@
-//! Users who cancel, through one controller and then another, and store outages.
+//! Cancellation requests of users, retried through other controllers, and outages of the key-value
+//! store.
 
 use super::cluster::SimulatedCluster;
 use super::events::{CancellationPoll, CascadeStepDue, ControllerProcess, SimulationEvent};
@@ -12,21 +13,24 @@
 use crate::store::records::{FinalRecord, LeaderRecord};
 use crate::store::{TxnOutcome, keys};
 
-/// How long a controller waits until the tasks have ended, and how often it asks, in ms.
+/// How long a controller waits for the tasks of a cancelled job to end, and the interval at which
+/// it polls for that, in ms.
 const CANCELLATION_WAIT_MS: u64 = 900;
 const POLL_INTERVAL_MS: u64 = 60;
-/// How long a controller tries to cancel the dependents of a cancelled job, in ms.
+/// How long a controller tries to cancel the dependents of a cancelled job before the user has to
+/// retry, in ms.
 const CASCADE_WAIT_MS: u64 = 600;
 
 impl SimulatedCluster {
-    /// A user cancels a job, unless that is under way.
+    /// Cancels a job for a user, unless a cancellation is already pending.
     pub(super) fn cancel(&mut self, id: &JobId) {
         if self.pending_cancellations.insert(id.clone()) {
             self.request_cancellation(id.clone());
         }
     }
 
-    /// A user's request to cancel, handled by some controller as the API does it.
+    /// Handles a user's cancellation request on a random controller that can serve it, as the API
+    /// does.
     pub(super) fn request_cancellation(&mut self, job: JobId) {
         let now = self.now;
         let can_serve = |n: &usize| {
@@ -62,12 +66,13 @@
         });
     }
 
-    /// The user asks again after a while.
+    /// Schedules a retry of the user's cancellation request.
     pub(super) fn retry_cancellation(&mut self, job: JobId) {
         self.schedule_in(USER_RETRY_MS, SimulationEvent::RequestCancellation(job));
     }
 
-    /// The change that cancelled the job, now or before. `None`: it is done, or unknown.
+    /// Writes the cancellation unless the job has a final state. Returns the revision of the
+    /// cancellation, or `None` if the job is done, unknown, or the write failed.
     fn commit_cancellation(&mut self, job: &JobId) -> Option<Revision> {
         let final_key = keys::final_state(job);
         if let Some(record) = self.store.read::<FinalRecord>(&final_key) {
@@ -83,8 +88,8 @@
         };
         txn.put(keys::final_state(job), &record, None);
         txn.delete(keys::job(job));
-        // Counted where the controller that the key-value store refuses owns a machine with the
-        // job on it.
+        // This counts as an occurrence of the fault only if the key-value store refuses exactly one
+        // controller and that controller receives heartbeats from a machine with a task of the job.
         if self
             .only_refused_node()
             .is_some_and(|node| self.receives_heartbeats_for_job(node, job))
@@ -99,7 +104,8 @@
         }
     }
 
-    /// Tells the user once all owners have acknowledged, or gives up at the deadline.
+    /// Begins to cancel dependents once all shard owners have acknowledged. After the deadline, the
+    /// user retries.
     pub(super) fn poll_cancellation(&mut self, poll: CancellationPoll) {
         let now = self.now;
         let ControllerProcess { node, generation } = poll.process;
@@ -131,7 +137,7 @@
         });
     }
 
-    /// The user is told that the job is cancelled.
+    /// Records that the user was told that the job is cancelled.
     pub(super) fn confirm_cancellation(&mut self, job: &JobId) {
         self.pending_cancellations.remove(job);
         self.confirmed_cancellations
@@ -139,7 +145,7 @@
             .or_insert(self.now);
     }
 
-    /// The only controller that the key-value store refuses.
+    /// Returns the controller that the key-value store refuses, if it is the only one.
     fn only_refused_node(&self) -> Option<usize> {
         let refused = |n: &usize| self.nodes[*n].store_cut_until > self.now;
         let refused: Vec<usize> = (0..self.nodes.len()).filter(refused).collect();
@@ -149,7 +155,8 @@
         }
     }
 
-    /// Whether a task of the job is on a machine that sends heartbeats to this controller.
+    /// Returns whether a machine that sends heartbeats to this controller has a task of the job
+    /// that has not exited.
     fn receives_heartbeats_for_job(&self, node: usize, job: &JobId) -> bool {
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
@@ -158,20 +165,20 @@
         })
     }
 
-    /// The leader by the key-value store's record.
+    /// Returns the leader according to its record in the key-value store.
     pub(super) fn leader(&self) -> Option<usize> {
         let record = self.store.read::<LeaderRecord>(keys::LEADER)?;
         member_index(record.member.as_str())
     }
 
-    /// The outage ends, unless another one has begun meanwhile.
+    /// Ends the outage, unless another one has begun in the meantime.
     pub(super) fn on_store_outage_end(&mut self) {
         if self.active_faults.store_outage_until <= self.now {
             self.end_store_outage();
         }
     }
 
-    /// All leases have their full time again.
+    /// Ends the outage of the key-value store and extends all leases to their full duration.
     pub(super) fn end_store_outage(&mut self) {
         self.active_faults.store_outage_until = self.now;
         let until = self.time_in(MEMBER_LEASE_MS);
@@ -180,7 +187,7 @@
         }
     }
 
-    /// Users cancel all jobs that run.
+    /// Cancels all jobs that have running tasks.
     pub(super) fn cancel_running(&mut self) {
         let attempts = self.workers.values().flat_map(|w| w.tasks.iter());
         let running = attempts.filter(|(_, t)| t.state == TaskState::Running);
--- a/src/simulation/clock.rs
+++ b/src/simulation/clock.rs
@@ -1,4 +1,4 @@
-//! Simulated time and the events that are due.
+//! The queue of scheduled events in simulated time.
 
 use super::events::SimulationEvent;
 use crate::ids::MonotonicTime;
@@ -30,7 +30,7 @@
     }
 }
 
-/// The events that are scheduled, the next one first.
+/// The scheduled events, ordered by due time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -38,7 +38,7 @@
 }
 
 impl EventQueue {
-    /// A number that no event and no earlier caller has.
+    /// Returns a sequence number that no event and no earlier caller has.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
@@ -54,7 +54,7 @@
         }));
     }
 
-    /// Takes the next event, if it is due by then, and tells when it was due.
+    /// Removes and returns the next event with its due time, if it is due at or before `until`.
     pub(super) fn pop_until(
         &mut self,
         until: MonotonicTime,
--- a/src/simulation/cluster.rs
+++ b/src/simulation/cluster.rs
@@ -18,29 +18,30 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that a day begins with.
+/// The number of machines at the start of a run.
 const INITIAL_MACHINES: usize = 4;
 /// The time between the starts of two controllers, in ms.
 const START_INTERVAL_MS: u64 = 10;
-/// When users, gangs, faults and stops of leaders begin, in ms.
+/// When user requests, gang ticks, fault injection and leader stops begin, in ms since the start.
 const FIRST_USER_TICK_MS: u64 = 3000;
 const FIRST_GANG_TICK_MS: u64 = 500;
 const FIRST_FAULTS_MS: u64 = 8000;
 const FIRST_LEADER_STOP_MS: u64 = 12_000;
 
-/// Controllers and stand-ins for all that they deal with, in simulated time.
+/// Real controllers with fakes of the services and machines around them, in simulated time.
 pub(super) struct SimulatedCluster {
-    /// The simulated time.
+    /// The current simulated time.
     pub now: MonotonicTime,
-    /// What happens next.
+    /// The scheduled events.
     pub queue: EventQueue,
-    /// Draws all random numbers, in the order of events.
+    /// The source of all random numbers, drawn in the order of events so that runs are
+    /// reproducible.
     rng: StdRng,
     /// The kinds of fault that are injected.
     pub faults: Faults,
-    /// The faults that last at the moment.
+    /// The faults that are currently in effect.
     pub active_faults: ActiveFaults,
-    /// The guard that is disabled.
+    /// The guard that is disabled in this run, if any.
     pub disabled_guard: DisabledGuard,
     /// The key-value store.
     pub store: FakeStore,
@@ -48,33 +49,33 @@
     pub nodes: Vec<Node>,
     /// The workers of all machines that were not deleted.
     pub workers: BTreeMap<MachineId, Worker>,
-    /// The number of the machine that was rented last.
+    /// The number of the most recently created machine.
     pub last_machine_number: u64,
-    /// The machines of each rental request, so that a repeated one rents nothing.
+    /// The machines provided for each rental request, so that a duplicate request rents no more.
     pub machines_by_rent_request: BTreeMap<String, Vec<MachineId>>,
-    /// How many zones there are.
+    /// The number of zones.
     pub zone_count: usize,
     /// Jobs that users have submitted.
     pub jobs: BTreeMap<JobId, JobSpec>,
-    /// When users were told that their jobs are cancelled.
+    /// When the user of each cancelled job was told of the cancellation.
     pub confirmed_cancellations: BTreeMap<JobId, MonotonicTime>,
-    /// Cancellations that users wait for.
+    /// Jobs whose users wait for a confirmation of the cancellation.
     pub pending_cancellations: BTreeSet<JobId>,
-    /// Set for a large fleet only.
+    /// The state of the large fleet; `None` for a small fleet.
     pub fleet: Option<LargeFleetState>,
-    /// What tests assert.
+    /// Observations that invariants and tests check.
     pub observed: Observations,
-    /// Of all that left the controllers.
+    /// The digest of all outputs of the controllers.
     pub digest: Digest,
 }
 
 impl SimulatedCluster {
-    /// A cluster with three controllers.
+    /// Creates a cluster with three controllers.
     pub(super) fn new(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> Self {
         Self::with_size(seed, faults, disabled_guard, THREE_CONTROLLERS)
     }
 
-    /// A cluster with so many controllers and zones.
+    /// Creates a cluster with the given number of controllers and zones.
     pub(super) fn with_size(
         seed: u64,
         faults: Faults,
@@ -128,36 +129,36 @@
         }
     }
 
-    /// The time in so many ms from now.
+    /// Returns the time `ms` milliseconds from now.
     pub(super) fn time_in(&self, ms: u64) -> MonotonicTime {
         MonotonicTime(self.now.0 + ms)
     }
 
-    /// Schedules an event in so many ms from now.
+    /// Schedules an event `ms` milliseconds from now.
     pub(super) fn schedule_in(&mut self, ms: u64, event: SimulationEvent) {
         self.queue.push(self.time_in(ms), event);
     }
 
-    /// A random number, both ends included.
+    /// Returns a random number between `from` and `to`, both included.
     pub(super) fn pick(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..=to)
     }
 
-    /// A random node.
+    /// Returns the index of a random node.
     pub(super) fn pick_node(&mut self) -> usize {
         self.pick(0, self.nodes.len() as u64 - 1) as usize
     }
 
-    /// True in so many of a hundred cases.
+    /// Returns true with a probability of `percent` percent.
     pub(super) fn chance(&mut self, percent: u64) -> bool {
         self.pick(1, 100) <= percent
     }
 
-    /// Runs all events until a time, in ms from the beginning of the day.
+    /// Handles all events that are due at or before `until`, in ms since the start of the run.
     pub(super) fn run_until(&mut self, until: u64) {
         while let Some((due, event)) = self.queue.pop_until(MonotonicTime(until)) {
             self.now = due;
-            // In an outage of the store leases don't expire.
+            // Leases don't expire during an outage of the store.
             if self.active_faults.store_outage_until <= self.now {
                 self.store.expire(self.now);
             }
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Ends all faults, so that what remains must finish.
+    /// Ends all faults, so that all remaining work must finish.
     pub(super) fn heal(&mut self) {
         let now = self.now;
         self.faults = Faults::default();
@@ -187,12 +188,13 @@
         }
     }
 
-    /// Whether workers ignore launches: a guard is disabled, and all faults are healed.
+    /// Returns whether workers ignore launches, which they do after the heal under
+    /// `DisabledGuard::LaunchesIgnoredAfterHeal`.
     pub(super) fn ignores_launches(&self) -> bool {
         self.disabled_guard == DisabledGuard::LaunchesIgnoredAfterHeal && self.active_faults.healed
     }
 
-    /// Jobs other than services that have no final state yet.
+    /// Returns the jobs other than services that have no final state yet.
     pub(super) fn unfinished_jobs(&self) -> Vec<&JobId> {
         let ended = |id: &JobId| self.store.contains(&keys::final_state(id));
         let finite = self.jobs.iter().filter(|(_, s)| s.kind != JobKind::Service);
@@ -208,14 +210,14 @@
         id
     }
 
-    /// The worker of the machine that was rented last.
+    /// Creates the worker of the most recently created machine.
     pub(super) fn new_worker(&self, spot: bool) -> Worker {
         let zone = ZONES[(self.last_machine_number % self.zone_count as u64) as usize];
         let node = (self.last_machine_number % self.nodes.len() as u64) as usize;
         Worker::booting(spot, zone, node, self.now)
     }
 
-    /// Handles an event; what comes to a controller that is paused waits for it.
+    /// Handles an event. Events for a paused controller are deferred until the pause ends.
     fn handle_event(&mut self, event: SimulationEvent) {
         let paused_until = event.node().map(|n| self.nodes[n].paused_until);
         if let Some(until) = paused_until.filter(|until| *until > self.now) {
--- a/src/simulation/controller_processes.rs
+++ b/src/simulation/controller_processes.rs
@@ -1,4 +1,4 @@
-//! The life of a controller process: start, tick, lease renewal and watch.
+//! The lifecycle of a controller process: start, tick, lease renewal and watch.
 
 use super::cluster::SimulatedCluster;
 use super::events::{ControllerProcess, SimulationEvent};
@@ -10,16 +10,16 @@
 use crate::store::keys;
 use crate::store::records::{MemberRecord, ProgramVersion};
 
-/// How often a controller ticks, in ms.
+/// The interval between ticks of a controller, in ms.
 const TICK_MS: u64 = 25;
-/// How often a controller renews its lease, in ms.
+/// The interval between lease renewals of a controller, in ms.
 const LEASE_RENEWAL_MS: u64 = 1500;
-/// How far the watch lags, in ms, and how far while the store is slow.
+/// The lag of the watch, in ms, normally and while the store is slow.
 const WATCH_LAG_MS: (u64, u64) = (2, 12);
 const SLOW_WATCH_LAG_MS: (u64, u64) = (200, 3000);
 
 impl SimulatedCluster {
-    /// The process that runs on a node now.
+    /// Returns the process that currently runs on a node.
     pub(super) fn process(&self, node: usize) -> ControllerProcess {
         ControllerProcess {
             node,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Calls a controller, if this process of it still runs, and executes what it decides.
+    /// Calls a controller and executes the returned effects, unless the process has stopped.
     pub(super) fn with_controller(
         &mut self,
         process: ControllerProcess,
@@ -46,8 +46,8 @@
         running
     }
 
-    /// Starts a controller. Without the key-value store there is no watch cache and no lease, so
-    /// it waits for the store.
+    /// Starts a controller. While the key-value store is unreachable, the start is postponed, since
+    /// the controller needs a snapshot and a lease from the store.
     pub(super) fn start_controller(&mut self, node: usize) {
         let cut_until = self.nodes[node].store_cut_until;
         if cut_until > self.now {
@@ -73,7 +73,7 @@
         self.schedule_in(LEASE_RENEWAL_MS, SimulationEvent::LeaseRenewal(node));
     }
 
-    /// One tick of a controller.
+    /// Runs one tick of a controller.
     pub(super) fn tick_controller(&mut self, node: usize) {
         let now = self.now;
         self.report_partition(node);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends the lease of the process before and takes a new one.
+    /// Revokes the lease of the previous process and acquires a new one.
     fn acquire_lease(&mut self, node: usize, incarnation: Incarnation) {
         if let Some(previous) = self.nodes[node].previous_lease.take() {
             self.store.revoke_lease(previous);
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Renews a controller's lease, or takes a new one if it has expired.
+    /// Renews a controller's lease, or acquires a new one if it has expired.
     pub(super) fn renew_lease(&mut self, node: usize) {
         if self.nodes[node].controller.is_none() {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Brings a controller the changes since the last ones.
+    /// Delivers to a controller the changes since its last watched revision.
     pub(super) fn poll_watch(&mut self, node: usize) {
         if self.nodes[node].controller.is_none() {
             return;
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -1,4 +1,4 @@
-//! Users who submit jobs that depend on others, and the cancellation of dependents.
+//! Submission of jobs that depend on other jobs, and cancellation of dependents.
 
 use super::cluster::SimulatedCluster;
 use super::events::{CascadeStepDue, ControllerProcess, SimulationEvent};
@@ -17,18 +17,18 @@
 use crate::store::{TxnOutcome, keys};
 use std::collections::BTreeSet;
 
-/// A submission whose dependencies have changed is decided anew after this, in ms.
+/// The delay before a submission is retried because its dependencies have changed, in ms.
 const DECISION_RETRY_MS: u64 = 20;
-/// Dependencies are among the last so many jobs.
+/// The number of most recent jobs among which users choose dependencies.
 const RECENT_JOBS: u64 = 8;
-/// How often a controller goes on with a cascade, in ms.
+/// The interval between the steps of cancelling dependents, in ms.
 const CASCADE_INTERVAL_MS: u64 = 15;
-/// Percent of the cancelled jobs that users name as dependencies all the same.
+/// Percent of the chosen cancelled jobs that users still name as dependencies.
 const CANCELLED_DEPENDENCY_PERCENT: u64 = 10;
 
 impl SimulatedCluster {
-    /// Adds some recent jobs as dependencies, whatever has become of them. Users know only those
-    /// that were accepted.
+    /// Adds some recent jobs in any state as dependencies. Only accepted jobs are chosen, since
+    /// users know no others.
     pub(super) fn add_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
         let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
@@ -52,7 +52,8 @@
         self.store.contains(&keys::job(id)) || self.store.contains(&keys::final_state(id))
     }
 
-    /// Submits a job with dependencies through some controller, as the API does it.
+    /// Submits a job with dependencies through a random controller that can serve it, as the API
+    /// does.
     pub(super) fn submit_dependent(&mut self, spec: JobSpec) {
         if self.is_accepted(&spec.id) {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A controller that can decide: it runs, and the key-value store serves it.
+    /// Returns a random controller that runs, is not paused and can reach the key-value store.
     fn serving_node(&mut self) -> Option<usize> {
         let can_serve = |n: &usize| {
             let node = &self.nodes[*n];
@@ -126,8 +127,8 @@
     fn dependency_state(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
         let cached = controller.and_then(|c| cached_dependency_state(id, &c.cache));
-        // What the watch cache shows may be old: the conditions of the write fail then, and the
-        // records are read.
+        // The cached state may be stale. In that case the conditions of the API's write fail and
+        // the API reads the records, so a stale state is replaced here by the records.
         let live_revision = self.store.revision_of(&keys::job(id));
         let is_current = |state: &DependencyState| matches!(state, DependencyState::Live { revision, .. } if live_revision == Some(*revision));
         if let Some(live) = cached.filter(is_current) {
@@ -146,13 +147,14 @@
         }
     }
 
-    /// The final state of a job, if it has one.
+    /// Returns the final state of a job, if it has one.
     pub(super) fn final_state(&self, id: &JobId) -> Option<JobState> {
         let record = self.store.read::<FinalRecord>(&keys::final_state(id))?;
         Some(record.state)
     }
 
-    /// Cancels the dependents of a cancelled job before its user is told, as the API does it.
+    /// Runs one step of cancelling the dependents of a cancelled job. The user is told only after
+    /// the last step, as the API does.
     pub(super) fn step_cascade(&mut self, mut due: CascadeStepDue) {
         if self.disabled_guard == DisabledGuard::DependentsNotCancelled {
             self.confirm_cancellation(&due.job);
@@ -206,7 +208,7 @@
         self.observed.dependencies.live_at_confirmation += live.count() as u64;
     }
 
-    /// All jobs that a job needs, directly or through others.
+    /// Returns all jobs that a job depends on, directly or transitively.
     pub(super) fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
         let mut pending = vec![id.clone()];
@@ -220,7 +222,7 @@
         found
     }
 
-    /// Counts the dependent jobs that the leader releases.
+    /// Counts the transactions by which the leader releases dependent jobs.
     pub(super) fn count_releases(&mut self, effects: &[Effect]) {
         let is_release = |e: &&Effect| {
             let requester = match e {
--- a/src/simulation/digest_recorder.rs
+++ b/src/simulation/digest_recorder.rs
@@ -1,8 +1,8 @@
-//! A digest of everything that leaves the controllers on a simulated day, in its order: frames
-//! to other controllers, transactions, commands and answers to workers, calls to the cloud.
+//! A digest of all outputs of the controllers in a simulation run, in order: frames to other
+//! controllers, transactions, commands and answers to workers, and calls to the cloud.
 //!
-//! The bytes are hashed as they stand on the wire. A change of names, files or types in the
-//! program leaves every digest as it is; one that changes what the program does shows here.
+//! The digest hashes the bytes that are sent on the wire. It stays the same when names, files or
+//! types of the program change, and differs when the outputs of the controllers change.
 
 use crate::controller::Effect;
 use crate::peers::encode_frame;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hasher};
 
-/// Hashes outputs of controllers one after the other.
+/// Hashes the outputs of controllers in the order in which they are added.
 #[derive(Default)]
 pub(super) struct Digest {
     hasher: DefaultHasher,
@@ -28,11 +28,11 @@
     }
 
     fn add_json(&mut self, node: usize, kind: u8, value: &impl Serialize) {
-        let bytes = serde_json::to_vec(value).expect("json");
+        let bytes = serde_json::to_vec(value).expect("outputs serialize to JSON");
         self.add(node, kind, &bytes);
     }
 
-    /// One output of a controller's decisions.
+    /// Adds an effect of a controller.
     pub(super) fn add_effect(&mut self, node: usize, effect: &Effect) {
         match effect {
             Effect::Txn { txn, .. } => self.add_json(node, 0, txn),
@@ -43,7 +43,11 @@
             }
             Effect::SendToPeer(to, message) => {
                 self.add_json(node, 2, to);
-                self.add(node, 2, &encode_frame(message).expect("frame"));
+                self.add(
+                    node,
+                    2,
+                    &encode_frame(message).expect("peer messages can be encoded"),
+                );
             }
             Effect::RentMachines(request) => self.add_json(node, 3, request),
             Effect::DeleteMachines(machines) => self.add_json(node, 4, machines),
@@ -53,7 +57,7 @@
         }
     }
 
-    /// The answer to a worker's heartbeat.
+    /// Adds the answer to a worker's heartbeat.
     pub(super) fn add_answer(&mut self, node: usize, answer: &HeartbeatAnswer) {
         match answer {
             HeartbeatAnswer::Commands(token, commands) => {
@@ -65,12 +69,12 @@
         }
     }
 
-    /// How many outputs there were so far.
+    /// Returns the number of outputs so far.
     pub(super) fn outputs(&self) -> u64 {
         self.outputs
     }
 
-    /// The digest so far.
+    /// Returns the digest of all outputs so far.
     pub(super) fn value(&self) -> u64 {
         self.hasher.finish()
     }
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -1,5 +1,5 @@
-//! Execution of what controllers decide: effects leave for the key-value store, the workers, other
-//! controllers and the cloud, and responses come back.
+//! Execution of the controllers' effects: requests to the key-value store, the workers, other
+//! controllers and the cloud, and delivery of the responses.
 
 use super::cluster::SimulatedCluster;
 use super::events::{
@@ -14,24 +14,25 @@
 use crate::protocol::store::Txn;
 use crate::store::{Refusal, TxnOutcome};
 
-/// How long a request to the store or a worker takes, in ms.
+/// The latency of a request to the store or a worker, in ms.
 const REQUEST_MS: (u64, u64) = (1, 5);
-/// How long a response of the store takes, in ms.
+/// The latency of a response of the store, in ms.
 const RESPONSE_MS: (u64, u64) = (1, 4);
-/// How long a request to the store takes while it is slow, in ms.
+/// The latency of a request to the store while it is slow, in ms.
 const SLOW_REQUEST_MS: (u64, u64) = (100, 1400);
-/// How late a transaction is carried out that its author has given up, in ms.
+/// The delay after which a transaction whose response is lost is executed, in ms.
 const LOST_REQUEST_MS: (u64, u64) = (1, 20_000);
-/// Percent of the transactions whose response gets lost.
+/// Percent of the transactions whose response is lost: under the fault `lost_responses`, and while
+/// the store is slow.
 const LOST_TXN_PERCENT: u64 = 12;
 const SLOW_STORE_LOST_TXN_PERCENT: u64 = 30;
-/// How long a call to the cloud takes, in ms.
+/// The latency of a call to the cloud, in ms.
 const CLOUD_CALL_MS: (u64, u64) = (50, 200);
-/// Percent of the requests that arrive once more.
+/// Percent of the requests that are delivered a second time.
 const DUPLICATE_PERCENT: u64 = 10;
 
 impl SimulatedCluster {
-    /// Executes a controller's effects in their order.
+    /// Executes a controller's effects in order.
     pub(super) fn execute(&mut self, node: usize, effects: Vec<Effect>) {
         let process = self.process(node);
         self.count_releases(&effects);
@@ -106,7 +107,7 @@
         self.schedule_in(ms, SimulationEvent::CloudCall(caller, effect));
     }
 
-    /// The key-value store carries a transaction out.
+    /// Executes a transaction in the key-value store and schedules the response.
     pub(super) fn receive_txn(&mut self, request: TxnRequest) {
         let TxnRequest {
             caller,
@@ -148,8 +149,9 @@
         }
     }
 
-    /// What is carried out late may bring a record back for a while: then
-    /// `check_deleted_records_removed` watches over it.
+    /// Checks that a transaction has not recreated the record of a deleted machine. Under faults
+    /// that delay requests, a late request may recreate a record for a while; then
+    /// `check_deleted_records_removed` checks that the record is removed again.
     fn check_recreated_records(&mut self, outcome: &TxnOutcome) {
         let late_requests = self.faults.lost_responses || self.faults.slow_store;
         if let TxnOutcome::Committed(revision) = outcome
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The outcome of a transaction arrives at its author.
+    /// Delivers the outcome of a transaction to its caller.
     pub(super) fn receive_txn_response(&mut self, response: &TxnResponse) {
         let now = self.now;
         let TxnResponse {
@@ -171,7 +173,7 @@
         });
     }
 
-    /// The outcome of direct commands arrives at the controller that sent them.
+    /// Delivers the outcome of direct commands to the controller that sent them.
     pub(super) fn receive_call_response(&mut self, response: DirectCallResponse) {
         let now = self.now;
         let DirectCallResponse {
@@ -185,7 +187,7 @@
         });
     }
 
-    /// A message arrives at a controller.
+    /// Delivers a message to a controller.
     pub(super) fn receive_peer_message(&mut self, delivery: PeerDelivery) {
         let now = self.now;
         let from = MemberId::from(MEMBERS[delivery.from]);
@@ -193,7 +195,8 @@
         self.with_controller(process, |c| c.on_peer_message(now, &from, delivery.message));
     }
 
-    /// When what was just carried out arrives once more, if it does.
+    /// Returns the delay in ms after which the request just executed is delivered again, or `None`
+    /// if it is not duplicated.
     pub(super) fn duplicate_delay(&mut self) -> Option<u64> {
         let duplicated = self.faults.duplicate_requests && self.chance(DUPLICATE_PERCENT);
         duplicated.then(|| self.pick(200, 4 * SHARD_LEASE_MS))
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What can happen in a simulated cluster.
+//! The events of a simulated cluster.
 
 use crate::api::dependencies::CancellationCascade;
 use crate::controller::{Effect, TxnRequester};
@@ -9,17 +9,18 @@
 use crate::store::TxnOutcome;
 use crate::worker_control::DirectCallOutcome;
 
-/// One process of a controller: responses to an earlier process of the same node are dropped.
+/// Identifies one process of a controller. Responses to an earlier process of the same node are
+/// dropped.
 #[derive(Clone, Copy)]
 pub(super) struct ControllerProcess {
     /// The index of the node.
     pub node: usize,
-    /// Rises with each stop and start of the node.
+    /// A counter that rises with each stop and start of the node.
     pub generation: u64,
 }
 
 impl ControllerProcess {
-    /// Nobody waits for the response any more.
+    /// Returns a process that no longer runs, so that responses to it are dropped.
     pub(super) fn stopped(node: usize) -> Self {
         Self {
             node,
@@ -28,31 +29,31 @@
     }
 }
 
-/// A transaction on its way to the key-value store.
+/// A transaction sent to the key-value store.
 pub(super) struct TxnRequest {
-    /// The process that the outcome goes to.
+    /// The process that receives the outcome.
     pub caller: ControllerProcess,
-    /// The part of the controller that asked for it.
+    /// The part of the controller that requested the transaction.
     pub requester: TxnRequester,
-    /// The transaction itself.
+    /// The transaction to execute.
     pub txn: Txn,
-    /// The caller still waits for the outcome.
+    /// Whether the caller still waits for the outcome.
     pub expects_response: bool,
 }
 
-/// The outcome of a transaction on its way back.
+/// The response to a transaction.
 pub(super) struct TxnResponse {
-    /// The process that the outcome goes to.
+    /// The process that receives the outcome.
     pub caller: ControllerProcess,
-    /// The part of the controller that asked for it.
+    /// The part of the controller that requested the transaction.
     pub requester: TxnRequester,
-    /// What became of the transaction.
+    /// The outcome of the transaction.
     pub outcome: TxnOutcome,
 }
 
-/// Direct commands on their way to a worker.
+/// Direct commands sent to a worker.
 pub(super) struct DirectCall {
-    /// The process that the outcome goes to.
+    /// The process that receives the outcome.
     pub caller: ControllerProcess,
     /// The machine that the commands are for.
     pub machine: MachineId,
@@ -60,21 +61,21 @@
     pub token: FencingToken,
     /// The worker's epoch that the commands are for.
     pub epoch: WorkerEpoch,
-    /// The commands, in their order.
+    /// The commands in the order of execution.
     pub commands: Vec<Command>,
-    /// How often the call was delayed or repeated: only the first delivery is answered.
+    /// How many times the call was delayed or duplicated. Only the first delivery gets a response.
     pub redeliveries: u32,
 }
 
-/// The outcome of direct commands on its way back.
+/// The response to direct commands.
 pub(super) struct DirectCallResponse {
-    /// The process that the outcome goes to.
+    /// The process that receives the outcome.
     pub caller: ControllerProcess,
     /// The machine that the commands were for.
     pub machine: MachineId,
     /// The fencing token of the call.
     pub token: FencingToken,
-    /// What became of the call.
+    /// The outcome of the call.
     pub outcome: DirectCallOutcome,
 }
 
@@ -84,23 +85,24 @@
     pub to: usize,
     /// The sending node.
     pub from: usize,
-    /// The message as it arrives.
+    /// The message after encoding and decoding.
     pub message: Message,
 }
 
-/// A heartbeat on its way to a controller.
+/// A heartbeat sent to a controller.
 pub(super) struct HeartbeatDelivery {
     /// The receiving node.
     pub node: usize,
     /// The machine that sent it.
     pub machine: MachineId,
-    /// The worker drops responses that carry another ticket than its last heartbeat.
+    /// The number that matches a response to this heartbeat. The worker drops responses with a
+    /// ticket other than that of its last heartbeat.
     pub ticket: u64,
-    /// The heartbeat itself.
+    /// The content of the heartbeat.
     pub heartbeat: Heartbeat,
 }
 
-/// Commands on their way back to the worker that sent a heartbeat.
+/// Commands returned to the worker that sent a heartbeat.
 pub(super) struct HeartbeatResponse {
     /// The machine that sent the heartbeat.
     pub machine: MachineId,
@@ -108,51 +110,51 @@
     pub ticket: u64,
     /// The shard owner's fencing token.
     pub token: FencingToken,
-    /// The commands, in their order.
+    /// The commands in the order of execution.
     pub commands: Vec<Command>,
 }
 
-/// The hint for a worker to turn to another controller.
+/// A redirect that points a worker to another controller.
 pub(super) struct HeartbeatRedirect {
     /// The machine that sent the heartbeat.
     pub machine: MachineId,
     /// The ticket of the heartbeat.
     pub ticket: u64,
-    /// The controller to turn to, if it is known.
+    /// The controller to send heartbeats to, if it is known.
     pub to: Option<usize>,
 }
 
-/// A controller waits until nothing of a cancelled job is left on machines.
+/// A controller's check whether all tasks of a cancelled job have ended.
 pub(super) struct CancellationPoll {
-    /// The process that the user has asked.
+    /// The process that handles the user's request.
     pub process: ControllerProcess,
     /// The cancelled job.
     pub job: JobId,
-    /// The round of acknowledgements that it waits for.
+    /// The round of acknowledgements that the controller waits for.
     pub round: CancellationRoundId,
-    /// The controller gives up then, and the user asks again.
+    /// When the controller stops trying and the user has to retry.
     pub deadline: MonotonicTime,
 }
 
-/// A controller cancels the jobs that depend on a cancelled one.
+/// A controller's next step of cancelling the dependents of a cancelled job.
 pub(super) struct CascadeStepDue {
-    /// The process that the user has asked.
+    /// The process that handles the user's request.
     pub process: ControllerProcess,
     /// The cancelled job.
     pub job: JobId,
-    /// How far the cancellation of dependents has come.
+    /// The progress of the cancellation of dependents.
     pub cascade: CancellationCascade,
-    /// The controller gives up then, and the user asks again.
+    /// When the controller stops trying and the user has to retry.
     pub deadline: MonotonicTime,
 }
 
-/// One event. Numbers of controllers are indices of nodes.
+/// An event. Each `usize` is the index of a node.
 pub(super) enum SimulationEvent {
     /// A controller starts.
     ControllerStart(usize),
-    /// A controller has its regular turn.
+    /// A controller ticks.
     ControllerTick(usize),
-    /// The watch of a controller brings changes.
+    /// The watch of a controller delivers changes.
     WatchPoll(usize),
     /// A controller renews its lease.
     LeaseRenewal(usize),
@@ -170,52 +172,52 @@
     CloudCall(ControllerProcess, Effect),
     /// A machine has booted.
     MachineBoot(MachineId),
-    /// A worker has its regular turn.
+    /// A worker ticks.
     WorkerTick(MachineId),
     /// A heartbeat arrives.
     Heartbeat(HeartbeatDelivery),
-    /// A heartbeat arrives once more.
+    /// A duplicate of a heartbeat arrives.
     DuplicateHeartbeat(usize, Heartbeat),
     /// The response to a heartbeat arrives.
     HeartbeatResponse(HeartbeatResponse),
-    /// A redirect arrives in place of a response.
+    /// A redirect arrives instead of a response to a heartbeat.
     HeartbeatRedirect(HeartbeatRedirect),
-    /// Gangs start and end together.
+    /// Gangs advance, and the regular invariants are checked.
     GangTick,
-    /// A machine could not be reached for long, and its record must be gone.
+    /// The record of a machine that was unreachable for long is checked to be gone.
     CheckUnreachable(MachineId),
-    /// Faults are injected again.
+    /// Faults are injected.
     InjectFaults,
-    /// Controllers stop and are back at once.
+    /// Controllers stop and restart within a fraction of a second.
     RestartControllers,
     /// The leader stops.
     StopLeader,
-    /// The key-value store is out for everybody for so many ms.
+    /// An outage of the key-value store begins, which lasts for this number of ms.
     StoreOutage(u64),
     /// An outage of the key-value store ends.
     StoreOutageEnd,
-    /// The key-value store takes less from now on.
+    /// The key-value store lowers its limits.
     LowerStoreLimits,
-    /// A controller stops and comes back as the present version.
+    /// A controller stops and restarts as the current version.
     Upgrade(usize),
     /// Users submit the next job.
     UserTick,
-    /// A user submits a job that depends on others, or does so again.
+    /// A user submits or resubmits a job that depends on others.
     SubmitDependent(JobSpec),
-    /// A user asks for a cancellation, or asks again.
+    /// A user requests a cancellation, or retries the request.
     RequestCancellation(JobId),
-    /// Users cancel what runs, all at once.
+    /// Users cancel all running jobs at once.
     CancelRunning,
     /// A job is cancelled as one of its tasks ends.
     CancelAtCompletion(JobId),
-    /// A controller looks whether a cancellation is acknowledged.
+    /// A controller checks whether a cancellation is acknowledged.
     CancellationPoll(CancellationPoll),
-    /// A controller goes on with the cancellation of dependents.
+    /// A controller continues to cancel dependents.
     CascadeStep(CascadeStepDue),
 }
 
 impl SimulationEvent {
-    /// The controller that has to do something, if one has.
+    /// Returns the controller that handles the event, if any.
     pub(super) fn node(&self) -> Option<usize> {
         match self {
             Self::ControllerTick(node)
--- a/src/simulation/fake_services.rs
+++ b/src/simulation/fake_services.rs
@@ -1,4 +1,4 @@
-//! How the cloud, the workers and the network between them act on a simulated cluster.
+//! The actions of the simulated cloud, workers and network.
 
 mod cloud;
 mod direct_calls;
--- a/src/simulation/fake_services/cloud.rs
+++ b/src/simulation/fake_services/cloud.rs
@@ -15,19 +15,19 @@
 use crate::store::records::FinalRecord;
 use serde_json::json;
 
-/// The most machines that the cloud has for a small fleet.
+/// The maximum number of machines that the cloud provides for a small fleet.
 const SMALL_FLEET_MAX_MACHINES: usize = 14;
-/// The slots of a machine of a small fleet.
+/// The number of slots of a machine of a small fleet.
 const SMALL_FLEET_SLOTS: u64 = 4;
 /// How long a machine takes to boot, in ms.
 const BOOT_MS: (u64, u64) = (1000, 6000);
 /// Percent of the machines that never boot.
 const BOOT_FAILURE_PERCENT: u64 = 5;
-/// Percent of the responses of the cloud that get lost.
+/// Percent of the responses of the cloud that are lost.
 const LOST_RESPONSE_PERCENT: u64 = 20;
 
 impl SimulatedCluster {
-    /// Carries out what a controller asks of the cloud, or of the store outside transactions.
+    /// Handles a controller's call to the cloud, or its read from the store outside transactions.
     pub(in crate::simulation) fn handle_cloud_call(
         &mut self,
         caller: ControllerProcess,
@@ -88,7 +88,7 @@
         ids
     }
 
-    /// The machine has booted, and its worker starts.
+    /// Marks a machine as booted and starts its worker.
     pub(in crate::simulation) fn boot_machine(&mut self, id: MachineId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.dead = false;
@@ -111,7 +111,8 @@
         self.with_controller(caller, |c| c.on_delete_outcome(now, ids, ok));
     }
 
-    /// `HealthyMachineDeleted`: with pausing controllers alone no machine is at fault.
+    /// Records `HealthyMachineDeleted` if a machine with running tasks is deleted while controller
+    /// pauses are the only fault, since no machine is faulty then.
     fn check_deletion(&mut self, ids: &[MachineId]) {
         let pauses_only = Faults {
             controller_pauses: true,
@@ -153,11 +154,12 @@
             {"name": "t8", "cores": 2 * slots, "cards": 0, "memory_gb": 16 * slots, "cache_gb": 50,
              "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
              "berths": &ZONES[..self.zone_count]}]}))
-        .expect("catalog");
+        .expect("catalog is valid");
         self.with_controller(caller, |c| c.on_catalog(now, Some(catalog)));
     }
 
-    /// Reads the final state of a job; without the store there is no response.
+    /// Responds with the final state of a job. There is no response while the store is unreachable
+    /// or if the job has no final state.
     fn query_outcome(&mut self, caller: ControllerProcess, job: &JobId) {
         let now = self.now;
         if self.nodes[caller.node].store_cut_until > now {
--- a/src/simulation/fake_services/direct_calls.rs
+++ b/src/simulation/fake_services/direct_calls.rs
@@ -7,17 +7,18 @@
 use crate::simulation::timing::CALL_TIMEOUT_MS;
 use crate::worker_control::DirectCallOutcome;
 
-/// Percent of the calls that arrive long after their sender gave up.
+/// Percent of the calls that arrive long after their sender timed out.
 const LOST_CALL_PERCENT: u64 = 10;
-/// How long a response takes, in ms.
+/// The latency of a response, in ms.
 const RESPONSE_MS: u64 = 2;
-/// How late a call arrives that was lost for its sender, in ms.
+/// The delay of a call that is lost for its sender, in ms.
 const LOST_CALL_DELAY_MS: u64 = 15_000;
-/// A delayed call arrives so long after the machine goes on, in ms.
+/// The time from the end of a blockage until a delayed call arrives, in ms.
 const REDELIVERY_DELAY_MS: u64 = 3;
 
 impl SimulatedCluster {
-    /// Delivers direct commands, now or later.
+    /// Delivers direct commands immediately, or later if the machine is unreachable or the call is
+    /// lost.
     pub(in crate::simulation) fn handle_direct_call(&mut self, call: DirectCall) {
         let lost = self.faults.lost_responses && self.chance(LOST_CALL_PERCENT);
         let Some(worker) = self.workers.get(&call.machine).filter(|w| !w.dead) else {
@@ -42,7 +43,7 @@
         blocked && !self.active_faults.partition.delays_messages
     }
 
-    /// The machine is deleted, dead or has not booted.
+    /// Handles a call to a machine that is deleted, is dead or has not booted.
     fn call_missing_machine(&mut self, call: &DirectCall) {
         let deleted = self.observed.deleted_machines.contains(&call.machine);
         if deleted && self.disabled_guard == DisabledGuard::DeletedMachinesAcknowledge {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The commands count as carried out, though they are not.
+    /// Reports the commands as executed without executing them.
     fn acknowledge_without_execution(&mut self, call: &DirectCall) {
         if let Some(worker) = self.workers.get_mut(&call.machine) {
             let heartbeat = worker.heartbeat(call.machine.as_str());
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The call is carried out when the machine goes on, long after the sender gave up.
+    /// Delays the call until the machine is reachable again. The sender times out in the meantime.
     fn delay_call(&mut self, mut call: DirectCall, blocked_until: MonotonicTime, lost: bool) {
         if call.redeliveries == 0 {
             self.time_out_call(&call);
--- a/src/simulation/fake_services/gangs.rs
+++ b/src/simulation/fake_services/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs on workers: they start together once all members are there, end together, and notice the
-//! loss of a member.
+//! Gangs on workers: members start together once all are present, end together, and exit if a
+//! member is lost.
 
 use crate::ids::{AttemptNumber, JobId, MonotonicTime};
 use crate::protocol::{ExitReason, JobKind, TaskState};
@@ -10,20 +10,20 @@
 
 /// How long a gang runs, in ms.
 const GANG_RUN_MS: u64 = 4000;
-/// How often gangs look for their members, in ms.
+/// The interval at which gangs check their members, in ms.
 const GANG_TICK_MS: u64 = 500;
 
-/// The states of a gang's members, by job and attempt.
+/// The states of a gang's members, by job and attempt number.
 type GangMembers = BTreeMap<(JobId, AttemptNumber), Vec<TaskState>>;
 
-/// What becomes of a member.
+/// The next state of a gang member.
 struct Transition {
     state: TaskState,
     exit_reason: Option<ExitReason>,
 }
 
 impl SimulatedCluster {
-    /// One turn of all gangs, and of the invariants that are checked regularly.
+    /// Checks the regular invariants and advances all gangs.
     pub(in crate::simulation) fn gang_tick(&mut self) {
         self.check_cancelled_tasks_stopped();
         self.check_no_orphaned_dependents();
@@ -52,7 +52,7 @@
         members
     }
 
-    /// Moves all members on, and returns the jobs of those that have run to their end.
+    /// Advances all members and returns the jobs of those that have run to completion.
     fn advance_gangs(&mut self, members: &GangMembers) -> Vec<JobId> {
         let now = self.now;
         let mut finished = Vec::new();
--- a/src/simulation/fake_services/heartbeats.rs
+++ b/src/simulation/fake_services/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The turns of workers: tasks end, the lease runs out, heartbeats are sent and answered.
+//! Ticks of workers: tasks end, leases expire, and heartbeats are sent and answered.
 
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::{ExitReason, Heartbeat, JobKind, TaskState};
@@ -12,21 +12,21 @@
 use crate::simulation::topology::member_index;
 use crate::worker_control::HeartbeatAnswer;
 
-/// How often a worker has its turn, in ms.
+/// The interval between ticks of a worker, in ms.
 const WORKER_TICK_MS: u64 = 100;
 /// The interval between heartbeats, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
-/// The interval once something has changed, in ms.
+/// The interval until the next heartbeat after a change, in ms.
 const PROMPT_HEARTBEAT_MS: u64 = 500;
-/// How long a worker waits before it turns to another controller, in ms.
+/// How long a worker waits before it switches to another controller, in ms.
 const NEXT_CONTROLLER_MS: u64 = 1000;
-/// How long a message between a worker and a controller takes, in ms.
+/// The latency of a message between a worker and a controller, in ms.
 const TRANSIT_MS: (u64, u64) = (1, 4);
-/// How long a late heartbeat takes, in ms.
+/// The latency of a late heartbeat, in ms.
 const LATE_HEARTBEAT_MS: (u64, u64) = (3000, 9000);
 
 impl SimulatedCluster {
-    /// One worker's turn.
+    /// Runs one tick of a worker.
     pub(in crate::simulation) fn worker_tick(&mut self, id: &MachineId) {
         let ticket = self.queue.next_sequence();
         let now = self.now;
@@ -49,7 +49,8 @@
         self.schedule_in(WORKER_TICK_MS, SimulationEvent::WorkerTick(id.clone()));
     }
 
-    /// Without a response for a lease, a worker ends all tasks and begins a new epoch.
+    /// Ends all tasks of a worker and begins a new epoch, if no heartbeat was answered for the
+    /// duration of a lease.
     fn expire_worker_lease(&mut self, id: &MachineId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id)
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Ends the tasks of arrays that have run their time, and returns their jobs.
+    /// Ends the array tasks whose run time is over, and returns their jobs.
     fn end_finished_tasks(&mut self, id: &MachineId) -> Vec<JobId> {
         let now = self.now;
         let mut ended = Vec::new();
@@ -91,7 +92,7 @@
         ended
     }
 
-    /// The next heartbeat, if it is due and can be sent.
+    /// Returns the next heartbeat, if it is due and can be sent.
     fn next_delivery(&mut self, id: &MachineId, ticket: u64) -> Option<HeartbeatDelivery> {
         let (now, controller_count) = (self.now, self.nodes.len());
         let next_controller_at = MonotonicTime(now.0 + NEXT_CONTROLLER_MS);
@@ -141,7 +142,7 @@
         self.schedule_in(ms, SimulationEvent::Heartbeat(delivery));
     }
 
-    /// A heartbeat arrives at a controller, unless the way is cut.
+    /// Delivers a heartbeat to a controller, unless the link is blocked.
     pub(in crate::simulation) fn receive_heartbeat(&mut self, delivery: HeartbeatDelivery) {
         let now = self.now;
         let node = delivery.node;
@@ -151,7 +152,8 @@
             if link_blocked_until == partition.until && !partition.delays_messages {
                 return;
             }
-            // It arrives after the cut; nobody waits for the response any more.
+            // The heartbeat arrives once the link is restored. The worker no longer waits for the
+            // response.
             let ms = link_blocked_until.since(now).0 + 3;
             let copy = SimulationEvent::DuplicateHeartbeat(node, delivery.heartbeat);
             self.schedule_in(ms, copy);
@@ -201,7 +203,7 @@
         self.schedule_in(ms, SimulationEvent::HeartbeatRedirect(redirect));
     }
 
-    /// A heartbeat arrives once more; nobody waits for the response.
+    /// Delivers a duplicate of a heartbeat. The response is dropped.
     pub(in crate::simulation) fn receive_duplicate_heartbeat(
         &mut self,
         node: usize,
@@ -214,10 +216,10 @@
         }
     }
 
-    /// Commands arrive with the response to a heartbeat.
+    /// Delivers the commands in the response to a heartbeat.
     ///
-    /// Responses of an earlier epoch, too late, with a lower token, or that can't get through are
-    /// dropped.
+    /// The worker drops responses that belong to an earlier epoch, arrive too late, carry a lower
+    /// token, or can't reach it.
     pub(in crate::simulation) fn receive_heartbeat_response(
         &mut self,
         response: HeartbeatResponse,
@@ -251,7 +253,7 @@
         self.check_launches(&response.machine, &launched, true);
     }
 
-    /// A worker turns to the controller that it was pointed to, or to the next one.
+    /// Switches a worker to the controller named by a redirect, or to the next one.
     pub(in crate::simulation) fn receive_redirect(&mut self, redirect: &HeartbeatRedirect) {
         let (now, controller_count) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(&redirect.machine) else {
--- a/src/simulation/fake_services/network.rs
+++ b/src/simulation/fake_services/network.rs
@@ -1,4 +1,4 @@
-//! The network: isolated zones, zones that can't reach each other, and relays between them.
+//! The network: isolated zones, partitions between zones, and relays around them.
 
 use crate::ids::{MemberId, MonotonicTime};
 use crate::peers::{Message, RelayRoutes, frame_round_trip};
@@ -11,15 +11,15 @@
 };
 use crate::worker_control::HeartbeatAnswer;
 
-/// How long a message between controllers takes, in ms.
+/// The latency of a message between controllers, in ms.
 const TRANSIT_MS: (u64, u64) = (1, 5);
-/// How long a relayed message takes, in ms.
+/// The latency of a relayed message, in ms.
 const RELAY_TRANSIT_MS: u64 = 10;
-/// Percent of the messages between controllers that get lost.
+/// Percent of the messages between controllers that are lost.
 const LOST_MESSAGE_PERCENT: u64 = 5;
 
 impl SimulatedCluster {
-    /// Until when messages between a controller and a machine are blocked.
+    /// Returns until when messages between a controller and the machines of a zone are blocked.
     pub(in crate::simulation) fn blocked_until(&self, node: usize, zone: &str) -> MonotonicTime {
         let partition = &self.active_faults.partition;
         let partitioned = partition.blocked_until(zone_of(node, self.nodes.len()), zone);
@@ -31,7 +31,7 @@
         partitioned.max(isolated)
     }
 
-    /// Whether two controllers are in zones that can't reach each other.
+    /// Returns whether two controllers are in zones that can't reach each other.
     fn is_partitioned(&self, one: usize, other: usize) -> bool {
         let controller_count = self.nodes.len();
         let partition = &self.active_faults.partition;
@@ -41,7 +41,7 @@
         ) > self.now
     }
 
-    /// Sends a message to another controller, if need be through a third.
+    /// Sends a message to another controller, through a relay if their zones are partitioned.
     pub(in crate::simulation) fn send_to_peer(
         &mut self,
         from: usize,
@@ -71,7 +71,7 @@
         self.schedule_in(ms, SimulationEvent::Peer(delivery));
     }
 
-    /// What a controller knows from the status messages of the others, which they send all the time.
+    /// Returns the routes that a controller knows from the periodic status messages of its peers.
     fn routes(&self, node: usize) -> RelayRoutes {
         let now = self.now;
         let controller_count = self.nodes.len();
@@ -101,7 +101,7 @@
         routes
     }
 
-    /// The controller through which a message goes across the partition.
+    /// Returns the controller that relays a message around the partition, if there is one.
     pub(in crate::simulation) fn relay_between(&self, node: usize, to: usize) -> Option<usize> {
         if self.disabled_guard == DisabledGuard::RelayDisabled {
             return None;
@@ -111,7 +111,7 @@
         member_index(relay_for.as_str())
     }
 
-    /// Relays a heartbeat to the shard owner of its machine, and brings the response back.
+    /// Relays a heartbeat to the shard owner of its machine, and returns the response.
     pub(in crate::simulation) fn relay_heartbeat(
         &mut self,
         node: usize,
@@ -140,7 +140,7 @@
         answer
     }
 
-    /// Tells a controller whether its zone is cut off from another one, as the daemon does.
+    /// Tells a controller whether its zone is partitioned from another one, as the daemon does.
     pub(in crate::simulation) fn report_partition(&mut self, node: usize) {
         if self.faults.zone_partition {
             let partition = &self.active_faults.partition;
--- a/src/simulation/fakes.rs
+++ b/src/simulation/fakes.rs
@@ -1,4 +1,4 @@
-//! The state of the key-value store and of the workers that stand in for the real ones.
+//! In-memory fakes of the key-value store and of workers.
 
 mod store;
 mod worker;
--- a/src/simulation/fakes/store.rs
+++ b/src/simulation/fakes/store.rs
@@ -1,4 +1,4 @@
-//! A small consistent key-value store in memory: leases, transactions and a log of changes.
+//! A small consistent in-memory key-value store with leases, transactions and a log of changes.
 
 use crate::config::Config;
 use crate::ids::{LeaseId, MonotonicTime, Revision};
@@ -9,12 +9,12 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What a key holds.
+/// The value of a key.
 struct StoredValue {
     value: Value,
-    /// The change that wrote the value.
+    /// The revision of the change that wrote the value.
     revision: Revision,
-    /// The key is deleted with this lease.
+    /// The lease whose end deletes the key.
     lease: Option<LeaseId>,
 }
 
@@ -22,33 +22,33 @@
 struct LogEntry {
     revision: Revision,
     key: String,
-    /// `None`: the key was deleted.
+    /// The new value; `None` if the key was deleted.
     value: Option<Value>,
 }
 
-/// What the store takes at most.
+/// The limits that the store enforces.
 #[derive(Clone, Copy)]
 pub(in crate::simulation) struct FakeStoreLimits {
-    /// The largest value, in bytes.
+    /// The maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The most changes in a transaction.
+    /// The maximum number of changes in a transaction.
     pub changes: usize,
 }
 
 /// The state of the key-value store.
 #[derive(Default)]
 pub(in crate::simulation) struct FakeStore {
-    /// The last change.
+    /// The revision of the last change.
     pub revision: Revision,
     keys: BTreeMap<String, StoredValue>,
     /// When each lease expires.
     pub leases: BTreeMap<LeaseId, MonotonicTime>,
     log: Vec<LogEntry>,
-    /// Conditions on the fences of shards and machines are taken as met.
+    /// Whether conditions on the fences of shards and machines are treated as met.
     pub ignore_fences: bool,
-    /// None at first.
+    /// The enforced limits; `None` until the simulation lowers them.
     pub limits: Option<FakeStoreLimits>,
-    /// How many transactions were refused for their size.
+    /// The number of transactions refused for their size.
     pub oversized_txns: u64,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A record as the earlier version of the program sees it: it ignores the fields it does not know.
+/// Removes from a record the fields that the earlier version of the program does not know.
 fn as_earlier_version(mut value: Value) -> Value {
     if let Some(record) = value.as_object_mut() {
         for field in ["released", "version"] {
@@ -76,30 +76,30 @@
 }
 
 impl FakeStore {
-    /// Whether a key has a value.
+    /// Returns whether a key has a value.
     pub(in crate::simulation) fn contains(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// The change that wrote a key's value.
+    /// Returns the revision of the change that wrote a key's value.
     pub(in crate::simulation) fn revision_of(&self, key: &str) -> Option<Revision> {
         self.keys.get(key).map(|stored| stored.revision)
     }
 
-    /// The record that a key holds.
+    /// Returns the record stored under a key.
     pub(in crate::simulation) fn read<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         let stored = self.keys.get(key)?;
-        Some(serde_json::from_value(stored.value.clone()).expect("record"))
+        Some(serde_json::from_value(stored.value.clone()).expect("stored value is a valid record"))
     }
 
-    /// Whether this change wrote a key whose last change before was its deletion.
+    /// Returns whether the change at revision `at` recreated a key that had been deleted.
     pub(in crate::simulation) fn was_recreated_at(&self, key: &str, at: Revision) -> bool {
         let changes = self.log.iter().filter(|entry| entry.key == key);
         let before = changes.rev().nth(1);
         self.revision_of(key) == Some(at) && before.is_some_and(|entry| entry.value.is_none())
     }
 
-    /// Grants a lease that lasts until then.
+    /// Creates a lease that expires at `until`.
     pub(in crate::simulation) fn create_lease(&mut self, until: MonotonicTime) -> LeaseId {
         self.revision.0 += 1;
         let lease = LeaseId(self.revision.0);
@@ -107,7 +107,7 @@
         lease
     }
 
-    /// Ends a lease and deletes the keys that depend on it.
+    /// Revokes a lease and deletes the keys attached to it.
     pub(in crate::simulation) fn revoke_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let owned_keys: Vec<String> = self
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Ends the leases that have run out.
+    /// Revokes the leases that have expired.
     pub(in crate::simulation) fn expire(&mut self, now: MonotonicTime) {
         let expired: Vec<LeaseId> = self
             .leases
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Carries a transaction out, wholly or not at all.
+    /// Executes a transaction atomically.
     pub(in crate::simulation) fn txn(&mut self, txn: &Txn) -> TxnOutcome {
         let failed = self.failed_conditions(txn);
         if !failed.is_empty() {
@@ -161,7 +161,7 @@
         TxnOutcome::Committed(self.revision)
     }
 
-    /// The keys that were written since the transaction's author has read them.
+    /// Returns the keys whose revision differs from the one that the transaction requires.
     fn failed_conditions(&self, txn: &Txn) -> Vec<String> {
         let mut failed = Vec::new();
         for condition in &txn.conditions {
@@ -216,9 +216,10 @@
             || txn.changes.iter().any(large)
     }
 
-    /// The changes after a revision, as a watch brings them.
+    /// Returns the changes after a revision, as a watch delivers them.
     ///
-    /// `earlier_version`: as a controller of the earlier version reads them.
+    /// With `earlier_version`, records lack the fields that a controller of the earlier version
+    /// does not know.
     pub(in crate::simulation) fn events(
         &self,
         after: Revision,
@@ -238,7 +239,7 @@
             .collect()
     }
 
-    /// All records, as a controller loads them when it starts.
+    /// Returns a watch cache with all records, as a controller loads them when it starts.
     pub(in crate::simulation) fn snapshot(
         &self,
         config: &Config,
--- a/src/simulation/fakes/worker.rs
+++ b/src/simulation/fakes/worker.rs
@@ -6,27 +6,27 @@
 use crate::protocol::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
-/// The shortest time that a task runs, and what its index adds to it, in ms.
+/// The minimum run time of a task, and the time added per task index, in ms.
 const MIN_TASK_MS: u64 = 2000;
 const TASK_MS_PER_INDEX: u64 = 700;
-/// The largest addition.
+/// The added time is taken modulo this value, in ms.
 const MAX_ADDED_TASK_MS: u64 = 9000;
 
 /// One task on a machine.
 #[derive(Clone, Debug)]
 pub(in crate::simulation) struct WorkerTask {
-    /// What heartbeats report.
+    /// The state that heartbeats report.
     pub state: TaskState,
-    /// Set once the task has exited.
+    /// Why the task has exited; `None` until then.
     pub exit_reason: Option<ExitReason>,
     /// When a running task ends by itself, or a waiting one stops waiting for its gang.
     pub until: MonotonicTime,
 }
 
-/// A heartbeat without a response so far.
+/// A heartbeat that has no response yet.
 #[derive(Clone, Copy)]
 pub(in crate::simulation) struct AwaitedResponse {
-    /// Responses with another ticket are dropped.
+    /// The ticket of the heartbeat. Responses with another ticket are dropped.
     pub ticket: u64,
     /// When the heartbeat was sent.
     pub sent: MonotonicTime,
@@ -34,40 +34,41 @@
 
 /// The state of a worker and the faults of its machine.
 pub(in crate::simulation) struct Worker {
-    /// The machine is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
     /// The zone that the machine is in.
     pub zone: &'static str,
-    /// Rises each time the worker drops all tasks.
+    /// A counter that rises each time the worker drops all tasks.
     pub epoch: WorkerEpoch,
-    /// The number of the last heartbeat.
+    /// The sequence number of the last heartbeat.
     pub sequence: HeartbeatSequence,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
-    /// Task attempts that no command has made it forget.
+    /// Task attempts that no command has told the worker to forget.
     pub tasks: BTreeMap<TaskAttempt, WorkerTask>,
-    /// The controller that it sends heartbeats to.
+    /// The index of the controller that the worker sends heartbeats to.
     pub node: usize,
-    /// When the last heartbeat that was answered was sent.
+    /// When the last answered heartbeat was sent.
     pub last_answered_heartbeat: MonotonicTime,
     /// When the next heartbeat is due.
     pub next_heartbeat: MonotonicTime,
     /// The heartbeat that has no response yet.
     pub awaited_response: Option<AwaitedResponse>,
-    /// Nothing gets in or out until then.
+    /// Until when no messages reach or leave the machine.
     pub cut_until: MonotonicTime,
-    /// The process does nothing until then.
+    /// Until when the process hangs.
     pub hang_until: MonotonicTime,
-    /// Its heartbeats get out, nothing gets in.
+    /// Until when no messages reach the machine, while its heartbeats still get out.
     pub inbound_cut_until: MonotonicTime,
-    /// Direct commands get in and are answered, heartbeats reach nobody.
+    /// Until when heartbeats reach no controller, while direct commands still arrive and are
+    /// answered.
     pub outbound_cut_until: MonotonicTime,
-    /// It has not booted yet, or has died.
+    /// Whether the machine has not booted yet or has died.
     pub dead: bool,
 }
 
 impl Worker {
-    /// A machine that has not booted yet.
+    /// Creates the worker of a machine that has not booted yet.
     pub(in crate::simulation) fn booting(
         spot: bool,
         zone: &'static str,
@@ -93,20 +94,20 @@
         }
     }
 
-    /// Until when no response and no command is taken in.
+    /// Returns until when no responses and commands reach the worker.
     pub(in crate::simulation) fn unreachable_until(&self) -> MonotonicTime {
         self.cut_until
             .max(self.hang_until)
             .max(self.inbound_cut_until)
     }
 
-    /// How many tasks run.
+    /// Returns the number of running tasks.
     pub(in crate::simulation) fn running_tasks(&self) -> u64 {
         let running = |task: &&WorkerTask| task.state == TaskState::Running;
         self.tasks.values().filter(running).count() as u64
     }
 
-    /// Turns to the next controller after a while.
+    /// Switches to the next controller and schedules the next heartbeat at `at`.
     pub(in crate::simulation) fn try_next_node(
         &mut self,
         controller_count: usize,
@@ -116,7 +117,7 @@
         self.next_heartbeat = at;
     }
 
-    /// The next heartbeat with the state of all tasks.
+    /// Returns the next heartbeat, with the state of all tasks.
     pub(in crate::simulation) fn heartbeat(&mut self, id: &str) -> Heartbeat {
         self.sequence.0 += 1;
         let tasks = self.tasks.iter().map(|(attempt, task)| TaskStatus {
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Exited tasks leave its list, though no controller has said so.
+    /// Forgets exited tasks without a command from a controller.
     pub(in crate::simulation) fn forget_exited(&mut self) {
         self.tasks.retain(|_, t| t.state != TaskState::Exited);
     }
 
-    /// Carries commands out; the attempts that were launched are returned for the checks.
+    /// Executes commands and returns the launched attempts for the invariant checks.
     pub(in crate::simulation) fn execute(
         &mut self,
         now: MonotonicTime,
@@ -165,7 +166,8 @@
         launched
     }
 
-    /// Starts an attempt, unless another one of the same task still runs here.
+    /// Starts an attempt that the worker does not know yet. If another attempt of the same task is
+    /// still live here, the new attempt exits at once.
     fn launch(&mut self, now: MonotonicTime, attempt: TaskAttempt) -> Option<TaskAttempt> {
         if self.tasks.contains_key(&attempt) {
             return None;
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -1,19 +1,20 @@
-//! Injection of the faults of a simulated day: one function for each kind.
+//! Injection of the faults of a simulation run, with one function for each kind.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
 use super::timing::{CANCELLATION_LIMIT_MS, SHARD_LEASE_MS, UNREACHABLE_LIMIT_MS};
 use super::topology::{ISOLATED_ZONE_CONTROLLER, ZONES};
 
-/// How often faults are injected, in ms.
+/// The interval between fault injections, in ms.
 const INJECTION_INTERVAL_MS: (u64, u64) = (1500, 6000);
-/// How long a process is down, in ms; now and then it is back at once.
+/// How long a stopped process is down, in ms, for a normal and a fast restart, and the percentage of
+/// fast restarts.
 const RESTART_MS: (u64, u64) = (2000, 6000);
 const FAST_RESTART_MS: (u64, u64) = (50, 400);
 const FAST_RESTART_PERCENT: u64 = 40;
 
 impl SimulatedCluster {
-    /// Injects each kind of fault of the day with its own probability.
+    /// Injects each kind of fault of the run with its own probability.
     pub(super) fn inject_faults(&mut self) {
         self.crash_controllers();
         if self.faults.restarts_in_election && self.chance(30) {
@@ -56,8 +57,8 @@
         self.pick(from, to)
     }
 
-    /// One controller or all stop, are back at once, and now and then stop again in the middle of
-    /// the election.
+    /// Stops one controller or all of them and restarts them within a fraction of a second.
+    /// Sometimes they stop again during the election.
     pub(super) fn restart_controllers(&mut self) {
         let all = self.chance(40);
         let victim = self.pick_node();
@@ -117,7 +118,8 @@
         }
     }
 
-    /// A third of the machines can't reach any controller.
+    /// Cuts the outbound connections of a third of the machines, so that they can't reach any
+    /// controller.
     fn cut_outbound_of_machines(&mut self) {
         if !(self.faults.inbound_only_machines && self.chance(35)) {
             return;
@@ -149,9 +151,9 @@
         }
     }
 
-    /// The key-value store refuses the leader; users cancel what runs; a moment later it is out
-    /// for everybody, before the leader's lease has expired. Now and then a controller stops as
-    /// well, its links are cut, or machines hang.
+    /// Lets the key-value store refuse the leader while users cancel running jobs, and begins an
+    /// outage of the store before the leader's lease has expired. In some cases controllers also
+    /// restart, the leader's connections to its peers are cut, or machines hang.
     fn begin_refusal_then_outage(&mut self) {
         let possible = self.faults.store_refusal_then_outage
             && self.active_faults.store_outage_until <= self.now;
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Nothing reaches a machine, while its heartbeats get out.
+    /// Cuts the inbound connections of a machine, while its heartbeats still get out.
     fn cut_inbound_of_machine(&mut self) {
         let chosen = self.faults.outbound_only_machines && self.chance(35);
         if !chosen || self.workers.is_empty() {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// A machine is cut off, hangs or dies.
+    /// Makes a random machine unreachable, hang or die.
     fn fail_machine(&mut self) {
         let chosen = self.faults.machine_failures && self.chance(60);
         if !chosen || self.workers.is_empty() {
@@ -247,14 +249,14 @@
         }
     }
 
-    /// A controller stops, and is back after so many ms.
+    /// Stops a controller and restarts it after `ms` milliseconds.
     fn stop_controller(&mut self, node: usize, ms: u64) {
         if self.stop_process(node) {
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
         }
     }
 
-    /// The leader stops; now and then the key-value store is out as well.
+    /// Stops the leader, and sometimes begins an outage of the key-value store.
     pub(super) fn stop_leader(&mut self) {
         if self.active_faults.healed {
             return;
@@ -272,7 +274,7 @@
         self.schedule_in(ms, SimulationEvent::StopLeader);
     }
 
-    /// The key-value store is out for everybody for so many ms.
+    /// Begins an outage of the key-value store for all controllers, which lasts `ms` milliseconds.
     pub(super) fn begin_store_outage(&mut self, ms: u64) {
         let until = self.time_in(ms);
         self.active_faults.store_outage_until = until;
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -1,11 +1,11 @@
-//! The faults of a simulated day.
+//! The faults of a simulation run.
 
-/// Which faults are injected until the day is healed.
+/// The faults that are injected until the cluster is healed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Faults {
-    /// One controller or all of them stop, and start again after a while.
+    /// One controller or all of them stop and restart later.
     pub controller_crashes: bool,
-    /// Responses get lost, and requests without a response may be carried out much later.
+    /// Responses are lost, and requests without a response may be executed much later.
     pub lost_responses: bool,
     /// Machines are cut off, hang or die.
     pub machine_failures: bool,
@@ -13,42 +13,45 @@
     pub store_disconnects: bool,
     /// Heartbeats of some machines arrive, but no response and no command reaches them.
     pub outbound_only_machines: bool,
-    /// Copies of heartbeats arrive up to several leases late, at any controller.
+    /// Duplicates of heartbeats arrive at any controller, up to several lease durations late.
     pub duplicate_heartbeats: bool,
-    /// A controller loses the key-value store and its peers, but not its workers.
+    /// A controller loses its connections to the key-value store and its peers, but not to its
+    /// workers.
     pub isolated_controllers: bool,
-    /// Processes are back within a fraction of a second, all at once too, and stop again before
-    /// the election that their restart caused is over.
+    /// Processes restart within a fraction of a second, sometimes all at once, and stop again
+    /// before the election that their restart caused is over.
     pub restarts_in_election: bool,
-    /// Users ask for more than their teams' limits all the time.
+    /// Users constantly request more than their teams' limits.
     pub overload: bool,
-    /// A controller pauses for longer than every lease while its clocks run on.
+    /// A controller pauses, possibly for longer than any lease, while its clocks keep running.
     pub controller_pauses: bool,
-    /// A zone is cut off from everything outside, with a controller in it.
+    /// A zone, including the controller in it, is cut off from everything outside.
     pub zone_isolation: bool,
-    /// Requests that were carried out arrive once more, up to several leases later.
+    /// Executed requests are delivered a second time, up to several lease durations later.
     pub duplicate_requests: bool,
-    /// The key-value store refuses the leader alone, users cancel through the others, and then
-    /// it is out for everybody for longer than a cancellation may take.
+    /// The key-value store refuses only the leader, users cancel jobs through the other
+    /// controllers, and then the store is unavailable to all of them for longer than a cancellation
+    /// may take.
     pub store_refusal_then_outage: bool,
     /// Machines can't reach any controller, while direct commands reach them.
     pub inbound_only_machines: bool,
-    /// The key-value store is slow: transactions are given up and carried out later, and the
-    /// watch caches lag by seconds.
+    /// The key-value store is slow: transactions time out and are executed later, and the watch
+    /// caches lag by seconds.
     pub slow_store: bool,
-    /// The leader stops every eleven seconds, in outages too, and is back at any time.
+    /// The leader stops about every eleven seconds, also during outages, and restarts after a
+    /// random delay.
     pub leader_crashes: bool,
     /// All controllers are down for longer than a lease.
     pub control_plane_outage: bool,
-    /// Jobs are cancelled at the very moment at which their tasks end.
+    /// Jobs are cancelled at almost the same time as one of their tasks ends.
     pub cancel_at_completion: bool,
     /// Two zones can't reach each other, and a third reaches both.
     pub zone_partition: bool,
     /// Users submit jobs that depend on other jobs.
     pub dependent_jobs: bool,
-    /// Controllers begin as the earlier version and are upgraded one after the other.
+    /// Controllers start as the earlier version and are upgraded one at a time.
     pub rolling_upgrade: bool,
-    /// The key-value store lowers its limits after a while.
+    /// The key-value store lowers its limits during the run.
     pub lowered_store_limits: bool,
 }
 
@@ -79,7 +82,8 @@
         lowered_store_limits: false,
     };
 
-    /// All faults but those that need other zones, users or versions.
+    /// All faults except those that need a third zone, dependent jobs, an upgrade or lowered store
+    /// limits.
     pub(super) const ALL_SINGLE_FAULTS: Self = Self {
         controller_crashes: true,
         lost_responses: true,
--- a/src/simulation/guards.rs
+++ b/src/simulation/guards.rs
@@ -1,11 +1,11 @@
-//! Guards that a day disables, to show that the invariants notice.
+//! Guards that tests disable to show that the invariants detect the resulting violations.
 
 /// A guard that is deliberately disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DisabledGuard {
     /// All guards are in place.
     None,
-    /// A command without a response counts as never sent.
+    /// A direct call without a response is reported as never sent.
     LostCallsCountAsUnsent,
     /// The cloud confirms deletions that it does not carry out.
     DeletionsFalselyConfirmed,
@@ -13,11 +13,12 @@
     FencesIgnored,
     /// Deleted machines acknowledge direct commands.
     DeletedMachinesAcknowledge,
-    /// Commands count as carried out by machines that nothing reaches.
+    /// Commands to unreachable machines are reported as executed.
     UnreachableMachinesAcknowledge,
-    /// Users are told of a cancellation as soon as its record is written.
+    /// Users are told of a cancellation as soon as its record is written, without waiting for the
+    /// shard owners to acknowledge it.
     CancellationConfirmedOnCommit,
-    /// Nothing is relayed around a zone partition.
+    /// Messages and heartbeats are not relayed around a zone partition.
     RelayDisabled,
     /// Once all faults are healed, workers ignore launches.
     LaunchesIgnoredAfterHeal,
@@ -25,10 +26,10 @@
     ExitedTasksForgottenOnReport,
     /// Jobs are accepted as if all their dependencies were done.
     DependenciesIgnored,
-    /// A job that has left the watch cache counts as done.
+    /// A job that is no longer in the watch cache is treated as done.
     MissingDependencyCountsAsDone,
     /// The dependents of a cancelled job are not cancelled.
     DependentsNotCancelled,
-    /// Jobs with dependencies are accepted while an earlier version takes part.
+    /// Jobs with dependencies are accepted while a controller of an earlier version is a member.
     DependenciesAcceptedDuringUpgrade,
 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants, checked against what really runs.
+//! Invariants that are checked against the tasks that actually run on machines.
 
 mod cancellations;
 mod deleted_machines;
@@ -12,14 +12,14 @@
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobSpec, TaskState};
 
-/// A task attempt on a machine that has not exited.
+/// A task attempt that has not exited, with its machine.
 struct LiveAttempt<'a> {
     machine: &'a MachineId,
     attempt: &'a TaskAttempt,
 }
 
 impl SimulatedCluster {
-    /// All attempts on machines that have not exited, whether anything reaches them or not.
+    /// Returns all attempts that have not exited, including those on unreachable machines.
     fn live_attempts(&self) -> impl Iterator<Item = LiveAttempt<'_>> {
         let running_workers = self.workers.iter().filter(|(_, worker)| !worker.dead);
         running_workers.flat_map(|(machine, worker)| {
@@ -29,7 +29,7 @@
         })
     }
 
-    /// The CPUs that live attempts of the job's team use, in thousandths.
+    /// Returns the CPUs that live attempts of the job's team use, in thousandths of a CPU.
     fn team_cpus(&self, job: &JobSpec) -> u64 {
         let jobs = self
             .live_attempts()
@@ -38,7 +38,7 @@
         team_jobs.map(|spec| spec.need().milli_cpus).sum()
     }
 
-    /// Notes that a rule does not hold, and for what.
+    /// Records a violation and the job, task attempt or machine that it concerns.
     pub(super) fn record_violation(
         &mut self,
         kind: ViolationKind,
--- a/src/simulation/invariants/cancellations.rs
+++ b/src/simulation/invariants/cancellations.rs
@@ -1,4 +1,5 @@
-//! What a user was told is cancelled does not run, and was asked for.
+//! Jobs are cancelled only on request, and their tasks do not run after the user was told of the
+//! cancellation.
 
 use crate::ids::JobId;
 use crate::simulation::cluster::SimulatedCluster;
@@ -6,25 +7,28 @@
 use crate::simulation::violations::ViolationKind;
 
 impl SimulatedCluster {
-    /// For how many ms a job's user has known that it is cancelled.
+    /// Returns the time in ms since the job's user was told of the cancellation.
     fn ms_since_cancellation(&self, job: &JobId) -> Option<u64> {
         let confirmed_at = self.confirmed_cancellations.get(job)?;
         Some(self.now.since(*confirmed_at).0)
     }
 
-    /// Whether the user was told so long before that nothing of the job may be left.
+    /// Returns whether the user was told more than `CANCELLATION_LIMIT_MS` ago, so that no task of
+    /// the job may be live.
     pub(super) fn is_past_cancellation_limit(&self, job: &JobId) -> bool {
         let ms = self.ms_since_cancellation(job);
         ms.is_some_and(|ms| ms > CANCELLATION_LIMIT_MS)
     }
 
-    /// Whether the user was told before a command was sent that takes so many ms.
+    /// Returns whether the user was told more than `transit_ms` ago, and thus before a command
+    /// that arrives now was sent.
     pub(super) fn is_cancelled_for_more_than(&self, job: &JobId, transit_ms: u64) -> bool {
         self.ms_since_cancellation(job)
             .is_some_and(|ms| ms > transit_ms)
     }
 
-    /// `CancelledTaskRan` for what is on a machine, reachable or not.
+    /// Records `CancelledTaskRan` for live attempts of cancelled jobs, also on unreachable
+    /// machines.
     pub(in crate::simulation) fn check_cancelled_tasks_stopped(&mut self) {
         let attempts = self.live_attempts();
         let overdue =
@@ -37,7 +41,8 @@
         }
     }
 
-    /// A job is only cancelled if its user has asked for it, or with one that it needs.
+    /// Records `CancelledWithoutReason` unless a user requested the cancellation of the job or of
+    /// one of its transitive dependencies.
     pub(in crate::simulation) fn check_cancellation_reason(&mut self, id: &JobId) {
         let is_requested = |id: &JobId| {
             self.pending_cancellations.contains(id) || self.confirmed_cancellations.contains_key(id)
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -1,4 +1,4 @@
-//! Records of machines that are deleted, or given up, have to go.
+//! Records of deleted or unreachable machines must be removed.
 
 use crate::ids::{MachineId, MonotonicTime, Revision};
 use crate::simulation::cluster::SimulatedCluster;
@@ -8,12 +8,13 @@
 use crate::store::keys;
 use std::collections::BTreeSet;
 
-/// Once all faults are healed a deleted machine's record goes within this time, in ms: a machine
-/// that is silent to a doubted shard owner is given up only after four times the usual patience.
+/// The time after the heal within which the record of a deleted machine must be removed, in ms. The
+/// limit covers a machine that sends no heartbeats to a suspected shard owner: it is given up only
+/// after four times the usual timeout.
 const DELETED_RECORD_LIMIT_MS: u64 = 45_000;
 
 impl SimulatedCluster {
-    /// `DeletedRecordRecreated`: no record may come back for a machine that was deleted.
+    /// Records `DeletedRecordRecreated` if a change recreated the record of a deleted machine.
     pub(in crate::simulation) fn check_no_record_recreated(&mut self, at: Revision) {
         let recreated = |id: &&MachineId| self.store.was_recreated_at(&keys::machine(id), at);
         if let Some(machine) = self
@@ -27,8 +28,8 @@
         }
     }
 
-    /// `DeletedRecordKept`: a record that a late request brought back for a deleted machine has to go
-    /// again.
+    /// Records `DeletedRecordKept` if a record that a late request recreated for a deleted machine
+    /// is not removed in time.
     pub(in crate::simulation) fn check_deleted_records_removed(&mut self) {
         if !self.active_faults.healed || self.fleet.is_some() {
             return;
@@ -56,8 +57,9 @@
         }
     }
 
-    /// `UnreachableMachineKept`: a machine that nothing has reached for long must have lost its record. Without
-    /// a leader, or a key-value store, no record of a machine goes.
+    /// Records `UnreachableMachineKept` if a machine that was unreachable for long still has a
+    /// record. The check is skipped under faults that can leave the cluster without a leader or a
+    /// key-value store, since no records of machines are removed then.
     pub(in crate::simulation) fn check_unreachable_machine_removed(&mut self, id: &MachineId) {
         let is_running = self.workers.get(id).is_some_and(|w| !w.dead);
         let faults = &self.faults;
@@ -71,7 +73,7 @@
         }
         let due = MonotonicTime(self.active_faults.last_pause_until.0 + UNREACHABLE_LIMIT_MS);
         if self.now < due {
-            // Nobody could notice while controllers were paused.
+            // Paused controllers can't detect the unreachable machine, so the check is postponed.
             let worker = self.workers.get(id);
             if worker.is_some_and(|w| w.inbound_cut_until >= due) {
                 let ms = due.since(self.now).0;
--- a/src/simulation/invariants/dependencies.rs
+++ b/src/simulation/invariants/dependencies.rs
@@ -1,4 +1,5 @@
-//! Dependent jobs start after their dependencies, and don't outlive a cancelled one.
+//! Dependent jobs start after their dependencies are done, and are cancelled with a cancelled
+//! dependency.
 
 use crate::ids::JobId;
 use crate::protocol::{JobSpec, JobState};
@@ -17,7 +18,7 @@
         done >= self.jobs[id].tasks as usize
     }
 
-    /// `DependencyNotDone`.
+    /// Records `DependencyNotDone` if a dependency of the job is not done.
     pub(in crate::simulation) fn check_dependencies_done(&mut self, spec: &JobSpec) {
         let unfinished = spec.dependencies.iter().find(|id| !self.is_done(id));
         if let Some(unfinished) = unfinished.cloned() {
@@ -28,7 +29,8 @@
         }
     }
 
-    /// `OrphanedDependent`: it would still be called queued or running.
+    /// Records `OrphanedDependent` for live jobs with a dependency that was cancelled long ago,
+    /// since they would still be reported as queued or running.
     pub(in crate::simulation) fn check_no_orphaned_dependents(&mut self) {
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.contains(&keys::job(id)));
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Whether something that a job needs is not done: it may wait however much room there is.
+    /// Returns whether a dependency of the job is not done. The job may then wait even if there is
+    /// room.
     pub(in crate::simulation) fn has_unfinished_dependencies(&self, spec: &JobSpec) -> bool {
         let mut dependencies = spec.dependencies.iter();
         dependencies.any(|id| self.final_state(id) != Some(JobState::Done))
--- a/src/simulation/invariants/final_states.rs
+++ b/src/simulation/invariants/final_states.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeSet;
 
 impl SimulatedCluster {
-    /// `DoneTooEarly` and `FinalStateChanged`.
+    /// Checks the final states of all jobs for `DoneTooEarly`, `FinalStateChanged` and
+    /// `CancelledWithoutReason`.
     pub(in crate::simulation) fn check_final_states(&mut self) {
         if self.fleet.is_some() {
             return;
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -1,18 +1,18 @@
-//! What is checked whenever a worker launches a task attempt.
+//! Checks that run whenever a worker launches a task attempt.
 
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::violations::ViolationKind;
 
-/// The longest way of a command that is neither delayed nor lost, in ms.
+/// The maximum transit time of a command that is neither delayed nor lost, in ms.
 const COMMAND_TRANSIT_MS: u64 = 10;
-/// How long the member of a gang waits for the others, in ms.
+/// How long a gang member waits for the others, in ms.
 const GANG_WAIT_MS: u64 = 30_000;
 
 impl SimulatedCluster {
-    /// The invariants about what is on machines, at each launch. What was sent a moment ago must
-    /// not launch a task of a job whose user was told that it is cancelled.
+    /// Checks the invariants for launched attempts. With `just_sent`, the launch command was not
+    /// delayed, so it must not launch a task of a job whose user was told that it is cancelled.
     pub(in crate::simulation) fn check_launches(
         &mut self,
         machine: &MachineId,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The members of a gang don't run before all are there.
+    /// Makes a gang member wait until all members of the gang are present.
     fn wait_for_gang(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let until = self.time_in(GANG_WAIT_MS);
         let worker = self.workers.get_mut(machine);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// `RanTwice`: no other attempt of the task is on another machine.
+    /// Records `RanTwice` if another attempt of the task is live on another machine.
     fn check_single_live_attempt(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let mut live = self.live_attempts();
         if live.any(|other| other.attempt.task == attempt.task && other.machine != machine) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// `QuotaExceeded`: the team is within its limit.
+    /// Records `QuotaExceeded` if the team uses more than its limit.
     fn check_quota(&mut self, spec: &JobSpec, attempt: &TaskAttempt) {
         let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         if self.team_cpus(spec) > limit {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// `WrongPlacement`: zone constraints hold, and only what may run on spot machines does.
+    /// Records `WrongPlacement` if the attempt violates a zone constraint or is on a spot machine
+    /// that its job does not allow.
     fn check_placement(&mut self, spec: &JobSpec, machine: &MachineId, attempt: &TaskAttempt) {
         let worker = &self.workers[machine];
         let live = self.live_attempts();
@@ -81,7 +82,8 @@
         }
     }
 
-    /// `CancelledTaskRan` and `CancelledTaskLaunched`.
+    /// Records `CancelledTaskRan` or `CancelledTaskLaunched` if the user was told of the
+    /// cancellation too long before the launch.
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
         if self.is_past_cancellation_limit(job) {
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -1,4 +1,4 @@
-//! Once all faults are healed, no job waits for long beside room that fits.
+//! After all faults are healed, no job waits for long while there is room for it.
 
 use crate::ids::{JobId, MachineId};
 use crate::protocol::{JobKind, JobSpec, TaskState};
@@ -8,14 +8,14 @@
 use crate::store::keys;
 use std::collections::BTreeSet;
 
-/// The CPUs of a machine of a small fleet, in thousandths.
+/// The CPUs of a machine of a small fleet, in thousandths of a CPU.
 const MACHINE_MILLI_CPUS: u64 = 8000;
-/// No job waits for longer beside room that fits, in ms.
+/// The maximum time that a job may wait while there is room for it, in ms.
 const STARVATION_LIMIT_MS: u64 = 90_000;
 
 impl SimulatedCluster {
-    /// `Starved`: no job waits for long while a machine that fits has room for one of its
-    /// tasks and its team is under its limit.
+    /// Records `Starved` for jobs that wait for long while a suitable machine has room for one of
+    /// their tasks and their team is under its limit.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
         if !self.active_faults.healed || self.fleet.is_some() {
             return;
@@ -43,15 +43,15 @@
         starving.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Accepted, not ended, and all dependencies are done.
+    /// Returns whether a job is accepted, has not ended, and has no unfinished dependencies.
     fn is_startable(&self, id: &JobId, spec: &JobSpec) -> bool {
         let ended = self.store.contains(&keys::final_state(id));
         let accepted = self.store.contains(&keys::job(id));
         accepted && !ended && !self.has_unfinished_dependencies(spec)
     }
 
-    /// Whether the team's limit and some machine have room for a task. All of a gang or service
-    /// has to fit on one machine: then it fits wherever it may be placed.
+    /// Returns whether the team's limit and some machine have room for a task. All tasks of a gang
+    /// or service must fit on one machine, because they then fit under any placement constraint.
     fn has_room(&self, spec: &JobSpec) -> bool {
         let tasks = match spec.kind {
             JobKind::Array => 1,
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of the size that operators run, against a key-value store with the settings' rates.
+//! A fleet of the size that operators run, with a key-value store that enforces configured rate
+//! limits.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
@@ -15,21 +16,22 @@
 use crate::store::records::JobRecord;
 use serde_json::json;
 
-/// The part of the changes that each controller may use.
+/// The fraction of the store's change rate that each controller may use.
 const CONTROLLER_CHANGES_FRACTION: f64 = 0.5;
-/// What the key-value store takes, in requests a second.
+/// The rate limit of the key-value store, in requests per second.
 const REQUESTS_PER_S: f64 = 200.0;
-/// The slots of each machine.
+/// The number of slots of each machine.
 const SLOTS_PER_MACHINE: u64 = 16;
-/// Between two services, in ms.
+/// The time between submissions of two services, in ms.
 const SERVICE_INTERVAL_MS: u64 = 560;
-/// How many tasks an array has.
+/// The minimum and maximum number of tasks of an array.
 const TASKS_PER_ARRAY: (u64, u64) = (20, 220);
-/// Beyond so many, each new service ends an old one.
+/// Above this number of submitted services, each new service cancels the oldest one.
 const MAX_SERVICES: u64 = 200;
 
 impl SimulatedCluster {
-    /// Hundreds of machines, from so many to so many, and an array every so many ms.
+    /// Creates a cluster that has from `machines.0` to `machines.1` machines and receives an array
+    /// every `array_interval_ms`.
     pub(super) fn with_large_fleet(
         seed: u64,
         machines: (usize, usize),
@@ -52,7 +54,7 @@
         cluster
     }
 
-    /// Boots the machines of a large fleet and applies its rates.
+    /// Boots the machines of a large fleet and applies its rate limits.
     fn start_large_fleet(&mut self) {
         let Some(fleet) = &self.fleet else { return };
         let changes = fleet.changes_per_s;
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Whether the rates let a transaction through, each controller within its share.
+    /// Returns whether the controller's rate limiter admits a transaction, and counts the
+    /// transaction.
     pub(super) fn admits(&mut self, node: usize, requester: &TxnRequester, txn: &Txn) -> bool {
         let now = self.now;
         let Some(fleet) = &mut self.fleet else {
@@ -100,7 +103,7 @@
         admitted
     }
 
-    /// Submits the next array or service; services end after a while.
+    /// Submits the next array or service. The oldest service is cancelled once there are too many.
     pub(super) fn submit_to_large_fleet(&mut self) {
         let Some(fleet) = self.fleet.as_ref().filter(|_| !self.active_faults.healed) else {
             return;
@@ -137,7 +140,7 @@
         } else {
             body["sheets"] = json!(self.pick(TASKS_PER_ARRAY.0, TASKS_PER_ARRAY.1));
         }
-        JobSpec::parse(body.to_string().as_bytes()).expect("valid")
+        JobSpec::parse(body.to_string().as_bytes()).expect("job specification is valid")
     }
 
     fn cancel_oldest_service(&mut self) {
--- a/src/simulation/large_fleet_state.rs
+++ b/src/simulation/large_fleet_state.rs
@@ -1,39 +1,40 @@
-//! The size and the rates of a large fleet, and what its users cost.
+//! The size and rate limits of a large fleet, and the load that its users cause.
 
 use crate::store::rate_limiter::TokenBucket;
 use std::collections::BTreeMap;
 
-/// A large fleet: what exceeds the settings' rates is refused, and counted.
+/// The state of a large fleet. Transactions beyond the configured rate limits are refused and
+/// counted.
 pub(super) struct LargeFleetState {
-    /// Machines that are up from the start.
+    /// The number of machines at the start.
     pub min_machines: usize,
-    /// The most machines that the cloud provides.
+    /// The maximum number of machines that the cloud provides.
     pub max_machines: usize,
-    /// The slots of each machine.
+    /// The number of slots of each machine.
     pub slots: u64,
-    /// Between two arrays, in ms.
+    /// The time between submissions of two arrays, in ms.
     pub array_interval_ms: u64,
-    /// Services submitted so far.
+    /// The number of services submitted so far.
     pub services: u64,
-    /// What the key-value store takes, in changes a second.
+    /// The rate limit of the key-value store, in changes per second.
     pub changes_per_s: f64,
-    /// The rate limit of each controller.
+    /// The rate limiter of each controller.
     pub limiters: Vec<TokenBucket>,
-    /// What was asked of the key-value store so far.
+    /// Counts of the requests to the key-value store so far.
     pub counts: RequestCounts,
 }
 
-/// What was asked of the key-value store, and what was done with it.
+/// Counts of requests to the key-value store and of the tasks that have ended.
 #[derive(Debug, Default)]
 pub(super) struct RequestCounts {
-    /// Transactions that were asked for.
+    /// Requested transactions.
     pub transactions: u64,
-    /// Transactions that the rate limits refused.
+    /// Transactions that the rate limiters refused.
     pub refused: u64,
-    /// Changes that were let through.
+    /// Changes in admitted transactions.
     pub changes: u64,
-    /// Changes by the part of the controller that asked for them.
+    /// Changes in admitted transactions, by the part of the controller that requested them.
     pub changes_by_requester: BTreeMap<&'static str, u64>,
-    /// Tasks of arrays that have ended.
+    /// Array tasks that have ended.
     pub ended: u64,
 }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! Controllers in simulated time against stand-ins for the key-value store, the cloud, the workers
-//! and the network.
+//! Runs the real controllers in simulated time against fakes of the key-value store, the cloud, the
+//! workers and the network.
 //!
-//! Their decisions run under crashes, cuts, lost responses and late copies, while invariants are
-//! checked against what really runs. Seeds are fixed, so every run of a day is the same.
+//! Crashes, network cuts, lost responses and delayed duplicates are injected, and invariants are
+//! checked against the tasks that actually run. Seeds are fixed, so every run of a scenario gives
+//! the same result.
 
 mod active_faults;
 mod cancellations;
--- a/src/simulation/node.rs
+++ b/src/simulation/node.rs
@@ -9,32 +9,33 @@
 
 /// A node and the controller that runs on it.
 pub(super) struct Node {
-    /// The settings that controllers start with.
+    /// The configuration that controller processes on this node start with.
     pub config: Config,
-    /// None while the process is down.
+    /// The running controller; `None` while the process is down.
     pub controller: Option<Controller>,
-    /// Rises with each stop and start, so that responses to an earlier process are dropped.
+    /// A counter that rises with each stop and start, so that responses to an earlier process are
+    /// dropped.
     pub generation: u64,
-    /// The last change that the watch has brought.
+    /// The last revision that the watch has delivered.
     pub watched_revision: Revision,
     /// The lease of the running process.
     pub lease: Option<LeaseId>,
-    /// The lease of the process before, until the next one ends it.
+    /// The lease of the previous process, until the new process revokes it.
     pub previous_lease: Option<LeaseId>,
-    /// The key-value store refuses the controller until then.
+    /// Until when the key-value store refuses the controller.
     pub store_cut_until: MonotonicTime,
-    /// Messages from and to other controllers are lost until then.
+    /// Until when messages from and to other controllers are lost.
     pub peers_cut_until: MonotonicTime,
-    /// The process is paused until then.
+    /// Until when the process is paused.
     pub paused_until: MonotonicTime,
-    /// Cancelled jobs whose record this process has written or read.
+    /// Cancelled jobs whose final record this process has written or read.
     pub final_records_seen: BTreeSet<JobId>,
-    /// It runs the earlier version of the program.
+    /// Whether the node runs the earlier version of the program.
     pub earlier_version: bool,
 }
 
 impl Node {
-    /// A node of so many, before its controller starts.
+    /// Creates one of `controller_count` nodes, before its controller starts.
     pub(super) fn new(index: usize, controller_count: usize, earlier_version: bool) -> Self {
         let mut config = sample_config();
         config.member = MEMBERS[index].into();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The controller, if this process of it still runs.
+    /// Returns the controller, if its process of this generation still runs.
     pub(super) fn process(&mut self, generation: u64) -> Option<&mut Controller> {
         let current = self.generation == generation;
         self.controller.as_mut().filter(|_| current)
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -1,58 +1,59 @@
-//! What was observed on a simulated day, for the invariants and the tests.
+//! Observations of a simulation run, for the invariants and the tests.
 
 use super::violations::Violation;
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::JobState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Observations since the day began.
+/// Observations since the start of the run.
 #[derive(Default)]
 pub(super) struct Observations {
-    /// Rules that did not hold.
+    /// Violations of invariants.
     pub violations: Vec<Violation>,
-    /// How many task attempts were launched.
+    /// The number of launched task attempts.
     pub launches: u64,
-    /// How often faults met as the day's name says.
+    /// The number of times the fault or coincidence that the test targets occurred.
     pub fault_occurrences: u64,
-    /// How many messages and heartbeats were relayed around a partition.
+    /// The number of messages and heartbeats relayed around a partition.
     pub relayed_messages: u64,
-    /// How many running tasks ended with their machine or its lease.
+    /// The number of running tasks lost because their machine was deleted or its lease expired.
     pub tasks_lost: u64,
-    /// The tasks of each job that have run to their end.
+    /// The indices of the tasks of each job that have run to completion.
     pub completed_indices: BTreeMap<JobId, BTreeSet<u32>>,
-    /// The final state in which each job was seen first.
+    /// The final state in which each job was last observed.
     pub final_states: BTreeMap<JobId, JobState>,
     /// Machines that the cloud has deleted.
     pub deleted_machines: BTreeSet<MachineId>,
-    /// Since when records of deleted machines exist, once all faults are healed.
+    /// Since when records of deleted machines exist, after all faults are healed.
     pub deleted_records_since: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when a job has nothing on any machine although there is room.
+    /// Since when each job has had no task on any machine although there is room.
     pub starving_since: BTreeMap<JobId, MonotonicTime>,
-    /// What became of dependent jobs.
+    /// Counts of the outcomes of dependent jobs.
     pub dependencies: DependencyCounts,
 }
 
-/// What became of dependent jobs; a day without any shows nothing.
+/// Counts of the outcomes of dependent jobs. A run without any of them tests nothing about
+/// dependencies.
 #[derive(Debug, Default)]
 pub(super) struct DependencyCounts {
-    /// Submissions that were accepted.
+    /// Accepted submissions.
     pub submitted: u64,
-    /// Accepted with dependencies that had not ended.
+    /// Submissions accepted with dependencies that had not ended.
     pub accepted_blocked: u64,
     /// Transactions that released dependent jobs.
     pub released: u64,
-    /// Accepted as cancelled, since a dependency was.
+    /// Submissions accepted as cancelled, since a dependency was cancelled.
     pub cancelled_on_submission: u64,
-    /// Cancelled later together with a dependency.
+    /// Jobs cancelled later, together with a dependency.
     pub cancelled_by_cascade: u64,
-    /// Submissions postponed since a controller of an earlier version took part.
+    /// Submissions postponed because a controller of an earlier version was a member.
     pub postponed: u64,
-    /// Still live when the user of a cancelled dependency was told.
+    /// Dependents that were still live when the user of a cancelled dependency was told.
     pub live_at_confirmation: u64,
 }
 
 impl DependencyCounts {
-    /// Adds the counts of another day.
+    /// Adds the counts of another run.
     pub(super) fn add(&mut self, other: &Self) {
         self.submitted += other.submitted;
         self.accepted_blocked += other.accepted_blocked;
--- a/src/simulation/topology.rs
+++ b/src/simulation/topology.rs
@@ -1,11 +1,11 @@
 //! The controllers and zones of a simulated cluster.
 
-/// How many controllers and zones there are.
+/// The number of controllers and zones of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClusterSize {
-    /// How many controllers there are.
+    /// The number of controllers.
     pub controller_count: usize,
-    /// How many zones there are.
+    /// The number of zones.
     pub zone_count: usize,
 }
 
@@ -28,7 +28,8 @@
 /// The controller in the zone that zone isolation cuts off.
 pub(super) const ISOLATED_ZONE_CONTROLLER: usize = 2;
 
-/// The zone of a controller: of five, two are in the first zone and two in the second.
+/// Returns the zone of a controller. Of five controllers, two are in the first zone and two in the
+/// second.
 pub(super) fn zone_of(node: usize, controller_count: usize) -> &'static str {
     match (controller_count, node) {
         (5, node) => ZONES[node / 2],
@@ -37,7 +38,7 @@
     }
 }
 
-/// The index of a controller with this name.
+/// Returns the index of the controller with this name.
 pub(super) fn member_index(name: &str) -> Option<usize> {
     MEMBERS.iter().position(|member| *member == name)
 }
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -1,7 +1,8 @@
-//! Controllers of two versions side by side, and the key-value store that lowers its limits.
+//! Rolling upgrades with controllers of two versions, and a key-value store that lowers its limits.
 //!
-//! An earlier version is this one with a watch cache that lacks the fields it does not know, with the
-//! former limits, and without the version in its record that says that it knows dependencies.
+//! A controller of the earlier version is simulated by the current version with a watch cache that
+//! lacks the fields unknown to the earlier version, with the former limits, and without the version
+//! in its member record that declares support for dependencies.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
@@ -12,14 +13,14 @@
 const UPGRADE_INTERVAL_MS: (u64, u64) = (3000, 12_000);
 /// How long an upgraded process is down, in ms.
 const RESTART_MS: (u64, u64) = (60, 5000);
-/// When the key-value store lowers its limits, in ms.
+/// When the key-value store lowers its limits, in ms since the start.
 const LIMIT_REDUCTION_AT_MS: (u64, u64) = (50_000, 70_000);
-/// The later limits, in bytes and changes.
+/// The lowered limits, in bytes per value and changes per transaction.
 const LOWERED_VALUE_BYTES: usize = 1024;
 const LOWERED_TXN_OPS: usize = 4;
 
 impl SimulatedCluster {
-    /// Schedules the upgrade of each controller, and the lower limits.
+    /// Schedules the upgrade of each controller and the lowering of the store's limits.
     pub(super) fn schedule_upgrades(&mut self) {
         let (upgrade, limits) = (
             self.faults.rolling_upgrade,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// This version keeps to the later limits from its start.
+    /// Configures a controller of the current version with the lowered limits.
     fn configure_limits(&mut self, node: usize) {
         if self.faults.lowered_store_limits {
             let limits = &mut self.nodes[node].config.store_limits;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// A controller stops and comes back as the present version.
+    /// Stops a controller and restarts it as the current version.
     pub(super) fn upgrade(&mut self, node: usize) {
         self.nodes[node].earlier_version = false;
         self.configure_limits(node);
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The key-value store takes less from now on.
+    /// Applies the lowered limits to the key-value store.
     pub(super) fn lower_store_limits(&mut self) {
         self.store.limits = Some(FakeStoreLimits {
             value_bytes: LOWERED_VALUE_BYTES,
--- a/src/simulation/violations.rs
+++ b/src/simulation/violations.rs
@@ -1,52 +1,52 @@
-//! The rules that hold all day, and their violations.
+//! The violations of invariants.
 
 use crate::ids::MonotonicTime;
 
-/// What must hold. Each variant is named for its violation.
+/// The kind of a violation. Each kind belongs to one invariant that must hold throughout a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ViolationKind {
-    /// A machine with running tasks was deleted, though no machine was at fault.
+    /// A machine with running tasks was deleted although no machine was faulty.
     HealthyMachineDeleted,
     /// Two attempts of a task were live on two machines.
     RanTwice,
     /// A team used more than its limit.
     QuotaExceeded,
-    /// A task was launched against a zone or spot constraint.
+    /// A task was launched in violation of a zone or spot constraint.
     WrongPlacement,
     /// A task was live long after its user was told that it is cancelled.
     CancelledTaskRan,
     /// A task was launched after its user was told that it is cancelled.
     CancelledTaskLaunched,
-    /// A job was cancelled though nobody had asked for it.
+    /// A job was cancelled although nobody had requested it.
     CancelledWithoutReason,
     /// A final state changed.
     FinalStateChanged,
-    /// A job was done before all its tasks were.
+    /// A job was marked as done before all its tasks were done.
     DoneTooEarly,
     /// A task was launched before a dependency was done.
     DependencyNotDone,
     /// A job was still live long after a dependency was cancelled.
     OrphanedDependent,
-    /// A job waited for long beside room that fits.
+    /// A job waited for long although there was room for it.
     Starved,
-    /// A record of a deleted machine came back.
+    /// A record of a deleted machine was recreated.
     DeletedRecordRecreated,
-    /// A record of a deleted machine did not go again.
+    /// A recreated record of a deleted machine was not removed.
     DeletedRecordKept,
-    /// A machine that nothing reached for long was not given up.
+    /// The record of a machine that was unreachable for long was not removed.
     UnreachableMachineKept,
     /// A valid submission was not accepted.
     SubmissionNotAccepted,
 }
 
-/// A rule that did not hold.
+/// A violation of an invariant.
 #[derive(Debug)]
 #[expect(dead_code, reason = "time and subject are printed by failing tests")]
 pub(super) struct Violation {
-    /// The rule.
+    /// The kind of the violation.
     pub kind: ViolationKind,
-    /// When it was noticed.
+    /// When the violation was detected.
     pub at: MonotonicTime,
-    /// The job, task attempt or machine.
+    /// The job, task attempt or machine that the violation concerns.
     pub subject: String,
 }
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! What users ask of a small fleet.
+//! The requests of users of a small fleet.
 
 use super::cluster::SimulatedCluster;
 use super::events::{ControllerProcess, SimulationEvent, TxnRequest};
@@ -12,11 +12,11 @@
 
 /// The time between two submissions, in ms.
 const USER_INTERVAL_MS: (u64, u64) = (1500, 6000);
-/// The time between two submissions on days with dependent jobs, in ms.
+/// The time between two submissions in runs with dependent jobs, in ms.
 const DEPENDENT_USER_INTERVAL_MS: (u64, u64) = (100, 2500);
 
 impl SimulatedCluster {
-    /// Submits a job, and cancels one now and then.
+    /// Submits a job, and sometimes cancels one.
     pub(super) fn user_tick(&mut self) {
         if self.fleet.is_some() {
             return self.submit_to_large_fleet();
@@ -34,7 +34,7 @@
             self.submit_dependent(spec);
         }
         self.cancel_some_job(submitted);
-        // Dependent jobs come one right after another.
+        // Dependent jobs are submitted in quick succession.
         let (from, to) = match self.faults.dependent_jobs && !self.faults.overload {
             true => DEPENDENT_USER_INTERVAL_MS,
             false => USER_INTERVAL_MS,
@@ -43,7 +43,8 @@
         self.schedule_in(ms, SimulationEvent::UserTick);
     }
 
-    /// What never ends by itself is cancelled, so that the day can end.
+    /// Cancels all services, since they never end by themselves and would keep the run from
+    /// finishing.
     fn cancel_services(&mut self) {
         let services = self.jobs.iter().filter(|(_, s)| s.kind == JobKind::Service);
         let services: Vec<JobId> = services.map(|(id, _)| id.clone()).collect();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A job array, gang or service at random.
+    /// Returns a random job array, gang or service.
     fn new_job(&mut self) -> JobSpec {
         let id = format!("job-{:06}", self.jobs.len());
         let mut body = crate::protocol::tests::submission(&id);
@@ -72,15 +73,16 @@
             body["shape"] = json!("group");
             body["sheets"] = json!(self.pick(2, 5));
         }
-        let mut spec = JobSpec::parse(body.to_string().as_bytes()).expect("valid");
+        let mut spec =
+            JobSpec::parse(body.to_string().as_bytes()).expect("job specification is valid");
         if self.faults.dependent_jobs && spec.kind != JobKind::Service {
             self.add_dependencies(&mut spec);
         }
         spec
     }
 
-    /// Cancels one of the jobs submitted before, now and then. All its dependents are cancelled
-    /// with it, so that is done less often where there are any.
+    /// Sometimes cancels a job that was submitted earlier. In runs with dependent jobs this happens
+    /// less often, since all dependents are cancelled as well.
     fn cancel_some_job(&mut self, submitted: u64) {
         let percent = if self.faults.dependent_jobs { 8 } else { 25 };
         if submitted > 3 && self.chance(percent) {
@@ -103,7 +105,8 @@
         self.write_as_user(txn);
     }
 
-    /// Writes what a user asks for, as the API does it; it may arrive once more.
+    /// Executes a user's transaction, as the API does. The transaction may be delivered a second
+    /// time.
     pub(super) fn write_as_user(&mut self, txn: Txn) -> TxnOutcome {
         let outcome = self.store.txn(&txn);
         if let Some(ms) = self.duplicate_delay() {
