--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -30,8 +30,8 @@
     /// Executed requests are delivered a second time, up to several lease durations later.
     pub duplicate_requests: bool,
     /// The key-value store refuses only the leader, users cancel jobs through the other
-    /// controllers, and then the store is unavailable to all of them for longer than a cancellation
-    /// may take.
+    /// controllers, and then the store is unavailable to every controller for longer than a
+    /// cancellation may take.
     pub store_refusal_then_outage: bool,
     /// Machines can't reach any controller, while direct commands reach them.
     pub inbound_only_machines: bool,
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -30,8 +30,8 @@
 const MAX_SERVICES: u64 = 200;
 
 impl SimulatedCluster {
-    /// Creates a cluster that has from `machines.0` to `machines.1` machines and receives an array
-    /// every `array_interval_ms`.
+    /// Creates a cluster with hundreds of machines, from `machines.0` to `machines.1`, to which users
+    /// submit an array every `array_interval_ms`.
     pub(super) fn with_large_fleet(
         seed: u64,
         machines: (usize, usize),
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -24,7 +24,7 @@
     pub final_states: BTreeMap<JobId, JobState>,
     /// Machines that the cloud has deleted.
     pub deleted_machines: BTreeSet<MachineId>,
-    /// Since when records of deleted machines exist, after all faults are healed.
+    /// When records of deleted machines were first found after all faults were healed.
     pub deleted_records_since: BTreeMap<MachineId, MonotonicTime>,
     /// Since when each job has had no task on any machine although there is room.
     pub starving_since: BTreeMap<JobId, MonotonicTime>,
--- a/src/simulation/timing.rs
+++ b/src/simulation/timing.rs
@@ -7,7 +7,7 @@
 pub(super) const MEMBER_LEASE_MS: u64 = 5000;
 /// How long a cancelled job may still run after its user was told.
 pub(super) const CANCELLATION_LIMIT_MS: u64 = 30_000;
-/// After this time, the record of an unreachable machine must have been removed.
+/// After this time without contact, the record of an unreachable machine must have been removed.
 pub(super) const UNREACHABLE_LIMIT_MS: u64 = 36_000;
 /// How long a caller waits for a response before it times out.
 pub(super) const CALL_TIMEOUT_MS: u64 = 1500;
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -1,8 +1,8 @@
 //! Rolling upgrades with controllers of two versions, and a key-value store that lowers its limits.
 //!
 //! A controller of the earlier version is simulated by the current version with a watch cache that
-//! lacks the fields unknown to the earlier version, with the former limits, and without the version
-//! in its member record that declares support for dependencies.
+//! lacks the fields unknown to the earlier version, with the former limits, and with a member record
+//! that lacks the version by which a controller declares that it supports dependencies.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
