--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -15,11 +15,11 @@
 use serde_json::{Value, json};
 
 /// One line a message: its name and the bytes of its frame in hexadecimal digits.
-const FRAMES: &str = include_str!("golden/frames.txt");
+const GOLDEN_FRAMES: &str = include_str!("golden/frames.txt");
 /// One line a record: its name and its JSON.
-const RECORDS: &str = include_str!("golden/records.txt");
+const GOLDEN_RECORDS: &str = include_str!("golden/records.txt");
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
@@ -31,18 +31,20 @@
 
 #[test]
 fn peer_frames_match_the_golden_bytes() {
-    let encoded = golden_lines(messages(), |m| hex(&encode_frame(m).expect("frame")));
-    assert_eq!(encoded, FRAMES);
+    let encoded = golden_lines(messages(), |m| to_hex(&encode_frame(m).expect("frame")));
+    assert_eq!(encoded, GOLDEN_FRAMES);
 }
 
 #[test]
 fn stored_records_match_the_golden_json() {
-    assert_eq!(golden_lines(records(), ToString::to_string), RECORDS);
+    assert_eq!(golden_lines(records(), ToString::to_string), GOLDEN_RECORDS);
 }
 
 /// The golden sample of a record.
 fn golden_record(name: &str) -> Value {
-    let mut lines = RECORDS.lines().filter_map(|line| line.split_once(' '));
+    let mut lines = GOLDEN_RECORDS
+        .lines()
+        .filter_map(|line| line.split_once(' '));
     let record = lines.find(|(n, _)| *n == name).expect("a sample").1;
     serde_json::from_str(record).expect("json")
 }
@@ -57,8 +59,8 @@
     let job: JobRecord = serde_json::from_value(golden_record("job")).expect("job");
     assert!(!job.is_blocked() && job.spec.dependencies.is_empty());
     assert_eq!(job.spec.id.as_str(), JOB);
-    let old = json!({"incarnation": 12, "grant": 7});
-    let member: MemberRecord = serde_json::from_value(old).expect("member");
+    let stored_member = json!({"incarnation": 12, "grant": 7});
+    let member: MemberRecord = serde_json::from_value(stored_member).expect("member");
     assert!(member.version < ProgramVersion::DEPENDENCIES);
     let machine = serde_json::from_value(golden_record("machine")).expect("machine");
     assert_eq!(machine_record(), machine);
@@ -77,13 +79,13 @@
     let read: old_records::Member = read_by_earlier_version(json!(member));
     assert_eq!((read.incarnation, read.grant), (12, 7));
     let mut spec = crate::protocol::tests::spec(JOB);
-    let plain: old_records::Job = read_by_earlier_version(golden_record("job"));
+    let expected_job: old_records::Job = read_by_earlier_version(golden_record("job"));
     spec.dependencies = vec!["job-000001".into()];
-    let mut record = JobRecord::new(spec, UnixTime(plain.accepted));
+    let mut record = JobRecord::new(spec, UnixTime(expected_job.accepted));
     record.released_at = Some(UnixTime(1_700_000_000_500));
     assert_eq!(
         read_by_earlier_version::<old_records::Job>(json!(record)),
-        plain
+        expected_job
     );
     let plan = PlanRecord {
         type_name: Some("t8".into()),
@@ -91,17 +93,18 @@
         predicted_s: 28.5,
         placement_group_job: Some("job-000001".into()),
     };
-    let read: old_records::Plans = read_by_earlier_version(json!({ JOB: plan }));
+    let read: old_records::PlanBatch = read_by_earlier_version(json!({ JOB: plan }));
     assert_eq!(
         read,
-        read_by_earlier_version::<old_records::Plans>(golden_record("plans"))
+        read_by_earlier_version::<old_records::PlanBatch>(golden_record("plans"))
     );
     let read: old_records::Machine = read_by_earlier_version(json!(machine_record()));
     assert_eq!(
         read,
         read_by_earlier_version::<old_records::Machine>(golden_record("machine"))
     );
-    let final_state: old_records::Over = read_by_earlier_version(golden_record("over-cancelled"));
+    let final_state: old_records::FinalRecord =
+        read_by_earlier_version(golden_record("over-cancelled"));
     assert_eq!(
         (final_state.state.as_str(), final_state.tasks),
         ("withdrawn", 4)
--- a/src/compatibility/old_records.rs
+++ b/src/compatibility/old_records.rs
@@ -44,29 +44,29 @@
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub(super) struct Over {
+pub(super) struct FinalRecord {
     pub state: String,
     pub tasks: u32,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub(super) struct Need {
+pub(super) struct TaskResources {
     pub cpus: u64,
     pub gpus: u64,
     pub memory: u64,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub(super) struct Placed {
+pub(super) struct MachineJob {
     pub job: String,
     pub team: String,
-    pub need: Need,
+    pub need: TaskResources,
     pub image: String,
     pub tasks: Vec<(u32, u64)>,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub(super) struct Done {
+pub(super) struct CompletedTasks {
     pub job: String,
     pub ranges: Vec<(u32, u32)>,
 }
@@ -77,16 +77,16 @@
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub jobs: Vec<Placed>,
+    pub jobs: Vec<MachineJob>,
     #[serde(default)]
-    pub done: Vec<Done>,
+    pub done: Vec<CompletedTasks>,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-pub(super) struct Plan {
+pub(super) struct PlanRecord {
     pub type_name: Option<String>,
     pub machines: Vec<String>,
     pub predicted_s: f64,
 }
 
-pub(super) type Plans = BTreeMap<String, Plan>;
+pub(super) type PlanBatch = BTreeMap<String, PlanRecord>;
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -45,20 +45,20 @@
     record
 }
 
-fn ended(end: AttemptOutcome) -> Message {
+fn ended_attempt(outcome: AttemptOutcome) -> Message {
     Message::EndedAttempt(EndedAttempt {
         attempt: attempt(2),
         machine: machine(),
         revision: Revision(431),
         type_name: "t8".into(),
         pipeline: Some("batch".into()),
-        outcome: end,
+        outcome,
         estimate_s: 30.0,
         run_time: Some(Millis(28_500)),
     })
 }
 
-fn freed() -> FreedAttempt {
+fn freed_attempt() -> FreedAttempt {
     FreedAttempt {
         machine: machine(),
         attempt: attempt(2),
@@ -66,7 +66,7 @@
     }
 }
 
-fn health() -> Message {
+fn health_message() -> Message {
     Message::Health(vec![MachineHealth {
         machine: machine(),
         fence: Revision(41),
@@ -109,17 +109,17 @@
 }
 
 fn attempt_messages() -> Vec<(&'static str, Message)> {
-    let no_room = AttemptOutcome::Exited(ExitReason::NoCapacity);
+    let no_capacity = AttemptOutcome::Exited(ExitReason::NoCapacity);
     let stop = Message::Stop {
         machine: machine(),
         attempt: attempt(2),
         grace: Millis(4000),
     };
     vec![
-        ("EndedDone", ended(AttemptOutcome::Done)),
-        ("EndedExited", ended(no_room)),
-        ("EndedAbsent", ended(AttemptOutcome::Absent)),
-        ("Freed", Message::Freed(vec![freed()])),
+        ("EndedDone", ended_attempt(AttemptOutcome::Done)),
+        ("EndedExited", ended_attempt(no_capacity)),
+        ("EndedAbsent", ended_attempt(AttemptOutcome::Absent)),
+        ("Freed", Message::Freed(vec![freed_attempt()])),
         ("Stop", stop),
     ]
 }
@@ -173,7 +173,7 @@
         ("Word", status),
         ("Relay", relay),
         ("Strays", misdirected),
-        ("Health", health()),
+        ("Health", health_message()),
     ]
 }
 
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -2,12 +2,12 @@
 //! all that was submitted must finish and every cancellation must be confirmed.
 
 mod completion_interleavings;
-mod dependent_days;
+mod counted_faults;
+mod dependent_jobs;
 mod digests;
 mod disabled_guards;
-mod fault_meetings;
-mod growth;
-mod pairs;
+mod fault_pairs;
+mod large_fleets;
 mod single_faults;
 mod upgrades;
 mod zone_faults;
@@ -18,9 +18,9 @@
 use super::topology::{ClusterSize, THREE_CONTROLLERS};
 
 /// When the faults of a day are healed, in ms.
-const HEAL_AT_MS: u64 = 120_000;
+const FAULTS_HEALED_AT_MS: u64 = 120_000;
 /// When a day ends, in ms.
-const DAY_END_MS: u64 = 260_000;
+const RUN_END_MS: u64 = 260_000;
 /// Fewer launches than this mean that a day has tested nothing.
 const MIN_LAUNCHES: u64 = 60;
 
@@ -50,47 +50,53 @@
 ];
 
 /// Plays a day with three controllers.
-fn play(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> SimulatedCluster {
-    play_at(THREE_CONTROLLERS, seed, faults, disabled_guard)
+fn run_simulation(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> SimulatedCluster {
+    run_simulation_with_size(THREE_CONTROLLERS, seed, faults, disabled_guard)
 }
 
 /// Plays a day with faults, heals them and lets all work finish.
-fn play_at(
+fn run_simulation_with_size(
     size: ClusterSize,
     seed: u64,
     faults: Faults,
     disabled_guard: DisabledGuard,
 ) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::with_size(seed, faults, disabled_guard, size);
-    cluster.run_until(HEAL_AT_MS);
+    cluster.run_until(FAULTS_HEALED_AT_MS);
     cluster.heal();
-    cluster.run_until(DAY_END_MS);
+    cluster.run_until(RUN_END_MS);
     cluster
 }
 
 /// Asserts that no invariant was violated and that all jobs and cancellations have ended.
-fn assert_invariants_hold(cluster: &SimulatedCluster, what: &str) {
+fn assert_invariants_hold(cluster: &SimulatedCluster, run_name: &str) {
     assert!(
         cluster.observed.violations.is_empty(),
-        "{what}: {:?}",
+        "{run_name}: {:?}",
         cluster.observed.violations
     );
     assert!(
         cluster.observed.launches > MIN_LAUNCHES,
-        "{what}: only {} starts",
+        "{run_name}: only {} starts",
         cluster.observed.launches
     );
-    let waiting = &cluster.pending_cancellations;
-    assert!(waiting.is_empty(), "{what}: never confirmed {waiting:?}");
-    let left = cluster.unfinished_jobs();
-    assert!(left.is_empty(), "{what}: never finished {left:?}");
+    let pending = &cluster.pending_cancellations;
+    assert!(
+        pending.is_empty(),
+        "{run_name}: never confirmed {pending:?}"
+    );
+    let unfinished = cluster.unfinished_jobs();
+    assert!(
+        unfinished.is_empty(),
+        "{run_name}: never finished {unfinished:?}"
+    );
 }
 
 /// Plays a day with the same faults on each seed.
-fn play_days(name: &str, seeds: std::ops::Range<u64>, faults: Faults) {
+fn assert_invariants_hold_on_seeds(name: &str, seeds: std::ops::Range<u64>, faults: Faults) {
     for seed in seeds {
         assert_invariants_hold(
-            &play(seed, faults, DisabledGuard::None),
+            &run_simulation(seed, faults, DisabledGuard::None),
             &format!("{name}, seed {seed}"),
         );
     }
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -14,21 +14,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    Submitted,
-    Ended,
-    Cancelled,
+    Submission,
+    Completion,
+    Cancellation,
 }
 
-const ALL: [Step; 6] = [
-    Step::Submitted,
-    Step::Submitted,
-    Step::Ended,
-    Step::Ended,
-    Step::Cancelled,
-    Step::Cancelled,
+const ALL_STEPS: [Step; 6] = [
+    Step::Submission,
+    Step::Submission,
+    Step::Completion,
+    Step::Completion,
+    Step::Cancellation,
+    Step::Cancellation,
 ];
 
-fn submission(id: &JobId) -> Txn {
+fn submission_txn(id: &JobId) -> Txn {
     let record = JobRecord::new(crate::protocol::tests::spec(id.as_str()), UnixTime(1));
     let mut txn = Txn::default();
     txn.require(keys::job(id), Revision(0));
@@ -37,7 +37,7 @@
     txn
 }
 
-fn cancellation(id: &JobId, accepted: Revision) -> Txn {
+fn cancellation_txn(id: &JobId, accepted: Revision) -> Txn {
     let mut txn = Txn::default();
     txn.require(keys::job(id), accepted);
     let record = FinalRecord {
@@ -50,7 +50,7 @@
 }
 
 /// The end as the leader writes it, once a machine's record says that all tasks are done.
-fn completion(store: &mut FakeStore, id: &JobId) -> Txn {
+fn completion_txn(store: &mut FakeStore, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
     record.add_done(id, 0, 3);
@@ -68,57 +68,67 @@
 }
 
 /// All different orders of the steps.
-fn distinct_orders(rest: &[Step]) -> Vec<Vec<Step>> {
-    let mut all = Vec::new();
-    for (at, first) in rest.iter().enumerate() {
-        if rest[..at].contains(first) {
+fn distinct_orders(remaining: &[Step]) -> Vec<Vec<Step>> {
+    let mut orders = Vec::new();
+    for (index, first) in remaining.iter().enumerate() {
+        if remaining[..index].contains(first) {
             continue;
         }
-        let mut left = rest.to_vec();
-        left.remove(at);
-        if left.is_empty() {
+        let mut others = remaining.to_vec();
+        others.remove(index);
+        if others.is_empty() {
             return vec![vec![*first]];
         }
-        for mut order in distinct_orders(&left) {
+        for mut order in distinct_orders(&others) {
             order.insert(0, *first);
-            all.push(order);
+            orders.push(order);
         }
     }
-    all
+    orders
 }
 
 #[test]
-fn final_state_is_permanent_in_every_order_of_end_cancel_and_resubmit() {
+fn final_state_is_permanent_in_every_order_of_completion_cancellation_and_resubmission() {
     let id = JobId::from("job-1");
-    let orders = distinct_orders(&ALL);
+    let orders = distinct_orders(&ALL_STEPS);
     assert_eq!(orders.len(), 90);
     for order in orders {
         let mut store = FakeStore::default();
-        let TxnOutcome::Committed(accepted) = store.txn(&submission(&id)) else {
+        let TxnOutcome::Committed(accepted) = store.txn(&submission_txn(&id)) else {
             panic!("not accepted");
         };
-        let ended = completion(&mut store, &id);
-        let first = order.iter().find(|s| **s != Step::Submitted);
-        let expected = match first {
-            Some(Step::Ended) => JobState::Done,
+        let completion = completion_txn(&mut store, &id);
+        let deciding_step = order.iter().find(|s| **s != Step::Submission);
+        let expected = match deciding_step {
+            Some(Step::Completion) => JobState::Done,
             _ => JobState::Cancelled,
         };
-        let mut seen = None;
+        let mut previous_state = None;
         for step in &order {
             let txn = match step {
-                Step::Submitted => submission(&id),
-                Step::Ended => ended.clone(),
-                Step::Cancelled => cancellation(&id, accepted),
+                Step::Submission => submission_txn(&id),
+                Step::Completion => completion.clone(),
+                Step::Cancellation => cancellation_txn(&id, accepted),
             };
             let outcome = store.txn(&txn);
-            let done = matches!(outcome, TxnOutcome::Committed(_));
-            let now = final_state(&store, &id);
-            assert!(seen.is_none() || now == seen, "{order:?} went back");
-            assert_eq!(done, seen.is_none() && now.is_some(), "{order:?} {step:?}");
-            let live = store.contains(&keys::job(&id));
-            assert!(live != now.is_some(), "{order:?}: neither or both");
-            seen = now;
+            let committed = matches!(outcome, TxnOutcome::Committed(_));
+            let current_state = final_state(&store, &id);
+            assert!(
+                previous_state.is_none() || current_state == previous_state,
+                "{order:?} went back"
+            );
+            assert_eq!(
+                committed,
+                previous_state.is_none() && current_state.is_some(),
+                "{order:?} {step:?}"
+            );
+            let is_live = store.contains(&keys::job(&id));
+            assert!(
+                is_live != current_state.is_some(),
+                "{order:?}: neither or both"
+            );
+            previous_state = current_state;
         }
-        assert_eq!(seen, Some(expected), "{order:?}");
+        assert_eq!(previous_state, Some(expected), "{order:?}");
     }
 }
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -7,73 +7,73 @@
 };
 use crate::protocol::JobKind;
 
-const PARENT: &str = "job-000001";
-const CHILD: &str = "job-000002";
-const OPS: usize = 4;
+const DEPENDENCY: &str = "job-000001";
+const DEPENDENT: &str = "job-000002";
+const MAX_TXN_OPS: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    ReadParent,
+    ReadDependency,
     WriteSubmission,
-    ParentEnds,
-    ParentCancelled,
+    CompleteDependency,
+    CancelDependency,
 }
 
 /// A parent and a child in one store.
-struct Scene {
+struct Scenario {
     store: FakeStore,
-    parent: Revision,
-    ends: Txn,
+    dependency_revision: Revision,
+    completion_txn: Txn,
     /// What the submission has seen last.
-    seen: Option<CombinedDependencyState>,
+    last_read_state: Option<CombinedDependencyState>,
     /// The parent's user was told that it is cancelled.
-    confirmed: bool,
+    cancellation_confirmed: bool,
 }
 
-impl Scene {
+impl Scenario {
     fn new() -> Self {
         let mut store = FakeStore::default();
-        let parent = JobId::from(PARENT);
-        let TxnOutcome::Committed(revision) = store.txn(&submission(&parent)) else {
+        let dependency = JobId::from(DEPENDENCY);
+        let TxnOutcome::Committed(revision) = store.txn(&submission_txn(&dependency)) else {
             panic!("not accepted");
         };
-        let ends = completion(&mut store, &parent);
+        let completion_txn = completion_txn(&mut store, &dependency);
         Self {
             store,
-            parent: revision,
-            ends,
-            seen: None,
-            confirmed: false,
+            dependency_revision: revision,
+            completion_txn,
+            last_read_state: None,
+            cancellation_confirmed: false,
         }
     }
 
-    fn read_parent(&mut self) {
-        let parent = JobId::from(PARENT);
-        let named = match final_state(&self.store, &parent) {
+    fn read_dependency(&mut self) {
+        let dependency = JobId::from(DEPENDENCY);
+        let dependency_state = match final_state(&self.store, &dependency) {
             Some(JobState::Done) => DependencyState::Done,
             Some(_) => DependencyState::Cancelled,
             None => DependencyState::Live {
                 kind: JobKind::Array,
-                revision: self.parent,
+                revision: self.dependency_revision,
             },
         };
-        self.seen = Some(CombinedDependencyState::of(
-            &CHILD.into(),
-            vec![(parent, named)],
+        self.last_read_state = Some(CombinedDependencyState::of(
+            &DEPENDENT.into(),
+            vec![(dependency, dependency_state)],
         ));
     }
 
     /// Writes what was decided; where that is out of date it is decided anew.
-    fn write(&mut self) {
-        let mut spec = crate::protocol::tests::spec(CHILD);
-        spec.dependencies = vec![PARENT.into()];
+    fn submit_dependent(&mut self) {
+        let mut spec = crate::protocol::tests::spec(DEPENDENT);
+        spec.dependencies = vec![DEPENDENCY.into()];
         for _ in 0..2 {
-            if self.seen.is_none() {
-                self.read_parent();
+            if self.last_read_state.is_none() {
+                self.read_dependency();
             }
-            let seen = self.seen.take().expect("seen");
-            let (txn, _) = seen
-                .acceptance_txn(&spec, UnixTime(9), OPS)
+            let dependency_states = self.last_read_state.take().expect("seen");
+            let (txn, _) = dependency_states
+                .acceptance_txn(&spec, UnixTime(9), MAX_TXN_OPS)
                 .expect("decided");
             if matches!(self.store.txn(&txn), TxnOutcome::Committed(_)) {
                 return;
@@ -83,92 +83,103 @@
     }
 
     /// Cancels as the API does: the job, then all its dependents, and then its user is told.
-    fn cancel(&mut self) {
-        let parent = JobId::from(PARENT);
-        let outcome = self.store.txn(&cancellation(&parent, self.parent));
+    fn cancel_dependency(&mut self) {
+        let dependency = JobId::from(DEPENDENCY);
+        let outcome = self
+            .store
+            .txn(&cancellation_txn(&dependency, self.dependency_revision));
         let TxnOutcome::Committed(revision) = outcome else {
             return;
         };
-        let mut cascade = CancellationCascade::new(&parent, revision);
+        let mut cascade = CancellationCascade::new(&dependency, revision);
         loop {
             let cache = self.store.snapshot(&sample_config(), false);
-            match cascade.next(&cache, OPS) {
+            match cascade.next(&cache, MAX_TXN_OPS) {
                 CascadeStep::Complete => break,
                 CascadeStep::Wait => panic!("the watch cache is up to date"),
                 CascadeStep::Write(txn, _) => {
-                    if let TxnOutcome::Committed(at) = self.store.txn(&txn) {
-                        cascade.committed(at);
+                    if let TxnOutcome::Committed(cascade_revision) = self.store.txn(&txn) {
+                        cascade.committed(cascade_revision);
                     }
                 }
             }
         }
-        self.confirmed = true;
+        self.cancellation_confirmed = true;
     }
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::ReadParent => self.read_parent(),
-            Event::WriteSubmission => self.write(),
-            Event::ParentEnds => drop(self.store.txn(&self.ends)),
-            Event::ParentCancelled => self.cancel(),
+            Event::ReadDependency => self.read_dependency(),
+            Event::WriteSubmission => self.submit_dependent(),
+            Event::CompleteDependency => drop(self.store.txn(&self.completion_txn)),
+            Event::CancelDependency => self.cancel_dependency(),
         }
     }
 
     /// The child's record, if it is accepted and has not ended.
-    fn child(&self) -> Option<JobRecord> {
-        self.store.read(&keys::job(&CHILD.into()))
+    fn live_dependent(&self) -> Option<JobRecord> {
+        self.store.read(&keys::job(&DEPENDENT.into()))
     }
 }
 
 /// All orders of the events.
-fn orders_of(rest: &[Event]) -> Vec<Vec<Event>> {
-    if rest.is_empty() {
+fn permutations(remaining: &[Event]) -> Vec<Vec<Event>> {
+    if remaining.is_empty() {
         return vec![Vec::new()];
     }
-    let mut all = Vec::new();
-    for (at, first) in rest.iter().enumerate() {
-        let mut left = rest.to_vec();
-        left.remove(at);
-        for mut order in orders_of(&left) {
+    let mut orders = Vec::new();
+    for (index, first) in remaining.iter().enumerate() {
+        let mut others = remaining.to_vec();
+        others.remove(index);
+        for mut order in permutations(&others) {
             order.insert(0, *first);
-            all.push(order);
+            orders.push(order);
         }
     }
-    all
+    orders
 }
 
 #[test]
-fn child_follows_its_parent_in_every_order_of_events() {
+fn dependent_waits_for_its_dependency_and_is_cancelled_with_it_in_every_order() {
     let events = [
-        Event::ReadParent,
+        Event::ReadDependency,
         Event::WriteSubmission,
-        Event::ParentEnds,
-        Event::ParentCancelled,
+        Event::CompleteDependency,
+        Event::CancelDependency,
     ];
-    let (mut waited, mut cancelled) = (0, 0);
-    for order in orders_of(&events) {
-        let mut scene = Scene::new();
+    let (mut blocked_count, mut cancelled_count) = (0, 0);
+    for order in permutations(&events) {
+        let mut scenario = Scenario::new();
         for event in &order {
-            scene.handle_event(*event);
-            let done = final_state(&scene.store, &PARENT.into()) == Some(JobState::Done);
-            if let Some(child) = scene.child() {
-                assert!(child.is_blocked() || done, "{order:?}: too early");
+            scenario.handle_event(*event);
+            let dependency_done =
+                final_state(&scenario.store, &DEPENDENCY.into()) == Some(JobState::Done);
+            if let Some(dependent) = scenario.live_dependent() {
                 assert!(
-                    !scene.confirmed,
+                    dependent.is_blocked() || dependency_done,
+                    "{order:?}: too early"
+                );
+                assert!(
+                    !scenario.cancellation_confirmed,
                     "{order:?}: left behind when the user was told"
                 );
-                waited += u64::from(child.is_blocked());
+                blocked_count += u64::from(dependent.is_blocked());
             }
         }
-        let child = final_state(&scene.store, &CHILD.into());
-        match final_state(&scene.store, &PARENT.into()) {
-            Some(JobState::Done) => assert!(child.is_none() && scene.child().is_some()),
+        let dependent_state = final_state(&scenario.store, &DEPENDENT.into());
+        match final_state(&scenario.store, &DEPENDENCY.into()) {
+            Some(JobState::Done) => {
+                assert!(dependent_state.is_none() && scenario.live_dependent().is_some())
+            }
             Some(JobState::Cancelled) => {
-                assert_eq!(child, Some(JobState::Cancelled), "{order:?}");
-                cancelled += 1;
+                assert_eq!(dependent_state, Some(JobState::Cancelled), "{order:?}");
+                cancelled_count += 1;
             }
             state => panic!("{order:?}: {state:?}"),
         }
     }
-    assert!(waited >= 4 && cancelled >= 8, "{waited} {cancelled}");
+    assert!(
+        blocked_count >= 4 && cancelled_count >= 8,
+        "{blocked_count} {cancelled_count}"
+    );
 }
--- a/src/simulation/tests/fault_meetings.rs
+++ b/src/simulation/tests/counted_faults.rs
@@ -1,6 +1,6 @@
 //! Days on which two events have to meet, counted, and then with further faults.
 
-use super::{assert_invariants_hold, play, play_days};
+use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
@@ -8,13 +8,13 @@
 /// and then nobody is served for longer than a cancellation has (gap day).
 #[test]
 fn invariants_hold_for_cancellations_between_store_refusal_and_outage() {
-    let refusal = Faults {
+    let refusal_then_outage = Faults {
         store_refusal_then_outage: true,
         ..Faults::default()
     };
     let mut fault_occurrences = 0;
     for seed in 140..150 {
-        let cluster = play(seed, refusal, DisabledGuard::None);
+        let cluster = run_simulation(seed, refusal_then_outage, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("gap, seed {seed}"));
         fault_occurrences += cluster.observed.fault_occurrences;
     }
@@ -22,40 +22,40 @@
         fault_occurrences >= 10,
         "cancellations met the gap {fault_occurrences} times"
     );
-    let more = Faults {
+    let with_more_faults = Faults {
         controller_crashes: true,
         lost_responses: true,
         machine_failures: true,
         overload: true,
-        ..refusal
+        ..refusal_then_outage
     };
-    play_days("gap and more", 150..156, more);
+    assert_invariants_hold_on_seeds("gap and more", 150..156, with_more_faults);
 }
 
 /// Plays days on which faults have to meet, counts that, and adds crashes and machine failures.
-fn play_days_meeting_faults(
+fn assert_invariants_hold_and_faults_occur(
     name: &str,
     seeds: std::ops::Range<u64>,
     faults: Faults,
-    at_least: u64,
+    min_occurrences: u64,
 ) {
     let mut fault_occurrences = 0;
     for seed in seeds.clone() {
-        let cluster = play(seed, faults, DisabledGuard::None);
+        let cluster = run_simulation(seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
         fault_occurrences += cluster.observed.fault_occurrences;
     }
     assert!(
-        fault_occurrences >= at_least,
+        fault_occurrences >= min_occurrences,
         "{name}: met {fault_occurrences} times"
     );
-    let more = Faults {
+    let with_more_faults = Faults {
         controller_crashes: true,
         machine_failures: true,
         overload: true,
         ..faults
     };
-    play_days(&format!("{name} and more"), seeds, more);
+    assert_invariants_hold_on_seeds(&format!("{name} and more"), seeds, with_more_faults);
 }
 
 #[test]
@@ -64,7 +64,7 @@
         inbound_only_machines: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("mute machines", 160..164, inbound_only, 20);
+    assert_invariants_hold_and_faults_occur("mute machines", 160..164, inbound_only, 20);
 }
 
 #[test]
@@ -73,7 +73,7 @@
         slow_store: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("slow state service", 170..174, slow_store, 20);
+    assert_invariants_hold_and_faults_occur("slow state service", 170..174, slow_store, 20);
 }
 
 #[test]
@@ -82,7 +82,7 @@
         leader_crashes: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("leaders", 180..184, leader_crashes, 20);
+    assert_invariants_hold_and_faults_occur("leaders", 180..184, leader_crashes, 20);
 }
 
 #[test]
@@ -91,7 +91,7 @@
         control_plane_outage: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("all away", 190..194, outage, 8);
+    assert_invariants_hold_and_faults_occur("all away", 190..194, outage, 8);
 }
 
 #[test]
@@ -100,5 +100,5 @@
         cancel_at_completion: true,
         ..Faults::default()
     };
-    play_days_meeting_faults("cancelled at the end", 200..204, at_completion, 40);
+    assert_invariants_hold_and_faults_occur("cancelled at the end", 200..204, at_completion, 40);
 }
--- a/src/simulation/tests/dependent_days.rs
+++ b/src/simulation/tests/dependent_jobs.rs
@@ -23,35 +23,35 @@
 
 /// Dependent jobs end one after the other: the longest chains on these days take some minutes
 /// once all faults are healed.
-const DAY_END_MS: u64 = 340_000;
+const RUN_END_MS: u64 = 340_000;
 
 /// Plays a day until dependent jobs have ended as well.
-pub(super) fn play_dependent_day(
+pub(super) fn run_with_dependent_jobs(
     size: ClusterSize,
     seed: u64,
     faults: Faults,
     disabled_guard: DisabledGuard,
 ) -> SimulatedCluster {
-    let mut cluster = super::play_at(size, seed, faults, disabled_guard);
-    cluster.run_until(DAY_END_MS);
+    let mut cluster = super::run_simulation_with_size(size, seed, faults, disabled_guard);
+    cluster.run_until(RUN_END_MS);
     cluster
 }
 
 /// Plays a day on each seed and sums up what became of the dependent jobs.
-fn play_days(
+fn count_dependencies_on_seeds(
     name: &str,
     size: ClusterSize,
     seeds: std::ops::Range<u64>,
     faults: Faults,
 ) -> DependencyCounts {
-    let mut sum = DependencyCounts::default();
+    let mut total = DependencyCounts::default();
     for seed in seeds {
-        let cluster = play_dependent_day(size, seed, faults, DisabledGuard::None);
+        let cluster = run_with_dependent_jobs(size, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
-        sum.add(&cluster.observed.dependencies);
+        total.add(&cluster.observed.dependencies);
     }
-    println!("{name}: {sum:?}");
-    sum
+    println!("{name}: {total:?}");
+    total
 }
 
 fn assert_dependencies_exercised(counts: &DependencyCounts) {
@@ -65,7 +65,7 @@
 
 #[test]
 fn dependent_jobs_finish_in_order_without_faults() {
-    let counts = play_days(
+    let counts = count_dependencies_on_seeds(
         "quiet pipelines",
         THREE_CONTROLLERS,
         500..504,
@@ -79,38 +79,39 @@
 /// Each fault alone, with dependent jobs all day.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_each_fault() {
-    let mut sum = DependencyCounts::default();
-    for (seed, (name, set)) in (510..).step_by(4).zip(SINGLE_FAULTS) {
+    let mut total = DependencyCounts::default();
+    for (seed, (name, add_fault)) in (510..).step_by(4).zip(SINGLE_FAULTS) {
         let mut faults = DEPENDENT_JOBS;
-        set(&mut faults);
-        let counts = play_days(name, THREE_CONTROLLERS, seed..seed + 3, faults);
+        add_fault(&mut faults);
+        let counts = count_dependencies_on_seeds(name, THREE_CONTROLLERS, seed..seed + 3, faults);
         assert!(
             counts.accepted_blocked >= 10 && counts.released >= 5,
             "{counts:?}"
         );
-        sum.add(&counts);
+        total.add(&counts);
     }
-    assert!(sum.cancelled_by_cascade >= 100, "{sum:?}");
+    assert!(total.cancelled_by_cascade >= 100, "{total:?}");
 }
 
 #[test]
 fn invariants_hold_for_dependent_jobs_under_all_faults() {
-    let all = Faults {
+    let all_faults = Faults {
         dependent_jobs: true,
         ..Faults::ALL_SINGLE_FAULTS
     };
-    let mut sum = play_days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
+    let mut total =
+        count_dependencies_on_seeds("pipelines and all", THREE_CONTROLLERS, 600..606, all_faults);
     let partitioned = Faults {
         zone_partition: true,
-        ..all
+        ..all_faults
     };
-    sum.add(&play_days(
+    total.add(&count_dependencies_on_seeds(
         "pipelines at five",
         FIVE_CONTROLLERS,
         606..610,
         partitioned,
     ));
-    assert_dependencies_exercised(&sum);
+    assert_dependencies_exercised(&total);
 }
 
 /// Leaders change while children are accepted, released and allotted, and jobs that others need
@@ -124,7 +125,7 @@
         lost_responses: true,
         ..DEPENDENT_JOBS
     };
-    assert_dependencies_exercised(&play_days(
+    assert_dependencies_exercised(&count_dependencies_on_seeds(
         "leaders and ends",
         THREE_CONTROLLERS,
         620..628,
@@ -135,7 +136,7 @@
 /// The invariants are worth something only if they notice a disabled guard.
 #[test]
 fn each_disabled_dependency_guard_is_detected() {
-    for (disabled_guard, faults, rule) in [
+    for (disabled_guard, faults, expected_kind) in [
         (
             DisabledGuard::DependenciesIgnored,
             DEPENDENT_JOBS,
@@ -157,17 +158,17 @@
             ViolationKind::DependencyNotDone,
         ),
     ] {
-        let record_violation = |seed: &u64| {
+        let is_detected = |seed: &u64| {
             let cluster: SimulatedCluster =
-                play_dependent_day(THREE_CONTROLLERS, *seed, faults, disabled_guard);
+                run_with_dependent_jobs(THREE_CONTROLLERS, *seed, faults, disabled_guard);
             cluster
                 .observed
                 .violations
                 .iter()
-                .any(|violation| violation.kind == rule)
+                .any(|violation| violation.kind == expected_kind)
         };
-        let caught = (680..700).find(record_violation);
-        println!("{disabled_guard:?} seen with seed {caught:?}");
-        assert!(caught.is_some(), "{disabled_guard:?} went unseen");
+        let detecting_seed = (680..700).find(is_detected);
+        println!("{disabled_guard:?} seen with seed {detecting_seed:?}");
+        assert!(detecting_seed.is_some(), "{disabled_guard:?} went unseen");
     }
 }
--- a/src/simulation/tests/digests.rs
+++ b/src/simulation/tests/digests.rs
@@ -3,40 +3,40 @@
 //! `cargo test digests_of -- --ignored --nocapture | grep -o 'digest .*outputs' | sort`, run before
 //! and after a change that must not alter what the program does.
 
-use super::{SINGLE_FAULTS, play_at};
+use super::{SINGLE_FAULTS, run_simulation_with_size};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
 /// The end of days on which jobs wait for one another, in ms.
-const DEPENDENT_DAY_END_MS: u64 = 340_000;
+const DEPENDENT_RUN_END_MS: u64 = 340_000;
 
-fn print(name: &str, seed: u64, cluster: &SimulatedCluster) {
+fn print_digest(name: &str, seed: u64, cluster: &SimulatedCluster) {
     let digest = &cluster.digest;
     let (value, outputs) = (digest.value(), digest.outputs());
     println!("digest {name} {seed}: {value:016x} of {outputs} outputs");
 }
 
-fn play(name: &str, size: ClusterSize, seed: u64, faults: Faults) {
-    let mut cluster = play_at(size, seed, faults, DisabledGuard::None);
+fn run_and_print_digest(name: &str, size: ClusterSize, seed: u64, faults: Faults) {
+    let mut cluster = run_simulation_with_size(size, seed, faults, DisabledGuard::None);
     if faults.dependent_jobs {
-        cluster.run_until(DEPENDENT_DAY_END_MS);
+        cluster.run_until(DEPENDENT_RUN_END_MS);
     }
-    print(name, seed, &cluster);
+    print_digest(name, seed, &cluster);
 }
 
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_quiet_days_and_single_faults() {
     for seed in 700..706 {
-        play("quiet", THREE_CONTROLLERS, seed, Faults::default());
+        run_and_print_digest("quiet", THREE_CONTROLLERS, seed, Faults::default());
     }
-    for (seed, (name, add)) in (1000..).step_by(4).zip(SINGLE_FAULTS) {
+    for (seed, (name, add_fault)) in (1000..).step_by(4).zip(SINGLE_FAULTS) {
         let mut faults = Faults::default();
-        add(&mut faults);
+        add_fault(&mut faults);
         for seed in seed..seed + 4 {
-            play(name, THREE_CONTROLLERS, seed, faults);
+            run_and_print_digest(name, THREE_CONTROLLERS, seed, faults);
         }
     }
 }
@@ -44,13 +44,13 @@
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_days_with_dependent_jobs() {
-    for (seed, (name, add)) in (1500..).zip(SINGLE_FAULTS) {
+    for (seed, (name, add_fault)) in (1500..).zip(SINGLE_FAULTS) {
         let mut faults = Faults {
             dependent_jobs: true,
             ..Faults::default()
         };
-        add(&mut faults);
-        play(
+        add_fault(&mut faults);
+        run_and_print_digest(
             &format!("{name} with pipelines"),
             THREE_CONTROLLERS,
             seed,
@@ -62,8 +62,8 @@
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_pairs_of_faults() {
-    for (seed, (name, faults)) in (2000..).zip(super::pairs::fault_pairs()) {
-        play(&name, THREE_CONTROLLERS, seed, faults);
+    for (seed, (name, faults)) in (2000..).zip(super::fault_pairs::fault_pairs()) {
+        run_and_print_digest(&name, THREE_CONTROLLERS, seed, faults);
     }
 }
 
@@ -81,10 +81,10 @@
         ..Faults::NONE
     };
     for seed in 720..726 {
-        play("all", THREE_CONTROLLERS, seed, Faults::ALL_SINGLE_FAULTS);
-        play("all at five", FIVE_CONTROLLERS, seed, partitioned);
-        play("upgrade and limits", THREE_CONTROLLERS, seed, upgraded);
-        play("upgrade at five", FIVE_CONTROLLERS, seed, upgraded);
+        run_and_print_digest("all", THREE_CONTROLLERS, seed, Faults::ALL_SINGLE_FAULTS);
+        run_and_print_digest("all at five", FIVE_CONTROLLERS, seed, partitioned);
+        run_and_print_digest("upgrade and limits", THREE_CONTROLLERS, seed, upgraded);
+        run_and_print_digest("upgrade at five", FIVE_CONTROLLERS, seed, upgraded);
     }
 }
 
@@ -94,6 +94,6 @@
     for (seed, machines) in [(7, (300, 900)), (8, (120, 120)), (9, (1200, 1800))] {
         let mut cluster = SimulatedCluster::with_large_fleet(seed, machines, 50.0, 500);
         cluster.run_until(45_000);
-        print("grown", seed, &cluster);
+        print_digest("grown", seed, &cluster);
     }
 }
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -1,18 +1,18 @@
 //! Days on which one guard is disabled: the invariants are worth something only if they notice.
 
-use super::play;
+use super::run_simulation;
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
 /// Asserts that on some seed an invariant is violated.
 fn assert_detected(disabled_guard: DisabledGuard, faults: Faults) {
     let is_violated = |seed: &u64| {
-        let cluster = play(*seed, faults, disabled_guard);
+        let cluster = run_simulation(*seed, faults, disabled_guard);
         !cluster.observed.violations.is_empty()
     };
-    let caught = (40..100).find(is_violated);
-    println!("{disabled_guard:?} seen with seed {caught:?}");
-    assert!(caught.is_some(), "{disabled_guard:?} went unseen");
+    let detecting_seed = (40..100).find(is_violated);
+    println!("{disabled_guard:?} seen with seed {detecting_seed:?}");
+    assert!(detecting_seed.is_some(), "{disabled_guard:?} went unseen");
 }
 
 #[test]
@@ -22,7 +22,7 @@
         lost_responses: true,
         ..Faults::default()
     };
-    let all = Faults {
+    let crashes_and_losses = Faults {
         controller_crashes: true,
         lost_responses: true,
         machine_failures: true,
@@ -43,7 +43,7 @@
         overload: true,
         ..Faults::default()
     };
-    let refusal = Faults {
+    let refusal_then_outage = Faults {
         store_refusal_then_outage: true,
         ..Faults::default()
     };
@@ -53,14 +53,17 @@
             duplicate_requests,
         ),
         (DisabledGuard::LostCallsCountAsUnsent, lost_responses),
-        (DisabledGuard::DeletionsFalselyConfirmed, all),
-        (DisabledGuard::FencesIgnored, all),
+        (DisabledGuard::DeletionsFalselyConfirmed, crashes_and_losses),
+        (DisabledGuard::FencesIgnored, crashes_and_losses),
         (
             DisabledGuard::DeletedMachinesAcknowledge,
             duplicate_heartbeats,
         ),
         (DisabledGuard::UnreachableMachinesAcknowledge, outbound_only),
-        (DisabledGuard::CancellationConfirmedOnCommit, refusal),
+        (
+            DisabledGuard::CancellationConfirmedOnCommit,
+            refusal_then_outage,
+        ),
         (DisabledGuard::LaunchesIgnoredAfterHeal, lost_responses),
     ] {
         assert_detected(disabled_guard, faults);
--- a/src/simulation/tests/growth.rs
+++ b/src/simulation/tests/large_fleets.rs
@@ -5,8 +5,8 @@
 use crate::simulation::large_fleet_state::RequestCounts;
 
 /// Plays a day of a fleet; returns what was asked of the store, and how many tasks were launched.
-fn cost(mut cluster: SimulatedCluster, until: u64) -> (RequestCounts, u64) {
-    cluster.run_until(until);
+fn run_and_count(mut cluster: SimulatedCluster, end_ms: u64) -> (RequestCounts, u64) {
+    cluster.run_until(end_ms);
     let counts = cluster.fleet.take().expect("scale").counts;
     println!(
         "{counts:?}, {} starts, {} jobs",
@@ -18,15 +18,15 @@
 
 #[test]
 fn fleet_of_900_writes_few_changes_per_task() {
-    let (counts, starts) = cost(
+    let (counts, launches) = run_and_count(
         SimulatedCluster::with_large_fleet(7, (300, 900), 50.0, 920),
         120_000,
     );
-    let by = &counts.changes_by_requester;
-    assert!(starts > 10_000, "{starts} starts");
-    assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
+    let changes = &counts.changes_by_requester;
+    assert!(launches > 10_000, "{launches} starts");
+    assert!(changes["machines"] <= 4 * launches / 10, "{changes:?}");
     // A batch a second, not a plan for each job.
-    assert!(by["plans"] <= 120, "{by:?}");
+    assert!(changes["plans"] <= 120, "{changes:?}");
     // A refused transaction is not repeated at once, which used to go on without end.
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
 }
@@ -35,39 +35,39 @@
 /// nothing is scanned over and over.
 #[test]
 fn overloaded_fleet_writes_few_changes_per_task() {
-    let (counts, starts) = cost(
+    let (counts, launches) = run_and_count(
         SimulatedCluster::with_large_fleet(8, (120, 120), 50.0, 300),
         90_000,
     );
-    let by = &counts.changes_by_requester;
-    assert!(starts > 10_000, "{starts} starts");
-    assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
+    let changes = &counts.changes_by_requester;
+    assert!(launches > 10_000, "{launches} starts");
+    assert!(changes["machines"] <= 2 * launches / 10, "{changes:?}");
 }
 
 /// Half as many machines again as the largest deployment so far.
 #[test]
 fn fleet_of_1800_writes_few_changes_per_task() {
-    let (counts, starts) = cost(
+    let (counts, launches) = run_and_count(
         SimulatedCluster::with_large_fleet(9, (1200, 1800), 70.0, 500),
         60_000,
     );
-    let by = &counts.changes_by_requester;
-    assert!(starts > 8_000, "{starts} starts");
-    assert!(by["machines"] <= 4 * starts / 10, "{by:?}");
+    let changes = &counts.changes_by_requester;
+    assert!(launches > 8_000, "{launches} starts");
+    assert!(changes["machines"] <= 4 * launches / 10, "{changes:?}");
 }
 
 /// The size that operators run the service at, and some more: the leader comes to know every
 /// machine, and placing a task costs no more changes than on a smaller fleet.
 #[test]
-fn fleet_of_4500_is_fully_known_and_writes_few_changes_per_task() {
+fn leader_caches_fleet_of_4500_and_writes_few_changes_per_task() {
     let mut cluster = SimulatedCluster::with_large_fleet(10, (4500, 4500), 90.0, 300);
     cluster.run_until(15_000);
     let leader = cluster.leader().expect("a leader");
     let controller = cluster.nodes[leader].controller.as_ref().expect("it runs");
     assert_eq!(controller.cache.machines.len(), 4500);
-    let (counts, starts) = cost(cluster, 45_000);
-    let by = &counts.changes_by_requester;
-    assert!(starts > 20_000, "{starts} starts");
-    assert!(by["machines"] <= 2 * starts / 10, "{by:?}");
+    let (counts, launches) = run_and_count(cluster, 45_000);
+    let changes = &counts.changes_by_requester;
+    assert!(launches > 20_000, "{launches} starts");
+    assert!(changes["machines"] <= 2 * launches / 10, "{changes:?}");
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
 }
--- a/src/simulation/tests/single_faults.rs
+++ b/src/simulation/tests/single_faults.rs
@@ -1,12 +1,15 @@
 //! Days with one kind of fault, each on several seeds.
 
-use super::{assert_invariants_hold, play, play_days};
+use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
 #[test]
 fn invariants_hold_without_faults_and_all_jobs_finish() {
-    assert_invariants_hold(&play(1, Faults::default(), DisabledGuard::None), "quiet");
+    assert_invariants_hold(
+        &run_simulation(1, Faults::default(), DisabledGuard::None),
+        "quiet",
+    );
 }
 
 #[test]
@@ -15,7 +18,7 @@
         controller_crashes: true,
         ..Faults::default()
     };
-    play_days("crashes", 10..14, crashes);
+    assert_invariants_hold_on_seeds("crashes", 10..14, crashes);
 }
 
 #[test]
@@ -24,7 +27,7 @@
         lost_responses: true,
         ..Faults::default()
     };
-    play_days("losses", 20..24, losses);
+    assert_invariants_hold_on_seeds("losses", 20..24, losses);
 }
 
 #[test]
@@ -33,7 +36,7 @@
         machine_failures: true,
         ..Faults::default()
     };
-    play_days("machines", 30..34, machines);
+    assert_invariants_hold_on_seeds("machines", 30..34, machines);
 }
 
 #[test]
@@ -42,7 +45,7 @@
         outbound_only_machines: true,
         ..Faults::default()
     };
-    play_days("deaf machines", 50..54, outbound_only);
+    assert_invariants_hold_on_seeds("deaf machines", 50..54, outbound_only);
 }
 
 #[test]
@@ -52,7 +55,7 @@
         machine_failures: true,
         ..Faults::default()
     };
-    play_days("late copies", 60..64, duplicates);
+    assert_invariants_hold_on_seeds("late copies", 60..64, duplicates);
 }
 
 #[test]
@@ -61,7 +64,7 @@
         isolated_controllers: true,
         ..Faults::default()
     };
-    play_days("controllers apart", 70..74, isolated);
+    assert_invariants_hold_on_seeds("controllers apart", 70..74, isolated);
 }
 
 /// Covers what a controller decided before its pause and what comes out of full buffers after it.
@@ -71,14 +74,14 @@
         controller_pauses: true,
         ..Faults::default()
     };
-    play_days("freezes", 120..126, pauses);
+    assert_invariants_hold_on_seeds("freezes", 120..126, pauses);
     let overload = Faults {
         overload: true,
         machine_failures: true,
         controller_crashes: true,
         ..pauses
     };
-    play_days("freezes and crowd", 126..130, overload);
+    assert_invariants_hold_on_seeds("freezes and crowd", 126..130, overload);
 }
 
 #[test]
@@ -87,7 +90,7 @@
         restarts_in_election: true,
         ..Faults::default()
     };
-    play_days("back at once", 80..84, restarts);
+    assert_invariants_hold_on_seeds("back at once", 80..84, restarts);
 }
 
 #[test]
@@ -100,9 +103,9 @@
     };
     // Those that once broke a limit, or started a task twice, and a few others.
     for seed in [122, 173, 261, 557] {
-        play_days("crowd", seed..seed + 1, overload);
+        assert_invariants_hold_on_seeds("crowd", seed..seed + 1, overload);
     }
-    play_days("crowd", 90..95, overload);
+    assert_invariants_hold_on_seeds("crowd", 90..95, overload);
 }
 
 #[test]
@@ -112,16 +115,16 @@
         overload: true,
         ..Faults::default()
     };
-    play_days("repeats", 100..104, duplicates);
+    assert_invariants_hold_on_seeds("repeats", 100..104, duplicates);
     let crashes = Faults {
         controller_crashes: true,
         machine_failures: true,
         ..duplicates
     };
-    play_days("repeats and crashes", 104..108, crashes);
+    assert_invariants_hold_on_seeds("repeats and crashes", 104..108, crashes);
 }
 
 #[test]
 fn invariants_hold_under_all_faults() {
-    play_days("all", 40..48, Faults::ALL_SINGLE_FAULTS);
+    assert_invariants_hold_on_seeds("all", 40..48, Faults::ALL_SINGLE_FAULTS);
 }
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -1,6 +1,6 @@
 //! Days on which whole zones are cut off, from everything or from each other.
 
-use super::{assert_invariants_hold, play_at, play_days};
+use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation_with_size};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::FIVE_CONTROLLERS;
@@ -14,12 +14,12 @@
         overload: true,
         ..Faults::default()
     };
-    play_days("zone", 110..116, zone_isolation);
+    assert_invariants_hold_on_seeds("zone", 110..116, zone_isolation);
     let with_crashes = Faults {
         controller_crashes: true,
         ..zone_isolation
     };
-    play_days("zone and crashes", 116..120, with_crashes);
+    assert_invariants_hold_on_seeds("zone and crashes", 116..120, with_crashes);
 }
 
 /// Other faults that days with a zone partition add to it.
@@ -55,39 +55,40 @@
         zone_partition: true,
         ..Faults::default()
     };
-    let (mut relayed, mut killed) = (0, [0, 0]);
+    let (mut relayed, mut tasks_lost) = (0, [0, 0]);
     for seed in 400..406 {
-        let cluster = play_at(FIVE_CONTROLLERS, seed, partitioned, DisabledGuard::None);
+        let cluster =
+            run_simulation_with_size(FIVE_CONTROLLERS, seed, partitioned, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("zones apart, seed {seed}"));
         assert!(
             cluster.observed.fault_occurrences > 0,
             "seed {seed}: no zones were apart"
         );
         relayed += cluster.observed.relayed_messages;
-        killed[0] += cluster.observed.tasks_lost;
-        let without = play_at(
+        tasks_lost[0] += cluster.observed.tasks_lost;
+        let without_relay = run_simulation_with_size(
             FIVE_CONTROLLERS,
             seed,
             partitioned,
             DisabledGuard::RelayDisabled,
         );
         assert!(
-            without.observed.violations.is_empty(),
+            without_relay.observed.violations.is_empty(),
             "{:?}",
-            without.observed.violations
+            without_relay.observed.violations
         );
-        killed[1] += without.observed.tasks_lost;
+        tasks_lost[1] += without_relay.observed.tasks_lost;
     }
     assert!(relayed > 500, "{relayed} went around");
-    println!("lost {killed:?} with and without a way around");
-    assert!(killed[0] * 3 <= killed[1], "lost {killed:?}");
+    println!("lost {tasks_lost:?} with and without a way around");
+    assert!(tasks_lost[0] * 3 <= tasks_lost[1], "lost {tasks_lost:?}");
     for (seed, faults) in (406..).zip(
         partition_combinations(partitioned)
             .into_iter()
             .cycle()
             .take(16),
     ) {
-        let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
+        let cluster = run_simulation_with_size(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
         assert_invariants_hold(
             &cluster,
             &format!("zones apart and {faults:?}, seed {seed}"),
@@ -102,7 +103,7 @@
             zone_partition: true,
             ..Faults::ALL_SINGLE_FAULTS
         };
-        let cluster = play_at(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
+        let cluster = run_simulation_with_size(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("all at five, seed {seed}"));
     }
 }
