--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -1,8 +1,9 @@
-//! Compatibility with the version in production: golden samples of every peer frame and every
-//! record as that version writes them.
+//! Tests of compatibility with the version in production. The golden files contain every peer
+//! frame and every stored record as that version writes them.
 //!
-//! During an upgrade both versions serve side by side, each on the other's data. A frame that
-//! differs closes the link, and a record that can't be read is ignored, so neither may change.
+//! During a rolling upgrade both versions run at the same time and read each other's data. A
+//! controller closes the link when it receives a frame that it can't decode, and ignores records
+//! that it can't read. The encoding of existing frames and records therefore must not change.
 
 mod old_records;
 mod samples;
@@ -14,16 +15,16 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// One line a message: its name and the bytes of its frame in hexadecimal digits.
+/// One line for each message: the name of the sample and its frame in hexadecimal digits.
 const GOLDEN_FRAMES: &str = include_str!("golden/frames.txt");
-/// One line a record: its name and its JSON.
+/// One line for each record: the name of the sample and its JSON.
 const GOLDEN_RECORDS: &str = include_str!("golden/records.txt");
 
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The samples as lines, as they stand in the golden files.
+/// Formats the samples in the same way as the golden files, with one line for each sample.
 fn golden_lines<T>(samples: Vec<(&str, T)>, encode: impl Fn(&T) -> String) -> String {
     let line = |(name, sample): &(&str, T)| format!("{name} {}\n", encode(sample));
     samples.iter().map(line).collect()
@@ -40,7 +41,7 @@
     assert_eq!(golden_lines(records(), ToString::to_string), GOLDEN_RECORDS);
 }
 
-/// The golden sample of a record.
+/// Returns the golden sample of the record with this name.
 fn golden_record(name: &str) -> Value {
     let mut lines = GOLDEN_RECORDS
         .lines()
@@ -53,7 +54,8 @@
     serde_json::from_value(value).expect("readable for the version in production")
 }
 
-/// What production has written is read: fields that it does not know are absent.
+/// Records written by the version in production lack the fields that were added later. They must
+/// still be readable.
 #[test]
 fn records_of_the_earlier_version_are_readable() {
     let job: JobRecord = serde_json::from_value(golden_record("job")).expect("job");
@@ -72,7 +74,8 @@
     );
 }
 
-/// What this version writes is read by production's types, new fields and all.
+/// Records written by this version, including fields that were added since, must be readable by
+/// the record types of the version in production.
 #[test]
 fn earlier_version_reads_records_of_this_version() {
     let member = MemberRecord::new(Incarnation(12), LeaseId(7));
--- a/src/compatibility/old_records.rs
+++ b/src/compatibility/old_records.rs
@@ -1,5 +1,5 @@
-//! The record types as the version in production has them, copied: what this version writes has
-//! to be read by them.
+//! Copies of the record types of the version in production. The tests deserialize records of this
+//! version into them.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -1,4 +1,4 @@
-//! One sample of every message between controllers and of every stored record.
+//! One sample of each message between controllers and of each stored record.
 
 use crate::admin::Settings;
 use crate::ids::{
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The job of all samples.
+/// The id of the job that all samples refer to.
 pub(super) const JOB: &str = "job-000412";
 
 fn attempt(index: u32) -> TaskAttempt {
@@ -35,7 +35,7 @@
     "vm-000231".into()
 }
 
-/// A machine with running and finished tasks of one job.
+/// Returns the record of a machine with two running and two completed tasks of one job.
 pub(super) fn machine_record() -> MachineRecord {
     let mut record = MachineRecord::new("10.1.0.232:9000", &"t8".into(), &"a".into(), true);
     let spec = crate::protocol::tests::spec(JOB);
@@ -79,7 +79,7 @@
     }])
 }
 
-/// Every message, in the order of the golden file, under the name of its sample.
+/// Returns the name and the sample of each message, in the order of the golden file.
 pub(super) fn messages() -> Vec<(&'static str, Message)> {
     let mut samples = allotment_messages();
     samples.extend(attempt_messages());
@@ -213,7 +213,8 @@
     bits
 }
 
-/// Every record but the controllers' own, which names its version; in the order of the golden file.
+/// Returns the name and the JSON of each record, in the order of the golden file. The member
+/// record is left out because it contains the version of the program and so differs by version.
 pub(super) fn records() -> Vec<(&'static str, Value)> {
     let leader = LeaderRecord {
         member: "mooring-1".into(),
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -1,13 +1,13 @@
-//! Simulated days under faults: the invariants must hold all day, and once the faults are healed
-//! all that was submitted must finish and every cancellation must be confirmed.
+//! Simulated runs with injected faults. The invariants must hold during the whole run. After the
+//! faults are healed, every submitted job must end and every cancellation must be confirmed.
 
 mod completion_interleavings;
 mod counted_faults;
 mod dependent_jobs;
 mod digests;
 mod disabled_guards;
-mod fault_pairs;
 mod large_fleets;
+mod pairs;
 mod single_faults;
 mod upgrades;
 mod zone_faults;
@@ -17,44 +17,44 @@
 use super::guards::DisabledGuard;
 use super::topology::{ClusterSize, THREE_CONTROLLERS};
 
-/// When the faults of a day are healed, in ms.
+/// The simulated time at which all faults are healed, in ms from the start of the run.
 const FAULTS_HEALED_AT_MS: u64 = 120_000;
-/// When a day ends, in ms.
+/// The simulated time at which a run ends, in ms from its start.
 const RUN_END_MS: u64 = 260_000;
-/// Fewer launches than this mean that a day has tested nothing.
+/// A run must launch more task attempts than this; with fewer it would test too little.
 const MIN_LAUNCHES: u64 = 60;
 
-/// Adds one fault to those of a day.
+/// Enables one kind of fault.
 type AddFault = fn(&mut Faults);
 
-/// Every fault that days with two of them draw from, under the name that digests print.
+/// The name of each single fault, as digest lines print it, and the function that enables it.
 const SINGLE_FAULTS: [(&str, AddFault); 18] = [
-    ("crashes", |t| t.controller_crashes = true),
-    ("lost", |t| t.lost_responses = true),
-    ("machines", |t| t.machine_failures = true),
-    ("cuts", |t| t.store_disconnects = true),
-    ("deaf", |t| t.outbound_only_machines = true),
-    ("copies", |t| t.duplicate_heartbeats = true),
-    ("apart", |t| t.isolated_controllers = true),
-    ("flaps", |t| t.restarts_in_election = true),
-    ("crowd", |t| t.overload = true),
-    ("freezes", |t| t.controller_pauses = true),
-    ("zone", |t| t.zone_isolation = true),
-    ("repeats", |t| t.duplicate_requests = true),
-    ("gap", |t| t.store_refusal_then_outage = true),
-    ("mute", |t| t.inbound_only_machines = true),
-    ("slow", |t| t.slow_store = true),
-    ("leaders", |t| t.leader_crashes = true),
-    ("away", |t| t.control_plane_outage = true),
-    ("ends", |t| t.cancel_at_completion = true),
+    ("crashes", |faults| faults.controller_crashes = true),
+    ("lost", |faults| faults.lost_responses = true),
+    ("machines", |faults| faults.machine_failures = true),
+    ("cuts", |faults| faults.store_disconnects = true),
+    ("deaf", |faults| faults.outbound_only_machines = true),
+    ("copies", |faults| faults.duplicate_heartbeats = true),
+    ("apart", |faults| faults.isolated_controllers = true),
+    ("flaps", |faults| faults.restarts_in_election = true),
+    ("crowd", |faults| faults.overload = true),
+    ("freezes", |faults| faults.controller_pauses = true),
+    ("zone", |faults| faults.zone_isolation = true),
+    ("repeats", |faults| faults.duplicate_requests = true),
+    ("gap", |faults| faults.store_refusal_then_outage = true),
+    ("mute", |faults| faults.inbound_only_machines = true),
+    ("slow", |faults| faults.slow_store = true),
+    ("leaders", |faults| faults.leader_crashes = true),
+    ("away", |faults| faults.control_plane_outage = true),
+    ("ends", |faults| faults.cancel_at_completion = true),
 ];
 
-/// Plays a day with three controllers.
+/// Runs a simulation with three controllers; see [`run_simulation_with_size`].
 fn run_simulation(seed: u64, faults: Faults, disabled_guard: DisabledGuard) -> SimulatedCluster {
     run_simulation_with_size(THREE_CONTROLLERS, seed, faults, disabled_guard)
 }
 
-/// Plays a day with faults, heals them and lets all work finish.
+/// Runs a simulation with faults, heals them, and continues so that all jobs can end.
 fn run_simulation_with_size(
     size: ClusterSize,
     seed: u64,
@@ -68,7 +68,8 @@
     cluster
 }
 
-/// Asserts that no invariant was violated and that all jobs and cancellations have ended.
+/// Asserts that no invariant was violated, that enough task attempts were launched, that every
+/// cancellation was confirmed and that every job has ended.
 fn assert_invariants_hold(cluster: &SimulatedCluster, run_name: &str) {
     assert!(
         cluster.observed.violations.is_empty(),
@@ -77,22 +78,22 @@
     );
     assert!(
         cluster.observed.launches > MIN_LAUNCHES,
-        "{run_name}: only {} starts",
+        "{run_name}: only {} launches",
         cluster.observed.launches
     );
     let pending = &cluster.pending_cancellations;
     assert!(
         pending.is_empty(),
-        "{run_name}: never confirmed {pending:?}"
+        "{run_name}: unconfirmed cancellations {pending:?}"
     );
     let unfinished = cluster.unfinished_jobs();
     assert!(
         unfinished.is_empty(),
-        "{run_name}: never finished {unfinished:?}"
+        "{run_name}: unfinished jobs {unfinished:?}"
     );
 }
 
-/// Plays a day with the same faults on each seed.
+/// Runs a simulation with the same faults for each seed and asserts that the invariants hold.
 fn assert_invariants_hold_on_seeds(name: &str, seeds: std::ops::Range<u64>, faults: Faults) {
     for seed in seeds {
         assert_invariants_hold(
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -1,5 +1,6 @@
-//! The last task's end, a cancellation, repeated submissions and late copies of each, in every order:
-//! what is committed first decides permanently, and each outcome is one that the records allow.
+//! Tests every order of a job's completion, its cancellation and its repeated submission, each of
+//! which arrives twice. The completion or cancellation that is committed first determines the final
+//! state, and no later transaction may change that state or accept the job again.
 
 mod dependent;
 
@@ -12,6 +13,7 @@
 use crate::store::records::{FinalRecord, JobRecord, MachineRecord};
 use crate::store::{TxnOutcome, keys};
 
+/// A transaction that is sent to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Submission,
@@ -19,6 +21,7 @@
     Cancellation,
 }
 
+/// The steps of a test case. Each occurs twice, as a late duplicate of a request would.
 const ALL_STEPS: [Step; 6] = [
     Step::Submission,
     Step::Submission,
@@ -49,7 +52,8 @@
     txn
 }
 
-/// The end as the leader writes it, once a machine's record says that all tasks are done.
+/// Stores a machine record in which all tasks of the job are done, and returns the transaction by
+/// which the leader then completes the job.
 fn completion_txn(store: &mut FakeStore, id: &JobId) -> Txn {
     let config = sample_config();
     let mut record = MachineRecord::new("1.1.1.1:1", &"t8".into(), &"a".into(), false);
@@ -67,7 +71,7 @@
     Some(record.state)
 }
 
-/// All different orders of the steps.
+/// Returns all distinct orders of the remaining steps.
 fn distinct_orders(remaining: &[Step]) -> Vec<Vec<Step>> {
     let mut orders = Vec::new();
     for (index, first) in remaining.iter().enumerate() {
@@ -95,7 +99,7 @@
     for order in orders {
         let mut store = FakeStore::default();
         let TxnOutcome::Committed(accepted) = store.txn(&submission_txn(&id)) else {
-            panic!("not accepted");
+            panic!("submission was not committed");
         };
         let completion = completion_txn(&mut store, &id);
         let deciding_step = order.iter().find(|s| **s != Step::Submission);
@@ -115,7 +119,7 @@
             let current_state = final_state(&store, &id);
             assert!(
                 previous_state.is_none() || current_state == previous_state,
-                "{order:?} went back"
+                "{order:?}: final state changed"
             );
             assert_eq!(
                 committed,
@@ -125,7 +129,7 @@
             let is_live = store.contains(&keys::job(&id));
             assert!(
                 is_live != current_state.is_some(),
-                "{order:?}: neither or both"
+                "{order:?}: job and final record must not both exist or both be absent"
             );
             previous_state = current_state;
         }
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -1,5 +1,6 @@
-//! A parent's end and its cancellation, and the submission of a child that names it, in every order:
-//! the submission reads first and writes later, so what it read may be old by then.
+//! Tests every order of a job's completion, its cancellation and the submission of a job that
+//! depends on it. The submission reads the state of the dependency first and writes later, so the
+//! state may have changed in between.
 
 use super::*;
 use crate::api::dependencies::{
@@ -19,14 +20,14 @@
     CancelDependency,
 }
 
-/// A parent and a child in one store.
+/// A store with a job and, once it is submitted, a second job that depends on it.
 struct Scenario {
     store: FakeStore,
     dependency_revision: Revision,
     completion_txn: Txn,
-    /// What the submission has seen last.
+    /// The state of the dependency when the submission last read it; `None` if it must be read again.
     last_read_state: Option<CombinedDependencyState>,
-    /// The parent's user was told that it is cancelled.
+    /// Whether the cancellation of the dependency was confirmed to its user.
     cancellation_confirmed: bool,
 }
 
@@ -35,13 +36,13 @@
         let mut store = FakeStore::default();
         let dependency = JobId::from(DEPENDENCY);
         let TxnOutcome::Committed(revision) = store.txn(&submission_txn(&dependency)) else {
-            panic!("not accepted");
+            panic!("submission was not committed");
         };
-        let completion_txn = completion_txn(&mut store, &dependency);
+        let completion = completion_txn(&mut store, &dependency);
         Self {
             store,
             dependency_revision: revision,
-            completion_txn,
+            completion_txn: completion,
             last_read_state: None,
             cancellation_confirmed: false,
         }
@@ -63,7 +64,8 @@
         ));
     }
 
-    /// Writes what was decided; where that is out of date it is decided anew.
+    /// Submits the dependent job on the basis of the state read last. If that state is out of date and
+    /// the transaction fails, reads the state again and retries once.
     fn submit_dependent(&mut self) {
         let mut spec = crate::protocol::tests::spec(DEPENDENT);
         spec.dependencies = vec![DEPENDENCY.into()];
@@ -71,18 +73,19 @@
             if self.last_read_state.is_none() {
                 self.read_dependency();
             }
-            let dependency_states = self.last_read_state.take().expect("seen");
+            let dependency_states = self.last_read_state.take().expect("state was read");
             let (txn, _) = dependency_states
                 .acceptance_txn(&spec, UnixTime(9), MAX_TXN_OPS)
-                .expect("decided");
+                .expect("dependency state allows acceptance");
             if matches!(self.store.txn(&txn), TxnOutcome::Committed(_)) {
                 return;
             }
         }
-        panic!("not accepted");
+        panic!("dependent was not accepted");
     }
 
-    /// Cancels as the API does: the job, then all its dependents, and then its user is told.
+    /// Cancels the dependency as the API does: cancels the job, then all its dependents, and then
+    /// confirms the cancellation to the user.
     fn cancel_dependency(&mut self) {
         let dependency = JobId::from(DEPENDENCY);
         let outcome = self
@@ -116,13 +119,13 @@
         }
     }
 
-    /// The child's record, if it is accepted and has not ended.
+    /// Returns the record of the dependent job if it was accepted and has not ended.
     fn live_dependent(&self) -> Option<JobRecord> {
         self.store.read(&keys::job(&DEPENDENT.into()))
     }
 }
 
-/// All orders of the events.
+/// Returns all permutations of the remaining events.
 fn permutations(remaining: &[Event]) -> Vec<Vec<Event>> {
     if remaining.is_empty() {
         return vec![Vec::new()];
@@ -157,11 +160,11 @@
             if let Some(dependent) = scenario.live_dependent() {
                 assert!(
                     dependent.is_blocked() || dependency_done,
-                    "{order:?}: too early"
+                    "{order:?}: dependent released before its dependency was done"
                 );
                 assert!(
                     !scenario.cancellation_confirmed,
-                    "{order:?}: left behind when the user was told"
+                    "{order:?}: dependent still live after the cancellation was confirmed"
                 );
                 blocked_count += u64::from(dependent.is_blocked());
             }
--- a/src/simulation/tests/counted_faults.rs
+++ b/src/simulation/tests/counted_faults.rs
@@ -1,11 +1,13 @@
-//! Days on which two events have to meet, counted, and then with further faults.
+//! Simulated runs for faults that matter only if they coincide with other events. The tests assert
+//! how often that happened, and then repeat the runs with further faults.
 
 use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
-/// The leader alone is refused by the key-value store while others cancel what its machines run,
-/// and then nobody is served for longer than a cancellation has (gap day).
+/// The key-value store refuses only the leader while users cancel jobs on its machines through
+/// other controllers. Then the store is unavailable to all controllers for longer than a
+/// cancellation may take.
 #[test]
 fn invariants_hold_for_cancellations_between_store_refusal_and_outage() {
     let refusal_then_outage = Faults {
@@ -15,12 +17,12 @@
     let mut fault_occurrences = 0;
     for seed in 140..150 {
         let cluster = run_simulation(seed, refusal_then_outage, DisabledGuard::None);
-        assert_invariants_hold(&cluster, &format!("gap, seed {seed}"));
+        assert_invariants_hold(&cluster, &format!("store refusal then outage, seed {seed}"));
         fault_occurrences += cluster.observed.fault_occurrences;
     }
     assert!(
         fault_occurrences >= 10,
-        "cancellations met the gap {fault_occurrences} times"
+        "cancellations coincided with the store refusal only {fault_occurrences} times"
     );
     let with_more_faults = Faults {
         controller_crashes: true,
@@ -29,10 +31,16 @@
         overload: true,
         ..refusal_then_outage
     };
-    assert_invariants_hold_on_seeds("gap and more", 150..156, with_more_faults);
+    assert_invariants_hold_on_seeds(
+        "store refusal then outage and further faults",
+        150..156,
+        with_more_faults,
+    );
 }
 
-/// Plays days on which faults have to meet, counts that, and adds crashes and machine failures.
+/// Runs a simulation for each seed, asserts that the invariants hold and that the fault occurred at
+/// least `min_occurrences` times. Then repeats the runs with controller crashes, machine failures
+/// and overload.
 fn assert_invariants_hold_and_faults_occur(
     name: &str,
     seeds: std::ops::Range<u64>,
@@ -47,7 +55,7 @@
     }
     assert!(
         fault_occurrences >= min_occurrences,
-        "{name}: met {fault_occurrences} times"
+        "{name}: occurred only {fault_occurrences} times"
     );
     let with_more_faults = Faults {
         controller_crashes: true,
@@ -55,7 +63,11 @@
         overload: true,
         ..faults
     };
-    assert_invariants_hold_on_seeds(&format!("{name} and more"), seeds, with_more_faults);
+    assert_invariants_hold_on_seeds(
+        &format!("{name} and further faults"),
+        seeds,
+        with_more_faults,
+    );
 }
 
 #[test]
@@ -64,7 +76,7 @@
         inbound_only_machines: true,
         ..Faults::default()
     };
-    assert_invariants_hold_and_faults_occur("mute machines", 160..164, inbound_only, 20);
+    assert_invariants_hold_and_faults_occur("inbound-only machines", 160..164, inbound_only, 20);
 }
 
 #[test]
@@ -73,7 +85,7 @@
         slow_store: true,
         ..Faults::default()
     };
-    assert_invariants_hold_and_faults_occur("slow state service", 170..174, slow_store, 20);
+    assert_invariants_hold_and_faults_occur("slow store", 170..174, slow_store, 20);
 }
 
 #[test]
@@ -82,7 +94,7 @@
         leader_crashes: true,
         ..Faults::default()
     };
-    assert_invariants_hold_and_faults_occur("leaders", 180..184, leader_crashes, 20);
+    assert_invariants_hold_and_faults_occur("leader crashes", 180..184, leader_crashes, 20);
 }
 
 #[test]
@@ -91,7 +103,7 @@
         control_plane_outage: true,
         ..Faults::default()
     };
-    assert_invariants_hold_and_faults_occur("all away", 190..194, outage, 8);
+    assert_invariants_hold_and_faults_occur("control plane outage", 190..194, outage, 8);
 }
 
 #[test]
@@ -100,5 +112,10 @@
         cancel_at_completion: true,
         ..Faults::default()
     };
-    assert_invariants_hold_and_faults_occur("cancelled at the end", 200..204, at_completion, 40);
+    assert_invariants_hold_and_faults_occur(
+        "cancellation at completion",
+        200..204,
+        at_completion,
+        40,
+    );
 }
--- a/src/simulation/tests/dependent_jobs.rs
+++ b/src/simulation/tests/dependent_jobs.rs
@@ -1,4 +1,4 @@
-//! Days on which users submit jobs that depend on other jobs.
+//! Simulated runs in which users submit jobs that depend on other jobs.
 
 use super::{SINGLE_FAULTS, assert_invariants_hold};
 use crate::simulation::cluster::SimulatedCluster;
@@ -8,24 +8,24 @@
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 use crate::simulation::violations::ViolationKind;
 
-/// Users submit dependent jobs, without any fault.
+/// Users submit dependent jobs; no faults are injected.
 pub(super) const DEPENDENT_JOBS: Faults = Faults {
     dependent_jobs: true,
     ..Faults::NONE
 };
 
-/// A rolling upgrade with dependent jobs and lowered store limits.
+/// A rolling upgrade with dependent jobs, during which the store lowers its limits.
 pub(super) const UPGRADE: Faults = Faults {
     rolling_upgrade: true,
     lowered_store_limits: true,
     ..DEPENDENT_JOBS
 };
 
-/// Dependent jobs end one after the other: the longest chains on these days take some minutes
-/// once all faults are healed.
+/// The simulated time at which these runs end, in ms from the start. Dependent jobs run one after
+/// the other, so the longest chains take some minutes after all faults are healed.
 const RUN_END_MS: u64 = 340_000;
 
-/// Plays a day until dependent jobs have ended as well.
+/// Runs a simulation for long enough that dependent jobs can end as well.
 pub(super) fn run_with_dependent_jobs(
     size: ClusterSize,
     seed: u64,
@@ -37,7 +37,8 @@
     cluster
 }
 
-/// Plays a day on each seed and sums up what became of the dependent jobs.
+/// Runs a simulation for each seed, asserts that the invariants hold, and returns the sum of the
+/// counts of dependent jobs.
 fn count_dependencies_on_seeds(
     name: &str,
     size: ClusterSize,
@@ -66,17 +67,17 @@
 #[test]
 fn dependent_jobs_finish_in_order_without_faults() {
     let counts = count_dependencies_on_seeds(
-        "quiet pipelines",
+        "dependent jobs without faults",
         THREE_CONTROLLERS,
         500..504,
         DEPENDENT_JOBS,
     );
     assert_dependencies_exercised(&counts);
-    // Nobody is told of a cancellation while a dependent of the job is still live.
+    // Without faults no cancellation is confirmed while a dependent of the job is still live.
     assert_eq!(counts.live_at_confirmation, 0);
 }
 
-/// Each fault alone, with dependent jobs all day.
+/// Enables each fault alone, with dependent jobs during the whole run.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_each_fault() {
     let mut total = DependencyCounts::default();
@@ -99,14 +100,18 @@
         dependent_jobs: true,
         ..Faults::ALL_SINGLE_FAULTS
     };
-    let mut total =
-        count_dependencies_on_seeds("pipelines and all", THREE_CONTROLLERS, 600..606, all_faults);
+    let mut total = count_dependencies_on_seeds(
+        "dependent jobs under all faults",
+        THREE_CONTROLLERS,
+        600..606,
+        all_faults,
+    );
     let partitioned = Faults {
         zone_partition: true,
         ..all_faults
     };
     total.add(&count_dependencies_on_seeds(
-        "pipelines at five",
+        "dependent jobs with five controllers",
         FIVE_CONTROLLERS,
         606..610,
         partitioned,
@@ -114,8 +119,8 @@
     assert_dependencies_exercised(&total);
 }
 
-/// Leaders change while children are accepted, released and allotted, and jobs that others need
-/// are cancelled as they end.
+/// Leaders change while dependent jobs are accepted, released and allotted, and jobs with
+/// dependents are cancelled at the moment at which they complete.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_leader_crashes_and_late_cancellations() {
     let faults = Faults {
@@ -126,14 +131,15 @@
         ..DEPENDENT_JOBS
     };
     assert_dependencies_exercised(&count_dependencies_on_seeds(
-        "leaders and ends",
+        "leader crashes and late cancellations",
         THREE_CONTROLLERS,
         620..628,
         faults,
     ));
 }
 
-/// The invariants are worth something only if they notice a disabled guard.
+/// Checks the invariants themselves: with a guard disabled, some seed must violate the expected
+/// invariant.
 #[test]
 fn each_disabled_dependency_guard_is_detected() {
     for (disabled_guard, faults, expected_kind) in [
@@ -168,7 +174,10 @@
                 .any(|violation| violation.kind == expected_kind)
         };
         let detecting_seed = (680..700).find(is_detected);
-        println!("{disabled_guard:?} seen with seed {detecting_seed:?}");
-        assert!(detecting_seed.is_some(), "{disabled_guard:?} went unseen");
+        println!("{disabled_guard:?} detected with seed {detecting_seed:?}");
+        assert!(
+            detecting_seed.is_some(),
+            "{disabled_guard:?} was not detected"
+        );
     }
 }
--- a/src/simulation/tests/digests.rs
+++ b/src/simulation/tests/digests.rs
@@ -1,7 +1,7 @@
-//! Prints digests of simulated days, to be compared between two versions of the program.
+//! Prints digests of simulated runs, so that two versions of the program can be compared.
 //!
-//! `cargo test digests_of -- --ignored --nocapture | grep -o 'digest .*outputs' | sort`, run before
-//! and after a change that must not alter what the program does.
+//! Run `cargo test digests_of -- --ignored --nocapture | grep -o 'digest .*outputs' | sort` before
+//! and after a change that must not alter the program's behaviour, and compare the output.
 
 use super::{SINGLE_FAULTS, run_simulation_with_size};
 use crate::simulation::cluster::SimulatedCluster;
@@ -9,7 +9,7 @@
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
-/// The end of days on which jobs wait for one another, in ms.
+/// The simulated time at which runs with dependent jobs end, in ms from the start.
 const DEPENDENT_RUN_END_MS: u64 = 340_000;
 
 fn print_digest(name: &str, seed: u64, cluster: &SimulatedCluster) {
@@ -62,7 +62,7 @@
 #[test]
 #[ignore = "prints digests to be compared between two versions, run by hand"]
 fn digests_of_pairs_of_faults() {
-    for (seed, (name, faults)) in (2000..).zip(super::fault_pairs::fault_pairs()) {
+    for (seed, (name, faults)) in (2000..).zip(super::pairs::fault_pairs()) {
         run_and_print_digest(&name, THREE_CONTROLLERS, seed, faults);
     }
 }
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -1,23 +1,27 @@
-//! Days on which one guard is disabled: the invariants are worth something only if they notice.
+//! Simulated runs with one guard disabled. They check the invariants themselves: each disabled
+//! guard must lead to a violation.
 
 use super::run_simulation;
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
-/// Asserts that on some seed an invariant is violated.
+/// Asserts that some seed leads to a violated invariant when the guard is disabled.
 fn assert_detected(disabled_guard: DisabledGuard, faults: Faults) {
     let is_violated = |seed: &u64| {
         let cluster = run_simulation(*seed, faults, disabled_guard);
         !cluster.observed.violations.is_empty()
     };
     let detecting_seed = (40..100).find(is_violated);
-    println!("{disabled_guard:?} seen with seed {detecting_seed:?}");
-    assert!(detecting_seed.is_some(), "{disabled_guard:?} went unseen");
+    println!("{disabled_guard:?} detected with seed {detecting_seed:?}");
+    assert!(
+        detecting_seed.is_some(),
+        "{disabled_guard:?} was not detected"
+    );
 }
 
 #[test]
 fn each_disabled_guard_is_detected() {
-    // Crashes raise the tokens, which hides what a late command would do.
+    // No crashes: they raise the fencing tokens, which hides the effect of late commands.
     let lost_responses = Faults {
         lost_responses: true,
         ..Faults::default()
--- a/src/simulation/tests/large_fleets.rs
+++ b/src/simulation/tests/large_fleets.rs
@@ -1,15 +1,16 @@
-//! A large fleet against stand-ins with the settings' rates. What is asserted are counts, never
-//! times, so that growing costs can't return unnoticed.
+//! Tests with large fleets, in which the simulated services enforce the rate limits of the
+//! settings. They guard against costs that grow with the size of the fleet. They assert counts
+//! rather than times, so that such growth is always noticed.
 
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::large_fleet_state::RequestCounts;
 
-/// Plays a day of a fleet; returns what was asked of the store, and how many tasks were launched.
+/// Runs the simulation until `end_ms`; returns the counts of store requests and of launches.
 fn run_and_count(mut cluster: SimulatedCluster, end_ms: u64) -> (RequestCounts, u64) {
     cluster.run_until(end_ms);
-    let counts = cluster.fleet.take().expect("scale").counts;
+    let counts = cluster.fleet.take().expect("large fleet").counts;
     println!(
-        "{counts:?}, {} starts, {} jobs",
+        "{counts:?}, {} launches, {} jobs",
         cluster.observed.launches,
         cluster.jobs.len()
     );
@@ -23,16 +24,16 @@
         120_000,
     );
     let changes = &counts.changes_by_requester;
-    assert!(launches > 10_000, "{launches} starts");
+    assert!(launches > 10_000, "{launches} launches");
     assert!(changes["machines"] <= 4 * launches / 10, "{changes:?}");
-    // A batch a second, not a plan for each job.
+    // Plans are written in one batch per second, not one by one for each job.
     assert!(changes["plans"] <= 120, "{changes:?}");
-    // A refused transaction is not repeated at once, which used to go on without end.
+    // Immediate retries of refused transactions used to continue without end.
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
 }
 
-/// Far more is asked than the fleet can do: changes are still spent on the most tasks, and
-/// nothing is scanned over and over.
+/// Users submit far more work than the fleet can run. The store's change rate must still be spent
+/// on starting as many tasks as possible, and nothing may be scanned repeatedly.
 #[test]
 fn overloaded_fleet_writes_few_changes_per_task() {
     let (counts, launches) = run_and_count(
@@ -40,11 +41,11 @@
         90_000,
     );
     let changes = &counts.changes_by_requester;
-    assert!(launches > 10_000, "{launches} starts");
+    assert!(launches > 10_000, "{launches} launches");
     assert!(changes["machines"] <= 2 * launches / 10, "{changes:?}");
 }
 
-/// Half as many machines again as the largest deployment so far.
+/// A fleet of 1.5 times as many machines as the largest deployment.
 #[test]
 fn fleet_of_1800_writes_few_changes_per_task() {
     let (counts, launches) = run_and_count(
@@ -52,12 +53,12 @@
         60_000,
     );
     let changes = &counts.changes_by_requester;
-    assert!(launches > 8_000, "{launches} starts");
+    assert!(launches > 8_000, "{launches} launches");
     assert!(changes["machines"] <= 4 * launches / 10, "{changes:?}");
 }
 
-/// The size that operators run the service at, and some more: the leader comes to know every
-/// machine, and placing a task costs no more changes than on a smaller fleet.
+/// A fleet somewhat larger than those that operators run. The leader's cache must contain every
+/// machine, and placing a task must not need more changes than in a smaller fleet.
 #[test]
 fn leader_caches_fleet_of_4500_and_writes_few_changes_per_task() {
     let mut cluster = SimulatedCluster::with_large_fleet(10, (4500, 4500), 90.0, 300);
@@ -67,7 +68,7 @@
     assert_eq!(controller.cache.machines.len(), 4500);
     let (counts, launches) = run_and_count(cluster, 45_000);
     let changes = &counts.changes_by_requester;
-    assert!(launches > 20_000, "{launches} starts");
+    assert!(launches > 20_000, "{launches} launches");
     assert!(changes["machines"] <= 2 * launches / 10, "{changes:?}");
     assert!(counts.refused <= counts.transactions / 8, "{counts:?}");
 }
--- a/src/simulation/tests/fault_pairs.rs
+++ b/src/simulation/tests/pairs.rs
@@ -1,4 +1,4 @@
-//! Days under every pair of faults, and a search through many seeds of each.
+//! Simulated runs with every pair of faults, and a search through many seeds of each pair.
 
 use super::{
     SINGLE_FAULTS, assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation,
@@ -6,7 +6,7 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
-/// Every two faults at once, under the name that digests print.
+/// Returns every pair of faults with its name, as digest lines print it.
 pub(super) fn fault_pairs() -> Vec<(String, Faults)> {
     let mut pairs = Vec::new();
     for (i, (first_name, add_first)) in SINGLE_FAULTS.iter().enumerate() {
@@ -20,7 +20,7 @@
     pairs
 }
 
-/// The seed follows from the pair, so that the pairs don't all meet the same day.
+/// Each pair has a seed of its own, so that the pairs do not all run with the same workload.
 #[test]
 fn invariants_hold_under_each_pair_of_faults() {
     for (seed, (name, faults)) in (300..).zip(fault_pairs()) {
@@ -28,20 +28,21 @@
     }
 }
 
-/// The first seed of the search through pairs, and how many seeds each pair gets.
+/// The first seed of the search through pairs.
 const FIRST_SEARCH_SEED: u64 = 10_000;
+/// The number of consecutive seeds that the search runs for each pair.
 const SEEDS_PER_PAIR: u64 = 20;
 
-/// All that the stand-in's cloud has to give was held by idle spot machines, which the gang that
-/// waited must not use: nothing is returned while something waits, so it waited for ever.
+/// Guards against a gang that waits forever: idle spot machines, which the gang must not use, held
+/// all capacity of the simulated cloud, and idle machines were not returned while a job waited.
 #[test]
 fn idle_spot_machines_are_returned_when_a_gang_needs_their_capacity() {
     assert_invariants_hold_on_search_seed(10_999, "cuts and copies");
 }
 
-/// Days on which records of deleted machines come back with repeated transactions, and one on
-/// which controllers stand still while a machine is deaf: the search failed on them before its
-/// checks allowed for that.
+/// With some of these seeds, duplicate transactions restore the records of deleted machines. With
+/// another, controllers pause while a machine receives nothing. The checks of the search used to
+/// report these cases as violations.
 #[test]
 fn invariants_hold_on_seeds_that_failed_in_earlier_searches() {
     for seed in [10_832, 10_835, 10_837, 10_838] {
@@ -54,14 +55,15 @@
     assert_invariants_hold_on_search_seed(12_516, "zone and repeats");
 }
 
-/// Days on which machines are deleted while nobody leads: their records take the longest to go.
+/// Machines are deleted while there is no leader. Removing their records takes longest in this case.
 #[test]
 fn records_of_machines_deleted_without_a_leader_are_removed() {
     assert_invariants_hold_on_search_seed(12_045, "flaps and gap");
     assert_invariants_hold_on_search_seed(12_839, "gap and away");
 }
 
-/// Plays a day of the search once more.
+/// Repeats the run of one seed of the search and asserts that the invariants hold. `expected_name` is
+/// the name of the pair that the seed belongs to.
 fn assert_invariants_hold_on_search_seed(seed: u64, expected_name: &str) {
     let pair_index = (seed - FIRST_SEARCH_SEED) / SEEDS_PER_PAIR;
     let (name, faults) = fault_pairs()
--- a/src/simulation/tests/single_faults.rs
+++ b/src/simulation/tests/single_faults.rs
@@ -1,4 +1,4 @@
-//! Days with one kind of fault, each on several seeds.
+//! Simulated runs with one kind of fault, or a few that belong together, on several seeds each.
 
 use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
@@ -8,7 +8,7 @@
 fn invariants_hold_without_faults_and_all_jobs_finish() {
     assert_invariants_hold(
         &run_simulation(1, Faults::default(), DisabledGuard::None),
-        "quiet",
+        "no faults",
     );
 }
 
@@ -27,7 +27,7 @@
         lost_responses: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("losses", 20..24, losses);
+    assert_invariants_hold_on_seeds("lost responses", 20..24, losses);
 }
 
 #[test]
@@ -36,7 +36,7 @@
         machine_failures: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("machines", 30..34, machines);
+    assert_invariants_hold_on_seeds("machine failures", 30..34, machines);
 }
 
 #[test]
@@ -45,7 +45,7 @@
         outbound_only_machines: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("deaf machines", 50..54, outbound_only);
+    assert_invariants_hold_on_seeds("outbound-only machines", 50..54, outbound_only);
 }
 
 #[test]
@@ -55,7 +55,7 @@
         machine_failures: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("late copies", 60..64, duplicates);
+    assert_invariants_hold_on_seeds("late duplicate heartbeats", 60..64, duplicates);
 }
 
 #[test]
@@ -64,24 +64,25 @@
         isolated_controllers: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("controllers apart", 70..74, isolated);
+    assert_invariants_hold_on_seeds("isolated controllers", 70..74, isolated);
 }
 
-/// Covers what a controller decided before its pause and what comes out of full buffers after it.
+/// Covers decisions that a controller made before its pause, and messages that were buffered during
+/// the pause and arrive after it.
 #[test]
 fn invariants_hold_under_controller_pauses() {
     let pauses = Faults {
         controller_pauses: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("freezes", 120..126, pauses);
+    assert_invariants_hold_on_seeds("controller pauses", 120..126, pauses);
     let overload = Faults {
         overload: true,
         machine_failures: true,
         controller_crashes: true,
         ..pauses
     };
-    assert_invariants_hold_on_seeds("freezes and crowd", 126..130, overload);
+    assert_invariants_hold_on_seeds("controller pauses and overload", 126..130, overload);
 }
 
 #[test]
@@ -90,7 +91,7 @@
         restarts_in_election: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("back at once", 80..84, restarts);
+    assert_invariants_hold_on_seeds("restarts in election", 80..84, restarts);
 }
 
 #[test]
@@ -101,11 +102,11 @@
         controller_crashes: true,
         ..Faults::default()
     };
-    // Those that once broke a limit, or started a task twice, and a few others.
+    // Some of these seeds once exceeded a quota limit or started a task twice.
     for seed in [122, 173, 261, 557] {
-        assert_invariants_hold_on_seeds("crowd", seed..seed + 1, overload);
+        assert_invariants_hold_on_seeds("overload", seed..seed + 1, overload);
     }
-    assert_invariants_hold_on_seeds("crowd", 90..95, overload);
+    assert_invariants_hold_on_seeds("overload", 90..95, overload);
 }
 
 #[test]
@@ -115,13 +116,13 @@
         overload: true,
         ..Faults::default()
     };
-    assert_invariants_hold_on_seeds("repeats", 100..104, duplicates);
+    assert_invariants_hold_on_seeds("duplicate requests", 100..104, duplicates);
     let crashes = Faults {
         controller_crashes: true,
         machine_failures: true,
         ..duplicates
     };
-    assert_invariants_hold_on_seeds("repeats and crashes", 104..108, crashes);
+    assert_invariants_hold_on_seeds("duplicate requests and crashes", 104..108, crashes);
 }
 
 #[test]
--- a/src/simulation/tests/upgrades.rs
+++ b/src/simulation/tests/upgrades.rs
@@ -1,4 +1,5 @@
-//! Days on which controllers of two versions serve together and the store lowers its limits.
+//! Simulated rolling upgrades, in which controllers of two versions run at the same time and the
+//! store lowers its limits.
 
 use super::assert_invariants_hold;
 use super::dependent_jobs::{UPGRADE, run_with_dependent_jobs};
@@ -6,13 +7,9 @@
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
-/// Plays upgrade days and asserts that every controller was upgraded and every limit lowered.
-fn assert_invariants_hold_during_upgrades(
-    name: &str,
-    size: ClusterSize,
-    seeds: std::ops::Range<u64>,
-    faults: Faults,
-) {
+/// Runs an upgrade for each seed and asserts that the invariants hold, that every controller was
+/// upgraded, that the limits were lowered in every run, and that some submission was postponed.
+fn check_upgrades(name: &str, size: ClusterSize, seeds: std::ops::Range<u64>, faults: Faults) {
     let (mut upgraded, mut postponed, mut lowered) = (0, 0, 0);
     let seed_count = seeds.end - seeds.start;
     for seed in seeds {
@@ -28,22 +25,22 @@
         "{name}"
     );
     assert_eq!(lowered, seed_count, "{name}");
-    assert!(postponed > 0, "{name}: nothing was asked too soon");
+    assert!(postponed > 0, "{name}: no submission was postponed");
 }
 
-/// Both versions serve, either may lead, and the limits fall. What only the later version
-/// understands is put off until all have it.
+/// Both versions run at the same time, either may lead, and the store lowers its limits. Jobs with
+/// dependencies, which only the later version supports, are postponed until all controllers run it.
 #[test]
 fn invariants_hold_during_rolling_upgrade_with_lowered_store_limits() {
-    assert_invariants_hold_during_upgrades("upgrade", THREE_CONTROLLERS, 640..646, UPGRADE);
-    assert_invariants_hold_during_upgrades("upgrade of five", FIVE_CONTROLLERS, 646..648, UPGRADE);
+    check_upgrades("upgrade", THREE_CONTROLLERS, 640..646, UPGRADE);
+    check_upgrades("upgrade of five", FIVE_CONTROLLERS, 646..648, UPGRADE);
     let leader_crashes = Faults {
         leader_crashes: true,
         restarts_in_election: true,
         ..UPGRADE
     };
-    assert_invariants_hold_during_upgrades(
-        "upgrade and leaders",
+    check_upgrades(
+        "upgrade and leader crashes",
         THREE_CONTROLLERS,
         650..654,
         leader_crashes,
@@ -54,8 +51,8 @@
         overload: true,
         ..UPGRADE
     };
-    assert_invariants_hold_during_upgrades(
-        "upgrade and machines",
+    check_upgrades(
+        "upgrade and machine failures",
         THREE_CONTROLLERS,
         654..660,
         machine_failures,
@@ -66,7 +63,7 @@
         slow_store: true,
         ..UPGRADE
     };
-    assert_invariants_hold_during_upgrades(
+    check_upgrades(
         "upgrade and late effects",
         THREE_CONTROLLERS,
         660..664,
@@ -78,15 +75,16 @@
         store_disconnects: true,
         ..UPGRADE
     };
-    assert_invariants_hold_during_upgrades(
-        "upgrade and gap",
+    check_upgrades(
+        "upgrade and store refusal then outage",
         THREE_CONTROLLERS,
         664..668,
         refusal_then_outage,
     );
 }
 
-/// Once the limits have fallen nothing of this version is refused for its size again and again.
+/// After the limits are lowered, this version must not keep sending transactions that the store
+/// refuses because of their size.
 #[test]
 fn few_transactions_are_too_large_after_store_limits_are_lowered() {
     for seed in 670..674 {
@@ -96,7 +94,7 @@
         };
         let cluster =
             run_with_dependent_jobs(THREE_CONTROLLERS, seed, overload, DisabledGuard::None);
-        assert_invariants_hold(&cluster, &format!("limits, seed {seed}"));
+        assert_invariants_hold(&cluster, &format!("lowered store limits, seed {seed}"));
         let refused = cluster.store.oversized_txns;
         assert!(refused <= 20, "seed {seed}: refused {refused} times");
     }
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -1,12 +1,13 @@
-//! Days on which whole zones are cut off, from everything or from each other.
+//! Simulated runs in which a zone is isolated from everything outside it, or two zones are
+//! partitioned from each other.
 
 use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation_with_size};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 use crate::simulation::topology::FIVE_CONTROLLERS;
 
-/// The controller inside keeps its machines' leases alive, so what was cancelled goes on there
-/// until the machine is deleted.
+/// The controller in the isolated zone keeps renewing the leases of its machines, so cancelled tasks
+/// continue to run there until their machine is deleted.
 #[test]
 fn invariants_hold_while_a_zone_with_a_controller_is_isolated() {
     let zone_isolation = Faults {
@@ -22,7 +23,7 @@
     assert_invariants_hold_on_seeds("zone and crashes", 116..120, with_crashes);
 }
 
-/// Other faults that days with a zone partition add to it.
+/// Returns combinations of a zone partition with other faults.
 fn partition_combinations(partitioned: Faults) -> [Faults; 4] {
     [
         Faults {
@@ -47,8 +48,9 @@
     ]
 }
 
-/// Five controllers in three zones, of which two can't reach each other: heartbeats and messages go
-/// around through the third, and work goes on everywhere.
+/// Five controllers run in three zones, two of which can't reach each other. Heartbeats and messages
+/// between the two are relayed through the third zone, so that tasks keep running in all of them.
+/// With relaying disabled, at least three times as many tasks must be lost.
 #[test]
 fn invariants_hold_and_traffic_is_relayed_under_a_zone_partition() {
     let partitioned = Faults {
@@ -59,10 +61,10 @@
     for seed in 400..406 {
         let cluster =
             run_simulation_with_size(FIVE_CONTROLLERS, seed, partitioned, DisabledGuard::None);
-        assert_invariants_hold(&cluster, &format!("zones apart, seed {seed}"));
+        assert_invariants_hold(&cluster, &format!("zone partition, seed {seed}"));
         assert!(
             cluster.observed.fault_occurrences > 0,
-            "seed {seed}: no zones were apart"
+            "seed {seed}: no partition occurred"
         );
         relayed += cluster.observed.relayed_messages;
         tasks_lost[0] += cluster.observed.tasks_lost;
@@ -79,9 +81,12 @@
         );
         tasks_lost[1] += without_relay.observed.tasks_lost;
     }
-    assert!(relayed > 500, "{relayed} went around");
-    println!("lost {tasks_lost:?} with and without a way around");
-    assert!(tasks_lost[0] * 3 <= tasks_lost[1], "lost {tasks_lost:?}");
+    assert!(relayed > 500, "only {relayed} messages relayed");
+    println!("lost {tasks_lost:?} tasks with and without relaying");
+    assert!(
+        tasks_lost[0] * 3 <= tasks_lost[1],
+        "lost {tasks_lost:?} tasks"
+    );
     for (seed, faults) in (406..).zip(
         partition_combinations(partitioned)
             .into_iter()
@@ -91,7 +96,7 @@
         let cluster = run_simulation_with_size(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
         assert_invariants_hold(
             &cluster,
-            &format!("zones apart and {faults:?}, seed {seed}"),
+            &format!("zone partition and {faults:?}, seed {seed}"),
         );
     }
 }
@@ -104,6 +109,9 @@
             ..Faults::ALL_SINGLE_FAULTS
         };
         let cluster = run_simulation_with_size(FIVE_CONTROLLERS, seed, faults, DisabledGuard::None);
-        assert_invariants_hold(&cluster, &format!("all at five, seed {seed}"));
+        assert_invariants_hold(
+            &cluster,
+            &format!("five controllers under all faults, seed {seed}"),
+        );
     }
 }
