--- a/src/simulation/tests/counted_faults.rs
+++ b/src/simulation/tests/counted_faults.rs
@@ -1,5 +1,5 @@
 //! Simulated runs for faults that matter only if they coincide with other events. The tests assert
-//! how often that happened, and then repeat the runs with further faults.
+//! a minimum number of such occurrences, and then add further faults.
 
 use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
