--- a/src/simulation/tests/pairs.rs
+++ b/src/simulation/tests/pairs.rs
@@ -1,98 +1,105 @@
-//! Days under every pair of faults, and a search through many seeds of each.
+//! Simulated runs with every pair of faults, and a search through many seeds of each pair.
 
-use super::{SINGLE_FAULTS, assert_invariants_hold, play, play_days};
+use super::{
+    SINGLE_FAULTS, assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation,
+};
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
-/// Every two faults at once, under the name that digests print.
+/// Returns every pair of faults with its name, as digest lines print it.
 pub(super) fn fault_pairs() -> Vec<(String, Faults)> {
     let mut pairs = Vec::new();
-    for (i, (one, set)) in SINGLE_FAULTS.iter().enumerate() {
-        for (other, set_other) in &SINGLE_FAULTS[i + 1..] {
+    for (i, (first_name, add_first)) in SINGLE_FAULTS.iter().enumerate() {
+        for (second_name, add_second) in &SINGLE_FAULTS[i + 1..] {
             let mut faults = Faults::default();
-            set(&mut faults);
-            set_other(&mut faults);
-            pairs.push((format!("{one} and {other}"), faults));
+            add_first(&mut faults);
+            add_second(&mut faults);
+            pairs.push((format!("{first_name} and {second_name}"), faults));
         }
     }
     pairs
 }
 
-/// The seed follows from the pair, so that the pairs don't all meet the same day.
+/// Each pair has a seed of its own, so that the pairs do not all run with the same workload.
 #[test]
 fn invariants_hold_under_each_pair_of_faults() {
     for (seed, (name, faults)) in (300..).zip(fault_pairs()) {
-        play_days(&name, seed..seed + 1, faults);
+        assert_invariants_hold_on_seeds(&name, seed..seed + 1, faults);
     }
 }
 
-/// The first seed of the search through pairs, and how many seeds each pair gets.
+/// The first seed of the search through pairs.
 const FIRST_SEARCH_SEED: u64 = 10_000;
+/// The number of consecutive seeds that the search runs for each pair.
 const SEEDS_PER_PAIR: u64 = 20;
 
-/// All that the stand-in's cloud has to give was held by idle spot machines, which the gang that
-/// waited must not use: nothing is returned while something waits, so it waited for ever.
+/// Guards against a gang that waits forever: idle spot machines, which the gang must not use, held
+/// all capacity of the simulated cloud, and idle machines were not returned while a job waited.
 #[test]
 fn idle_spot_machines_are_returned_when_a_gang_needs_their_capacity() {
-    assert_searched_day_holds(10_999, "cuts and copies");
+    assert_invariants_hold_on_search_seed(10_999, "cuts and copies");
 }
 
-/// Days on which records of deleted machines come back with repeated transactions, and one on
-/// which controllers stand still while a machine is deaf: the search failed on them before its
-/// checks allowed for that.
+/// With some of these seeds, duplicate transactions restore the records of deleted machines. With
+/// another, controllers pause while a machine receives nothing. The checks of the search used to
+/// report these cases as violations.
 #[test]
-fn invariants_hold_on_days_the_search_once_failed() {
+fn invariants_hold_on_seeds_that_failed_in_earlier_searches() {
     for seed in [10_832, 10_835, 10_837, 10_838] {
-        assert_searched_day_holds(seed, "machines and repeats");
+        assert_invariants_hold_on_search_seed(seed, "machines and repeats");
     }
-    assert_searched_day_holds(11_335, "deaf and freezes");
+    assert_invariants_hold_on_search_seed(11_335, "deaf and freezes");
     for seed in [11_366, 11_368] {
-        assert_searched_day_holds(seed, "deaf and repeats");
+        assert_invariants_hold_on_search_seed(seed, "deaf and repeats");
     }
-    assert_searched_day_holds(12_516, "zone and repeats");
+    assert_invariants_hold_on_search_seed(12_516, "zone and repeats");
 }
 
-/// Days on which machines are deleted while nobody leads: their records take the longest to go.
+/// Machines are deleted while there is no leader. Removing their records takes longest in this case.
 #[test]
 fn records_of_machines_deleted_without_a_leader_are_removed() {
-    assert_searched_day_holds(12_045, "flaps and gap");
-    assert_searched_day_holds(12_839, "gap and away");
+    assert_invariants_hold_on_search_seed(12_045, "flaps and gap");
+    assert_invariants_hold_on_search_seed(12_839, "gap and away");
 }
 
-/// Plays a day of the search once more.
-fn assert_searched_day_holds(seed: u64, expected: &str) {
-    let pair = (seed - FIRST_SEARCH_SEED) / SEEDS_PER_PAIR;
+/// Repeats the run of one seed of the search and asserts that the invariants hold. `expected_name` is
+/// the name of the pair that the seed belongs to.
+fn assert_invariants_hold_on_search_seed(seed: u64, expected_name: &str) {
+    let pair_index = (seed - FIRST_SEARCH_SEED) / SEEDS_PER_PAIR;
     let (name, faults) = fault_pairs()
         .into_iter()
-        .nth(pair as usize)
+        .nth(pair_index as usize)
         .expect("a pair");
-    assert_eq!(name, expected);
-    let cluster = play(seed, faults, DisabledGuard::None);
+    assert_eq!(name, expected_name);
+    let cluster = run_simulation(seed, faults, DisabledGuard::None);
     assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
 fn search_many_seeds_of_each_pair_of_faults() {
-    let mut violations = Vec::new();
-    for (n, (name, faults)) in (0..).zip(fault_pairs()) {
-        let first = FIRST_SEARCH_SEED + SEEDS_PER_PAIR * n;
-        for seed in first..first + SEEDS_PER_PAIR {
-            let cluster = play(seed, faults, DisabledGuard::None);
-            let (waiting, left) = (&cluster.pending_cancellations, cluster.unfinished_jobs());
-            if !cluster.observed.violations.is_empty() || !waiting.is_empty() || !left.is_empty() {
-                let rules = cluster.observed.violations.first();
-                violations.push(format!(
-                    "{name}, seed {seed}: {rules:?} {waiting:?} {left:?}"
+    let mut failures = Vec::new();
+    for (pair_index, (name, faults)) in (0..).zip(fault_pairs()) {
+        let first_seed = FIRST_SEARCH_SEED + SEEDS_PER_PAIR * pair_index;
+        for seed in first_seed..first_seed + SEEDS_PER_PAIR {
+            let cluster = run_simulation(seed, faults, DisabledGuard::None);
+            let (pending, unfinished) = (&cluster.pending_cancellations, cluster.unfinished_jobs());
+            if !cluster.observed.violations.is_empty()
+                || !pending.is_empty()
+                || !unfinished.is_empty()
+            {
+                let first_violation = cluster.observed.violations.first();
+                failures.push(format!(
+                    "{name}, seed {seed}: {first_violation:?} {pending:?} {unfinished:?}"
                 ));
             }
         }
     }
-    assert!(violations.is_empty(), "{}", violations.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 #[ignore = "a search through many seeds, run by hand"]
 fn search_many_seeds_of_all_faults() {
-    play_days("all", 1000..1200, Faults::ALL_SINGLE_FAULTS);
+    assert_invariants_hold_on_seeds("all", 1000..1200, Faults::ALL_SINGLE_FAULTS);
 }
