--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -1,4 +1,4 @@
-//! One sample of every message between controllers and of every stored record.
+//! One sample of each message between controllers and of each stored record.
 
 use crate::admin::Settings;
 use crate::ids::{
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The job of all samples.
+/// The id of the job that all samples refer to.
 pub(super) const JOB: &str = "job-000412";
 
 fn attempt(index: u32) -> TaskAttempt {
@@ -35,7 +35,7 @@
     "vm-000231".into()
 }
 
-/// A machine with running and finished tasks of one job.
+/// Returns the record of a machine with two running and two completed tasks of one job.
 pub(super) fn machine_record() -> MachineRecord {
     let mut record = MachineRecord::new("10.1.0.232:9000", &"t8".into(), &"a".into(), true);
     let spec = crate::protocol::tests::spec(JOB);
@@ -45,20 +45,20 @@
     record
 }
 
-fn ended(end: AttemptOutcome) -> Message {
+fn ended_attempt(outcome: AttemptOutcome) -> Message {
     Message::EndedAttempt(EndedAttempt {
         attempt: attempt(2),
         machine: machine(),
         revision: Revision(431),
         type_name: "t8".into(),
         pipeline: Some("batch".into()),
-        outcome: end,
+        outcome,
         estimate_s: 30.0,
         run_time: Some(Millis(28_500)),
     })
 }
 
-fn freed() -> FreedAttempt {
+fn freed_attempt() -> FreedAttempt {
     FreedAttempt {
         machine: machine(),
         attempt: attempt(2),
@@ -66,7 +66,7 @@
     }
 }
 
-fn health() -> Message {
+fn health_message() -> Message {
     Message::Health(vec![MachineHealth {
         machine: machine(),
         fence: Revision(41),
@@ -79,7 +79,7 @@
     }])
 }
 
-/// Every message, in the order of the golden file, under the name of its sample.
+/// Returns the name and the sample of each message, in the order of the golden file.
 pub(super) fn messages() -> Vec<(&'static str, Message)> {
     let mut samples = allotment_messages();
     samples.extend(attempt_messages());
@@ -109,17 +109,17 @@
 }
 
 fn attempt_messages() -> Vec<(&'static str, Message)> {
-    let no_room = AttemptOutcome::Exited(ExitReason::NoCapacity);
+    let no_capacity = AttemptOutcome::Exited(ExitReason::NoCapacity);
     let stop = Message::Stop {
         machine: machine(),
         attempt: attempt(2),
         grace: Millis(4000),
     };
     vec![
-        ("EndedDone", ended(AttemptOutcome::Done)),
-        ("EndedExited", ended(no_room)),
-        ("EndedAbsent", ended(AttemptOutcome::Absent)),
-        ("Freed", Message::Freed(vec![freed()])),
+        ("EndedDone", ended_attempt(AttemptOutcome::Done)),
+        ("EndedExited", ended_attempt(no_capacity)),
+        ("EndedAbsent", ended_attempt(AttemptOutcome::Absent)),
+        ("Freed", Message::Freed(vec![freed_attempt()])),
         ("Stop", stop),
     ]
 }
@@ -173,7 +173,7 @@
         ("Word", status),
         ("Relay", relay),
         ("Strays", misdirected),
-        ("Health", health()),
+        ("Health", health_message()),
     ]
 }
 
@@ -213,7 +213,8 @@
     bits
 }
 
-/// Every record but the controllers' own, which names its version; in the order of the golden file.
+/// Returns the name and the JSON of each record, in the order of the golden file. The member
+/// record is left out because it contains the version of the program and so differs by version.
 pub(super) fn records() -> Vec<(&'static str, Value)> {
     let leader = LeaderRecord {
         member: "mooring-1".into(),
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -1,4 +1,5 @@
-//! Users who cancel, through one controller and then another, and store outages.
+//! Cancellation requests of users, retried through other controllers, and outages of the key-value
+//! store.
 
 use super::cluster::SimulatedCluster;
 use super::events::{CancellationPoll, CascadeStepDue, ControllerProcess, SimulationEvent};
@@ -12,40 +13,43 @@
 use crate::store::records::{FinalRecord, LeaderRecord};
 use crate::store::{TxnOutcome, keys};
 
-/// How long a controller waits until the tasks have ended, and how often it asks, in ms.
+/// How long a controller waits for the tasks of a cancelled job to end, and the interval at which
+/// it polls for that, in ms.
 const CANCELLATION_WAIT_MS: u64 = 900;
 const POLL_INTERVAL_MS: u64 = 60;
-/// How long a controller tries to cancel the dependents of a cancelled job, in ms.
+/// How long a controller tries to cancel the dependents of a cancelled job before the user has to
+/// retry, in ms.
 const CASCADE_WAIT_MS: u64 = 600;
 
 impl SimulatedCluster {
-    /// A user cancels a job, unless that is under way.
+    /// Cancels a job for a user, unless a cancellation is already pending.
     pub(super) fn cancel(&mut self, id: &JobId) {
         if self.pending_cancellations.insert(id.clone()) {
             self.request_cancellation(id.clone());
         }
     }
 
-    /// A user's request to cancel, handled by some controller as the API does it.
+    /// Handles a user's cancellation request on a random controller that can serve it, as the API
+    /// does.
     pub(super) fn request_cancellation(&mut self, job: JobId) {
         let now = self.now;
-        let able = |n: &usize| {
+        let can_serve = |n: &usize| {
             let node = &self.nodes[*n];
-            let served = node.store_cut_until <= now || node.final_records_seen.contains(&job);
-            node.controller.is_some() && node.frozen_until <= now && served
+            let can_answer = node.store_cut_until <= now || node.final_records_seen.contains(&job);
+            node.controller.is_some() && node.paused_until <= now && can_answer
         };
-        let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
-        if able.is_empty() {
+        let serving_nodes: Vec<usize> = (0..self.nodes.len()).filter(can_serve).collect();
+        if serving_nodes.is_empty() {
             return self.retry_cancellation(job);
         }
-        let node = able[self.pick(0, able.len() as u64 - 1) as usize];
+        let node = serving_nodes[self.pick(0, serving_nodes.len() as u64 - 1) as usize];
         let Some(revision) = self.commit_cancellation(&job) else {
             self.pending_cancellations.remove(&job);
             return;
         };
         self.nodes[node].final_records_seen.insert(job.clone());
         if self.disabled_guard == DisabledGuard::CancellationConfirmedOnCommit {
-            self.confirm(&job);
+            self.confirm_cancellation(&job);
             return;
         }
         let process = self.process(node);
@@ -62,12 +66,13 @@
         });
     }
 
-    /// The user asks again after a while.
+    /// Schedules a retry of the user's cancellation request.
     pub(super) fn retry_cancellation(&mut self, job: JobId) {
         self.schedule_in(USER_RETRY_MS, SimulationEvent::RequestCancellation(job));
     }
 
-    /// The change that cancelled the job, now or before. `None`: it is done, or unknown.
+    /// Writes the cancellation unless the job has a final state. Returns the revision of the
+    /// cancellation, or `None` if the job is done, unknown, or the write failed.
     fn commit_cancellation(&mut self, job: &JobId) -> Option<Revision> {
         let final_key = keys::final_state(job);
         if let Some(record) = self.store.read::<FinalRecord>(&final_key) {
@@ -83,11 +88,11 @@
         };
         txn.put(keys::final_state(job), &record, None);
         txn.delete(keys::job(job));
-        // Counted where the controller that the key-value store refuses owns a machine with the
-        // job on it.
+        // This counts as an occurrence of the fault only if the key-value store refuses exactly one
+        // controller and that controller receives heartbeats from a machine with a task of the job.
         if self
-            .refused_alone()
-            .is_some_and(|node| self.serves_job(node, job))
+            .only_refused_node()
+            .is_some_and(|node| self.receives_heartbeats_for_job(node, job))
         {
             self.observed.fault_occurrences += 1;
         }
@@ -99,7 +104,8 @@
         }
     }
 
-    /// Tells the user once all owners have acknowledged, or gives up at the deadline.
+    /// Begins to cancel dependents once all shard owners have acknowledged. After the deadline, the
+    /// user retries.
     pub(super) fn poll_cancellation(&mut self, poll: CancellationPoll) {
         let now = self.now;
         let ControllerProcess { node, generation } = poll.process;
@@ -131,14 +137,16 @@
         });
     }
 
-    /// The user is told that the job is cancelled.
-    pub(super) fn confirm(&mut self, job: &JobId) {
+    /// Records that the user was told that the job is cancelled.
+    pub(super) fn confirm_cancellation(&mut self, job: &JobId) {
         self.pending_cancellations.remove(job);
-        self.cancelled.entry(job.clone()).or_insert(self.now);
+        self.confirmed_cancellations
+            .entry(job.clone())
+            .or_insert(self.now);
     }
 
-    /// The only controller that the key-value store refuses.
-    fn refused_alone(&self) -> Option<usize> {
+    /// Returns the controller that the key-value store refuses, if it is the only one.
+    fn only_refused_node(&self) -> Option<usize> {
         let refused = |n: &usize| self.nodes[*n].store_cut_until > self.now;
         let refused: Vec<usize> = (0..self.nodes.len()).filter(refused).collect();
         match refused[..] {
@@ -147,8 +155,9 @@
         }
     }
 
-    /// Whether a task of the job is on a machine that sends heartbeats to this controller.
-    fn serves_job(&self, node: usize, job: &JobId) -> bool {
+    /// Returns whether a machine that sends heartbeats to this controller has a task of the job
+    /// that has not exited.
+    fn receives_heartbeats_for_job(&self, node: usize, job: &JobId) -> bool {
         let mut workers = self.workers.values().filter(|w| !w.dead && w.node == node);
         workers.any(|w| {
             let mut tasks = w.tasks.iter();
@@ -156,29 +165,29 @@
         })
     }
 
-    /// The leader by the key-value store's record.
+    /// Returns the leader according to its record in the key-value store.
     pub(super) fn leader(&self) -> Option<usize> {
         let record = self.store.read::<LeaderRecord>(keys::LEADER)?;
         member_index(record.member.as_str())
     }
 
-    /// The outage ends, unless another one has begun meanwhile.
-    pub(super) fn store_outage_ends(&mut self) {
-        if self.active.store_outage_until <= self.now {
+    /// Ends the outage, unless another one has begun in the meantime.
+    pub(super) fn on_store_outage_end(&mut self) {
+        if self.active_faults.store_outage_until <= self.now {
             self.end_store_outage();
         }
     }
 
-    /// All leases have their full time again.
+    /// Ends the outage of the key-value store and extends all leases to their full duration.
     pub(super) fn end_store_outage(&mut self) {
-        self.active.store_outage_until = self.now;
+        self.active_faults.store_outage_until = self.now;
         let until = self.time_in(MEMBER_LEASE_MS);
         for end in self.store.leases.values_mut() {
             *end = until;
         }
     }
 
-    /// Users cancel all jobs that run.
+    /// Cancels all jobs that have running tasks.
     pub(super) fn cancel_running(&mut self) {
         let attempts = self.workers.values().flat_map(|w| w.tasks.iter());
         let running = attempts.filter(|(_, t)| t.state == TaskState::Running);
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -1,4 +1,4 @@
-//! Users who submit jobs that depend on others, and the cancellation of dependents.
+//! Submission of jobs that depend on other jobs, and cancellation of dependents.
 
 use super::cluster::SimulatedCluster;
 use super::events::{CascadeStepDue, ControllerProcess, SimulationEvent};
@@ -17,18 +17,18 @@
 use crate::store::{TxnOutcome, keys};
 use std::collections::BTreeSet;
 
-/// A submission whose dependencies have changed is decided anew after this, in ms.
+/// The delay before a submission is retried because its dependencies have changed, in ms.
 const DECISION_RETRY_MS: u64 = 20;
-/// Dependencies are among the last so many jobs.
+/// The number of most recent jobs among which users choose dependencies.
 const RECENT_JOBS: u64 = 8;
-/// How often a controller goes on with a cascade, in ms.
+/// The interval between the steps of cancelling dependents, in ms.
 const CASCADE_INTERVAL_MS: u64 = 15;
-/// Percent of the cancelled jobs that users name as dependencies all the same.
-const CANCELLED_PARENT_PERCENT: u64 = 10;
+/// Percent of the chosen cancelled jobs that users still name as dependencies.
+const CANCELLED_DEPENDENCY_PERCENT: u64 = 10;
 
 impl SimulatedCluster {
-    /// Adds some recent jobs as dependencies, whatever has become of them. Users know only those
-    /// that were accepted.
+    /// Adds some recent jobs in any state as dependencies. Only accepted jobs are chosen, since
+    /// users know no others.
     pub(super) fn add_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
         let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
@@ -36,23 +36,24 @@
             .map(|(id, _)| id.clone())
             .take(RECENT_JOBS as usize)
             .collect();
-        let most = (recent.len() as u64).min(3);
-        let mut named = BTreeSet::new();
-        for _ in 0..self.pick(0, most) {
+        let max_count = (recent.len() as u64).min(3);
+        let mut chosen = BTreeSet::new();
+        for _ in 0..self.pick(0, max_count) {
             let at = self.pick(0, recent.len() as u64 - 1) as usize;
             let cancelled = self.final_state(&recent[at]) == Some(JobState::Cancelled);
-            if !cancelled || self.chance(CANCELLED_PARENT_PERCENT) {
-                named.insert(recent[at].clone());
+            if !cancelled || self.chance(CANCELLED_DEPENDENCY_PERCENT) {
+                chosen.insert(recent[at].clone());
             }
         }
-        spec.dependencies = named.into_iter().collect();
+        spec.dependencies = chosen.into_iter().collect();
     }
 
     fn is_accepted(&self, id: &JobId) -> bool {
         self.store.contains(&keys::job(id)) || self.store.contains(&keys::final_state(id))
     }
 
-    /// Submits a job with dependencies through some controller, as the API does it.
+    /// Submits a job with dependencies through a random controller that can serve it, as the API
+    /// does.
     pub(super) fn submit_dependent(&mut self, spec: JobSpec) {
         if self.is_accepted(&spec.id) {
             return;
@@ -71,13 +72,13 @@
             return;
         }
         let ids = spec.dependencies.iter();
-        let named = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
-        let dependencies = CombinedDependencyState::of(&spec.id, named.collect());
+        let dependency_states = ids.map(|id| (id.clone(), self.dependency_state(node, id)));
+        let dependencies = CombinedDependencyState::of(&spec.id, dependency_states.collect());
         self.write_submission(&spec, &dependencies);
     }
 
     fn write_submission(&mut self, spec: &JobSpec, dependencies: &CombinedDependencyState) {
-        let decided = match self.disabled_guard {
+        let effective_state = match self.disabled_guard {
             DisabledGuard::DependenciesIgnored => &CombinedDependencyState::Done,
             _ => dependencies,
         };
@@ -85,7 +86,7 @@
             UnixTime(self.now.0),
             self.nodes[0].config.store_limits.txn_ops,
         );
-        let Some((txn, state)) = decided.acceptance_txn(spec, now, ops) else {
+        let Some((txn, state)) = effective_state.acceptance_txn(spec, now, ops) else {
             self.record_violation(
                 ViolationKind::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
@@ -110,31 +111,31 @@
         }
     }
 
-    /// A controller that can decide: it runs, and the key-value store serves it.
+    /// Returns a random controller that runs, is not paused and can reach the key-value store.
     fn serving_node(&mut self) -> Option<usize> {
-        let able = |n: &usize| {
+        let can_serve = |n: &usize| {
             let node = &self.nodes[*n];
-            let served = node.store_cut_until <= self.now && node.frozen_until <= self.now;
-            node.controller.is_some() && served
+            let store_reachable = node.store_cut_until <= self.now && node.paused_until <= self.now;
+            node.controller.is_some() && store_reachable
         };
-        let able: Vec<usize> = (0..self.nodes.len()).filter(able).collect();
-        let last = able.len().checked_sub(1)? as u64;
+        let serving_nodes: Vec<usize> = (0..self.nodes.len()).filter(can_serve).collect();
+        let last = serving_nodes.len().checked_sub(1)? as u64;
         let at = self.pick(0, last) as usize;
-        able.get(at).copied()
+        serving_nodes.get(at).copied()
     }
 
     fn dependency_state(&self, node: usize, id: &JobId) -> DependencyState {
         let controller = self.nodes[node].controller.as_ref();
-        let shown = controller.and_then(|c| cached_dependency_state(id, &c.cache));
-        // What the watch cache shows may be old: the conditions of the write fail then, and the
-        // records are read.
-        let found = self.store.revision_of(&keys::job(id));
-        let is_current = |state: &DependencyState| matches!(state, DependencyState::Live { revision, .. } if found == Some(*revision));
-        if let Some(live) = shown.filter(is_current) {
+        let cached = controller.and_then(|c| cached_dependency_state(id, &c.cache));
+        // The cached state may be stale. In that case the conditions of the API's write fail and
+        // the API reads the records, so a stale state is replaced here by the records.
+        let live_revision = self.store.revision_of(&keys::job(id));
+        let is_current = |state: &DependencyState| matches!(state, DependencyState::Live { revision, .. } if live_revision == Some(*revision));
+        if let Some(live) = cached.filter(is_current) {
             return live;
         }
         if let (Some(record), Some(revision)) =
-            (self.store.read::<JobRecord>(&keys::job(id)), found)
+            (self.store.read::<JobRecord>(&keys::job(id)), live_revision)
         {
             let kind = record.spec.kind;
             return DependencyState::Live { kind, revision };
@@ -146,32 +147,33 @@
         }
     }
 
-    /// The final state of a job, if it has one.
+    /// Returns the final state of a job, if it has one.
     pub(super) fn final_state(&self, id: &JobId) -> Option<JobState> {
         let record = self.store.read::<FinalRecord>(&keys::final_state(id))?;
         Some(record.state)
     }
 
-    /// Cancels the dependents of a cancelled job before its user is told, as the API does it.
+    /// Runs one step of cancelling the dependents of a cancelled job. The user is told only after
+    /// the last step, as the API does.
     pub(super) fn step_cascade(&mut self, mut due: CascadeStepDue) {
         if self.disabled_guard == DisabledGuard::DependentsNotCancelled {
-            self.confirm(&due.job);
+            self.confirm_cancellation(&due.job);
             return;
         }
         let ControllerProcess { node, generation } = due.process;
         let ops = self.nodes[node].config.store_limits.txn_ops;
-        let served = self.nodes[node].store_cut_until <= self.now;
+        let store_reachable = self.nodes[node].store_cut_until <= self.now;
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(due.job);
         };
         match due.cascade.next(&controller.cache, ops) {
             CascadeStep::Complete => {
-                self.count_left_dependents(&due.job);
-                self.confirm(&due.job);
+                self.count_live_dependents(&due.job);
+                self.confirm_cancellation(&due.job);
                 return;
             }
             _ if self.now > due.deadline => return self.retry_cancellation(due.job),
-            CascadeStep::Write(txn, jobs) if served => {
+            CascadeStep::Write(txn, jobs) if store_reachable => {
                 self.write_cascade(due.process, &mut due.cascade, txn, &jobs);
             }
             CascadeStep::Write(..) | CascadeStep::Wait => {}
@@ -198,28 +200,29 @@
         }
     }
 
-    fn count_left_dependents(&mut self, cancelled: &JobId) {
-        let left = self.jobs.keys().filter(|id| {
-            self.store.contains(&keys::job(id)) && self.ancestors(id).contains(cancelled)
+    fn count_live_dependents(&mut self, cancelled: &JobId) {
+        let live = self.jobs.keys().filter(|id| {
+            self.store.contains(&keys::job(id))
+                && self.transitive_dependencies(id).contains(cancelled)
         });
-        self.observed.dependencies.live_at_confirmation += left.count() as u64;
+        self.observed.dependencies.live_at_confirmation += live.count() as u64;
     }
 
-    /// All jobs that a job needs, directly or through others.
-    pub(super) fn ancestors(&self, id: &JobId) -> BTreeSet<JobId> {
+    /// Returns all jobs that a job depends on, directly or transitively.
+    pub(super) fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut open = vec![id.clone()];
-        while let Some(next) = open.pop() {
-            for parent in &self.jobs[&next].dependencies {
-                if found.insert(parent.clone()) {
-                    open.push(parent.clone());
+        let mut pending = vec![id.clone()];
+        while let Some(next) = pending.pop() {
+            for dependency in &self.jobs[&next].dependencies {
+                if found.insert(dependency.clone()) {
+                    pending.push(dependency.clone());
                 }
             }
         }
         found
     }
 
-    /// Counts the dependent jobs that the leader releases.
+    /// Counts the transactions by which the leader releases dependent jobs.
     pub(super) fn count_releases(&mut self, effects: &[Effect]) {
         let is_release = |e: &&Effect| {
             let requester = match e {
--- a/src/simulation/stand_ins/cloud.rs
+++ b/src/simulation/fake_services/cloud.rs
@@ -15,19 +15,19 @@
 use crate::store::records::FinalRecord;
 use serde_json::json;
 
-/// The most machines that the cloud has for a small fleet.
-const SMALL_FLEET_MACHINES: usize = 14;
-/// The slots of a machine of a small fleet.
+/// The maximum number of machines that the cloud provides for a small fleet.
+const SMALL_FLEET_MAX_MACHINES: usize = 14;
+/// The number of slots of a machine of a small fleet.
 const SMALL_FLEET_SLOTS: u64 = 4;
 /// How long a machine takes to boot, in ms.
 const BOOT_MS: (u64, u64) = (1000, 6000);
 /// Percent of the machines that never boot.
 const BOOT_FAILURE_PERCENT: u64 = 5;
-/// Percent of the responses of the cloud that get lost.
+/// Percent of the responses of the cloud that are lost.
 const LOST_RESPONSE_PERCENT: u64 = 20;
 
 impl SimulatedCluster {
-    /// Carries out what a controller asks of the cloud, or of the store outside transactions.
+    /// Handles a controller's call to the cloud, or its read from the store outside transactions.
     pub(in crate::simulation) fn handle_cloud_call(
         &mut self,
         caller: ControllerProcess,
@@ -48,18 +48,18 @@
         let Some(ms) = self.duplicate_delay() else {
             return;
         };
-        let again = match effect {
+        let duplicate = match effect {
             Effect::RentMachines(request) => Effect::RentMachines(request.clone()),
             Effect::DeleteMachines(ids) => Effect::DeleteMachines(ids.clone()),
             _ => return,
         };
-        let caller = ControllerProcess::gone(node);
-        self.schedule_in(ms, SimulationEvent::CloudCall(caller, again));
+        let caller = ControllerProcess::stopped(node);
+        self.schedule_in(ms, SimulationEvent::CloudCall(caller, duplicate));
     }
 
     fn rent(&mut self, caller: ControllerProcess, request: &RentRequest) {
         let now = self.now;
-        let known = self.rented.get(&request.request).cloned();
+        let known = self.machines_by_rent_request.get(&request.request).cloned();
         let ids = known.unwrap_or_else(|| self.provide_machines(request));
         let outcome = match ids.is_empty() {
             true => RentOutcome::NoCapacity,
@@ -72,9 +72,9 @@
     }
 
     fn provide_machines(&mut self, request: &RentRequest) -> Vec<MachineId> {
-        let scale = self.fleet.as_ref();
-        let most = scale.map_or(SMALL_FLEET_MACHINES, |s| s.max_machines);
-        let free = most.saturating_sub(self.workers.len());
+        let fleet = self.fleet.as_ref();
+        let max_machines = fleet.map_or(SMALL_FLEET_MAX_MACHINES, |s| s.max_machines);
+        let free = max_machines.saturating_sub(self.workers.len());
         let free = free.min(request.count as usize);
         let ids: Vec<_> = (0..free).map(|_| self.new_machine(request.spot)).collect();
         for id in &ids {
@@ -83,16 +83,17 @@
                 self.schedule_in(boot, SimulationEvent::MachineBoot(id.clone()));
             }
         }
-        self.rented.insert(request.request.clone(), ids.clone());
+        self.machines_by_rent_request
+            .insert(request.request.clone(), ids.clone());
         ids
     }
 
-    /// The machine has booted, and its worker starts.
+    /// Marks a machine as booted and starts its worker.
     pub(in crate::simulation) fn boot_machine(&mut self, id: MachineId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.dead = false;
-            worker.answered = self.now;
-            self.schedule_in(0, SimulationEvent::WorkerTurn(id));
+            worker.last_answered_heartbeat = self.now;
+            self.schedule_in(0, SimulationEvent::WorkerTick(id));
         }
     }
 
@@ -110,7 +111,8 @@
         self.with_controller(caller, |c| c.on_delete_outcome(now, ids, ok));
     }
 
-    /// `HealthyMachineDeleted`: with pausing controllers alone no machine is at fault.
+    /// Records `HealthyMachineDeleted` if a machine with running tasks is deleted while controller
+    /// pauses are the only fault, since no machine is faulty then.
     fn check_deletion(&mut self, ids: &[MachineId]) {
         let pauses_only = Faults {
             controller_pauses: true,
@@ -151,12 +153,13 @@
         let catalog: Catalog = serde_json::from_value(json!({"hulls": [
             {"name": "t8", "cores": 2 * slots, "cards": 0, "memory_gb": 16 * slots, "cache_gb": 50,
              "fetch_gb_per_s": 1.0, "price": 1.0, "low_price": 0.4, "startup_s": 4,
-             "berths": &ZONES[..self.zones]}]}))
-        .expect("catalog");
+             "berths": &ZONES[..self.zone_count]}]}))
+        .expect("catalog is valid");
         self.with_controller(caller, |c| c.on_catalog(now, Some(catalog)));
     }
 
-    /// Reads the final state of a job; without the store there is no response.
+    /// Responds with the final state of a job. There is no response while the store is unreachable
+    /// or if the job has no final state.
     fn query_outcome(&mut self, caller: ControllerProcess, job: &JobId) {
         let now = self.now;
         if self.nodes[caller.node].store_cut_until > now {
--- a/src/simulation/stand_ins/heartbeats.rs
+++ b/src/simulation/fake_services/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The turns of workers: tasks end, the lease runs out, heartbeats are sent and answered.
+//! Ticks of workers: tasks end, leases expire, and heartbeats are sent and answered.
 
 use crate::ids::{JobId, MachineId, MonotonicTime};
 use crate::protocol::{ExitReason, Heartbeat, JobKind, TaskState};
@@ -12,22 +12,22 @@
 use crate::simulation::topology::member_index;
 use crate::worker_control::HeartbeatAnswer;
 
-/// How often a worker has its turn, in ms.
-const WORKER_TURN_MS: u64 = 100;
+/// The interval between ticks of a worker, in ms.
+const WORKER_TICK_MS: u64 = 100;
 /// The interval between heartbeats, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
-/// The interval once something has changed, in ms.
+/// The interval until the next heartbeat after a change, in ms.
 const PROMPT_HEARTBEAT_MS: u64 = 500;
-/// How long a worker waits before it turns to another controller, in ms.
+/// How long a worker waits before it switches to another controller, in ms.
 const NEXT_CONTROLLER_MS: u64 = 1000;
-/// How long a message between a worker and a controller takes, in ms.
+/// The latency of a message between a worker and a controller, in ms.
 const TRANSIT_MS: (u64, u64) = (1, 4);
-/// How long a late heartbeat takes, in ms.
+/// The latency of a late heartbeat, in ms.
 const LATE_HEARTBEAT_MS: (u64, u64) = (3000, 9000);
 
 impl SimulatedCluster {
-    /// One worker's turn.
-    pub(in crate::simulation) fn worker_turn(&mut self, id: &MachineId) {
+    /// Runs one tick of a worker.
+    pub(in crate::simulation) fn worker_tick(&mut self, id: &MachineId) {
         let ticket = self.queue.next_sequence();
         let now = self.now;
         let Some(worker) = self.workers.get(id).filter(|w| !w.dead) else {
@@ -46,24 +46,25 @@
         if let Some(delivery) = delivery {
             self.send_heartbeat(delivery);
         }
-        self.schedule_in(WORKER_TURN_MS, SimulationEvent::WorkerTurn(id.clone()));
+        self.schedule_in(WORKER_TICK_MS, SimulationEvent::WorkerTick(id.clone()));
     }
 
-    /// Without a response for a lease, a worker ends all tasks and begins a new epoch.
+    /// Ends all tasks of a worker and begins a new epoch, if no heartbeat was answered for the
+    /// duration of a lease.
     fn expire_worker_lease(&mut self, id: &MachineId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id)
-            && now.since(worker.answered).0 > SHARD_LEASE_MS
+            && now.since(worker.last_answered_heartbeat).0 > SHARD_LEASE_MS
         {
             worker.epoch.0 += 1;
             self.observed.tasks_lost += worker.running_tasks();
             worker.tasks.clear();
-            worker.answered = now;
-            worker.awaiting = None;
+            worker.last_answered_heartbeat = now;
+            worker.awaited_response = None;
         }
     }
 
-    /// Ends the tasks of arrays that have run their time, and returns their jobs.
+    /// Ends the array tasks whose run time is over, and returns their jobs.
     fn end_finished_tasks(&mut self, id: &MachineId) -> Vec<JobId> {
         let now = self.now;
         let mut ended = Vec::new();
@@ -85,32 +86,32 @@
                 worker.next_heartbeat = worker.next_heartbeat.min(now);
             }
         }
-        if let Some(scale) = &mut self.fleet {
-            scale.counts.ended += ended.len() as u64;
+        if let Some(fleet) = &mut self.fleet {
+            fleet.counts.ended += ended.len() as u64;
         }
         ended
     }
 
-    /// The next heartbeat, if it is due and can be sent.
+    /// Returns the next heartbeat, if it is due and can be sent.
     fn next_delivery(&mut self, id: &MachineId, ticket: u64) -> Option<HeartbeatDelivery> {
-        let (now, members) = (self.now, self.nodes.len());
+        let (now, controller_count) = (self.now, self.nodes.len());
         let next_controller_at = MonotonicTime(now.0 + NEXT_CONTROLLER_MS);
         let worker = self.workers.get_mut(id)?;
         let timed_out =
             |awaited: AwaitedResponse| now.since(awaited.sent).0 >= HEARTBEAT_TIMEOUT_MS;
-        if worker.awaiting.is_some_and(timed_out) {
-            worker.awaiting = None;
-            worker.try_next_node(members, next_controller_at);
+        if worker.awaited_response.is_some_and(timed_out) {
+            worker.awaited_response = None;
+            worker.try_next_node(controller_count, next_controller_at);
         }
-        let due = worker.awaiting.is_none() && now >= worker.next_heartbeat;
+        let due = worker.awaited_response.is_none() && now >= worker.next_heartbeat;
         if !due || worker.cut_until > now {
             return None;
         }
         if worker.outbound_cut_until > now {
-            worker.try_next_node(members, next_controller_at);
+            worker.try_next_node(controller_count, next_controller_at);
             return None;
         }
-        worker.awaiting = Some(AwaitedResponse { ticket, sent: now });
+        worker.awaited_response = Some(AwaitedResponse { ticket, sent: now });
         worker.next_heartbeat = MonotonicTime(now.0 + HEARTBEAT_INTERVAL_MS);
         Some(HeartbeatDelivery {
             node: worker.node,
@@ -141,18 +142,19 @@
         self.schedule_in(ms, SimulationEvent::Heartbeat(delivery));
     }
 
-    /// A heartbeat arrives at a controller, unless the way is cut.
+    /// Delivers a heartbeat to a controller, unless the link is blocked.
     pub(in crate::simulation) fn receive_heartbeat(&mut self, delivery: HeartbeatDelivery) {
         let now = self.now;
         let node = delivery.node;
-        let link_until = self.blocked_until(node, delivery.heartbeat.zone.as_str());
-        if link_until > now {
-            let partition = &self.active.partition;
-            if link_until == partition.until && !partition.delays_messages {
+        let link_blocked_until = self.blocked_until(node, delivery.heartbeat.zone.as_str());
+        if link_blocked_until > now {
+            let partition = &self.active_faults.partition;
+            if link_blocked_until == partition.until && !partition.delays_messages {
                 return;
             }
-            // It arrives after the cut; nobody waits for the response any more.
-            let ms = link_until.since(now).0 + 3;
+            // The heartbeat arrives once the link is restored. The worker no longer waits for the
+            // response.
+            let ms = link_blocked_until.since(now).0 + 3;
             let copy = SimulationEvent::DuplicateHeartbeat(node, delivery.heartbeat);
             self.schedule_in(ms, copy);
             return;
@@ -201,7 +203,7 @@
         self.schedule_in(ms, SimulationEvent::HeartbeatRedirect(redirect));
     }
 
-    /// A heartbeat arrives once more; nobody waits for the response.
+    /// Delivers a duplicate of a heartbeat. The response is dropped.
     pub(in crate::simulation) fn receive_duplicate_heartbeat(
         &mut self,
         node: usize,
@@ -214,10 +216,10 @@
         }
     }
 
-    /// Commands arrive with the response to a heartbeat.
+    /// Delivers the commands in the response to a heartbeat.
     ///
-    /// Responses of an earlier epoch, too late, with a lower token, or that can't get through are
-    /// dropped.
+    /// The worker drops responses that belong to an earlier epoch, arrive too late, carry a lower
+    /// token, or can't reach it.
     pub(in crate::simulation) fn receive_heartbeat_response(
         &mut self,
         response: HeartbeatResponse,
@@ -227,20 +229,20 @@
         let Some(worker) = self.workers.get_mut(&response.machine).filter(|w| !w.dead) else {
             return;
         };
-        let Some(awaited) = worker.awaiting else {
+        let Some(awaited) = worker.awaited_response else {
             return;
         };
         let late = now.since(awaited.sent).0 >= HEARTBEAT_TIMEOUT_MS;
         if awaited.ticket != response.ticket || late || worker.unreachable_until() > now {
             return;
         }
-        worker.awaiting = None;
+        worker.awaited_response = None;
         if response.token < worker.token {
             return;
         }
         let commands = &response.commands;
         let launched = worker.execute(now, if ignores_launches { &[] } else { commands });
-        worker.answered = awaited.sent;
+        worker.last_answered_heartbeat = awaited.sent;
         if self.disabled_guard == DisabledGuard::ExitedTasksForgottenOnReport {
             worker.forget_exited();
         }
@@ -251,23 +253,23 @@
         self.check_launches(&response.machine, &launched, true);
     }
 
-    /// A worker turns to the controller that it was pointed to, or to the next one.
+    /// Switches a worker to the controller named by a redirect, or to the next one.
     pub(in crate::simulation) fn receive_redirect(&mut self, redirect: &HeartbeatRedirect) {
-        let (now, members) = (self.now, self.nodes.len());
+        let (now, controller_count) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(&redirect.machine) else {
             return;
         };
-        let awaited = worker.awaiting.map(|awaited| awaited.ticket);
+        let awaited = worker.awaited_response.map(|awaited| awaited.ticket);
         if worker.inbound_cut_until > now || awaited != Some(redirect.ticket) {
             return;
         }
-        worker.awaiting = None;
+        worker.awaited_response = None;
         match redirect.to {
             Some(to) if to != worker.node => {
                 worker.node = to;
                 worker.next_heartbeat = now;
             }
-            _ => worker.try_next_node(members, MonotonicTime(now.0 + NEXT_CONTROLLER_MS)),
+            _ => worker.try_next_node(controller_count, MonotonicTime(now.0 + NEXT_CONTROLLER_MS)),
         }
     }
 }
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -1,19 +1,20 @@
-//! Injection of the faults of a simulated day: one function for each kind.
+//! Injection of the faults of a simulation run, with one function for each kind.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
 use super::timing::{CANCELLATION_LIMIT_MS, SHARD_LEASE_MS, UNREACHABLE_LIMIT_MS};
 use super::topology::{ISOLATED_ZONE_CONTROLLER, ZONES};
 
-/// How often faults are injected, in ms.
+/// The interval between fault injections, in ms.
 const INJECTION_INTERVAL_MS: (u64, u64) = (1500, 6000);
-/// How long a process is down, in ms; now and then it is back at once.
+/// How long a stopped process is down, in ms, for a normal and a fast restart, and the percentage of
+/// fast restarts.
 const RESTART_MS: (u64, u64) = (2000, 6000);
 const FAST_RESTART_MS: (u64, u64) = (50, 400);
 const FAST_RESTART_PERCENT: u64 = 40;
 
 impl SimulatedCluster {
-    /// Injects each kind of fault of the day with its own probability.
+    /// Injects each kind of fault of the run with its own probability.
     pub(super) fn inject_faults(&mut self) {
         self.crash_controllers();
         if self.faults.restarts_in_election && self.chance(30) {
@@ -30,7 +31,7 @@
         self.cut_inbound_of_machine();
         self.disconnect_store();
         self.fail_machine();
-        if !self.active.healed {
+        if !self.active_faults.healed {
             let ms = self.pick(INJECTION_INTERVAL_MS.0, INJECTION_INTERVAL_MS.1);
             self.schedule_in(ms, SimulationEvent::InjectFaults);
         }
@@ -56,8 +57,8 @@
         self.pick(from, to)
     }
 
-    /// One controller or all stop, are back at once, and now and then stop again in the middle of
-    /// the election.
+    /// Stops one controller or all of them and restarts them within a fraction of a second.
+    /// Sometimes they stop again during the election.
     pub(super) fn restart_controllers(&mut self) {
         let all = self.chance(40);
         let victim = self.pick_node();
@@ -88,35 +89,37 @@
     }
 
     fn isolate_zone(&mut self) {
-        let possible = self.faults.zone_isolation && self.active.zone_isolated_until <= self.now;
+        let possible =
+            self.faults.zone_isolation && self.active_faults.zone_isolated_until <= self.now;
         if !(possible && self.chance(20)) {
             return;
         }
         let ms = self.pick(SHARD_LEASE_MS, 4 * SHARD_LEASE_MS);
         let until = self.time_in(ms);
-        self.active.zone_isolated_until = until;
+        self.active_faults.zone_isolated_until = until;
         self.nodes[ISOLATED_ZONE_CONTROLLER].store_cut_until = until;
         self.nodes[ISOLATED_ZONE_CONTROLLER].peers_cut_until = until;
     }
 
     fn partition_zones(&mut self) {
-        let possible = self.faults.zone_partition && self.active.partition.until <= self.now;
+        let possible = self.faults.zone_partition && self.active_faults.partition.until <= self.now;
         if !(possible && self.chance(40)) {
             return;
         }
-        let spared = self.pick(0, self.zones as u64 - 1) as usize;
-        let zones = ZONES[..self.zones].iter().enumerate();
-        let mut partitioned = zones.filter(|(n, _)| *n != spared);
+        let unaffected = self.pick(0, self.zone_count as u64 - 1) as usize;
+        let zones = ZONES[..self.zone_count].iter().enumerate();
+        let mut partitioned = zones.filter(|(n, _)| *n != unaffected);
         if let (Some((_, one)), Some((_, other))) = (partitioned.next(), partitioned.next()) {
             let ms = self.pick(SHARD_LEASE_MS, 4 * SHARD_LEASE_MS);
-            self.active.partition.zones = [one, other];
-            self.active.partition.until = self.time_in(ms);
-            self.active.partition.delays_messages = self.chance(50);
+            self.active_faults.partition.zones = [one, other];
+            self.active_faults.partition.until = self.time_in(ms);
+            self.active_faults.partition.delays_messages = self.chance(50);
             self.observed.fault_occurrences += 1;
         }
     }
 
-    /// A third of the machines can't reach any controller.
+    /// Cuts the outbound connections of a third of the machines, so that they can't reach any
+    /// controller.
     fn cut_outbound_of_machines(&mut self) {
         if !(self.faults.inbound_only_machines && self.chance(35)) {
             return;
@@ -134,7 +137,7 @@
         if self.faults.slow_store && self.chance(35) {
             self.observed.fault_occurrences += 1;
             let ms = self.pick(3000, 15_000);
-            self.active.slow_store_until = self.time_in(ms);
+            self.active_faults.slow_store_until = self.time_in(ms);
         }
     }
 
@@ -148,31 +151,31 @@
         }
     }
 
-    /// The key-value store refuses the leader; users cancel what runs; a moment later it is out
-    /// for everybody, before the leader's lease has expired. Now and then a controller stops as
-    /// well, its links are cut, or machines hang.
+    /// Lets the key-value store refuse the leader while users cancel running jobs, and begins an
+    /// outage of the store before the leader's lease has expired. In some cases controllers also
+    /// restart, the leader's connections to its peers are cut, or machines hang.
     fn begin_refusal_then_outage(&mut self) {
-        let possible =
-            self.faults.store_refusal_then_outage && self.active.store_outage_until <= self.now;
+        let possible = self.faults.store_refusal_then_outage
+            && self.active_faults.store_outage_until <= self.now;
         if !(possible && self.chance(40)) {
             return;
         }
         let Some(leader) = self.leader() else { return };
-        let refusal = self.pick(300, 4000);
-        let outage = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
-        self.nodes[leader].store_cut_until = self.time_in(refusal);
-        let before = self.pick(50, refusal);
-        self.schedule_in(before, SimulationEvent::CancelRunning);
-        self.schedule_in(refusal, SimulationEvent::StoreOutage(outage));
+        let refusal_ms = self.pick(300, 4000);
+        let outage_ms = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
+        self.nodes[leader].store_cut_until = self.time_in(refusal_ms);
+        let cancel_delay_ms = self.pick(50, refusal_ms);
+        self.schedule_in(cancel_delay_ms, SimulationEvent::CancelRunning);
+        self.schedule_in(refusal_ms, SimulationEvent::StoreOutage(outage_ms));
         match self.pick(0, 5) {
             0 => {
-                let ms = self.pick(500, refusal + outage);
+                let ms = self.pick(500, refusal_ms + outage_ms);
                 self.nodes[leader].peers_cut_until = self.time_in(ms);
             }
-            1 => self.schedule_in(before + 100, SimulationEvent::RestartControllers),
+            1 => self.schedule_in(cancel_delay_ms + 100, SimulationEvent::RestartControllers),
             2 => {
                 let ms = self.pick(CANCELLATION_LIMIT_MS, 2 * CANCELLATION_LIMIT_MS);
-                let until = self.time_in(before + ms);
+                let until = self.time_in(cancel_delay_ms + ms);
                 for worker in self.workers.values_mut().step_by(3) {
                     worker.hang_until = until;
                 }
@@ -186,12 +189,12 @@
             let victim = self.pick_node();
             let ms = self.pick(4000, 2 * SHARD_LEASE_MS);
             let until = self.time_in(ms);
-            self.nodes[victim].frozen_until = until;
-            self.active.last_pause_until = self.active.last_pause_until.max(until);
+            self.nodes[victim].paused_until = until;
+            self.active_faults.last_pause_until = self.active_faults.last_pause_until.max(until);
         }
     }
 
-    /// Nothing reaches a machine, while its heartbeats get out.
+    /// Cuts the inbound connections of a machine, while its heartbeats still get out.
     fn cut_inbound_of_machine(&mut self) {
         let chosen = self.faults.outbound_only_machines && self.chance(35);
         if !chosen || self.workers.is_empty() {
@@ -224,7 +227,7 @@
         }
     }
 
-    /// A machine is cut off, hangs or dies.
+    /// Makes a random machine unreachable, hang or die.
     fn fail_machine(&mut self) {
         let chosen = self.faults.machine_failures && self.chance(60);
         if !chosen || self.workers.is_empty() {
@@ -246,16 +249,16 @@
         }
     }
 
-    /// A controller stops, and is back after so many ms.
+    /// Stops a controller and restarts it after `ms` milliseconds.
     fn stop_controller(&mut self, node: usize, ms: u64) {
         if self.stop_process(node) {
             self.schedule_in(ms, SimulationEvent::ControllerStart(node));
         }
     }
 
-    /// The leader stops; now and then the key-value store is out as well.
+    /// Stops the leader, and sometimes begins an outage of the key-value store.
     pub(super) fn stop_leader(&mut self) {
-        if self.active.healed {
+        if self.active_faults.healed {
             return;
         }
         if let Some(leader) = self.leader() {
@@ -263,7 +266,7 @@
             let ms = self.restart_delay();
             self.stop_controller(leader, ms);
         }
-        if self.active.store_outage_until <= self.now && self.chance(20) {
+        if self.active_faults.store_outage_until <= self.now && self.chance(20) {
             let ms = self.pick(3000, 20_000);
             self.begin_store_outage(ms);
         }
@@ -271,13 +274,13 @@
         self.schedule_in(ms, SimulationEvent::StopLeader);
     }
 
-    /// The key-value store is out for everybody for so many ms.
+    /// Begins an outage of the key-value store for all controllers, which lasts `ms` milliseconds.
     pub(super) fn begin_store_outage(&mut self, ms: u64) {
         let until = self.time_in(ms);
-        self.active.store_outage_until = until;
+        self.active_faults.store_outage_until = until;
         for node in &mut self.nodes {
             node.store_cut_until = until;
         }
-        self.schedule_in(ms, SimulationEvent::StoreOutageEnds);
+        self.schedule_in(ms, SimulationEvent::StoreOutageEnd);
     }
 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants, checked against what really runs.
+//! Invariants that are checked against the tasks that actually run on machines.
 
 mod cancellations;
 mod deleted_machines;
@@ -12,40 +12,40 @@
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobSpec, TaskState};
 
-/// A task attempt on a machine that has not exited.
+/// A task attempt that has not exited, with its machine.
 struct LiveAttempt<'a> {
     machine: &'a MachineId,
     attempt: &'a TaskAttempt,
 }
 
 impl SimulatedCluster {
-    /// All attempts on machines that have not exited, whether anything reaches them or not.
+    /// Returns all attempts that have not exited, including those on unreachable machines.
     fn live_attempts(&self) -> impl Iterator<Item = LiveAttempt<'_>> {
-        let up = self.workers.iter().filter(|(_, worker)| !worker.dead);
-        up.flat_map(|(machine, worker)| {
-            let alive = worker.tasks.iter();
-            let alive = alive.filter(|(_, task)| task.state != TaskState::Exited);
-            alive.map(move |(attempt, _)| LiveAttempt { machine, attempt })
+        let running_workers = self.workers.iter().filter(|(_, worker)| !worker.dead);
+        running_workers.flat_map(|(machine, worker)| {
+            let tasks = worker.tasks.iter();
+            let live_tasks = tasks.filter(|(_, task)| task.state != TaskState::Exited);
+            live_tasks.map(move |(attempt, _)| LiveAttempt { machine, attempt })
         })
     }
 
-    /// The CPUs that live attempts of the job's team use, in thousandths.
+    /// Returns the CPUs that live attempts of the job's team use, in thousandths of a CPU.
     fn team_cpus(&self, job: &JobSpec) -> u64 {
         let jobs = self
             .live_attempts()
             .filter_map(|live| self.jobs.get(&live.attempt.task.job));
-        let ours = jobs.filter(|spec| spec.team == job.team);
-        ours.map(|spec| spec.need().milli_cpus).sum()
+        let team_jobs = jobs.filter(|spec| spec.team == job.team);
+        team_jobs.map(|spec| spec.need().milli_cpus).sum()
     }
 
-    /// Notes that a rule does not hold, and for what.
+    /// Records a violation and the job, task attempt or machine that it concerns.
     pub(super) fn record_violation(
         &mut self,
-        rule: ViolationKind,
+        kind: ViolationKind,
         subject: impl std::fmt::Display,
     ) {
         self.observed.violations.push(Violation {
-            kind: rule,
+            kind,
             at: self.now,
             subject: subject.to_string(),
         });
--- a/src/simulation/invariants/final_states.rs
+++ b/src/simulation/invariants/final_states.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeSet;
 
 impl SimulatedCluster {
-    /// `DoneTooEarly` and `FinalStateChanged`.
+    /// Checks the final states of all jobs for `DoneTooEarly`, `FinalStateChanged` and
+    /// `CancelledWithoutReason`.
     pub(in crate::simulation) fn check_final_states(&mut self) {
         if self.fleet.is_some() {
             return;
@@ -37,8 +38,8 @@
         let done = completed.map_or(0, BTreeSet::len);
         if state == JobState::Done && done < spec.tasks as usize {
             let (kind, tasks) = (spec.kind, spec.tasks);
-            let what = format!("{id} {kind:?} {completed:?} of {tasks}");
-            self.record_violation(ViolationKind::DoneTooEarly, what);
+            let subject = format!("{id} {kind:?} {completed:?} of {tasks}");
+            self.record_violation(ViolationKind::DoneTooEarly, subject);
         }
     }
 }
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -1,18 +1,18 @@
-//! What is checked whenever a worker launches a task attempt.
+//! Checks that run whenever a worker launches a task attempt.
 
 use crate::ids::{MachineId, TaskAttempt};
 use crate::protocol::{JobKind, JobSpec, TaskState};
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::violations::ViolationKind;
 
-/// The longest way of a command that is neither delayed nor lost, in ms.
+/// The maximum transit time of a command that is neither delayed nor lost, in ms.
 const COMMAND_TRANSIT_MS: u64 = 10;
-/// How long the member of a gang waits for the others, in ms.
+/// How long a gang member waits for the others, in ms.
 const GANG_WAIT_MS: u64 = 30_000;
 
 impl SimulatedCluster {
-    /// The invariants about what is on machines, at each launch. What was sent a moment ago must
-    /// not launch a task of a job whose user was told that it is cancelled.
+    /// Checks the invariants for launched attempts. With `just_sent`, the launch command was not
+    /// delayed, so it must not launch a task of a job whose user was told that it is cancelled.
     pub(in crate::simulation) fn check_launches(
         &mut self,
         machine: &MachineId,
@@ -30,15 +30,15 @@
             if spec.kind == JobKind::Gang {
                 self.wait_for_gang(machine, attempt);
             }
-            self.check_runs_once(machine, attempt);
-            self.check_parents_done(&spec);
+            self.check_single_live_attempt(machine, attempt);
+            self.check_dependencies_done(&spec);
             self.check_quota(&spec, attempt);
             self.check_placement(&spec, machine, attempt);
             self.check_not_cancelled(attempt, just_sent);
         }
     }
 
-    /// The members of a gang don't run before all are there.
+    /// Makes a gang member wait until all members of the gang are present.
     fn wait_for_gang(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let until = self.time_in(GANG_WAIT_MS);
         let worker = self.workers.get_mut(machine);
@@ -48,8 +48,8 @@
         }
     }
 
-    /// `RanTwice`: no other attempt of the task is on another machine.
-    fn check_runs_once(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
+    /// Records `RanTwice` if another attempt of the task is live on another machine.
+    fn check_single_live_attempt(&mut self, machine: &MachineId, attempt: &TaskAttempt) {
         let mut live = self.live_attempts();
         if live.any(|other| other.attempt.task == attempt.task && other.machine != machine) {
             drop(live);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// `QuotaExceeded`: the team is within its limit.
+    /// Records `QuotaExceeded` if the team uses more than its limit.
     fn check_quota(&mut self, spec: &JobSpec, attempt: &TaskAttempt) {
         let limit = self.nodes[0].config.teams[&spec.team].limit().milli_cpus;
         if self.team_cpus(spec) > limit {
@@ -65,24 +65,28 @@
         }
     }
 
-    /// `WrongPlacement`: zone constraints hold, and only what may run on spot machines does.
+    /// Records `WrongPlacement` if the attempt violates a zone constraint or is on a spot machine
+    /// that its job does not allow.
     fn check_placement(&mut self, spec: &JobSpec, machine: &MachineId, attempt: &TaskAttempt) {
-        let here = &self.workers[machine];
+        let worker = &self.workers[machine];
         let live = self.live_attempts();
-        let ours = live.filter(|other| other.attempt.task.job == spec.id);
-        let zones: Vec<&str> = ours.map(|other| self.workers[other.machine].zone).collect();
-        let in_zone = zones.iter().filter(|zone| **zone == here.zone).count();
+        let job_attempts = live.filter(|other| other.attempt.task.job == spec.id);
+        let zones: Vec<&str> = job_attempts
+            .map(|other| self.workers[other.machine].zone)
+            .collect();
+        let in_zone = zones.iter().filter(|zone| **zone == worker.zone).count();
         let one_zone = !spec.one_zone || in_zone == zones.len();
         let spread = !spec.spread || in_zone <= spec.tasks.div_ceil(2) as usize;
-        if !one_zone || !spread || (here.spot && !spec.allow_spot) {
+        if !one_zone || !spread || (worker.spot && !spec.allow_spot) {
             self.record_violation(ViolationKind::WrongPlacement, attempt);
         }
     }
 
-    /// `CancelledTaskRan` and `CancelledTaskLaunched`.
+    /// Records `CancelledTaskRan` or `CancelledTaskLaunched` if the user was told of the
+    /// cancellation too long before the launch.
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
-        if self.is_cancelled_for_long(job) {
+        if self.is_past_cancellation_limit(job) {
             self.record_violation(ViolationKind::CancelledTaskRan, attempt);
         }
         if just_sent && self.is_cancelled_for_more_than(job, COMMAND_TRANSIT_MS) {
--- a/src/simulation/tests/dependent_days.rs
+++ b/src/simulation/tests/dependent_jobs.rs
@@ -1,4 +1,4 @@
-//! Days on which users submit jobs that depend on other jobs.
+//! Simulated runs in which users submit jobs that depend on other jobs.
 
 use super::{SINGLE_FAULTS, assert_invariants_hold};
 use crate::simulation::cluster::SimulatedCluster;
@@ -8,50 +8,51 @@
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 use crate::simulation::violations::ViolationKind;
 
-/// Users submit dependent jobs, without any fault.
+/// Users submit dependent jobs; no faults are injected.
 pub(super) const DEPENDENT_JOBS: Faults = Faults {
     dependent_jobs: true,
     ..Faults::NONE
 };
 
-/// A rolling upgrade with dependent jobs and lowered store limits.
+/// A rolling upgrade with dependent jobs, during which the store lowers its limits.
 pub(super) const UPGRADE: Faults = Faults {
     rolling_upgrade: true,
     lowered_store_limits: true,
     ..DEPENDENT_JOBS
 };
 
-/// Dependent jobs end one after the other: the longest chains on these days take some minutes
-/// once all faults are healed.
-const DAY_END_MS: u64 = 340_000;
+/// The simulated time at which these runs end, in ms from the start. Dependent jobs run one after
+/// the other, so the longest chains take some minutes after all faults are healed.
+const RUN_END_MS: u64 = 340_000;
 
-/// Plays a day until dependent jobs have ended as well.
-pub(super) fn play_dependent_day(
+/// Runs a simulation for long enough that dependent jobs can end as well.
+pub(super) fn run_with_dependent_jobs(
     size: ClusterSize,
     seed: u64,
     faults: Faults,
     disabled_guard: DisabledGuard,
 ) -> SimulatedCluster {
-    let mut cluster = super::play_at(size, seed, faults, disabled_guard);
-    cluster.run_until(DAY_END_MS);
+    let mut cluster = super::run_simulation_with_size(size, seed, faults, disabled_guard);
+    cluster.run_until(RUN_END_MS);
     cluster
 }
 
-/// Plays a day on each seed and sums up what became of the dependent jobs.
-fn play_days(
+/// Runs a simulation for each seed, asserts that the invariants hold, and returns the sum of the
+/// counts of dependent jobs.
+fn count_dependencies_on_seeds(
     name: &str,
     size: ClusterSize,
     seeds: std::ops::Range<u64>,
     faults: Faults,
 ) -> DependencyCounts {
-    let mut sum = DependencyCounts::default();
+    let mut total = DependencyCounts::default();
     for seed in seeds {
-        let cluster = play_dependent_day(size, seed, faults, DisabledGuard::None);
+        let cluster = run_with_dependent_jobs(size, seed, faults, DisabledGuard::None);
         assert_invariants_hold(&cluster, &format!("{name}, seed {seed}"));
-        sum.add(&cluster.observed.dependencies);
+        total.add(&cluster.observed.dependencies);
     }
-    println!("{name}: {sum:?}");
-    sum
+    println!("{name}: {total:?}");
+    total
 }
 
 fn assert_dependencies_exercised(counts: &DependencyCounts) {
@@ -65,56 +66,61 @@
 
 #[test]
 fn dependent_jobs_finish_in_order_without_faults() {
-    let counts = play_days(
-        "quiet pipelines",
+    let counts = count_dependencies_on_seeds(
+        "dependent jobs without faults",
         THREE_CONTROLLERS,
         500..504,
         DEPENDENT_JOBS,
     );
     assert_dependencies_exercised(&counts);
-    // Nobody is told of a cancellation while a dependent of the job is still live.
+    // Without faults no cancellation is confirmed while a dependent of the job is still live.
     assert_eq!(counts.live_at_confirmation, 0);
 }
 
-/// Each fault alone, with dependent jobs all day.
+/// Enables each fault alone, with dependent jobs during the whole run.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_each_fault() {
-    let mut sum = DependencyCounts::default();
-    for (seed, (name, set)) in (510..).step_by(4).zip(SINGLE_FAULTS) {
+    let mut total = DependencyCounts::default();
+    for (seed, (name, add_fault)) in (510..).step_by(4).zip(SINGLE_FAULTS) {
         let mut faults = DEPENDENT_JOBS;
-        set(&mut faults);
-        let counts = play_days(name, THREE_CONTROLLERS, seed..seed + 3, faults);
+        add_fault(&mut faults);
+        let counts = count_dependencies_on_seeds(name, THREE_CONTROLLERS, seed..seed + 3, faults);
         assert!(
             counts.accepted_blocked >= 10 && counts.released >= 5,
             "{counts:?}"
         );
-        sum.add(&counts);
+        total.add(&counts);
     }
-    assert!(sum.cancelled_by_cascade >= 100, "{sum:?}");
+    assert!(total.cancelled_by_cascade >= 100, "{total:?}");
 }
 
 #[test]
 fn invariants_hold_for_dependent_jobs_under_all_faults() {
-    let all = Faults {
+    let all_faults = Faults {
         dependent_jobs: true,
         ..Faults::ALL_SINGLE_FAULTS
     };
-    let mut sum = play_days("pipelines and all", THREE_CONTROLLERS, 600..606, all);
+    let mut total = count_dependencies_on_seeds(
+        "dependent jobs under all faults",
+        THREE_CONTROLLERS,
+        600..606,
+        all_faults,
+    );
     let partitioned = Faults {
         zone_partition: true,
-        ..all
+        ..all_faults
     };
-    sum.add(&play_days(
-        "pipelines at five",
+    total.add(&count_dependencies_on_seeds(
+        "dependent jobs with five controllers",
         FIVE_CONTROLLERS,
         606..610,
         partitioned,
     ));
-    assert_dependencies_exercised(&sum);
+    assert_dependencies_exercised(&total);
 }
 
-/// Leaders change while children are accepted, released and allotted, and jobs that others need
-/// are cancelled as they end.
+/// Leaders change while dependent jobs are accepted, released and allotted, and jobs with
+/// dependents are cancelled at the moment at which they complete.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_leader_crashes_and_late_cancellations() {
     let faults = Faults {
@@ -124,18 +130,19 @@
         lost_responses: true,
         ..DEPENDENT_JOBS
     };
-    assert_dependencies_exercised(&play_days(
-        "leaders and ends",
+    assert_dependencies_exercised(&count_dependencies_on_seeds(
+        "leader crashes and late cancellations",
         THREE_CONTROLLERS,
         620..628,
         faults,
     ));
 }
 
-/// The invariants are worth something only if they notice a disabled guard.
+/// Checks the invariants themselves: with a guard disabled, some seed must violate the expected
+/// invariant.
 #[test]
 fn each_disabled_dependency_guard_is_detected() {
-    for (disabled_guard, faults, rule) in [
+    for (disabled_guard, faults, expected_kind) in [
         (
             DisabledGuard::DependenciesIgnored,
             DEPENDENT_JOBS,
@@ -157,17 +164,20 @@
             ViolationKind::DependencyNotDone,
         ),
     ] {
-        let record_violation = |seed: &u64| {
+        let is_detected = |seed: &u64| {
             let cluster: SimulatedCluster =
-                play_dependent_day(THREE_CONTROLLERS, *seed, faults, disabled_guard);
+                run_with_dependent_jobs(THREE_CONTROLLERS, *seed, faults, disabled_guard);
             cluster
                 .observed
                 .violations
                 .iter()
-                .any(|violation| violation.kind == rule)
+                .any(|violation| violation.kind == expected_kind)
         };
-        let caught = (680..700).find(record_violation);
-        println!("{disabled_guard:?} seen with seed {caught:?}");
-        assert!(caught.is_some(), "{disabled_guard:?} went unseen");
+        let detecting_seed = (680..700).find(is_detected);
+        println!("{disabled_guard:?} detected with seed {detecting_seed:?}");
+        assert!(
+            detecting_seed.is_some(),
+            "{disabled_guard:?} was not detected"
+        );
     }
 }
