--- a/src/placement/allotment_ledger.rs
+++ b/src/placement/allotment_ledger.rs
@@ -14,8 +14,8 @@
 use crate::store::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The time after which an unanswered allotment is voided by rewriting its shard's record. Shard
-/// owners refuse placements that they cannot write well before that.
+/// The time after which an unanswered allotment is voided by rewriting its shard's record. A shard
+/// owner that cannot write a placement refuses it well before that.
 const ANSWER_TIMEOUT: Millis = Millis(8000);
 
 /// A task that was allotted and is not on record yet.
--- a/src/placement/attempt_numbers.rs
+++ b/src/placement/attempt_numbers.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::{AttemptNumber, Revision};
 
-/// Generates attempt numbers. The term forms the leading part of each number, so no number is used
-/// twice.
+/// Generates attempt numbers. The term forms the leading part of each number, so no number is
+/// generated twice. The tasks of a gang, and their replacements, share one number.
 #[derive(Default)]
 pub(super) struct AttemptNumbers {
     term: Revision,
@@ -21,7 +21,7 @@
         self.term
     }
 
-    /// Returns the next unused attempt number.
+    /// Returns a number that was not returned before.
     pub(super) fn next(&mut self) -> AttemptNumber {
         self.counter += 1;
         AttemptNumber::of(self.term, self.counter)
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -34,7 +34,7 @@
     pub free: Resources,
     /// The remaining capacity of the machine's record, excluding the allotments of this pass.
     pub record_capacity: RecordCapacity,
-    /// The images in the machine's cache.
+    /// The images that are probably in the machine's cache.
     pub images: Vec<&'a str>,
     /// The rate at which the machine fetches images. Always above 0.
     pub fetch_gb_per_s: f64,
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Returns whether the job's image is in the machine's cache.
+    /// Returns whether the job's image is probably in the machine's cache.
     pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images.contains(&spec.image.as_str())
     }
@@ -110,7 +110,8 @@
     }
 }
 
-/// Returns all usable machines with their free capacity, ordered by id.
+/// Returns all usable machines with their free capacity, ordered by id. Machines whose type is not
+/// in the catalog or whose shard has no owner are left out.
 pub(super) fn collect<'a>(
     cache: &'a WatchCache,
     config: &Config,
--- a/src/placement/fault_tracking.rs
+++ b/src/placement/fault_tracking.rs
@@ -1,28 +1,28 @@
-//! Task failures. Machines on which tasks of any job fail are quarantined, and jobs that fail on
-//! any machine are retried with a backoff.
+//! Task failures. Machines on which tasks fail repeatedly are quarantined, and jobs that fail on
+//! several machines are retried with a backoff.
 
 use crate::ids::{JobId, MachineId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The number of different jobs whose failures on a machine, with no success in between, cause its
-/// quarantine.
+/// quarantine. A failure does not cause it if the same job has also failed on other machines.
 const QUARANTINE_MIN_JOBS: usize = 2;
 /// The number of failures on a machine, of any jobs and with no success in between, that causes its
-/// quarantine.
+/// quarantine. The same exception applies as for [`QUARANTINE_MIN_JOBS`].
 const QUARANTINE_MIN_FAILURES: usize = 3;
-/// How long a machine stays in quarantine after its last failure.
+/// How long a machine stays in quarantine after the last failure that causes it.
 const QUARANTINE_PERIOD: Millis = Millis(60_000);
 /// The number of machines on which a job must have failed to be retried with a backoff.
 const BACKOFF_MIN_MACHINES: usize = 2;
-/// The shortest backoff, which is doubled with every second failure.
+/// The shortest delay, in milliseconds, before a job that failed on several machines is retried. It
+/// is doubled with every second failure.
 const MIN_BACKOFF_MS: u64 = 1000;
-/// The longest backoff.
+/// The longest delay, in milliseconds, before a job that failed on several machines is retried.
 const MAX_BACKOFF_MS: u64 = 60_000;
-/// The number of machines on which a job must have failed for none of them to be excluded any
-/// longer.
+/// Once a job has failed on this many machines, none of them is excluded for the job any longer.
 const MAX_EXCLUDED_MACHINES: usize = 4;
 
-/// The failures on a machine since its last success.
+/// The task failures on a machine since a task last succeeded there.
 #[derive(Debug, Default)]
 struct MachineFaults {
     jobs: BTreeSet<JobId>,
@@ -30,7 +30,7 @@
     quarantined_until: MonotonicTime,
 }
 
-/// The failures of a job since its last success.
+/// The task failures of a job since one of its tasks last succeeded.
 #[derive(Debug, Default)]
 struct JobFaults {
     machines: BTreeSet<MachineId>,
@@ -38,7 +38,7 @@
     backoff_until: MonotonicTime,
 }
 
-/// The failures in a leader's term.
+/// The task failures of each machine and of each job since the leader's term began.
 #[derive(Debug, Default)]
 pub(super) struct FaultTracker {
     machines: BTreeMap<MachineId, MachineFaults>,
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -38,8 +38,8 @@
 }
 
 impl Gangs {
-    /// Returns the next action for a gang of which `allotted` tasks are not on record yet.
-    /// `start_timeout` limits how long its tasks wait for one another.
+    /// Returns the next action for a gang. `allotted` is the number of its tasks that are allotted
+    /// and not on record yet. `start_timeout` limits how long its tasks wait for one another.
     pub(super) fn next_action(
         &self,
         now: MonotonicTime,
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -122,8 +122,9 @@
 }
 
 impl Preemption<'_> {
-    /// Returns the tasks to stop so that tasks of a higher priority, or within their team's
-    /// guarantee, get their resources.
+    /// Returns the tasks to stop so that unmet demands of a higher priority, or within their team's
+    /// guarantee, get the resources of these tasks. Demands that are left when all machine scans
+    /// are used up are considered again in the next pass.
     pub(super) fn for_unmet_demands(&self, unmet_demands: &[UnmetDemand]) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         let mut budget = PassBudget {
@@ -143,9 +144,10 @@
         stops.into_stops()
     }
 
-    /// Returns the job of an unmet demand if there may be victims for it: placed tasks whose
-    /// priority (`lowest` is the lowest of all) is below the job's own, or tasks that other teams
-    /// run beyond their guaranteed quota.
+    /// Returns the job of an unmet demand if there may be victims for it. These are placed tasks
+    /// whose priority (`lowest` is the lowest of all) is below the job's own. For a job within its
+    /// team's guarantee for which preemption is worthwhile at its age, they are also tasks that
+    /// other teams run beyond their guaranteed quota.
     fn preemptor<'a>(
         &'a self,
         demand: &'a UnmetDemand,
@@ -215,7 +217,9 @@
     }
 
     /// Returns the machine where freeing resources for a task costs the least, and the victims
-    /// there for as many of `tasks` as fit.
+    /// there for as many of `tasks` as fit. Machines that have the job's image come first, then
+    /// those where the victims use the fewest CPUs per task. Only machines that have the image
+    /// count if the demand requires it or the job has `is_guaranteed`.
     fn cheapest_victims(
         &self,
         preemptor: &Preemptor<'_>,
@@ -247,9 +251,10 @@
         cheapest.map(|(_, machine, victims)| (machine, victims))
     }
 
-    /// Returns the priority of a placed task if the task may be stopped for a job: its priority is
-    /// lower, or its team exceeds its guaranteed quota while the job is within its own team's
-    /// guarantee.
+    /// Returns the priority of a placed task if the task may be stopped for a job. This is the case
+    /// if the task's priority is lower. For a job with `is_guaranteed` it is also the case if the
+    /// task's priority is equal, its own job is not within a guarantee, and it belongs to another
+    /// team that exceeds its guaranteed quota or has no guarantee for such tasks.
     fn preemptible_priority(
         &self,
         preemptor: &Preemptor<'_>,
@@ -271,8 +276,8 @@
     /// for `age`. Preemption begins once the wait shows that capacity does not become free by
     /// itself, and ends when a start would no longer meet the operators' objective for prompt
     /// starts. After that the job is first in line for capacity that becomes free, since preempting
-    /// for jobs that are already late would discard too much work on a fleet with a queue. It
-    /// begins again at `STALLED_JOB_AGE`.
+    /// for jobs that are already late would discard too much work on a fleet with a queue.
+    /// Preemption begins again at `STALLED_JOB_AGE`.
     fn is_worth_preempting(&self, age: Millis) -> bool {
         let min_age_ms = self.config.guarantee_preemption_delay.0;
         (min_age_ms..2 * min_age_ms).contains(&age.0) || age >= STALLED_JOB_AGE
--- a/src/placement/preemption/evacuation.rs
+++ b/src/placement/preemption/evacuation.rs
@@ -1,13 +1,14 @@
-//! Preemption on machines that are about to go away: replicas move to other machines, and tasks
-//! with checkpoints save them.
+//! Preemption on machines that are being drained or are about to be interrupted: replicas are
+//! stopped to move to other machines, and tasks of jobs that save checkpoints are stopped in time
+//! to save one.
 
 use super::{Preemption, StopSet, TaskStop};
 use crate::ids::{JobId, MachineId, Resources};
 use crate::placement::record_capacity::RecordCapacity;
 use crate::protocol::{JobKind, JobSpec};
 
-/// A task with a checkpoint is only stopped if the time until the interruption exceeds the duration
-/// of a save by more than this many seconds.
+/// Seconds that must remain after a checkpoint is saved before the cloud interrupts the machine.
+/// With less time left, a task that saves checkpoints is not stopped to save one.
 const SAVE_MARGIN_S: f64 = 1.0;
 
 /// The remaining capacity of the machines that replicas may move to, by candidate index.
@@ -19,7 +20,8 @@
 impl Preemption<'_> {
     /// Returns the replicas to stop on machines that are draining or about to be interrupted. A
     /// replica is stopped only if another machine has free capacity and the image, so that it
-    /// restarts there at once. At most one replica of each service moves at a time.
+    /// restarts there at once. At most one replica of each service moves at a time. Replicas of
+    /// services with a zone constraint are not moved.
     pub(in crate::placement) fn replica_moves(&self) -> Vec<TaskStop> {
         let mut stops: Vec<TaskStop> = Vec::new();
         let candidates = self.candidates.iter();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Returns whether a task of a job is being stopped already.
+    /// Returns whether a task of a job is being stopped already, by an earlier pass or by `stops`.
     fn is_being_stopped(&self, job: &JobId, stops: &[TaskStop]) -> bool {
         self.preempted
             .keys()
@@ -72,8 +74,8 @@
             || stops.iter().any(|stop| stop.attempt.task.job == *job)
     }
 
-    /// Reserves capacity for a replica on the first machine that fits. Returns `false` if there is
-    /// none.
+    /// Reserves capacity for a replica on the first machine that it may use, that has its image,
+    /// and on which it fits. Returns `false` if there is no such machine.
     fn try_reserve_target(
         &self,
         spec: &JobSpec,
@@ -96,8 +98,8 @@
         target.is_some()
     }
 
-    /// Returns the tasks with checkpoints on machines that are about to be interrupted, if there is
-    /// time to save. They resume elsewhere from their checkpoint.
+    /// Returns the tasks of jobs that save checkpoints on machines that are about to be
+    /// interrupted, if there is time to save. They resume elsewhere from their checkpoint.
     pub(in crate::placement) fn checkpoint_stops(&self) -> Vec<TaskStop> {
         let mut stops = StopSet::new(self);
         for (id, health) in self.health {
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -16,7 +16,7 @@
 const STARVATION_AGE_MS: u64 = 120_000;
 
 /// Returns the jobs that fit into their team's guaranteed quota together with the team's earlier
-/// unfinished jobs.
+/// unfinished jobs. Jobs that need no kind of resource which the guarantee covers are left out.
 pub(super) fn guaranteed_jobs<'a>(
     teams: &BTreeMap<TeamId, TeamQuota>,
     jobs: impl Iterator<Item = (&'a JobId, &'a LiveJob)>,
@@ -43,7 +43,7 @@
     guaranteed
 }
 
-/// Returns all jobs in the order in which they are served.
+/// Returns all live jobs in queue order. [`promote_starving`] is not applied.
 pub(crate) fn jobs_in_queue_order<'a>(
     config: &Config,
     cache: &'a WatchCache,
@@ -70,8 +70,9 @@
 }
 
 /// Returns the sort key of a job in the queue: its priority, then whether it is within its team's
-/// guarantee, then its due time, then its age. Priority and due time are those of the most urgent
-/// job that depends on it.
+/// guarantee, then its due time, then its age. The priority is the highest among the job and the
+/// jobs that depend on it. The due time is the latest at which all of them can meet their
+/// deadlines, but no later than `MAX_DUE_AFTER_ELIGIBLE_MS` allows.
 pub(super) fn queue_rank(id: &JobId, job: &LiveJob, is_guaranteed: bool) -> impl Ord + use<> {
     let latest = UnixTime(job.eligible_at.0.saturating_add(MAX_DUE_AFTER_ELIGIBLE_MS));
     let due = job.urgency.finish_by.map_or(latest, |at| at.min(latest));
--- a/src/placement/queue_turns.rs
+++ b/src/placement/queue_turns.rs
@@ -59,10 +59,10 @@
     waiting
 }
 
-/// Returns the turns of all waiting jobs. In the first round an array that waits for its image uses
-/// only machines that have it, so that on a full fleet each free machine goes to the first job
-/// whose image it has. Otherwise tasks would spend much of their time fetching images. In the
-/// second round these arrays may use any remaining capacity, in queue order.
+/// Returns the turns of all waiting jobs, in two rounds. In the first round an array that waits for
+/// its image uses only machines that have it, so that on a full fleet each free machine goes to the
+/// first job whose image it has. Otherwise tasks would spend much of their time fetching images. In
+/// the second round these arrays may use any remaining capacity, in queue order.
 pub(super) fn queue_turns<'a>(
     input: &PassInputs<'a>,
     candidates: &[Candidate<'a>],
@@ -92,8 +92,9 @@
 }
 
 /// Returns whether a job may wait for machines that have its image. This holds for an array without
-/// a zone constraint if there are enough of these machines and the array has not waited for its
-/// first task for `MAX_ARRAY_IMAGE_WAIT`.
+/// a zone constraint if fetching the image takes at least `MIN_FETCH_FRACTION` of a task's run time
+/// and these machines have at least `IMAGE_CPU_FACTOR` times the CPUs of the remaining tasks. An
+/// array that has waited for its first task for `MAX_ARRAY_IMAGE_WAIT` no longer waits.
 fn waits_for_image(
     job: &LiveJob,
     unix_time: UnixTime,
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -163,9 +163,9 @@
 }
 
 /// Returns the machines among which the owner of a candidate's shard may choose: the candidate
-/// itself, then the shard's other machines in ranking order. With `only_candidate` the owner has no
-/// choice, because only the leader sees all zones when the zones of a job's tasks depend on one
-/// another.
+/// itself, then the shard's other machines in `ranked`, in that order, at most
+/// `MAX_PREFERRED_MACHINES` in total. With `only_candidate` the owner has no choice, because only
+/// the leader sees all zones when the zones of a job's tasks depend on one another.
 pub(super) fn preferred_machines(
     candidate: &Candidate<'_>,
     ranked: &[usize],
--- a/src/placement/record_capacity.rs
+++ b/src/placement/record_capacity.rs
@@ -35,7 +35,9 @@
         }
     }
 
-    /// Returns the bytes that a job's entry takes in addition to its tasks.
+    /// Returns the bytes that the next task of a job adds to the record besides its own: those of
+    /// the job's entry, or 0 if the job was the last one placed here, since its entry is counted
+    /// already.
     fn job_bytes(&self, spec: &JobSpec) -> usize {
         match self.last_job.as_ref() == Some(&spec.id) {
             true => 0,
--- a/src/placement/replica_reserve.rs
+++ b/src/placement/replica_reserve.rs
@@ -8,8 +8,8 @@
 use std::cmp::Reverse;
 
 /// Returns the resources of each candidate that only service replicas may use, by candidate index.
-/// They are reserved on the machines that have the most replicas, so that the next replica starts
-/// at once without preemption.
+/// They are reserved on the on-demand machines that have the most replicas, so that the next
+/// replica starts at once without preemption.
 pub(super) fn replica_reserve(cache: &WatchCache, candidates: &[Candidate<'_>]) -> Vec<Resources> {
     let mut reserve = vec![Resources::default(); candidates.len()];
     let Some((need, mut count)) = reserved_replicas(cache) else {
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -29,8 +29,8 @@
     })
 }
 
-/// Returns the largest resource need of any service, and for how many replicas of that size
-/// capacity is reserved. `None` without services.
+/// Returns the resource need of the service whose replicas need the most CPUs, and for how many
+/// replicas of that size capacity is reserved. Returns `None` if no service needs any CPU.
 pub(crate) fn reserved_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
     let (mut total, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -44,8 +44,8 @@
         reported.is_some_and(|r| now.since(r.received_at) < MAX_REPORT_AGE)
     }
 
-    /// Returns whether a machine's current shard owner reports that the machine has been
-    /// unresponsive for at least `timeout`.
+    /// Returns whether a machine's current shard owner has reported within `MAX_REPORT_AGE` that
+    /// the machine has been unresponsive for at least `timeout`.
     pub(crate) fn is_unresponsive(
         &self,
         now: MonotonicTime,
@@ -61,8 +61,9 @@
         })
     }
 
-    /// Returns whether a machine can be given tasks: its shard owner tracks it under the current
-    /// fencing token, and it has no interruption notice, quarantine or drain.
+    /// Returns whether a machine can be given tasks: its current shard owner has reported within
+    /// `MAX_REPORT_AGE` that the machine obeys the owner's fencing token and that its heartbeat is
+    /// not late, and the machine has no interruption notice, quarantine or drain.
     pub(crate) fn is_usable(&self, now: MonotonicTime, id: &MachineId, cache: &WatchCache) -> bool {
         let shard = id.shard(self.config.shard_count());
         let fence = cache.shards.get(&shard).map(|record| record.revision);
@@ -75,8 +76,10 @@
         is_healthy && !self.is_cordoned(now, id)
     }
 
-    /// Returns whether a machine counts as capacity. A machine whose shard has just changed owners
-    /// is briefly unusable, but it still counts: otherwise the autoscaler would rent a replacement.
+    /// Returns whether a machine counts as capacity: it has no interruption notice, quarantine or
+    /// drain, and its heartbeat is not late. A machine whose shard has just changed owners is
+    /// briefly unusable, but it still counts: otherwise the autoscaler would rent a replacement. So
+    /// does a machine that has not been reported yet.
     pub(crate) fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
         let is_lost = reported.is_some_and(|r| self.is_lost(&r.report));
--- a/src/placement/scheduling_pass.rs
+++ b/src/placement/scheduling_pass.rs
@@ -149,7 +149,8 @@
         search.ranked(turn.id, turn.job, zones, faults, &self.candidates)
     }
 
-    /// Records the allotments of a job and its tasks that found no machine.
+    /// Records the allotments of a job and its tasks that found no machine. If any task of a gang
+    /// found none, all of the gang's allotments are rolled back.
     fn commit(&mut self, turn: QueueTurn<'a>, request: &TaskRequest, assignment: Assignment) {
         let QueueTurn { id, job, .. } = turn;
         if assignment.write_budget_exhausted {
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Records tasks for which there is no free capacity. Tasks that only wait for a machine record
-    /// to be written are excluded, since they need no further machine.
+    /// Records tasks for which there is no free capacity. Tasks that fit on machines whose records
+    /// cannot be written in this pass are excluded, since they need no further machine.
     fn report_unmet_demand(&mut self, turn: QueueTurn<'a>, tasks: u64) {
         let waiting = self
             .array_capacity
--- a/src/placement/scheduling_pass/array_capacity.rs
+++ b/src/placement/scheduling_pass/array_capacity.rs
@@ -3,10 +3,10 @@
 use crate::ids::Resources;
 use crate::placement::candidates::Candidate;
 
-/// The machines with free capacity for arrays. They are tracked separately because most machines
-/// are full most of the time.
+/// The machines that can take tasks of arrays in this pass. They are tracked separately because
+/// most machines are full most of the time.
 pub(super) struct ArrayCapacity {
-    /// The indices of these machines among the candidates.
+    /// The candidate indices of these machines.
     candidates: Vec<usize>,
     /// Free milli-CPUs on machines whose records cannot be written in this pass because the write
     /// budget is exhausted.
@@ -14,7 +14,7 @@
 }
 
 impl ArrayCapacity {
-    /// Selects the candidates that have free capacity beyond the replica reserve.
+    /// Selects the candidates that have free CPUs beyond the replica reserve.
     pub(super) fn new(candidates: &[Candidate<'_>], replica_reserve: &[Resources]) -> Self {
         let mut capacity = Self {
             candidates: (0..candidates.len()).collect(),
@@ -24,17 +24,17 @@
         capacity
     }
 
-    /// Returns the candidate indices of the machines with free capacity.
+    /// Returns the candidate indices of the machines that can take tasks of arrays in this pass.
     pub(super) fn candidates(&self) -> &[usize] {
         &self.candidates
     }
 
-    /// Returns whether no machine has free capacity left.
+    /// Returns whether no machine is left that can take tasks of arrays in this pass.
     pub(super) fn is_exhausted(&self) -> bool {
         self.candidates.is_empty()
     }
 
-    /// Drops the machines that have become full.
+    /// Drops the machines without free CPUs beyond the replica reserve.
     pub(super) fn drop_full(
         &mut self,
         candidates: &[Candidate<'_>],
@@ -64,8 +64,9 @@
         self.unwritable_milli_cpus += unwritable.iter().map(milli_cpus).sum::<u64>();
     }
 
-    /// Returns how many of `tasks` only wait for a machine record to be written, and subtracts
-    /// their CPUs so that the same capacity is not counted twice.
+    /// Returns how many of `tasks` fit into the free CPUs of machines whose records cannot be
+    /// written in this pass, and subtracts their CPUs so that the same capacity is not counted
+    /// twice.
     pub(super) fn take_unwritable_capacity(&mut self, tasks: u64, milli_cpus_per_task: u64) -> u64 {
         let waiting = tasks.min(self.unwritable_milli_cpus / milli_cpus_per_task.max(1));
         self.unwritable_milli_cpus -= waiting * milli_cpus_per_task;
--- a/src/placement/scheduling_pass/assignment.rs
+++ b/src/placement/scheduling_pass/assignment.rs
@@ -18,8 +18,8 @@
     pub allotments: Vec<(usize, PendingAllotment)>,
     /// The number of tasks that found no machine.
     pub unassigned: u64,
-    /// Whether there was free capacity on machines whose records could not be written because the
-    /// write budget was exhausted.
+    /// Whether a machine was skipped because its record could not be written: the write budget was
+    /// exhausted.
     pub write_budget_exhausted: bool,
 }
 
@@ -34,7 +34,9 @@
 }
 
 impl<'a> SchedulingPass<'a, '_> {
-    /// Reserves free capacity on the ranked machines until all tasks of a request are assigned.
+    /// Assigns the tasks of a request to the ranked machines, best first, and reserves their
+    /// capacity. Stops when all tasks are assigned; tasks that no machine can take remain
+    /// unassigned.
     pub(super) fn assign(
         &mut self,
         turn: QueueTurn<'a>,
@@ -112,8 +114,8 @@
         is_taken
     }
 
-    /// Creates the attempts of a job's tasks. All tasks of a gang share one attempt number; each
-    /// task of another job has its own.
+    /// Creates the attempts of a job's tasks. All tasks of a gang share the number `gang_attempt`.
+    /// Each task of an array or a service gets a new number.
     fn attempts(
         &mut self,
         turn: QueueTurn<'a>,
--- a/src/placement/scheduling_pass/image_wait.rs
+++ b/src/placement/scheduling_pass/image_wait.rs
@@ -15,9 +15,10 @@
 pub(in crate::placement) const IMAGE_WAIT_LIMIT: Millis = Millis(1200);
 
 impl<'a> SchedulingPass<'a, '_> {
-    /// Returns whether a service waits for a machine that has its image. A replica that would have
-    /// to fetch its image preempts tasks of lower priority on a machine that has it, and waits up
-    /// to `IMAGE_WAIT_LIMIT` for their resources.
+    /// Returns whether a service waits for a machine that has its image. This is the case if
+    /// fetching the image to the best machine takes more than `MAX_QUICK_FETCH_S`, and tasks of
+    /// lower priority can be stopped on a machine that has the image. The service then demands
+    /// their preemption and waits up to `IMAGE_WAIT_LIMIT` for their resources.
     pub(super) fn waits_for_image(
         &mut self,
         turn: QueueTurn<'a>,
--- a/src/placement/scheduling_pass/request.rs
+++ b/src/placement/scheduling_pass/request.rs
@@ -7,7 +7,8 @@
 use crate::protocol::JobKind;
 use std::collections::BTreeMap;
 
-/// The largest number of tasks of one job that are placed in one turn.
+/// The largest number of tasks of an array or a service that are placed in one turn. The others
+/// wait for a later turn.
 const MAX_TASKS_PER_TURN: usize = 400;
 
 /// The tasks of a job that are to be placed now.
@@ -41,6 +42,8 @@
     }
 
     /// Returns all tasks of a gang, or the missing tasks of a gang that has not started yet.
+    /// Returns `None` if the gang has to wait for its current attempt to end, or if the team's
+    /// quota limit does not allow all of these tasks.
     fn gang_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
         let allowed = self
             .quota_usage
@@ -65,7 +68,9 @@
         })
     }
 
-    /// Returns as many tasks of an array or a service as the team's quota limit allows.
+    /// Returns as many tasks of an array or a service as `MAX_TASKS_PER_TURN`, the team's quota
+    /// limit and the limit for failing jobs allow. If no machine is left for arrays, records the
+    /// tasks of an array as unmet demand and returns `None`.
     fn tasks_request(&mut self, turn: QueueTurn<'a>) -> Option<TaskRequest> {
         let QueueTurn { id, job, .. } = turn;
         let within_limit = self
--- a/src/placement/victims.rs
+++ b/src/placement/victims.rs
@@ -19,8 +19,9 @@
 
 /// Selects the tasks to stop on a machine so that up to `tasks` more tasks of a job fit in addition
 /// to the `reserved` resources. Tasks of the lowest priority are selected first and, within a
-/// priority, those that have run for the shortest time. `preemptible` returns the priority of a
-/// task that may be stopped, or `None`.
+/// priority, those that were allotted last. `preemptible` returns the priority of a task that may
+/// be stopped, or `None`. Returns `None` if no task of the job would fit, or none has to be
+/// stopped.
 pub(super) fn select_victims(
     candidate: &Candidate<'_>,
     spec: &JobSpec,
