--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -137,11 +137,11 @@
     }
 
     /// Raises the token of this machine without changing the shard's record, so that other work in
-    /// the shard continues. It is called when a direct launch has no answer, when the worker has to
-    /// list too many exited tasks whose direct launches could be repeated, and to test whether
-    /// answers reach a machine whose heartbeats are relayed. Once a heartbeat carries the higher
-    /// token, no copy of a launch under a lower token can take effect any more. Returns `false` if
-    /// the fence has no higher token left.
+    /// the shard continues. It is called when the direct launch of a task that is no longer wanted
+    /// has no answer, when the worker has to list too many exited tasks whose direct launches could
+    /// be repeated, and to test whether answers reach a machine whose heartbeats are relayed. Once
+    /// a heartbeat carries the higher token, no copy of a launch under a lower token can take
+    /// effect any more. Returns `false` if the fence has no higher token left.
     pub(super) fn raise_token(&mut self, now: MonotonicTime) -> bool {
         if !self.token.raise(now) {
             return false;
@@ -165,8 +165,8 @@
         self.observed.is_newer(heartbeat)
     }
 
-    /// Applies a heartbeat if it is the newest. A late one is ignored and does not count as a sign
-    /// of life either.
+    /// Applies a status, from a heartbeat or from the answer to a direct call, if it is the newest.
+    /// A late one is ignored and does not count as a sign of life either.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/worker_control/machine_tracker/placements.rs
+++ b/src/worker_control/machine_tracker/placements.rs
@@ -37,10 +37,10 @@
 pub(in crate::worker_control) struct Placements {
     /// Allotted placements that the machine's record does not contain yet.
     pending: VecDeque<PendingPlacement>,
-    /// Attempts that were committed by this tracker and not yet seen on the machine. Only these are
-    /// launched. Any other attempt that is absent from the machine may have ended already, with its
-    /// end not yet written and its capacity allotted again. Launching it again could exceed its
-    /// team's limit.
+    /// Attempts that this tracker has added to the machine's record and that were not yet seen on
+    /// the machine. Only these are launched, once the record in the watch cache contains them. Any
+    /// other attempt that is absent from the machine may have ended already, with its end not yet
+    /// written and its capacity allotted again. Launching it again could exceed its team's limit.
     launchable: BTreeSet<TaskAttempt>,
     /// Attempts that are proved gone and were reported to the leader, but whose end is not written
     /// yet.
@@ -151,7 +151,8 @@
         self.rejected.extend(too_large);
     }
 
-    /// Returns whether the attempt was committed by this tracker and not yet seen on the machine.
+    /// Returns whether this tracker has added the attempt to the machine's record, in a transaction
+    /// that may still be in flight, and the attempt was not yet seen on the machine.
     pub(in crate::worker_control) fn is_launchable(&self, attempt: &TaskAttempt) -> bool {
         self.launchable.contains(attempt)
     }
--- a/src/worker_control/machine_tracker/reachability.rs
+++ b/src/worker_control/machine_tracker/reachability.rs
@@ -3,8 +3,8 @@
 
 use crate::ids::{Millis, MonotonicTime};
 
-/// Number of consecutive failed calls from which on a machine counts as unresponsive even if it
-/// still sends heartbeats.
+/// Number of consecutive failed calls after which the time that a machine has been unresponsive
+/// counts from the last message that reached it, even if its heartbeats still arrive.
 const UNREACHABLE_AFTER_FAILED_CALLS: u32 = 2;
 
 /// The times of the last communication between this controller and one machine, in both directions.
@@ -18,7 +18,8 @@
     relayed_since: Option<MonotonicTime>,
     /// When the machine last proved that a message from this controller reached it.
     last_reached: MonotonicTime,
-    /// Number of consecutive direct calls without an answer.
+    /// Number of consecutive direct calls that were not sent or not answered. While heartbeats are
+    /// relayed, a raised token that does not come back counts as one.
     failed_calls: u32,
 }
 
@@ -51,7 +52,7 @@
         self.failed_calls = 0;
     }
 
-    /// Records that a direct call was not answered.
+    /// Records that a direct call was not sent or not answered.
     pub(super) fn on_failed_call(&mut self) {
         self.failed_calls += 1;
     }
@@ -93,8 +94,9 @@
         accepted
     }
 
-    /// Returns how long the machine has been unresponsive: the time since its last heartbeat or,
-    /// after several failed calls, since it was last reached if that is longer.
+    /// Returns how long the machine has been unresponsive. This is the time since its last
+    /// heartbeat. After [`UNREACHABLE_AFTER_FAILED_CALLS`] failed calls it is the time since the
+    /// machine last proved that a message reached it, if that is longer.
     pub(super) fn unresponsive_for(&self, now: MonotonicTime) -> Millis {
         let since_heartbeat = self.since_heartbeat(now);
         if self.failed_calls >= UNREACHABLE_AFTER_FAILED_CALLS {
--- a/src/worker_control/machine_tracker/record_writes.rs
+++ b/src/worker_control/machine_tracker/record_writes.rs
@@ -11,8 +11,9 @@
 /// Time that ended placements wait for a new placement on their machine before they are written
 /// without one, in milliseconds. It limits the number of writes.
 const ENDS_ONLY_WRITE_DELAY_MS: u64 = 10_000;
-/// Time that the last ended placements of a machine wait to be written, in milliseconds. It is
-/// shorter because a machine can only be returned once its record is empty.
+/// Time in milliseconds that ended placements wait to be written if the record is empty without
+/// them. It is shorter than [`ENDS_ONLY_WRITE_DELAY_MS`] because a machine can only be returned to
+/// the cloud once its record is empty.
 const IDLE_MACHINE_WRITE_DELAY_MS: u64 = 700;
 /// Priority of each pending placement. One millisecond of age adds 1.
 const PLACEMENT_PRIORITY: u64 = 1000;
--- a/src/worker_control/machine_tracker/tasks.rs
+++ b/src/worker_control/machine_tracker/tasks.rs
@@ -31,8 +31,8 @@
         matches!(presence, TaskPresence::Absent | TaskPresence::Exited(_))
     }
 
-    /// Returns whether the worker may forget an exited task because no launch that was sent can
-    /// start it again.
+    /// Returns whether the worker may forget an exited task: the machine obeys the current token,
+    /// and no launch that was sent can start the task again.
     pub(in crate::worker_control) fn may_forget(&self, attempt: &TaskAttempt) -> bool {
         self.is_confirmed() && self.launches.allow_forgetting(attempt)
     }
--- a/src/worker_control/machine_tracker/token.rs
+++ b/src/worker_control/machine_tracker/token.rs
@@ -2,8 +2,9 @@
 
 use crate::ids::{FencingToken, Millis, MonotonicTime, Revision};
 
-/// Minimum time between two raises of a machine's token. A raise above the token of an earlier
-/// tracker is not limited.
+/// Minimum time between two raises of a machine's token. It does not apply when a status shows that
+/// an earlier tracker of the machine under the same fence had raised the token further: this
+/// tracker's token is then raised above that one at once.
 const MIN_TOKEN_RAISE_INTERVAL: Millis = Millis(4000);
 
 /// This controller's token for one machine, and how it compares with the token that the worker
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -36,7 +36,7 @@
     /// The number of shards in the cluster.
     shards: u32,
     limits: RecordLimits,
-    /// The number of tasks in one segment of a job's completion record.
+    /// The number of tasks in one segment of a job's completion counter.
     tasks_per_segment: u32,
     heartbeat_interval: Millis,
     worker_lease: Millis,
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -65,7 +65,8 @@
     }
 
     /// Assigns the attempts of an allotment to machines. Attempts that fit on no machine are
-    /// refused.
+    /// refused, and all are refused if the allotment is not valid for the shard's and the job's
+    /// records.
     fn place(
         &mut self,
         now: MonotonicTime,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Returns the first of the leader's candidate machines in the shard on which the attempt fits
-    /// now. The leader lists every machine of the shard that it would accept.
+    /// Returns the first of the leader's candidate machines in the shard on which the attempt can
+    /// be placed now. Machines that the leader does not list are never chosen.
     fn choose_machine(
         &self,
         job: &LiveJob,
@@ -124,8 +125,9 @@
         allotment.candidate_machines.iter().find(fits).cloned()
     }
 
-    /// Returns whether the attempt fits on the machine, or `None` if the machine or its type is
-    /// unknown.
+    /// Returns whether the attempt can be placed on the machine: the machine obeys the current
+    /// token and has no interruption notice, the job allows it, and the attempt fits into its free
+    /// resources and its record. Returns `None` if the machine or its type is unknown.
     fn fits(
         &self,
         id: &MachineId,
@@ -147,8 +149,9 @@
         Some(usable && allowed && job.spec.need().fits(free) && storable)
     }
 
-    /// Returns the size in bytes of the machine's record with all pending placements and one more.
-    /// Ended placements are not subtracted, because their completion entries need space too.
+    /// Returns the size in bytes that the machine's record would have with all pending placements
+    /// and this attempt, including the space reserved for completions. Ended placements are not
+    /// subtracted, because their completion entries need space too.
     fn stored_size(
         &self,
         tracker: &MachineTracker,
--- a/src/worker_control/shard_owner/calls.rs
+++ b/src/worker_control/shard_owner/calls.rs
@@ -9,7 +9,8 @@
 use crate::store::watch_cache::WatchCache;
 use crate::worker_control::machine_tracker::{DirectLaunch, MachineTracker, StatusSource};
 
-/// Delay after a call without an answer, and between two probes of an unresponsive machine.
+/// Delay after a call that was not sent or not answered, and between two probes of an unresponsive
+/// machine.
 pub(super) const CALL_RETRY_DELAY: Millis = Millis(700);
 /// Delay after a call that the worker rejected.
 const REJECTED_CALL_DELAY: Millis = Millis(50);
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -6,9 +6,10 @@
 use std::collections::BTreeSet;
 
 impl ShardOwner {
-    /// Returns the owned shards in which all tasks of a cancelled job are proved gone. Tasks on
-    /// deleted machines are ignored. If `cancellation_known` is set, this shard owner knows of the
-    /// cancellation, so it is enough that the machines obey only this shard owner.
+    /// Returns the owned shards in which all tasks of a cancelled job are proved gone, including
+    /// shards without tasks of the job. Tasks on deleted machines are ignored. If
+    /// `cancellation_known` is set, this shard owner knows of the cancellation, so for each machine
+    /// it is enough that the machine obeys the current token of this shard owner.
     pub(crate) fn cleared_shards(
         &self,
         job: &JobId,
@@ -31,7 +32,8 @@
         owned.collect()
     }
 
-    /// Returns whether no task of a cancelled job can run on the machine any more.
+    /// Returns whether all tasks of a cancelled job are proved gone from the machine. If
+    /// `cancellation_known` is set, it is enough that the machine obeys the current token.
     fn is_cleared(
         &self,
         id: &MachineId,
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -7,12 +7,13 @@
 use crate::store::watch_cache::{LiveMachine, WatchCache};
 use crate::worker_control::machine_tracker::{CommandRoute, MachineTracker, TaskPresence};
 
-/// Maximum number of commands in one message. Only stop commands for tasks without a placement may
-/// exceed it.
+/// Maximum number of commands in one message; the others follow in later messages. Only stop
+/// commands for tasks without a placement may exceed it.
 const MAX_COMMANDS_PER_MESSAGE: usize = 200;
-/// Maximum number of exited tasks that a worker keeps listing because their direct launches could
-/// be repeated. Beyond it the machine's token is raised so that the worker can forget them. A
-/// smaller limit costs more calls, a larger one makes heartbeats longer.
+/// Maximum number of exited tasks that a worker keeps listing so that a repeated direct launch does
+/// not start them again. Beyond it, and once no placement is pending, the machine's token is
+/// raised. This makes the direct launches void, so that the worker can forget the tasks. A smaller
+/// limit costs more calls, a larger one makes heartbeats longer.
 const MAX_RETAINED_EXITED_TASKS: usize = 24;
 
 impl ShardOwner {
@@ -227,8 +228,8 @@
 
 /// Returns whether the token must be raised. This is the case for a cancelled task or one to be
 /// stopped whose direct launch has no answer, because only a higher token prevents its start. It is
-/// also the case for too many exited tasks that would start again if they were forgotten and their
-/// launches repeated.
+/// also the case for more than [`MAX_RETAINED_EXITED_TASKS`] exited tasks that would start again if
+/// they were forgotten and their launches repeated, unless a placement is pending.
 fn needs_token_raise(tracker: &MachineTracker, machine: &LiveMachine, cache: &WatchCache) -> bool {
     let too_many_retained = tracker.listed_count() > MAX_RETAINED_EXITED_TASKS
         && tracker.placements().pending_count() == 0
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -9,8 +9,8 @@
 use crate::worker_control::machine_tracker::MachineTracker;
 
 const HEALTH_REPORT_INTERVAL: Millis = Millis(1000);
-/// A machine without a stored record that is unresponsive for this time is dropped: no task was
-/// placed there.
+/// A machine without a stored record that is unresponsive for this time is dropped, unless a write
+/// of its record is in flight: no task was placed there.
 const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
 /// Subtracted from the unresponsive time of machines while controllers can't reach each other. It
 /// lets a machine find another controller that relays its heartbeats: two attempts that time out,
@@ -78,7 +78,8 @@
         health
     }
 
-    /// Reports machines without a stored record that have been unresponsive for too long.
+    /// Reports machines without a stored record that have been unresponsive for
+    /// [`UNRECORDED_MACHINE_TIMEOUT`], unless a write of the record is in flight.
     pub(super) fn report_lost_machines(
         &self,
         now: MonotonicTime,
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -64,7 +64,8 @@
     }
 
     /// Returns the fence under which this controller owns the machine, or as error the other
-    /// controller that owns it, if known.
+    /// controller that owns it, if known. A heartbeat whose token has a later fence also gives an
+    /// error: the shard's record was rewritten, and the watch cache does not show it yet.
     fn fence_for(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/worker_control/shard_owner/record_commits.rs
+++ b/src/worker_control/shard_owner/record_commits.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Removes done ranges that the completion records of their jobs fully contain, and those of jobs
+/// Removes done ranges that the completion counters of their jobs fully contain, and those of jobs
 /// that are not in the watch cache any more.
 fn remove_stored_done(record: &mut MachineRecord, tasks_per_segment: u32, cache: &WatchCache) {
     record.done.retain(|done| {
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -9,14 +9,16 @@
     EndedPlacement, MachineTracker, TaskPresence, UnwrittenChanges,
 };
 
-/// A pending placement that could not be written within this time is refused. Without an answer,
-/// the leader would void it by rewriting the record of the whole shard, and with it everything in
-/// progress in that shard.
+/// A pending placement that could not be written within this time is refused, unless a write of the
+/// machine's record is in flight. Without an answer, the leader would void the placement by
+/// rewriting the record of the whole shard, and with it everything in progress in that shard.
 const PLACEMENT_EXPIRY: Millis = Millis(5000);
 
 impl ShardOwner {
     /// Updates the unwritten changes of a machine: placements that are proved gone, pending
-    /// placements, and completed tasks.
+    /// placements, and completed tasks. Also reports rejected placements to the leader, unless a
+    /// transaction could still place them. Does neither while a write of the machine's record is in
+    /// flight.
     pub(super) fn note_unwritten(
         &mut self,
         now: MonotonicTime,
@@ -54,7 +56,7 @@
 }
 
 /// Drops pending placements that were committed, and rejects those that expired or whose job has
-/// changed.
+/// changed. No placement expires while a write of the machine's record is in flight.
 fn settle_placements(
     now: MonotonicTime,
     tracker: &mut MachineTracker,
@@ -72,7 +74,8 @@
     });
 }
 
-/// Returns the outcome of a placement once its end is proved.
+/// Returns the outcome of a placement once its end is proved. Returns `None` for an absent attempt
+/// that is still to be launched.
 pub(super) fn attempt_outcome(
     tracker: &MachineTracker,
     attempt: &TaskAttempt,
--- a/src/worker_control/shard_owner/transactions.rs
+++ b/src/worker_control/shard_owner/transactions.rs
@@ -30,6 +30,8 @@
             TxnOutcome::Failed(_, revision) => tracker.writes_mut().on_conflict(*revision, now),
             TxnOutcome::Refused(_) => tracker.writes_mut().retry_later(now),
             TxnOutcome::Invalid => {
+                // The store rejected the transaction with status 400. The size of the record is
+                // only the most likely cause. `bytes` is that size.
                 let bytes = pending.record.size();
                 tracing::info!(machine = %id, bytes, "machine record is too large for the key-value store");
                 tracker.writes_mut().on_too_large(now);
