--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -4,7 +4,8 @@
 use crate::ids::{CancellationRoundId, JobId, MemberId, Revision, ShardFence, ShardId};
 use std::collections::BTreeMap;
 
-/// The contents of the watch cache that a round needs, in the controller that runs the round.
+/// The contents of the watch cache that an acknowledgement round needs, in the controller that runs the
+/// round.
 #[derive(Debug)]
 pub(crate) struct CacheView {
     /// The revision of the last event in the cache.
@@ -14,7 +15,7 @@
     pub shards_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
 
-/// The state of one round.
+/// A cancellation that was sent to the other controllers, and the acknowledgements received so far.
 #[derive(Debug)]
 struct CancellationRound {
     job: JobId,
@@ -25,7 +26,7 @@
     acknowledged_fences: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
 }
 
-/// The open rounds of one controller.
+/// The open acknowledgement rounds of one controller.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationRounds {
     /// The number of the last round.
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -8,7 +8,7 @@
 
 /// A round of scale-in may begin to drain one machine, plus one for each multiple of this many candidates.
 const CANDIDATES_PER_DRAIN: usize = 50;
-/// The time between two rounds of scale-in.
+/// The time from a round of scale-in that begins to drain machines to the next round.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
 
 /// A machine is drained only if service replicas use at most 1/n of its CPUs, where n is this value. Moving
@@ -68,9 +68,11 @@
 }
 
 impl Autoscaler {
-    /// Begins to drain machines that the recent load did not need, and returns the machines whose drain is
-    /// complete. On-demand machines are drained first because they cost more. Running tasks may finish, and
-    /// service replicas are moved.
+    /// Begins to drain machines, and returns the machines whose drain is complete. Without unmet demand,
+    /// machines that the recent load did not need are drained, on-demand machines first because they cost
+    /// more. While a demand is blocked, idle machines that no unmet demand may use are drained instead.
+    /// Running tasks may finish, and service replicas are moved. No drain begins until the load has been
+    /// observed for a whole window.
     pub(super) fn scale_in(
         &mut self,
         now: MonotonicTime,
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -145,8 +145,9 @@
 }
 
 /// Returns the number of a demand's tasks for which to rent machines. Tasks of arrays can run one after
-/// another, so only as many are counted as the CPU shortfall requires. Demands that must run concurrently are
-/// first assigned to incoming machines.
+/// another, so only as many are counted as the CPU shortfall requires. Demands that must run concurrently,
+/// and those that no existing or incoming machine can run, are assigned to incoming machines first, and the
+/// remaining tasks are counted.
 fn tasks_to_rent_for(
     unmet_demand: &UnmetDemand,
     cpu_shortfall: &mut u64,
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -18,7 +18,7 @@
 const SUSPECT_OWNER_TIMEOUT_FACTOR: u64 = 4;
 
 impl Autoscaler {
-    /// Returns the time without a heartbeat after which a machine is decommissioned.
+    /// Returns the time after which an unresponsive machine is decommissioned.
     pub(crate) fn unresponsive_timeout(&self, cache: &WatchCache) -> Millis {
         Millis::from_secs(cache.settings().silent_s)
             .max(self.interval_with_margin(SILENCE_MARGIN_MS))
@@ -44,8 +44,9 @@
         list
     }
 
-    /// Returns the machines without a heartbeat for longer than the timeout. Machines of a suspect shard
-    /// owner have a longer timeout, because the owner itself may be failing to receive heartbeats.
+    /// Returns the machines that recent health reports show to be unresponsive for at least the timeout.
+    /// Machines of a suspect shard owner have a longer timeout, because the owner itself may be failing to
+    /// receive heartbeats.
     fn silent_machines(
         &self,
         now: MonotonicTime,
@@ -69,7 +70,8 @@
         list
     }
 
-    /// Returns the heartbeats that each shard owner reports for the machines that it still owns.
+    /// Returns for each shard owner how many machines it reports, how many of these missed a heartbeat, and
+    /// which are silent. Machines that it no longer owns are left out.
     fn heartbeats_by_owner<'a>(
         &self,
         now: MonotonicTime,
@@ -127,7 +129,7 @@
     }
 }
 
-/// The heartbeats that a shard owner reports for its machines.
+/// What a shard owner reports about the heartbeats of its machines.
 #[derive(Debug, Default)]
 pub(super) struct OwnerHeartbeats<'a> {
     /// The counts over all of its machines.
@@ -137,9 +139,10 @@
 }
 
 impl OwnerHeartbeats<'_> {
-    /// Returns whether the shard owner itself probably fails to receive heartbeats: most of its machines are
-    /// silent, or a far larger part of them has missed heartbeats than of the other owners' machines. Shards
-    /// are spread evenly over zones and machine types, so a real outage affects all owners alike.
+    /// Returns whether the shard owner itself probably fails to receive heartbeats: more than half of its
+    /// machines, and more than one, are silent, or a far larger part of them has missed heartbeats than of
+    /// the other owners' machines. Shards are spread evenly over zones and machine types, so a real outage
+    /// affects all owners alike.
     ///
     /// Missed heartbeats are compared because the first machines reach the timeout while most still have time
     /// left. Comparing silent machines instead would delete many healthy machines before the owner is
@@ -149,7 +152,8 @@
     pub(super) fn is_owner_suspect(&self, others: HeartbeatCounts) -> bool {
         let HeartbeatCounts { machines, missed } = self.counts;
         let majority_is_silent = self.silent_machines.len() > 1.max(machines / 2);
-        // More than 1/8 of the machines missed a heartbeat, a fraction more than 3 times that of the others.
+        // More than 1/8 of this owner's machines, and more than 3 machines, missed a heartbeat, and that
+        // share is more than 3 times the share among the other owners' machines.
         let far_more_than_others = 8 * missed > machines
             && missed > 3
             && missed * others.machines > 3 * others.missed * machines;
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -1,5 +1,5 @@
-//! The capacity that the live jobs need: services for all their replicas, and arrays for finishing by their
-//! deadlines.
+//! The capacity that the live jobs need: services and gangs for all their tasks, and arrays to finish by
+//! their deadlines.
 
 use crate::config::Config;
 use crate::ids::UnixTime;
@@ -66,7 +66,8 @@
 /// The time until an array without a deadline or an objective is due, in task times.
 /// [`DEFAULT_DUE_MARGIN_S`] is added to it.
 const DEFAULT_DUE_TASKS: f64 = 4.0;
-/// The fixed part, in seconds, of the time until an array without a deadline or an objective is due.
+/// An array without a deadline or an objective is due after [`DEFAULT_DUE_TASKS`] task times plus this many
+/// seconds.
 const DEFAULT_DUE_MARGIN_S: f64 = 60.0;
 
 /// Returns the time in seconds that a batch may take. It ends before the due time, because the last tasks do
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -36,16 +36,20 @@
 /// until the store refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StoreLimits {
-    /// The size in bytes of the largest value that both the present and the later limits allow.
+    /// The size in bytes of the largest value that is allowed both now and after the upcoming change of the
+    /// limits.
     pub value_bytes: usize,
-    /// The largest number of operations in a transaction that both the present and the later limits allow.
+    /// The largest number of operations in a transaction that is allowed both now and after the upcoming
+    /// change.
     pub txn_ops: usize,
-    /// The larger of the present and the later rates, used until the store refuses a request.
+    /// The larger of the present rates and those after the upcoming change, used until the store refuses a
+    /// request.
     pub rates: StoreRates,
-    /// The smaller of the present and the later rates, used after the store has refused a request.
+    /// The smaller of the present rates and those after the upcoming change, used after the store has refused
+    /// a request.
     pub min_rates: StoreRates,
-    /// The size in bytes of the largest value that the present limits allow. The layout of stored records is
-    /// derived from it, so that all versions of the program use the same layout.
+    /// The size in bytes of the largest value that is allowed now. The layout of stored records is derived
+    /// from it, so that all versions of the program use the same layout.
     pub present_value_bytes: usize,
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -49,7 +49,8 @@
 const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
 /// How often the leader scans for records that are no longer needed.
 const CLEANUP_INTERVAL: Millis = Millis(2000);
-/// How often the history of one pipeline is written. The pipelines take turns.
+/// The time between two writes of history. Each writes the record of one pipeline, the first by name that has
+/// unwritten samples.
 const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
 
 /// The timers of the periodic duties.
@@ -125,8 +126,9 @@
     }
 
     /// Sets the time until which the lease is certainly valid. After it, another controller may have become
-    /// leader without this one knowing, so this one performs none of the leader's duties: it places and
-    /// preempts no tasks, and neither rents nor lists machines.
+    /// leader without this one knowing, so this one places and preempts no tasks, and neither rents nor lists
+    /// machines. Of the leader's duties it continues only the assignment of shards, whose transactions have a
+    /// condition on the leader's record.
     pub(crate) fn set_lease_deadline(&mut self, until: MonotonicTime) {
         self.lease_valid_until = until;
     }
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Handles the cloud's machine types. `None` means that the cloud did not answer.
+    /// Handles the cloud's machine types. `None` means that they could not be read.
     pub(crate) fn on_catalog(
         &mut self,
         now: MonotonicTime,
@@ -282,7 +284,7 @@
         self.run_due_work(now)
     }
 
-    /// Handles the cloud's list of machines. `None` means that the cloud did not answer.
+    /// Handles the cloud's list of machines. `None` means that the list could not be read.
     pub(crate) fn on_machine_list(
         &mut self,
         now: MonotonicTime,
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -92,9 +92,9 @@
         self.cancellation.rounds.is_complete(round, &view)
     }
 
-    /// Returns the owned shards in which all tasks of a cancelled job are proved to be gone. If neither a
-    /// stop command nor a deletion has succeeded within the cancellation timeout, it is enough that this
-    /// owner knows of the cancellation, so that the user's request is answered.
+    /// Returns the owned shards in which all tasks of a cancelled job are proved to be gone. Once the
+    /// cancellation timeout has passed, it is enough that the machines with such tasks obey the current token
+    /// of this owner, which knows of the cancellation, so that the user's request is answered.
     pub(super) fn cleared_shards(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation.deadlines.age(now, job);
         let is_overdue = age.is_some_and(|age| age >= self.config.cancellation_timeout);
@@ -140,7 +140,8 @@
         is_scan_due
     }
 
-    /// As the leader, deletes machines on which tasks of a cancelled job did not stop in time.
+    /// As the leader, deletes unresponsive machines on which tasks of a cancelled job did not stop in time.
+    /// Requests reads of the final records of ended jobs whose outcome is not known.
     pub(super) fn decommission_overdue(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let unresponsive_timeout = self.autoscaler.unresponsive_timeout(&self.cache);
         let is_unresponsive = |id: &MachineId| {
@@ -168,9 +169,10 @@
         }
     }
 
-    /// Does the same for owned machines, as a shard owner that is not certainly the leader. A deletion
-    /// needs only the cloud and no fencing token. This covers an outage of the store, in which no controller
-    /// can be certain that it is the leader.
+    /// As a shard owner that is not certainly the leader, deletes owned, unresponsive machines on which tasks
+    /// of a cancelled job did not stop in time. Only jobs that this controller knows to be cancelled count:
+    /// no final records are read. A deletion needs only the cloud and no fencing token. This covers an outage
+    /// of the store, in which no controller can be certain that it is the leader.
     pub(super) fn decommission_owned(
         &mut self,
         now: MonotonicTime,
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -1,6 +1,6 @@
-//! The leader's clean-up. It deletes the records of machines that are gone, removes machines without a
-//! record that no shard owner reports any more, shortens long lists of finished tasks, and deletes records
-//! left behind by jobs that have ended.
+//! The leader's clean-up. It deletes the records of machines that are gone, removes from the watch cache
+//! machines without a record that no shard owner reports any more, moves long lists of finished tasks into
+//! the counters of their jobs, and deletes records left behind by jobs that have ended.
 
 use super::effects::Effect;
 use crate::config::Config;
@@ -15,16 +15,18 @@
 
 /// How long to wait before the deletion of a machine's record is tried again.
 const DELETION_RETRY_INTERVAL: Millis = Millis(1000);
-/// Longest time that the deletion of a machine's record is deferred until the jobs end whose finished
-/// tasks it lists.
+/// Longest time for which the deletion of a machine's record waits for the end of the jobs whose finished
+/// tasks the record lists.
 const MAX_DELETION_DEFERRAL: Millis = Millis(60_000);
 /// How long a machine without a record stays in the watch cache after shard owners have stopped reporting
 /// it.
 const UNREPORTED_MACHINE_TIMEOUT: Millis = Millis(10_000);
-/// Limits the number of jobs whose counters are updated in one clean-up pass.
+/// Limits the number of jobs whose counters are updated in one clean-up pass. Further jobs follow in later
+/// passes.
 const MAX_JOBS_FOLDED_PER_PASS: usize = 4;
 
-/// Deletions of machine records in flight or deferred, and machines without a record that may be removed.
+/// Deletions of machine records in flight or deferred, and machines without a record that may be removed from
+/// the watch cache.
 #[derive(Debug, Default)]
 pub(super) struct RecordCleanup {
     /// When the deletion of each machine's record was last requested.
@@ -36,10 +38,10 @@
 }
 
 impl RecordCleanup {
-    /// Removes machines without a record that no shard owner has reported for
-    /// [`UNREPORTED_MACHINE_TIMEOUT`]; a machine that still exists is discovered again. It waits that long
+    /// Removes from the watch cache machines without a record that no shard owner has reported for
+    /// [`UNREPORTED_MACHINE_TIMEOUT`]; a machine that still exists is discovered again. The wait is needed
     /// because an owner reports a new machine with a delay: a machine that was removed before its first
-    /// report was never used.
+    /// report would never be used.
     pub(super) fn expire_unreported_machines(
         &mut self,
         now: MonotonicTime,
@@ -87,8 +89,11 @@
         Some(Effect::unattended_txn(RequestClass::Place, txn))
     }
 
-    /// Returns whether to wait for the end of the jobs whose finished tasks the record lists. After their
-    /// end the record can be deleted by a single change, and the store accepts few changes per second.
+    /// Returns whether to defer the deletion of a machine's record that lists finished tasks of live jobs.
+    /// Once these jobs have ended, a single change deletes the record; before, the tasks must also be moved
+    /// to the jobs' counters, and the store accepts few changes per second. The deletion is deferred only
+    /// while the write budget is low, no task is placed on the machine, and the machine has been gone for
+    /// less than [`MAX_DELETION_DEFERRAL`].
     fn should_defer_deletion(
         &mut self,
         now: MonotonicTime,
@@ -111,10 +116,10 @@
     }
 }
 
-/// Returns a transaction that moves the finished tasks in a machine's record to the counters of their
-/// jobs. It also deletes the record if no task is left in it: otherwise a leader that loads a new snapshot
-/// would run that task again. The transaction fails, and is built again, if the shard owner has written the
-/// record in the meantime.
+/// Returns a transaction that moves the finished tasks in a machine's record to the counters of their jobs.
+/// It also deletes the record if all of them fit into the transaction. If the record were deleted earlier, a
+/// leader that loads a new snapshot would run the remaining tasks again. The transaction fails, and is built
+/// again, if the shard owner has written the record in the meantime.
 fn record_deletion(
     id: &MachineId,
     machine: &LiveMachine,
@@ -142,8 +147,9 @@
     txn
 }
 
-/// Moves finished tasks from large machine records into the counters of their jobs. In other records
-/// they cost nothing, and are removed when their jobs end.
+/// Moves finished tasks from large machine records into the counters of their jobs. A record is large if it
+/// takes more than half of the largest value, and its finished tasks more than a quarter. In other records
+/// finished tasks cost nothing, and are removed when their jobs end.
 pub(super) fn fold_counters(cache: &WatchCache, config: &Config, effects: &mut Vec<Effect>) {
     let value_bytes = config.store_limits.value_bytes;
     let records = cache.machines.values().map(|m| &m.record);
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -27,7 +27,9 @@
 /// thousands of blocked jobs does not use up the request rate that other duties need.
 const MAX_IN_FLIGHT: usize = 16;
 /// The controller that cancels a job also cancels its dependents, before it answers the user. The leader
-/// waits this long before it cancels the remaining dependents.
+/// waits this long before it cancels the remaining dependents. The wait begins when a cancelled job with
+/// blocked dependents is first seen. Jobs that are cancelled before all of these dependents are gone get no
+/// wait of their own.
 const CANCELLER_GRACE_PERIOD: Millis = Millis(1500);
 
 /// Queries and releases in flight, with the time at which each may be repeated.
@@ -159,7 +161,8 @@
         self.timers.schedule.request_now();
     }
 
-    /// Puts the machines of the placement group that a job joins before the machines in its plan.
+    /// Puts the machines of the placement group that a job joins before the machines in its plan. At most
+    /// [`PlanRecord::MAX_MACHINES`] are kept.
     fn prefer_machines(&mut self, id: &JobId, group: Vec<MachineId>) {
         let plan = self.cache.jobs.get_mut(id).and_then(|j| j.plan.as_mut());
         if let Some(plan) = plan.filter(|_| !group.is_empty()) {
@@ -184,7 +187,8 @@
         self.cache.record_job_outcome(job, outcome);
     }
 
-    /// Cancels the dependents of a cancelled job that the controller which cancelled it has left.
+    /// Cancels dependents that the controller which cancelled the job has not cancelled itself: those of one
+    /// cancelled job at a time.
     fn propagate_cancellations(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let Some(cancelled) = self.cache.dependency_graph.cancelled().next() else {
             self.dependents.cancel_at = None;
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Sends the shard owner's messages to the leader, and converts its other effects to the controller's.
+    /// Carries out the shard owner's effects: sends its messages for the leader, adds or removes machines
+    /// without a record in the watch cache, and turns the other effects into effects of the controller.
     pub(super) fn apply_owner_effects(
         &mut self,
         now: MonotonicTime,
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Sends the scheduler's messages to the shard owners, and converts its other effects to the
-    /// controller's.
+    /// Carries out the scheduler's effects: sends its messages to the shard owners, and raises the fences of
+    /// shards.
     pub(super) fn apply_scheduler_effects(
         &mut self,
         now: MonotonicTime,
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Converts the autoscaler's effects to the controller's.
+    /// Converts the autoscaler's effects to effects of the controller. For the record of a deleted machine
+    /// this is a transaction, unless its deletion is deferred or not needed.
     pub(super) fn apply_cloud_effects(
         &mut self,
         now: MonotonicTime,
--- a/src/controller/plans.rs
+++ b/src/controller/plans.rs
@@ -110,7 +110,9 @@
         // The rate limiter refuses at once: without a pause, refusals and retries would follow each
         // other in an endless loop.
         self.retry_at = now + MAX_BATCH_DELAY;
-        // With any other outcome the plans are written, or another controller is the leader.
+        // After any other outcome the plans are not sent again. They are stored, or another controller is the
+        // leader. If the outcome is unknown or the store rejected the batch, they may not be stored; a
+        // controller that becomes leader then plans the jobs again.
         if !matches!(outcome, TxnOutcome::Refused(_)) {
             return;
         }
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -11,21 +11,24 @@
 
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Forwards a request to a peer that reaches the key-value store. Returns `None` without a
-/// conclusive response.
+/// Forwards a request to a peer that reaches the key-value store and returns its response. Returns
+/// `None` without a response, as [`forward_to_peer_with_store`] does, and if the response only asks
+/// to retry (status 500 or above).
 pub(super) async fn forward_request(node: &Node, request: &Request) -> Option<Response> {
     let response = forward_to_peer_with_store(node, request).await;
     response.filter(is_conclusive)
 }
 
-/// Forwards a request to a peer that reaches the key-value store and returns its response,
-/// conclusive or not. Returns `None` without a response.
+/// Forwards a request to a peer that reaches the key-value store and returns its response, also one
+/// that only asks to retry (status 500 or above). Returns `None` if no such peer is known, it did
+/// not respond in time, or too many forwarded requests are pending.
 pub(super) async fn forward_to_peer_with_store(node: &Node, request: &Request) -> Option<Response> {
     let peer = node.peer_store_access.most_recent_peer()?;
     forward_to(node, &peer, request).await
 }
 
-/// Returns whether a response settles the request, rather than asking the user to retry.
+/// Returns whether a response settles the request. A status of 500 or above only asks the user to
+/// retry.
 pub(super) fn is_conclusive(response: &Response) -> bool {
     response.status < 500
 }
--- a/src/daemon/membership_log.rs
+++ b/src/daemon/membership_log.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Returns whether no shard owner has changed, which is the case after nearly every watch
-    /// event.
+    /// Returns whether no shard's owner or fence has changed, which is the case after nearly every
+    /// watch event.
     fn has_same_shard_owners(&self, cache: &WatchCache) -> bool {
         let fences = cache
             .shards
@@ -87,6 +87,8 @@
 
     fn log_owners(&self, owners: &BTreeMap<ShardId, Owner>, revision: Revision) {
         for (shard, owner) in owners {
+            // Also logged if only the fence differs: a new leader rewrites all shard records, and a
+            // fence can be raised.
             if self.owners.get(shard) != Some(owner) {
                 tracing::info!(%shard, owner = %owner.member, fence = %owner.fence, %revision, "shard owner changed");
             }
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -13,9 +13,10 @@
 /// Number of renewals within the lease's time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
-/// Ends the lease of an earlier process of this controller, then keeps a lease without end. `ttl` returns
-/// how long a lease lasts without renewal. `on_lease` is called with each new lease, and with `None` when a
-/// lease is gone. `on_valid_until` is called with the time until which the lease is certainly valid.
+/// Ends the lease of an earlier process of this controller, then acquires a lease and renews it. Acquires a
+/// new lease whenever one is gone; never returns. `ttl` returns how long a lease lasts without renewal.
+/// `on_lease` is called with each new lease, and with `None` when a lease is gone. `on_valid_until` is called
+/// with the time until which the lease is certainly valid.
 pub(crate) async fn keep_lease(
     store: Rc<StoreClient>,
     member: MemberId,
@@ -100,6 +101,8 @@
             // Leases keep their remaining time during an outage of the store, so only a response of the
             // store tells that one is gone.
             Err(error) => {
+                // `late` is the time since the last successful renewal, or else the creation of the lease,
+                // was requested.
                 tracing::debug!(
                     late = ?renewed_at.elapsed(),
                     %error,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Leadership {
     member: MemberId,
     incarnation: Incarnation,
-    /// The number of shards.
+    /// The number of shards in the cluster.
     shard_count: u32,
     /// The largest number of changes in a transaction.
     max_txn_ops: usize,
@@ -38,7 +38,8 @@
     retry_at: MonotonicTime,
     /// The revision that the watch cache must show before the next transaction.
     retry_revision: Revision,
-    /// The last term of this process that ended with its lease.
+    /// The latest term in which this process was the leader and that ended because the process lost its
+    /// lease. The watch cache may still show the term; it is then ignored.
     ended_term: Revision,
     /// Controllers that are assigned no shards while there are others.
     quarantined: BTreeSet<MemberId>,
@@ -79,9 +80,10 @@
         self.lease = lease;
     }
 
-    /// Returns the term if this process is the leader according to the watch cache. A leader that was
-    /// replaced without knowing does no harm: its shard writes have a condition on the leader's record, and
-    /// shard owners reject its allotments because of their outdated fences.
+    /// Returns the term if this process is the leader according to the watch cache and has not lost the lease
+    /// of that term. A leader that was replaced without knowing does no harm: its shard writes have a
+    /// condition on the leader's record, and shard owners reject its allotments because of their outdated
+    /// fences.
     pub(crate) fn term(&self, cache: &WatchCache) -> Option<Revision> {
         let leader = cache.leader.as_ref()?;
         let is_current_process =
@@ -153,7 +155,8 @@
     }
 
     /// Returns the transaction that rewrites shards which are of an earlier term, have no eligible owner, or
-    /// move to another owner to balance the load. At most `max_txn_ops` shards are rewritten.
+    /// move to another owner to balance the load. At most `max_txn_ops` shards are rewritten; the others
+    /// follow in later transactions. Returns `None` if no shard has to be rewritten.
     fn assign_shards(&self, term: Revision, cache: &WatchCache) -> Option<Txn> {
         let owners =
             shard_assignment::required_owners(self.shard_count, term, cache, &self.quarantined);
@@ -177,7 +180,8 @@
     }
 
     /// Returns the transaction that rewrites a shard's record unchanged, which raises its fencing token. Both
-    /// the shard's owner and the leader may do so.
+    /// the shard's owner and the leader may do so. Returns `None` if the shard has no owner or its owner's
+    /// process has restarted.
     pub(crate) fn raise_shard_fence(&self, shard: ShardId, cache: &WatchCache) -> Option<Txn> {
         let record = cache.shards.get(&shard)?;
         let owner_record = cache.members.get(&record.value.owner)?;
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -75,7 +75,8 @@
         self.quarantined_until.keys().cloned().collect()
     }
 
-    /// Quarantines the owners that their last health reports show to be unreachable.
+    /// Quarantines the owners that are unreachable by their latest health reports and by the heartbeats that
+    /// reached other controllers. At least one controller always stays out of quarantine.
     pub(crate) fn evaluate<'a>(
         &mut self,
         now: MonotonicTime,
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -130,13 +130,15 @@
 pub(crate) struct Allotment {
     /// The shard.
     pub shard: ShardId,
-    /// Revision of the shard's record: the allotment is void under another one.
+    /// Revision of the shard's record at which the allotment is valid. At any other revision the
+    /// shard owner refuses it, after waiting for its watch cache if that is behind.
     pub fence: Revision,
-    /// Revision of the job's record: the allotment is void under another one.
+    /// Revision of the job's record at which the allotment is valid. At any other revision the
+    /// shard owner refuses it, after waiting for its watch cache if that lacks the job.
     pub job_revision: Revision,
     /// The attempts to place, all of the same job.
     pub attempts: Vec<TaskAttempt>,
-    /// The machines of the shard that the leader accepts, best first.
+    /// The machines of the shard among which the owner may choose, best first.
     #[serde(rename = "preferred")]
     pub candidate_machines: Vec<MachineId>,
 }
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -13,8 +13,9 @@
 /// Number of changes per cancelled job: the put of the final record and the deletion of the live record.
 const CHANGES_PER_CANCELLATION: usize = 2;
 
-/// Returns the transaction that cancels blocked jobs which depend on a cancelled one, and these jobs: as
-/// many as fit into `max_ops` changes. Returns `None` if there are none.
+/// Returns a transaction that cancels blocked jobs which depend on a cancelled job, directly or indirectly,
+/// together with the list of the jobs that it cancels. It covers as many jobs as fit into `max_ops` changes,
+/// but at least one. Returns `None` if no blocked job depends on the cancelled one.
 pub(crate) fn cancel_dependents(
     cancelled: &JobId,
     cache: &WatchCache,
--- a/src/planning/completion_counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -123,7 +123,8 @@
                 }
             }
             assert!(cache.jobs[&id].done_outside_segments.is_empty());
-            // All its tasks are in segments, so deleting the machine's record loses none.
+            // All of the job's finished tasks are now in segments of its counter, so deleting the machine's
+            // record loses none.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
             assert!(store.run(&txn, &mut cache));
--- a/src/planning/history.rs
+++ b/src/planning/history.rs
@@ -70,7 +70,8 @@
     samples.get(at.min(last)).copied().unwrap_or(0.0).into()
 }
 
-/// Samples that the leader has not written yet. They are written in batches; a lost sample does no harm.
+/// Samples that the leader has not written yet. The samples of one pipeline are written together; a lost
+/// sample does no harm.
 #[derive(Debug, Default)]
 pub(crate) struct History {
     unwritten: BTreeMap<Pipeline, Vec<(MachineTypeName, f32)>>,
@@ -94,8 +95,9 @@
         }
     }
 
-    /// Returns the next history record to write, with its pipeline's unwritten samples merged in. The oldest
-    /// samples are dropped if the record would exceed `value_bytes`.
+    /// Returns the history record of the first pipeline by name that has unwritten samples, with these
+    /// samples merged in. They then no longer count as unwritten. The oldest samples are dropped if the
+    /// record would exceed `value_bytes`.
     pub(crate) fn next(
         &mut self,
         cache: &WatchCache,
--- a/src/planning/pipeline.rs
+++ b/src/planning/pipeline.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Returns the jobs of a pipeline that have no final state, parents first: at most
-/// [`MAX_JOBS_PER_PLAN`], those nearest to `id`.
+/// Returns the unfinished jobs that dependencies connect with `id`, directly or indirectly, parents first: at
+/// most [`MAX_JOBS_PER_PLAN`], those nearest to `id`.
 fn pipeline_members(id: &JobId, cache: &WatchCache) -> Vec<JobId> {
     let mut found = BTreeSet::from([id.clone()]);
     let mut queue = VecDeque::from([id.clone()]);
@@ -121,8 +121,8 @@
     graph
 }
 
-/// Returns the node of a job without its parents, with its predicted times on the types that it may use,
-/// strongest first.
+/// Returns a job's graph node with no parents set. Its predicted times are those on the machine types that
+/// the job may use and its tasks fit on, strongest type first.
 fn node(spec: &JobSpec, cache: &WatchCache) -> Node {
     let settings = cache.settings();
     let history = cache.history.get(&spec.pipeline).map(|h| &h.value);
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -13,7 +13,8 @@
 pub(crate) struct Placement {
     /// The machine whose record contains the attempt.
     pub machine: MachineId,
-    /// The attempt's number, which is unique among all attempts of all tasks.
+    /// The attempt's number. Tasks of a gang that were launched together share it, and so do the replacements
+    /// of lost ones. No other attempts have the same number.
     pub attempt: AttemptNumber,
 }
 
@@ -38,7 +39,7 @@
     pub urgency: Urgency,
     /// The revision that wrote its record.
     pub revision: Revision,
-    /// The segments of its completion counter, by segment number.
+    /// The segments of its completion counter by segment number: bitmaps of its done tasks.
     pub segments: BTreeMap<u32, Versioned<Bitmap>>,
     /// Done tasks that a machine record contains and no segment does yet. A done task stays done, so
     /// an entry is removed only when a segment contains it.
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -28,8 +28,8 @@
     Failed(Vec<String>, Revision),
     /// Not executed. It may be retried.
     Refused(Refusal),
-    /// Not executed, and a retry would fail as well: the transaction is too large for the service, or
-    /// refers to a lease that has expired.
+    /// Not executed, because the store rejected it with status 400; a retry would fail as well. For example,
+    /// the transaction is too large for the service, or refers to a lease that has expired.
     Invalid,
     /// It may have been executed, or may still be executed later.
     Unknown,
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -21,7 +21,7 @@
     Place,
     /// Reads of single records.
     Poll,
-    /// Plans, history and cleanup.
+    /// Plans, history and cleanup: writes that nobody waits for.
     Record,
 }
 
