--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -29,7 +29,7 @@
 /// The open acknowledgement rounds of one controller.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationRounds {
-    /// The number of the last round.
+    /// The number of the round that was opened last.
     last_round: u64,
     open: BTreeMap<CancellationRoundId, CancellationRound>,
 }
@@ -85,9 +85,10 @@
         }
     }
 
-    /// Returns whether all tasks of the job are gone. No placement of the job is committed after the
-    /// cancellation, so a watch cache that has reached its revision shows every shard that can have tasks of
-    /// the job. An owner of such a shard under the cached fence, or a later one, knows every placement in it.
+    /// Returns whether all tasks of a round's job are proved to be gone; `false` if the round is not open. No
+    /// placement of the job is committed after the cancellation, so a watch cache that has reached the
+    /// revision of the cancellation shows every shard that can have tasks of the job. An owner of such a
+    /// shard under the cached fence, or a later one, knows every placement in the shard.
     pub(crate) fn is_complete(&self, id: CancellationRoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -100,7 +100,8 @@
         boots.map(|boot| &boot.offer)
     }
 
-    /// Returns the machines whose boot has failed because it took too long.
+    /// Returns the machines whose boot has taken longer than [`FAILED_BOOT_FACTOR`] times the boot time of
+    /// their type. Such a boot counts as failed.
     pub(super) fn failed_machines(&self, now: MonotonicTime, cache: &WatchCache) -> Vec<MachineId> {
         let limit = |boot: &Boot| {
             let boot_s = boot_s(&boot.offer.type_name, cache);
--- a/src/cloud/autoscaler/rentals.rs
+++ b/src/cloud/autoscaler/rentals.rs
@@ -11,7 +11,8 @@
 const RENTAL_RETRY_DELAY: Millis = Millis(1500);
 /// A request is dropped instead of retried once it is older than this, because demand has changed since.
 const RENTAL_EXPIRY: Millis = Millis(20_000);
-/// Once more requests than this are pending, no further requests are added in the same step.
+/// Once more requests than this are pending, no further requests are added in the same step. Each later step
+/// may still add one.
 const MAX_PENDING_RENTALS: usize = 16;
 
 /// The cloud's response to a rent request.
@@ -90,7 +91,8 @@
         });
     }
 
-    /// Returns whether more than [`MAX_PENDING_RENTALS`] requests are pending. No more may be added then.
+    /// Returns whether more than [`MAX_PENDING_RENTALS`] requests are pending. The current step then adds no
+    /// more.
     pub(super) fn is_full(&self) -> bool {
         self.pending.len() > MAX_PENDING_RENTALS
     }
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// What a shard owner reports about the heartbeats of its machines.
+/// The heartbeat counts and the silent machines of one shard owner, by its health reports.
 #[derive(Debug, Default)]
 pub(super) struct OwnerHeartbeats<'a> {
     /// The counts over all of its machines.
--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -8,7 +8,8 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{TxnOutcome, keys};
 
-/// How long to wait before the catalog is written again after the store refused it for its size.
+/// How long to wait before the catalog is written again after the store rejected it with status 400, probably
+/// for its size.
 const TOO_LARGE_RETRY_INTERVAL: Millis = Millis(60_000);
 
 /// Writes the catalog if it differs from the stored one.
--- a/src/controller/plans.rs
+++ b/src/controller/plans.rs
@@ -111,7 +111,7 @@
         // other in an endless loop.
         self.retry_at = now + MAX_BATCH_DELAY;
         // After any other outcome the plans are not sent again. They are stored, or another controller is the
-        // leader. If the outcome is unknown or the store rejected the batch, they may not be stored; a
+        // leader. If the outcome is unknown or the store rejected the batch, they may not be stored; another
         // controller that becomes leader then plans the jobs again.
         if !matches!(outcome, TxnOutcome::Refused(_)) {
             return;
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -36,7 +36,8 @@
     in_flight: bool,
     /// The earliest time of the next transaction.
     retry_at: MonotonicTime,
-    /// The revision that the watch cache must show before the next transaction.
+    /// The revision that the watch cache must show before the next transaction, for at most
+    /// [`CACHE_WAIT_TIMEOUT`] after `retry_at`.
     retry_revision: Revision,
     /// The latest term in which this process was the leader and that ended because the process lost its
     /// lease. The watch cache may still show the term; it is then ignored.
--- a/src/placement/zone_constraint.rs
+++ b/src/placement/zone_constraint.rs
@@ -43,9 +43,9 @@
     }
 
     /// Returns the zone of a job that must stay in one zone: the zone of its other tasks or,
-    /// without any, the zone in which the most of its tasks fit on machines that the job may use.
-    /// Other machines are not counted, because their capacity could select a zone in which the job
-    /// cannot run. Returns `None` for jobs that may use several zones.
+    /// without any, the zone in which the largest number of its tasks fits on machines that the job
+    /// may use. Other machines are not counted, because their capacity could select a zone in which
+    /// the job cannot run. Returns `None` for jobs that may use several zones.
     pub(super) fn required_zone(
         &self,
         spec: &JobSpec,
--- a/src/worker_control/machine_tracker/record_writes.rs
+++ b/src/worker_control/machine_tracker/record_writes.rs
@@ -129,7 +129,8 @@
     unwritten: Option<UnwrittenChanges>,
     in_flight: Option<PendingTxn>,
     retry_at: MonotonicTime,
-    /// Revision at which a condition failed. The watch cache must reach it before the retry.
+    /// Revision at which a condition failed. The retry waits until the watch cache has reached it,
+    /// for at most [`CACHE_WAIT_LIMIT`] after `retry_at`.
     retry_revision: Revision,
     /// Whether the key-value store refused the record for its size. A record over the limit is then
     /// not sent again.
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -23,7 +23,8 @@
     /// A machine without a record answered its probe. The record is not written until the first
     /// placement there: until then it exists only in the watch caches and costs no write.
     MachineDiscovered(MachineId, MachineRecord),
-    /// A machine without a stored record has been unresponsive for too long.
+    /// A machine without a stored record has been unresponsive for too long and is to be removed
+    /// from the watch cache.
     UnrecordedMachineLost(MachineId),
     /// Rewrite the record of an owned shard. This raises its fence and so the tokens of its
     /// machines.
