--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -6,7 +6,8 @@
 /// Version of the message encoding. Messages can change with each release, so links between
 /// controllers with different frame versions are closed.
 const FRAME_VERSION: u8 = 4;
-/// Largest encoded message, in bytes.
+/// Largest encoded message, in bytes. A larger message is not sent, and a longer frame closes the
+/// link on which it arrives.
 const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 /// Size of the header in bytes: the message length as a big-endian `u32`, then the version.
 const HEADER_BYTES: usize = 5;
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -20,8 +20,9 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Largest number of messages that are queued for a peer. Further messages are dropped.
 const MAX_QUEUED_MESSAGES: usize = 5000;
-/// Largest number of inbound links. Clusters have far fewer peers, so beyond this limit the oldest
-/// link is assumed dead and is closed.
+/// Largest number of inbound links that are kept, including links that have ended. Clusters have
+/// far fewer peers, so beyond this limit the link that was accepted first is assumed dead and is
+/// closed.
 const MAX_INBOUND_LINKS: usize = 32;
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
