--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -4,7 +4,8 @@
 use crate::ids::{CancellationRoundId, JobId, MemberId, Revision, ShardFence, ShardId};
 use std::collections::BTreeMap;
 
-/// The contents of the watch cache that a round needs, in the controller that runs the round.
+/// The contents of the watch cache that an acknowledgement round needs, in the controller that runs the
+/// round.
 #[derive(Debug)]
 pub(crate) struct CacheView {
     /// The revision of the last event in the cache.
@@ -14,7 +15,7 @@
     pub shards_with_job: BTreeMap<ShardId, Option<Revision>>,
 }
 
-/// The state of one round.
+/// A cancellation that was sent to the other controllers, and the acknowledgements received so far.
 #[derive(Debug)]
 struct CancellationRound {
     job: JobId,
@@ -25,10 +26,10 @@
     acknowledged_fences: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
 }
 
-/// The open rounds of one controller.
+/// The open acknowledgement rounds of one controller.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationRounds {
-    /// The number of the last round.
+    /// The number of the round that was opened last.
     last_round: u64,
     open: BTreeMap<CancellationRoundId, CancellationRound>,
 }
@@ -84,9 +85,10 @@
         }
     }
 
-    /// Returns whether all tasks of the job are gone. No placement of the job is committed after the
-    /// cancellation, so a watch cache that has reached its revision shows every shard that can have tasks of
-    /// the job. An owner of such a shard under the cached fence, or a later one, knows every placement in it.
+    /// Returns whether all tasks of a round's job are proved to be gone; `false` if the round is not open. No
+    /// placement of the job is committed after the cancellation, so a watch cache that has reached the
+    /// revision of the cancellation shows every shard that can have tasks of the job. An owner of such a
+    /// shard under the cached fence, or a later one, knows every placement in the shard.
     pub(crate) fn is_complete(&self, id: CancellationRoundId, view: &CacheView) -> bool {
         let Some(round) = self.open.get(&id) else {
             return false;
