--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -14,8 +14,8 @@
 use crate::store::{StoreError, TxnOutcome, keys};
 
 impl JobApi {
-    /// Cancels a job, and answers once it is confirmed that no task of the job is running. A job
-    /// that has ended does not change.
+    /// Cancels a job, and answers once it is confirmed that no task of the job is running and all its
+    /// dependents are cancelled. A job that has ended does not change.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !is_valid_job_id(id) {
             return no_such_job();
@@ -73,8 +73,8 @@
                 let final_state = self.cache_final_state(id, record, revision);
                 self.settled_status(id, final_state, Some(sent_at)).await
             }
-            // The job was completed, cancelled or released in between. A retry finds its current
-            // state.
+            // The job has changed since it was read, or the store refused the transaction or did not
+            // answer, so that its outcome may be unknown. A retry finds the current state.
             _ => Err(RetryReason::NotTaken),
         }
     }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -24,11 +24,12 @@
 
 /// The maximum number of attempts to accept a submission whose dependencies change meanwhile.
 const MAX_ATTEMPTS: usize = 4;
-/// The timeout for looking up all dependencies of a submission. Users wait five seconds, and after
-/// a lookup without a result the job itself is looked up.
+/// The timeout of one attempt to look up all dependencies of a submission. There is no further attempt
+/// after a timeout, but the job itself may be looked up. Users wait five seconds for the answer to a
+/// submission.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The time for which a user's request waits for dependents to be cancelled. The user of a poll
-/// waits two seconds.
+/// The time for which a request about a cancelled job waits for its dependents to be cancelled. Polls
+/// wait for this too, and users wait two seconds for the answer to a poll.
 const CASCADE_TIMEOUT: Duration = Duration::from_millis(600);
 /// The interval at which a cascade checks whether the watch cache has caught up.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
@@ -124,8 +125,8 @@
     }
 
     /// Cancels all dependents of a cancelled job before its user is answered. `revision` is the
-    /// store revision that cancelled the job. Returns `false` if some dependents have not been
-    /// cancelled yet.
+    /// store revision that cancelled the job. Returns `false` if it is not certain that all dependents
+    /// are cancelled.
     pub(super) async fn cancel_dependents(&self, id: &JobId, revision: Revision) -> bool {
         let deadline = runtime::now() + CASCADE_TIMEOUT;
         let mut cascade = CancellationCascade::new(id, revision);
--- a/src/api/dependencies/cascade.rs
+++ b/src/api/dependencies/cascade.rs
@@ -37,9 +37,14 @@
     }
 
     /// Returns the next step according to the watch cache. The cascade is complete once the watch
-    /// cache has caught up with the latest cancellation and shows no further dependents: no blocked
-    /// dependent is accepted after the job was cancelled, and the watch cache shows all that were
-    /// accepted before.
+    /// cache has caught up with the latest cancellation and shows no further dependents.
+    ///
+    /// A blocked job is accepted on the condition that its live dependencies have not changed (see
+    /// [`CombinedDependencyState::acceptance_txn`]), so none is accepted after its dependency was
+    /// cancelled, and the watch cache shows all that were accepted before. A dependent with more
+    /// dependencies than a transaction can check may be accepted later; the leader cancels it.
+    ///
+    /// [`CombinedDependencyState::acceptance_txn`]: super::CombinedDependencyState::acceptance_txn
     pub(crate) fn next(&mut self, cache: &WatchCache, max_ops: usize) -> CascadeStep {
         let mut cancelled = self.cancelled.iter();
         let next = cancelled.find_map(|id| cancel_dependents(id, cache, max_ops));
--- a/src/api/dependencies/decision.rs
+++ b/src/api/dependencies/decision.rs
@@ -99,12 +99,12 @@
     /// Returns the transaction that accepts the job, and the state that the job has then; `None` if
     /// the job is not accepted.
     ///
-    /// If a dependency is cancelled, the job is accepted as cancelled. A blocked job is accepted on
-    /// the condition that the records of its live dependencies have not changed since they were
-    /// read, so a controller that cancels one of them finds every dependent once its watch cache
-    /// has caught up with that cancellation. A transaction has room for only a limited number of
-    /// conditions: in a very long list only the first dependencies are checked this way, and the
-    /// leader detects the end of the others.
+    /// If a dependency is cancelled, the job is accepted as cancelled. A job that has to wait for
+    /// dependencies (a blocked job) is accepted on the condition that the records of its live
+    /// dependencies have not changed since they were read, so a controller that cancels one of them
+    /// finds every dependent once its watch cache has caught up with that cancellation. A transaction
+    /// has room for only a limited number of conditions: in a very long list only the first
+    /// dependencies are checked this way, and the leader detects the end of the others.
     pub(crate) fn acceptance_txn(
         &self,
         spec: &JobSpec,
--- a/src/api/dependencies/decision/tests.rs
+++ b/src/api/dependencies/decision/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::protocol::tests::spec;
 
-const OPS: usize = 4;
+/// The maximum number of changes of a transaction. The maximum number of its conditions depends on it.
+const MAX_TXN_OPS: usize = 4;
 
 fn live(kind: JobKind) -> DependencyState {
     let revision = Revision(7);
@@ -93,7 +94,7 @@
     };
     let combined = decide(&[("job-1", live(JobKind::Gang))]);
     let (txn, state) = combined
-        .acceptance_txn(&job, UnixTime(5), OPS)
+        .acceptance_txn(&job, UnixTime(5), MAX_TXN_OPS)
         .expect("accepted");
     assert_eq!(state, JobState::Queued);
     assert!(record(&txn).is_blocked());
@@ -103,16 +104,16 @@
         .find(|c| c.key == keys::job(&"job-1".into()));
     assert_eq!(parent.map(|c| c.revision), Some(Revision(7)));
     let (txn, _) = CombinedDependencyState::Done
-        .acceptance_txn(&job, UnixTime(5), OPS)
+        .acceptance_txn(&job, UnixTime(5), MAX_TXN_OPS)
         .expect("accepted");
     assert!(!record(&txn).is_blocked());
     let (txn, state) = CombinedDependencyState::Cancelled
-        .acceptance_txn(&job, UnixTime(5), OPS)
+        .acceptance_txn(&job, UnixTime(5), MAX_TXN_OPS)
         .expect("accepted");
     assert_eq!((state, txn.changes.len()), (JobState::Cancelled, 1));
     assert!(
         CombinedDependencyState::Unknown
-            .acceptance_txn(&job, UnixTime(5), OPS)
+            .acceptance_txn(&job, UnixTime(5), MAX_TXN_OPS)
             .is_none()
     );
 }
@@ -127,7 +128,10 @@
     });
     let combined = CombinedDependencyState::of(&"job-1000".into(), dependencies.collect());
     let (txn, _) = combined
-        .acceptance_txn(&spec("job-1000"), UnixTime(5), OPS)
+        .acceptance_txn(&spec("job-1000"), UnixTime(5), MAX_TXN_OPS)
         .expect("accepted");
-    assert_eq!(txn.conditions.len(), Txn::CONDITIONS_PER_CHANGE * OPS);
+    assert_eq!(
+        txn.conditions.len(),
+        Txn::CONDITIONS_PER_CHANGE * MAX_TXN_OPS
+    );
 }
--- a/src/api/feasibility.rs
+++ b/src/api/feasibility.rs
@@ -16,11 +16,12 @@
     /// A task does not fit any machine type in a zone that the job allows.
     #[error("a task fits no allowed machine type")]
     TaskTooLarge,
-    /// The job's tasks run at the same time and must be spread over zones, but only one zone is
-    /// usable.
+    /// The job's tasks run at the same time and must be spread over zones, but the job asks for a
+    /// single zone or fewer than two zones are usable.
     #[error("its tasks may not be in one zone, nor in several")]
     ZoneConflict,
-    /// The job's tasks run at the same time and exceed the team's quota limit.
+    /// The tasks that have to run at the same time (for an array, a single task) exceed the team's
+    /// quota limit.
     #[error("needs more than the team's limit")]
     OverTeamLimit,
     /// The job's record would exceed the store's size limit of a value.
@@ -38,7 +39,8 @@
     if zones.is_empty() {
         return Err(Infeasible::TaskTooLarge);
     }
-    // Of tasks that run at the same time, at most half may be in one zone.
+    // At most half of a job's tasks may be in one zone if they run at the same time and the job asks
+    // for them to be spread.
     let is_spread = spec.kind != JobKind::Array && spec.spread && spec.tasks > 1;
     if is_spread && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::ZoneConflict);
--- a/src/api/final_state.rs
+++ b/src/api/final_state.rs
@@ -14,8 +14,8 @@
     pub(super) record: FinalRecord,
     /// The store revision that ended the job.
     pub(super) revision: Revision,
-    /// Whether it is confirmed that no task of the job is running; always `true` for jobs that are
-    /// done.
+    /// Whether users may be told: for a cancelled job, once it is confirmed that no task of it is
+    /// running and all its dependents are cancelled; always `true` for a job that is done.
     pub(super) settled: bool,
 }
 
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -2,9 +2,11 @@
 //! whose users have been without an answer for longest is read first.
 //!
 //! Users of ended jobs must be answered under load just like users of live jobs, whose comparisons
-//! are retried with an increasing part of the rate limit. Therefore a fraction of the request rate
-//! is reserved for reads. A request that waits may use it ahead of placements. Requests can't take
-//! more than this fraction from placements and job completions, however many there are.
+//! are retried with increasing priority. A read first tries the request class of polls, which leaves
+//! part of the rate limit to placements. If that class has no token and the users of the job have been
+//! without an answer for [`RESERVE_AFTER`], the read may go ahead of placements within a budget: the
+//! reserved fraction of the request rate. Reads can't take more than this fraction from placements and
+//! job completions, however many requests there are.
 //!
 //! While users of several jobs wait, one store request reads a page of final states, beginning with
 //! the job that has waited longest. The page answers the waiting users of all jobs on it, and its
@@ -25,18 +27,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of this controller's request rate that is reserved for reads.
+/// The reserved fraction: the part of this controller's request rate that reads may use ahead of
+/// placements.
 const RESERVED_FRACTION: f64 = 0.1;
-/// The reserved fraction while a request has waited for longer than [`URGENT_AFTER`]. No job may
-/// stay unanswered, and there may be requests about thousands of jobs at once when all controllers
-/// have restarted.
+/// The reserved fraction while the users of the job to be read next have been without an answer for
+/// [`URGENT_AFTER`] or longer. No job may stay unanswered, and there may be requests about thousands of
+/// jobs at once when all controllers have restarted.
 const URGENT_RESERVED_FRACTION: f64 = 0.3;
-/// The time without an answer after which a job's read is urgent. Users give up after a minute.
+/// The time without an answer after which a job's read is urgent. Users stop retrying after a
+/// minute.
 const URGENT_AFTER: Millis = Millis(15_000);
 /// The time without an answer after which a job's read may use the reserved fraction.
 const RESERVE_AFTER: Millis = Millis(200);
-/// The minimum number of waiting jobs in the range of a page for which the page is read. Below this
-/// number reading a single record costs less.
+/// A page is read if at least this many waiting jobs may be on it. For fewer, reading a single record
+/// costs less.
 const MIN_JOBS_FOR_PAGE: usize = 4;
 /// The maximum number of final states on a page, which take about 40 kB and less than a millisecond
 /// to read.
@@ -51,11 +55,12 @@
     records: u64,
     /// The number of reads of a page.
     pages: u64,
-    /// The number of jobs whose users were answered by a read.
+    /// The number of times that a read ended the wait of a job's users, with a result or an error.
     answered_jobs: u64,
     /// The number of reads that the store has refused because its rate limit was reached.
     refused: u64,
-    /// The number of times that a read had to wait for a token.
+    /// The number of times that the next read was delayed by [`RETRY_DELAY`] because it had no token.
+    /// One read can be delayed several times.
     held_back: u64,
 }
 
@@ -97,7 +102,7 @@
     }
 
     /// Caches a final state, which never changes. A cancelled job is not settled at first, as its
-    /// tasks may still run.
+    /// tasks may still run and its dependents may not be cancelled yet.
     pub(super) fn cache_final_state(
         &self,
         id: &JobId,
@@ -113,7 +118,8 @@
         final_state
     }
 
-    /// Records that it is confirmed that no task of a cancelled job is running.
+    /// Records that a cancelled job is settled: it is confirmed that no task of it is running, and all
+    /// its dependents are cancelled.
     pub(super) fn mark_settled(&self, id: &JobId, final_state: FinalState) {
         let settled_state = FinalState {
             settled: true,
@@ -122,7 +128,8 @@
         self.cache.borrow_mut().put(id, settled_state);
     }
 
-    /// Reads a job's final state; `None` if the job has not ended.
+    /// Reads a job's final state. Returns `None` if none is stored, because the job is live or was never
+    /// accepted.
     pub(super) async fn read(&self, id: &JobId) -> ReadResult {
         if let Some(final_state) = self.cached(id) {
             return Ok(Some(final_state));
@@ -161,8 +168,8 @@
         self.is_dispatching.set(false);
     }
 
-    /// Acquires a token for a job that has waited for `waited`, from the reserved fraction if
-    /// necessary.
+    /// Acquires a token for the read of a job whose users have been without an answer for `waited`,
+    /// from the reserved fraction if necessary.
     fn try_admit(&self, now: MonotonicTime, waited: Millis) -> Option<ReadPermit> {
         if let Some(read_permit) = self.store.admit_read(RequestClass::Poll) {
             return Some(read_permit);
@@ -207,8 +214,8 @@
         self.ensure_dispatching();
     }
 
-    /// Reads the page that begins with the job `first`. `jobs` are the waiting jobs in the range of
-    /// the page, by id.
+    /// Reads the page that begins with the job `first`. `jobs` are the waiting jobs that may be on
+    /// the page, in the order of their ids.
     async fn read_page(self, read_permit: ReadPermit, first: JobId, jobs: Vec<JobId>) {
         let after = keys::final_state_predecessor(&first);
         let page =
@@ -269,7 +276,7 @@
         }
     }
 
-    /// Answers the waiting users of a job that was read.
+    /// Ends the wait of a job's users with the result or the error of a read.
     fn answer(&self, id: &JobId, result: ReadResult) {
         tracing::debug!(job = %id, ?result, "final state read");
         let has_ended = matches!(result, Ok(Some(_)));
--- a/src/api/job_api.rs
+++ b/src/api/job_api.rs
@@ -16,7 +16,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A committed cancellation. Its user is answered once no task of the job can still be running.
+/// A committed cancellation that has to be confirmed. Its user is answered once no task of the job can
+/// still be running and all its dependents are cancelled.
 pub(crate) struct Cancellation {
     /// The cancelled job.
     pub(crate) job: JobId,
@@ -46,7 +47,7 @@
     pub(super) final_states: FinalStateReader,
     /// The channel for cancellations that the other controllers have to confirm.
     pub(super) cancellations: Sender<Cancellation>,
-    /// The requests that this controller could not answer.
+    /// The requests to which this controller could respond only by asking the user to retry.
     unanswered: RefCell<UnansweredRequests>,
 }
 
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -62,7 +62,8 @@
         self.final_states.cache_final_state(id, record, revision)
     }
 
-    /// Returns the state in which a job ended, or `None` if it has not ended or can't be read now.
+    /// Returns the state in which a job ended, or `None` if no final state is stored (the job is live or
+    /// was never accepted) or it can't be read now.
     pub(crate) async fn final_job_state(&self, id: &JobId) -> Option<JobState> {
         let final_state = self.final_states.read(id).await.ok()??;
         Some(final_state.record.state)
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -40,8 +40,9 @@
         Ok(status.unwrap_or(otherwise))
     }
 
-    /// Returns a job's state if it was accepted, and `reason` if not. It never refuses the job: a
-    /// write whose outcome is unknown may still be carried out.
+    /// Returns a job's state, or `reason` if no record of it exists. Then the user has to retry: the
+    /// job is not refused, since a write whose outcome is unknown may still be carried out. If the
+    /// reason is `StoreDown`, nothing is looked up.
     pub(super) async fn status_or_retry(&self, id: &JobId, reason: RetryReason) -> Answer {
         if reason == RetryReason::StoreDown {
             return Err(reason);
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Returns the state of a job id. It needs no write, and its requests are retried in ever
-    /// higher request classes while they are refused.
+    /// Returns the state of a job id without a write. While the comparison is refused, it is retried
+    /// with increasing priority (see `retries`). Final states are read by the `FinalStateReader`.
     pub(super) async fn known_job(&self, id: &JobId) -> Result<KnownJob, RetryReason> {
         if let Some(final_state) = self.cached_final_state(id) {
             return Ok(KnownJob::Ended(final_state));
@@ -77,9 +78,9 @@
         match self.revision_checker.check(id, cached).await {
             StoredJob::Live => Ok(KnownJob::Live),
             StoredJob::Ended => Ok(KnownJob::Ended(self.read_final_state(id).await?)),
-            // Either the job has ended, or its record has changed because it was released. A record
-            // is deleted only by the transaction that writes the final state, so a job without a
-            // final state is live.
+            // Either the job has ended, or its record has changed because its dependencies are done
+            // and it was released. A record is deleted only by the transaction that writes the final
+            // state, so a job without a final state is live.
             StoredJob::Changed => Ok(match self.final_states.read(id).await? {
                 Some(final_state) => KnownJob::Ended(final_state),
                 None => KnownJob::Live,
@@ -105,8 +106,8 @@
         self.settled_status(id, final_state, None).await
     }
 
-    /// Returns the status of a live job. The task counts come from the watch cache and are for
-    /// display only.
+    /// Returns the status of a live job. The task counts, and with them whether the job is running or
+    /// queued, come from the watch cache. It may lag, so they are for display only.
     fn live_status(&self, id: &JobId) -> Response {
         let controller = self.controller.borrow();
         let job = controller.cache.jobs.get(id);
--- a/src/api/read_queue.rs
+++ b/src/api/read_queue.rs
@@ -7,16 +7,17 @@
 use crate::runtime::Sender;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time for which a request waits for a read. Users wait two seconds, and a comparison may come
-/// before the read.
+/// The time for which a request waits for a read. Users wait two seconds for the answer to a poll, and a
+/// comparison may come before the read.
 pub(super) const MAX_WAIT: Millis = Millis(600);
 /// The maximum number of queued jobs. Users of further jobs are asked to retry at once.
 const MAX_QUEUED_JOBS: usize = 4000;
-/// The time without requests after which a job loses its place in the queue, as its user was
-/// answered by another controller.
+/// The time without requests after which a job at the front of the queue is removed. Its users have
+/// probably been answered by another controller, or have stopped retrying.
 const IDLE_TIMEOUT: Millis = Millis(60_000);
 
-/// The final state of a job, or `None` if the job has not ended.
+/// The final state of a job; `None` if none is stored, because the job is live or was never accepted; or
+/// the reason why it could not be read.
 pub(super) type ReadResult = Result<Option<FinalState>, RetryReason>;
 
 /// The jobs about which there were requests that have not been answered.
@@ -89,8 +90,7 @@
     }
 
     /// Returns the next job to be read: of the jobs with waiting users, the one with the earliest
-    /// first request. A job without waiting users is skipped, as its users have turned to another
-    /// controller and the read would answer nobody.
+    /// first request. A job without waiting users is skipped, as its read would answer nobody.
     pub(super) fn next(&self, now: MonotonicTime) -> Option<NextRead> {
         self.order.iter().find_map(|id| {
             let job = self.jobs.get(id)?;
--- a/src/api/retries.rs
+++ b/src/api/retries.rs
@@ -11,9 +11,10 @@
 /// The delay between two attempts.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Returns the request class of an attempt. Later attempts may use a larger part of the rate limit,
-/// finally even the part that is kept for placements, so that every user gets an answer however low
-/// the limit is.
+/// Returns the request class of an attempt, which has a higher priority in later attempts: the first
+/// ones leave a part of the rate limiter's bucket to placements, the next ones compete with placements,
+/// and the last ones may use the whole bucket. So polls can be answered even if placements use up the
+/// rate.
 pub(super) fn request_class(attempt: u32) -> RequestClass {
     match attempt {
         0..2 => RequestClass::Poll,
--- a/src/api/retry_reason.rs
+++ b/src/api/retry_reason.rs
@@ -17,10 +17,12 @@
     /// This controller's rate limiter has no token for the request.
     #[error("too much is asked of the state service by this controller")]
     HeldBack,
-    /// The store has refused the request because its rate limit was reached.
+    /// The store has refused the request because its rate limit was reached. `StoreError::Gone` also
+    /// maps to this reason, but only watches and leases return it, which the API does not use.
     #[error("too much is asked of the state service")]
     StoreRefused,
-    /// A request was sent to the store, and its outcome is unknown.
+    /// The store did not answer a request, or answered it with an error. If the request was a write,
+    /// its outcome is unknown.
     #[error("the state service did not answer")]
     StoreSilent,
     /// A stored record or a response of the store can't be decoded.
@@ -29,7 +31,9 @@
     /// Too many user requests are queued for a read or a comparison.
     #[error("too many questions are waiting")]
     TooManyQuestions,
-    /// The store did not commit a change, mostly because the job has just changed.
+    /// A change was not committed, often because the job has just changed. If the change was a
+    /// cancellation, it may also be unknown whether it was committed. Also the reason if a
+    /// submission's job was cached, but no record of it was found.
     #[error("the state service did not take it")]
     NotTaken,
     /// The cloud's machine types have not been read yet.
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -1,6 +1,7 @@
 //! Checks in batches whether jobs still have the revision that the watch cache shows, and whether
 //! jobs that it does not show are live or have ended. A transaction without changes evaluates the
-//! conditions of many polls with one request.
+//! conditions of many polls with one request. Such a
+//! transaction is called a comparison.
 
 use super::retries::retry_refused;
 use super::retry_reason::RetryReason;
@@ -11,11 +12,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The time for which queries are collected into a batch. Users can wait for seconds, and with
+/// The time for which checks are collected into a batch. Users can wait for seconds, and with
 /// smaller batches the comparisons would take a large part of the store's request rate.
-const QUERY_BATCH_DELAY: Duration = Duration::from_millis(150);
-/// The maximum number of queued queries. Further queries are answered as unknown at once.
-const MAX_QUEUED_QUERIES: usize = 4000;
+const CHECK_BATCH_DELAY: Duration = Duration::from_millis(150);
+/// The maximum number of queued checks. The state is [`StoredJob::Unknown`] for further ones.
+const MAX_QUEUED_CHECKS: usize = 4000;
 
 /// The state of a job in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,20 +29,20 @@
     Ended,
     /// Neither record exists: the job was never accepted.
     NeverAccepted,
-    /// The store did not answer the comparison.
+    /// The comparison had no result or was not made, for this reason.
     Unknown(RetryReason),
 }
 
-/// A queued request for the state of a job.
-struct JobQuery {
+/// A queued check of the state of a job.
+struct JobCheck {
     job: JobId,
     /// The revision that the watch cache shows; `None` if it does not show the job.
     cached: Option<Revision>,
     answer: Sender<StoredJob>,
 }
 
-impl JobQuery {
-    /// Returns the number of conditions that the query adds to a transaction.
+impl JobCheck {
+    /// Returns the number of conditions that the check adds to a transaction.
     fn conditions(&self) -> usize {
         match self.cached {
             Some(_) => 1,
@@ -77,25 +78,25 @@
     }
 }
 
-/// Collects queries and answers them in batches.
+/// Collects checks and makes them in batches, one comparison per batch.
 pub(super) struct RevisionChecker {
-    queue: Sender<JobQuery>,
+    queue: Sender<JobCheck>,
 }
 
 impl RevisionChecker {
-    /// Starts the task that serves queries. `max_conditions` is the maximum number of conditions of
+    /// Starts the task that makes the checks. `max_conditions` is the maximum number of conditions of
     /// a transaction.
     pub(super) fn start(store: Rc<StoreClient>, max_conditions: usize) -> Self {
-        let (queue, mut queries) = channel::<JobQuery>();
+        let (queue, mut checks) = channel::<JobCheck>();
         runtime::spawn(async move {
-            while let Some(first) = queries.recv().await {
-                if queries.backlog() + 1 < max_conditions {
-                    runtime::sleep(QUERY_BATCH_DELAY).await;
+            while let Some(first) = checks.recv().await {
+                if checks.backlog() + 1 < max_conditions {
+                    runtime::sleep(CHECK_BATCH_DELAY).await;
                 }
                 let mut txn = Txn::default();
                 first.add_conditions(&mut txn);
                 let mut batch = vec![first];
-                while let Some(next) = queries
+                while let Some(next) = checks
                     .try_recv_if(|next| txn.conditions.len() + next.conditions() <= max_conditions)
                 {
                     next.add_conditions(&mut txn);
@@ -110,11 +111,11 @@
     /// Returns the state of a job in the store within about a second. `cached` is the revision that
     /// the watch cache shows, or `None` if it does not show the job.
     pub(super) async fn check(&self, job: &JobId, cached: Option<Revision>) -> StoredJob {
-        if self.queue.backlog() >= MAX_QUEUED_QUERIES {
+        if self.queue.backlog() >= MAX_QUEUED_CHECKS {
             return StoredJob::Unknown(RetryReason::TooManyQuestions);
         }
         let (answer, result) = oneshot();
-        self.queue.send(JobQuery {
+        self.queue.send(JobCheck {
             job: job.clone(),
             cached,
             answer,
@@ -124,16 +125,16 @@
     }
 }
 
-/// Evaluates all conditions of a batch in one transaction and answers its queries.
-async fn check_batch(store: Rc<StoreClient>, txn: Txn, batch: Vec<JobQuery>) {
+/// Evaluates all conditions of a batch in one comparison and sends the results.
+async fn check_batch(store: Rc<StoreClient>, txn: Txn, batch: Vec<JobCheck>) {
     let outcome = retry_refused(
         &store,
         async |class| store.txn(class, &txn).await,
         |outcome| matches!(outcome, TxnOutcome::Refused(_)),
     );
     let outcome = outcome.await;
-    for query in batch {
-        query.answer.send(query.stored_job(&outcome));
+    for check in batch {
+        check.answer.send(check.stored_job(&outcome));
     }
 }
 
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -12,7 +12,7 @@
 use crate::store::records::JobRecord;
 use crate::store::{TxnOutcome, keys};
 
-/// A submission whose write was not committed, or whose outcome is unknown.
+/// A submission that was not written, or whose write has an unknown outcome.
 #[derive(Debug)]
 pub(crate) struct UnwrittenSubmission {
     id: JobId,
@@ -22,9 +22,11 @@
 /// The reason why a submission has no answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SubmissionError {
-    /// It could not be written. Its job may have been accepted by an earlier request.
+    /// It was not written, or the outcome of its write is unknown. Its job may have been accepted, by
+    /// this or an earlier request, so the job is looked up.
     NotWritten(RetryReason),
-    /// Its job was looked up without a result, or a lookup could not have a result.
+    /// Its user has to retry, and its job is not looked up (again): a lookup gave no result, the
+    /// store can't be reached or did not respond, or the machine types are unknown.
     Unanswered(RetryReason),
 }
 
@@ -32,7 +34,7 @@
 pub(super) type Submitted = Result<Response, SubmissionError>;
 
 impl SubmissionError {
-    /// Returns the error for the outcome of a write that was not committed.
+    /// Returns the error for the outcome of a write that is not known to be committed.
     pub(super) fn not_written(outcome: &TxnOutcome) -> Self {
         Self::NotWritten(RetryReason::of_txn(outcome))
     }
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Accepts or refuses a job like `submit`, but returns a submission that could not be written
-    /// without looking up its job, since a peer may be able to write it at once.
+    /// Accepts or refuses a job like `submit`, but returns a submission that is not known to be
+    /// written without looking up its job, since a peer may be able to write it at once.
     pub(crate) async fn try_submit(&self, body: &[u8]) -> Result<Response, UnwrittenSubmission> {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -65,22 +67,22 @@
             Ok(response) => Ok(self.respond(&id, Ok(response))),
             Err(SubmissionError::Unanswered(reason)) => Ok(self.respond(&id, Err(reason))),
             Err(SubmissionError::NotWritten(reason)) => {
-                tracing::debug!(job = %id, ?reason, "submission was not written to the key-value store");
+                tracing::debug!(job = %id, ?reason, "submission is not known to be written to the key-value store");
                 Err(UnwrittenSubmission { id, reason })
             }
         }
     }
 
-    /// Answers a submission that was not written. Its job may have been accepted by an earlier
-    /// request: then the submission is answered like a poll.
+    /// Answers a submission that is not known to be written. Its job may have been accepted, by this
+    /// or an earlier request: then the submission is answered like a poll.
     pub(crate) async fn respond_from_lookup(&self, unwritten: UnwrittenSubmission) -> Response {
         let UnwrittenSubmission { id, reason } = unwritten;
         let answer = self.status_or_retry(&id, reason).await;
         self.respond(&id, answer)
     }
 
-    /// Asks the user of a submission that was not written to retry. Used when a peer has already
-    /// looked up the job.
+    /// Asks the user of a submission that is not known to be written to retry. Used when a peer has
+    /// responded to the submission, but without an answer for the user.
     pub(crate) fn respond_retry_later(&self, unwritten: UnwrittenSubmission) -> Response {
         self.respond(&unwritten.id, Err(unwritten.reason))
     }
--- a/src/api/submit/tests/refused_writes.rs
+++ b/src/api/submit/tests/refused_writes.rs
@@ -76,8 +76,9 @@
     }
 }
 
-/// A new job is neither accepted nor refused permanently, and its user is answered within the
-/// timeout of a poll.
+/// If the write of a new job is refused or its outcome is unknown, the user is neither told that the
+/// job is accepted nor refused permanently, but asked to retry. The response arrives within the two
+/// seconds for which users wait for a poll.
 #[test]
 fn new_job_whose_write_is_not_taken_gets_a_retry_response() {
     for writes in [WriteMode::Refused, WriteMode::Delayed] {
--- a/src/api/tests/busy_cluster.rs
+++ b/src/api/tests/busy_cluster.rs
@@ -21,8 +21,11 @@
 pub(crate) const CONTROLLERS: usize = 5;
 /// The share of each controller in the store's rates, as the daemon sets it.
 const RATE_SHARE: f64 = 1.3 / CONTROLLERS as f64;
-const REQUESTS_PER_S: f64 = 200.0;
-const CHANGES_PER_S: f64 = 80.0;
+/// The store's limit of requests per second. The store refuses requests beyond it.
+const MAX_REQUESTS_PER_S: f64 = 200.0;
+/// The store's limit of writes per second as the controllers are configured. The store itself does not
+/// enforce it.
+const MAX_WRITES_PER_S: f64 = 80.0;
 const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
 /// The interval at which each controller writes the end of a job.
 const JOB_END_INTERVAL: Duration = Duration::from_millis(500);
@@ -79,8 +82,8 @@
     /// show the live jobs, and no final state is cached.
     pub(crate) fn start(load: Load, live: &[JobId], ended: &[JobId]) -> Self {
         let mut config = sample_config();
-        config.store_limits.rates.requests = REQUESTS_PER_S;
-        config.store_limits.rates.writes = CHANGES_PER_S;
+        config.store_limits.rates.requests = MAX_REQUESTS_PER_S;
+        config.store_limits.rates.writes = MAX_WRITES_PER_S;
         config.store_limits.min_rates = config.store_limits.rates;
         let state = Rc::new(RefCell::new(FakeStore::default()));
         store_jobs(&mut state.borrow_mut(), live, ended);
@@ -164,7 +167,7 @@
     load: Load,
     started: Instant,
 ) -> FakeTransport {
-    let bucket = Rc::new(RefCell::new(TokenBucket::new(REQUESTS_PER_S)));
+    let bucket = Rc::new(RefCell::new(TokenBucket::new(MAX_REQUESTS_PER_S)));
     Rc::new(move |request: Request| {
         let elapsed = runtime::now() - started;
         let now = MonotonicTime(elapsed.as_millis() as u64);
--- a/src/api/tests/users.rs
+++ b/src/api/tests/users.rs
@@ -43,9 +43,9 @@
 }
 
 impl UserRequest {
-    /// Returns whether it begins with a write. Until the write it can't be distinguished from a new
-    /// submission.
-    fn begins_with_write(self) -> bool {
+    /// Returns whether the controller tries to write the submitted job before it looks that job up,
+    /// because it can't tell the request from a new submission.
+    fn tries_write_before_lookup(self) -> bool {
         matches!(self, Self::Resubmission | Self::DependentSubmission)
     }
 }
@@ -142,9 +142,10 @@
 pub(crate) struct Outcome {
     /// The users who poll live jobs.
     pub(crate) live: UserStats,
-    /// The users of ended jobs whose requests begin with a read.
+    /// The users of ended jobs whose requests are answered without trying to write a submitted job
+    /// first.
     pub(crate) ended: UserStats,
-    /// The users of ended jobs whose requests begin with a write.
+    /// The users of ended jobs whose requests try to write the submitted job before it is looked up.
     pub(crate) write_first: UserStats,
     /// The users who cancel live jobs.
     pub(crate) cancelled: UserStats,
@@ -244,7 +245,7 @@
         }
         for (user, job) in ended.enumerate() {
             let request = self.requests[user % self.requests.len()];
-            let stats = match request.begins_with_write() {
+            let stats = match request.tries_write_before_lookup() {
                 true => groups.write_first.clone(),
                 false => groups.ended.clone(),
             };
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -1,5 +1,5 @@
-//! Requests about jobs that could not be answered: counters by reason for the status, and a log
-//! line for each job whose users stay without an answer.
+//! Unanswered requests about jobs, which got only a response that asks the user to retry: counters by
+//! reason for the status, and a log line for each job whose users stay without an answer.
 
 use super::retry_reason::RetryReason;
 use crate::episodes::Episodes;
@@ -24,7 +24,8 @@
     oldest_s: f64,
 }
 
-/// The requests that this controller has not answered.
+/// The requests to which this controller could respond only by asking the user to retry, counted by
+/// reason and tracked by job.
 #[derive(Debug)]
 pub(super) struct UnansweredRequests {
     counts: BTreeMap<RetryReason, u64>,
