--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -1,4 +1,4 @@
-//! The executor of one thread: its routines, and what each of them waits for.
+//! The single-threaded executor: its routines, and the sockets and timers that they wait for.
 
 use super::clock;
 use std::cell::{Cell, RefCell};
@@ -15,7 +15,7 @@
 
 type Routine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Routines that were woken and wait for their turn.
+/// The slots of routines that were woken and have yet to run.
 #[derive(Default)]
 struct ReadyQueue(Mutex<VecDeque<usize>>);
 
@@ -50,38 +50,39 @@
     }
 }
 
-/// What a routine waits for a socket to become.
+/// The state of a socket that a routine waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Readiness {
-    /// Bytes or a connection can be read.
+    /// Bytes can be read or a connection can be accepted.
     Readable,
     /// Bytes can be written.
     Writable,
 }
 
-/// Who waits for a socket.
+/// The wakers of the routines that wait for a socket.
 #[derive(Default)]
-struct Interest {
+struct SocketWakers {
     read: Option<Waker>,
     write: Option<Waker>,
 }
 
-/// Orders timers by their time; the id tells those of the same time apart.
+/// The key of a timer. Timers are ordered by time; the id distinguishes timers of the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
-    at: Instant,
+    deadline: Instant,
     id: u64,
 }
 
 struct Slot {
-    /// Taken out while the routine runs.
+    /// The routine's future; `None` while the routine runs.
     future: Option<Routine>,
     generation: u64,
     waker: Waker,
     cancelled: bool,
 }
 
-/// Names a routine so that its scope can end it; the generation keeps a reused slot safe.
+/// Identifies a routine, so that its scope can cancel it. The generation distinguishes it from a
+/// later routine in the same slot.
 #[derive(Clone, Copy)]
 struct RoutineId {
     slot: usize,
@@ -91,11 +92,11 @@
 /// The routines of a thread with their sockets and timers.
 pub(super) struct Executor {
     registry: mio::Registry,
-    /// By the token under which the socket is registered.
-    interests: Vec<Option<Interest>>,
-    free_interests: Vec<usize>,
+    /// The wakers of each socket, indexed by the socket's `mio` token. `None` for unused tokens.
+    socket_wakers: Vec<Option<SocketWakers>>,
+    free_tokens: Vec<usize>,
     timers: BTreeMap<TimerKey, Waker>,
-    last_timer: u64,
+    last_timer_id: u64,
     slots: Vec<Option<Slot>>,
     free_slots: Vec<usize>,
     last_generation: u64,
@@ -106,10 +107,10 @@
     fn new(registry: mio::Registry, ready: Arc<ReadyQueue>) -> Self {
         Self {
             registry,
-            interests: Vec::new(),
-            free_interests: Vec::new(),
+            socket_wakers: Vec::new(),
+            free_tokens: Vec::new(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_timer_id: 0,
             slots: Vec::new(),
             free_slots: Vec::new(),
             last_generation: 0,
@@ -119,18 +120,21 @@
 
     /// Registers a socket and returns its token.
     pub(super) fn register(&mut self, source: &mut impl mio::event::Source) -> io::Result<usize> {
-        let token = self.free_interests.pop().unwrap_or_else(|| {
-            self.interests.push(None);
-            self.interests.len() - 1
+        let token = self.free_tokens.pop().unwrap_or_else(|| {
+            self.socket_wakers.push(None);
+            self.socket_wakers.len() - 1
         });
-        let both = mio::Interest::READABLE | mio::Interest::WRITABLE;
-        match self.registry.register(source, mio::Token(token), both) {
+        let read_and_write = mio::Interest::READABLE | mio::Interest::WRITABLE;
+        match self
+            .registry
+            .register(source, mio::Token(token), read_and_write)
+        {
             Ok(()) => {
-                self.interests[token] = Some(Interest::default());
+                self.socket_wakers[token] = Some(SocketWakers::default());
                 Ok(token)
             }
             Err(error) => {
-                self.free_interests.push(token);
+                self.free_tokens.push(token);
                 Err(error)
             }
         }
@@ -138,65 +142,66 @@
 
     /// Frees the token of a socket that is about to be closed.
     pub(super) fn deregister(&mut self, token: usize) {
-        self.interests[token] = None;
-        self.free_interests.push(token);
+        self.socket_wakers[token] = None;
+        self.free_tokens.push(token);
     }
 
-    /// Wakes `waker` once the socket is ready again.
+    /// Registers `waker` to be woken once the socket becomes ready.
     pub(super) fn wait_for_socket(&mut self, token: usize, readiness: Readiness, waker: Waker) {
-        if let Some(interest) = self.interests[token].as_mut() {
-            let waiting = match readiness {
-                Readiness::Readable => &mut interest.read,
-                Readiness::Writable => &mut interest.write,
+        if let Some(socket_wakers) = self.socket_wakers[token].as_mut() {
+            let waker_slot = match readiness {
+                Readiness::Readable => &mut socket_wakers.read,
+                Readiness::Writable => &mut socket_wakers.write,
             };
-            *waiting = Some(waker);
+            *waker_slot = Some(waker);
         }
     }
 
-    /// Wakes `waker` at a time.
-    pub(super) fn add_timer(&mut self, at: Instant, waker: Waker) -> TimerKey {
-        self.last_timer += 1;
+    /// Adds a timer that wakes `waker` at a given time.
+    pub(super) fn add_timer(&mut self, deadline: Instant, waker: Waker) -> TimerKey {
+        self.last_timer_id += 1;
         let key = TimerKey {
-            at,
-            id: self.last_timer,
+            deadline,
+            id: self.last_timer_id,
         };
         self.timers.insert(key, waker);
         key
     }
 
-    /// Wakes another waker at a timer's time.
+    /// Replaces the waker of a timer.
     pub(super) fn replace_timer(&mut self, key: TimerKey, waker: Waker) {
         self.timers.insert(key, waker);
     }
 
-    /// Cancels a timer.
+    /// Cancels a timer and returns its waker, if the timer has not expired.
     pub(super) fn remove_timer(&mut self, key: TimerKey) -> Option<Waker> {
         self.timers.remove(&key)
     }
 
-    /// How many timers are set.
+    /// Returns the number of pending timers.
     #[cfg(test)]
     pub(super) fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
-    /// Takes the wakers of all that `events` and the clock make ready.
+    /// Removes and returns the wakers of the sockets that `events` report as ready and of the
+    /// timers that have expired.
     fn take_due_wakers(&mut self, events: &mio::Events) -> Vec<Waker> {
         let mut wakers = Vec::new();
         for event in events {
-            let Some(Some(interest)) = self.interests.get_mut(event.token().0) else {
+            let Some(Some(socket_wakers)) = self.socket_wakers.get_mut(event.token().0) else {
                 continue;
             };
             if event.is_readable() || event.is_read_closed() || event.is_error() {
-                wakers.extend(interest.read.take());
+                wakers.extend(socket_wakers.read.take());
             }
             if event.is_writable() || event.is_write_closed() || event.is_error() {
-                wakers.extend(interest.write.take());
+                wakers.extend(socket_wakers.write.take());
             }
         }
         let now = clock::now();
         while let Some(entry) = self.timers.first_entry() {
-            if entry.key().at > now {
+            if entry.key().deadline > now {
                 break;
             }
             wakers.push(entry.remove());
@@ -241,12 +246,14 @@
     static CURRENT: RefCell<Option<Executor>> = const { RefCell::new(None) };
 }
 
-/// Runs `f` on this thread's executor. Nothing that is called inside may call back into it.
+/// Runs `f` on this thread's executor. `f` must not call anything that uses the executor, which
+/// can't be borrowed twice: an inner call of `with` returns `None`, as it does on a thread without
+/// an executor.
 pub(super) fn with<T>(f: impl FnOnce(&mut Executor) -> T) -> Option<T> {
     CURRENT.with(|current| current.try_borrow_mut().ok()?.as_mut().map(f))
 }
 
-/// Starts the loop on this thread and runs until `main` is complete.
+/// Runs the event loop on this thread until `main` is complete.
 pub(crate) fn run(main: impl Future<Output = ()> + 'static) -> io::Result<()> {
     let mut poll = mio::Poll::new()?;
     let ready = Arc::new(ReadyQueue::default());
@@ -270,14 +277,15 @@
             waker.wake();
         }
     }
-    // Routines are dropped outside the borrow: their destructors use the executor.
+    // The routines are dropped while the executor is not borrowed, because their destructors use
+    // it.
     let unfinished = with(|executor| std::mem::take(&mut executor.slots));
     drop(unfinished);
     CURRENT.with(|current| *current.borrow_mut() = None);
     Ok(())
 }
 
-/// Runs routines until none is ready, or the first one is complete.
+/// Runs ready routines until none is left or the main routine is complete.
 fn run_ready_routines(ready: &ReadyQueue, finished: &Cell<bool>) {
     while !finished.get()
         && let Some(slot) = ready.pop()
@@ -286,9 +294,10 @@
     }
 }
 
-/// Waits for the sockets, until the next timer at most.
+/// Waits for socket events, at most until the next timer expires.
 fn wait_for_events(poll: &mut mio::Poll, events: &mut mio::Events) -> io::Result<()> {
-    let next_timer = with(|executor| executor.timers.keys().next().map(|key| key.at)).flatten();
+    let next_timer =
+        with(|executor| executor.timers.keys().next().map(|key| key.deadline)).flatten();
     #[cfg(test)]
     if clock::virtual_time::advance(next_timer) {
         return Ok(());
@@ -300,50 +309,50 @@
     }
 }
 
-/// Gives a routine its turn, or drops it if it was cancelled.
-fn run_routine(id: usize) {
+/// Polls a routine once, or drops it if it was cancelled.
+fn run_routine(slot_index: usize) {
     let taken = with(|executor| {
-        let slot = executor.slots.get_mut(id)?.as_mut()?;
+        let slot = executor.slots.get_mut(slot_index)?.as_mut()?;
         let future = slot.future.take()?;
         Some((future, slot.waker.clone(), slot.cancelled))
     });
     let Some((mut future, waker, cancelled)) = taken.flatten() else {
         return;
     };
-    let done = cancelled
+    let is_complete = cancelled
         || future
             .as_mut()
             .poll(&mut Context::from_waker(&waker))
             .is_ready();
-    if done {
-        // Before its slot is free: destructors use the executor.
+    if is_complete {
+        // The future is dropped before its slot is freed, because destructors use the executor.
         drop(future);
         with(|executor| {
-            executor.slots[id] = None;
-            executor.free_slots.push(id);
+            executor.slots[slot_index] = None;
+            executor.free_slots.push(slot_index);
         });
     } else {
         with(|executor| {
-            if let Some(slot) = executor.slots[id].as_mut() {
+            if let Some(slot) = executor.slots[slot_index].as_mut() {
                 slot.future = Some(future);
             }
         });
     }
 }
 
-/// Starts a routine that lives until it returns.
+/// Starts a routine that runs until it is complete.
 pub(crate) fn spawn(future: impl Future<Output = ()> + 'static) {
     with(|executor| executor.add_routine(Box::pin(future)));
 }
 
-/// Owns routines: dropping it cancels them all.
+/// A set of routines. Dropping the scope cancels all of them.
 #[derive(Default)]
 pub(crate) struct Scope {
     routines: Vec<RoutineId>,
 }
 
 impl Scope {
-    /// Starts a routine that lives until it returns or the scope is dropped.
+    /// Starts a routine that runs until it is complete or the scope is dropped.
     pub(crate) fn spawn(&mut self, future: impl Future<Output = ()> + 'static) {
         let routine = with(|executor| executor.add_routine(Box::pin(future)));
         self.routines.extend(routine);
