--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -30,7 +30,8 @@
     /// No part of the request was sent.
     #[error("request not sent")]
     NotSent,
-    /// The request may have reached the server, which may or may not have processed it.
+    /// The request may have reached the server, but no valid response was received, so it is unknown
+    /// whether the server has processed it.
     #[error("no response received; the request may have been processed")]
     Unknown,
     /// The server responded, but the response body exceeds the client's limit.
@@ -99,7 +100,8 @@
             let response = runtime::timeout(timeout, response).await;
             return response.ok_or(CallError::Unknown);
         }
-        // The error that a failure or the timeout stands for at the current stage of the exchange.
+        // The error to return if the exchange fails or times out now. It changes before the first
+        // bytes are sent.
         let mut failure = CallError::NotSent;
         let exchange = async {
             let mut stream = match self.take_idle(addr) {
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -2,13 +2,14 @@
 
 use std::io;
 
-/// Maximum size of a message head, in bytes. The size is checked while the head is incomplete.
+/// Maximum size of an incomplete message head, in bytes. A head that the latest read completed may
+/// exceed it by up to the size of that read.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of headers in one message.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// Returns the error for a body that exceeds its size limit. Its kind differs from that of a
-/// malformed message because repeating the call would give the same error.
+/// Returns the error for a body that exceeds its size limit. The client recognizes the error by its
+/// kind and returns `CallError::TooLarge`, since a retry would fail in the same way.
 pub(super) fn body_too_large() -> io::Error {
     io::Error::new(io::ErrorKind::FileTooLarge, "body too large")
 }
@@ -23,9 +24,10 @@
 pub(super) struct Framing {
     /// The `Content-Length` of the body in bytes, if there is one.
     pub(super) length: Option<usize>,
-    /// Whether the sender closes the connection after this message.
+    /// Whether a `Connection` header contains `close`: the connection is closed after this exchange.
     pub(super) close: bool,
-    /// Whether the body uses the chunked transfer coding.
+    /// Whether there is a `Transfer-Encoding` header. The body is then decoded as chunked, the only
+    /// supported coding.
     pub(super) chunked: bool,
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -64,9 +64,10 @@
     pub status: u16,
     /// The body. All responses of this program have JSON bodies.
     pub body: Vec<u8>,
-    /// The value of the `Retry-After` header, in seconds.
+    /// The value of the `Retry-After` header to be sent, in seconds; `None` in responses that the
+    /// client has received.
     pub retry_after: Option<u32>,
-    /// The value of the `Allow` header.
+    /// The value of the `Allow` header to be sent; `None` in responses that the client has received.
     pub allow: Option<&'static str>,
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,9 +19,9 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// If fewer than one in this many of the allowed connections are free, each connection is closed
-/// after its next response. Clients then take turns, as a cluster may have more machines than a
-/// controller has sockets.
+/// The number of allowed connections, divided by this, is the minimum number of free ones. With
+/// fewer, each connection is closed after its next response. Clients then take turns, as a cluster
+/// may have more machines than a controller has sockets.
 const KEEP_ALIVE_MIN_FREE_DIVISOR: usize = 4;
 
 /// Accepts connections until it is cancelled, at most `max_connections` at a time, and responds to
@@ -91,10 +91,12 @@
         request: Request,
         /// The number of bytes that the request took up.
         consumed: usize,
-        /// Whether the client asks to close the connection after the response.
+        /// Whether the connection is closed after the response, because the client asks for it or
+        /// uses HTTP/1.0.
         close: bool,
     },
-    /// The bytes are not a valid request. The response is sent and the connection closed.
+    /// The bytes are not a valid request, or exceed a size limit. The response is sent and the
+    /// connection closed.
     Rejected(Response),
 }
 
@@ -144,8 +146,8 @@
 }
 
 /// Parses a request body from `input`, the bytes after the head. Returns `None` if more bytes are
-/// needed, and the reason if the body is rejected. `received` is the size of the head and `input`
-/// together, in bytes.
+/// needed, or an error text if the body is rejected. `received`, the size of the head and `input`
+/// together in bytes, limits the total size of a chunked body.
 fn read_body(
     input: &[u8],
     framing: &Framing,
--- a/src/ids/names.rs
+++ b/src/ids/names.rs
@@ -131,8 +131,9 @@
 
 impl MachineId {
     /// Returns the shard that the machine belongs to, out of `shard_count` shards. Machines never
-    /// move between shards, so a fencing token rises only when the shard's owner changes. The cloud
-    /// numbers machines consecutively, so the remainder spreads them evenly.
+    /// move between shards, so the revision in a machine's fencing token rises only with the record
+    /// of this shard. The cloud numbers machines consecutively, so the remainder spreads them
+    /// evenly.
     pub(crate) fn shard(&self, shard_count: u32) -> ShardId {
         let number = self.number().unwrap_or_else(|| self.text_hash());
         ShardId((number % u64::from(shard_count.max(1))) as u32)
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -21,14 +21,16 @@
 number_type! {
     /// A revision of the key-value store, or of a key's last change; 0 if the key does not exist.
     Revision,
-    /// The fencing token that authorizes commands to a machine. It combines the revision of the
-    /// machine's shard record with the number of times that the shard's owner has raised the token
-    /// for this machine alone. Workers refuse commands with a lower token than the highest that
-    /// they have seen.
+    /// The fencing token that authorizes commands to a machine. Its high bits are the revision of
+    /// the ownership record of the machine's shard. Its low bits count how often the shard's owner
+    /// has raised the token of this one machine. Workers refuse commands with a lower token than the
+    /// highest that they have seen.
     FencingToken,
     /// The number of an attempt, which distinguishes the starts of a task. It is never reused.
     AttemptNumber,
-    /// The epoch of a worker, which changes with each expiry of the worker's lease.
+    /// The epoch of a worker. It increases by one each time that the worker's lease expires, because
+    /// no heartbeat was answered for `params.workers.lease_s`; the worker then forgets its tasks. This
+    /// lease is not one of the key-value store, which has a [`LeaseId`].
     WorkerEpoch,
     /// The sequence number of a heartbeat within a worker epoch.
     HeartbeatSequence,
@@ -36,25 +38,26 @@
     LeaseId,
     /// The id of a controller process. A restarted controller has a new one.
     Incarnation,
-    /// The id of a cancellation round, in which a controller asks the others about a cancellation.
-    /// It is unique within one process of the controller.
+    /// The id of a cancellation round, in which a controller informs the others of a cancellation
+    /// and collects their acknowledgements. It is unique within one process of the controller.
     CancellationRoundId,
 }
 
-/// Low bits of an attempt number that count the attempts of one leader's term. The bits above hold
-/// the term.
+/// Number of the low bits of an attempt number that count the attempts of one leader's term. The
+/// bits above hold the term.
 const ATTEMPT_COUNTER_BITS: u32 = 20;
 
 impl AttemptNumber {
-    /// Returns the number for an attempt that the leader of a term assigns. The term is in the high
-    /// bits, so that numbers are never reused across terms.
+    /// Returns the number for an attempt that the leader of a term assigns. The term, the revision of
+    /// the leader's record, is in the high bits, so that numbers are never reused across terms.
+    /// `counter` must fit into [`ATTEMPT_COUNTER_BITS`], which is not checked.
     pub(crate) fn of(term: Revision, counter: u64) -> Self {
         Self((term.0 << ATTEMPT_COUNTER_BITS) + counter)
     }
 }
 
-/// Low bits of a fencing token that count its raises by the shard's owner. The bits above hold the
-/// revision of the shard record.
+/// Number of the low bits of a fencing token that count its raises by the shard's owner. The bits
+/// above hold the revision of the shard's ownership record.
 const RAISE_COUNTER_BITS: u32 = 20;
 
 impl FencingToken {
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The messages that controllers exchange with users, workers, the cloud and the key-value store.
-//! The serde attributes here map the protocol's names to the names that the rest of the code uses;
-//! the protocol's names occur nowhere else.
+//! The submodules map the protocol's names to the names that the rest of the code uses, mostly by
+//! serde attributes.
 
 mod cloud;
 mod dependencies;
@@ -33,7 +33,8 @@
     pub(crate) const READY: &str = "/ready";
     /// The endpoint to which workers send heartbeats.
     pub(crate) const HEARTBEAT: &str = "/checkin";
-    /// The endpoint of workers for direct commands.
+    /// The endpoint of workers for direct commands, which a controller sends without waiting for the
+    /// next heartbeat.
     pub(crate) const COMMANDS: &str = "/do";
     /// The cloud's catalog of machine types.
     pub(crate) const CATALOG: &str = "/catalog";
--- a/src/protocol/dependencies.rs
+++ b/src/protocol/dependencies.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The field's name in the protocol.
+/// The protocol's name for the field `JobSpec::dependencies`, for error texts.
 pub(super) const FIELD: &str = "awaits";
 
 /// Deserializes the list of job ids. Duplicates are removed, and null is the same as an empty list.
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -9,7 +9,8 @@
 pub(crate) const MAX_TASKS: u32 = 100_000;
 
 /// Maximum length of the name of a pipeline, team or image, in bytes. Names become parts of store
-/// keys, which may not contain spaces and have at most 200 bytes.
+/// keys, which have at most 200 bytes. `JobSpec::check_names` also refuses the characters that keys
+/// may not contain.
 const MAX_NAME_BYTES: usize = 100;
 /// Maximum value of resource amounts and durations in a submission.
 const MAX_AMOUNT: f64 = 1e9;
@@ -231,10 +232,10 @@
 /// A job's state as it is reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobState {
-    /// No task is running.
+    /// The job has not ended, and none of its tasks is placed on a machine.
     #[serde(rename = "pending")]
     Queued,
-    /// At least one task is placed.
+    /// At least one task is placed on a machine. It may not have started yet.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
@@ -256,7 +257,7 @@
     /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u64>,
-    /// Number of tasks that are placed, for display.
+    /// Number of tasks that are placed on machines, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -12,7 +12,7 @@
     /// The attempt waits until the machine has fetched its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// The attempt waits for the other tasks of the same attempt of its gang.
+    /// The attempt waits for the other tasks of its gang that have the same attempt number.
     #[serde(rename = "waiting")]
     Waiting,
     /// The attempt runs. It may be about to exit because its gang is ending.
@@ -178,7 +178,8 @@
     commands: Vec<CommandMessage>,
 }
 
-/// Returns the body of a heartbeat response or, if `epoch` is given, of a direct command request.
+/// Returns the body of a heartbeat response (without `epoch`) or of a direct command request, where
+/// `epoch` is the worker epoch that the commands are meant for.
 pub(crate) fn encode_commands(
     token: FencingToken,
     epoch: Option<WorkerEpoch>,
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -15,7 +15,8 @@
 
 type Routine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The slots of routines that were woken and have yet to run.
+/// The indices in [`Executor::slots`] of the routines that were woken and have yet to run. An index
+/// may occur several times.
 #[derive(Default)]
 struct ReadyQueue(Mutex<VecDeque<usize>>);
 
@@ -73,6 +74,7 @@
     id: u64,
 }
 
+/// A routine that is not complete, in [`Executor::slots`].
 struct Slot {
     /// The routine's future; `None` while the routine runs.
     future: Option<Routine>,
--- a/src/runtime/net.rs
+++ b/src/runtime/net.rs
@@ -45,7 +45,8 @@
 
 /// A TCP connection.
 pub(crate) struct TcpStream {
-    // Declared first, so that it is dropped while the socket is still open.
+    // Declared first, so that its token is freed before the socket is closed. Closing the socket also
+    // removes it from the poll.
     registration: Registration,
     socket: mio::net::TcpStream,
 }
