--- a/src/compatibility/mod.rs
+++ b/src/compatibility/mod.rs
@@ -1,5 +1,6 @@
 //! Tests of compatibility with the version in production. The golden files contain every peer
-//! frame and every stored record as that version writes them.
+//! frame and every stored record as that version writes them. They lack the member record, because
+//! it contains the version of the program.
 //!
 //! During a rolling upgrade both versions run at the same time and read each other's data. A
 //! controller closes the link when it receives a frame that it can't decode, and ignores records
--- a/src/compatibility/samples.rs
+++ b/src/compatibility/samples.rs
@@ -1,4 +1,5 @@
-//! One sample of each message between controllers and of each stored record.
+//! One sample of each message between controllers and of each stored record except the member
+//! record.
 
 use crate::admin::Settings;
 use crate::ids::{
--- a/src/simulation/active_faults.rs
+++ b/src/simulation/active_faults.rs
@@ -9,7 +9,9 @@
     pub zones: [&'static str; 2],
     /// When the partition ends.
     pub until: MonotonicTime,
-    /// Whether messages sent during the partition arrive after it ends; otherwise they are lost.
+    /// Whether heartbeats and direct calls that the partition blocks arrive as soon as it ends.
+    /// Otherwise heartbeats are lost, and direct calls arrive at least 15 seconds after they were
+    /// sent.
     pub delays_messages: bool,
 }
 
@@ -27,7 +29,7 @@
 /// The end time of each active fault.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
-    /// Until when one zone and the controller in it can't reach anything outside the zone.
+    /// Until when one zone and one controller in it can't reach anything outside the zone.
     pub zone_isolated_until: MonotonicTime,
     /// The most recent partition between two zones.
     pub partition: ZonePartition,
--- a/src/simulation/cancellations.rs
+++ b/src/simulation/cancellations.rs
@@ -13,8 +13,8 @@
 use crate::store::records::{FinalRecord, LeaderRecord};
 use crate::store::{TxnOutcome, keys};
 
-/// How long a controller waits for the tasks of a cancelled job to end, and the interval at which
-/// it polls for that, in ms.
+/// How long a controller waits until a cancellation is complete, and the interval at which it polls
+/// for that, in ms.
 const CANCELLATION_WAIT_MS: u64 = 900;
 const POLL_INTERVAL_MS: u64 = 60;
 /// How long a controller tries to cancel the dependents of a cancelled job before the user has to
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Begins to cancel dependents once all shard owners have acknowledged. After the deadline, the
-    /// user retries.
+    /// Begins to cancel dependents once the cancellation is complete: the job's tasks are proved to
+    /// be gone, or the cancellation timeout has passed and the shard owners know of the cancellation.
+    /// After the deadline, the user retries.
     pub(super) fn poll_cancellation(&mut self, poll: CancellationPoll) {
         let now = self.now;
         let ControllerProcess { node, generation } = poll.process;
--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -27,8 +27,8 @@
 const CANCELLED_DEPENDENCY_PERCENT: u64 = 10;
 
 impl SimulatedCluster {
-    /// Adds some recent jobs in any state as dependencies. Only accepted jobs are chosen, since
-    /// users know no others.
+    /// Adds up to three of the most recent accepted jobs as dependencies. Services are excluded,
+    /// since they never end, and cancelled jobs are rarely added.
     pub(super) fn add_dependencies(&mut self, spec: &mut JobSpec) {
         let known = self.jobs.iter().rev();
         let recent = known.filter(|(id, s)| s.kind != JobKind::Service && self.is_accepted(id));
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -106,7 +106,7 @@
 pub(super) struct HeartbeatResponse {
     /// The machine that sent the heartbeat.
     pub machine: MachineId,
-    /// The ticket of the heartbeat.
+    /// The ticket of the heartbeat that this answers; see [`HeartbeatDelivery::ticket`].
     pub ticket: u64,
     /// The shard owner's fencing token.
     pub token: FencingToken,
@@ -118,19 +118,19 @@
 pub(super) struct HeartbeatRedirect {
     /// The machine that sent the heartbeat.
     pub machine: MachineId,
-    /// The ticket of the heartbeat.
+    /// The ticket of the heartbeat that this answers; see [`HeartbeatDelivery::ticket`].
     pub ticket: u64,
     /// The controller to send heartbeats to, if it is known.
     pub to: Option<usize>,
 }
 
-/// A controller's check whether all tasks of a cancelled job have ended.
+/// A controller's check whether the cancellation of a job is complete.
 pub(super) struct CancellationPoll {
     /// The process that handles the user's request.
     pub process: ControllerProcess,
     /// The cancelled job.
     pub job: JobId,
-    /// The round of acknowledgements that the controller waits for.
+    /// The round in which shard owners acknowledge that their shards are cleared of the job's tasks.
     pub round: CancellationRoundId,
     /// When the controller stops trying and the user has to retry.
     pub deadline: MonotonicTime,
@@ -210,7 +210,7 @@
     CancelRunning,
     /// A job is cancelled as one of its tasks ends.
     CancelAtCompletion(JobId),
-    /// A controller checks whether a cancellation is acknowledged.
+    /// A controller checks whether a cancellation is complete.
     CancellationPoll(CancellationPoll),
     /// A controller continues to cancel dependents.
     CascadeStep(CascadeStepDue),
--- a/src/simulation/fake_services/direct_calls.rs
+++ b/src/simulation/fake_services/direct_calls.rs
@@ -7,7 +7,8 @@
 use crate::simulation::timing::CALL_TIMEOUT_MS;
 use crate::worker_control::DirectCallOutcome;
 
-/// Percent of the calls that arrive long after their sender timed out.
+/// Percent of the calls that arrive long after their sender timed out, under the fault
+/// `lost_responses`.
 const LOST_CALL_PERCENT: u64 = 10;
 /// The latency of a response, in ms.
 const RESPONSE_MS: u64 = 2;
--- a/src/simulation/fake_services/network.rs
+++ b/src/simulation/fake_services/network.rs
@@ -71,7 +71,8 @@
         self.schedule_in(ms, SimulationEvent::Peer(delivery));
     }
 
-    /// Returns the routes that a controller knows from the periodic status messages of its peers.
+    /// Returns the relay routes that a controller would know now. They are computed from the current
+    /// state of the network, as if all reachable peers had just sent their periodic status.
     fn routes(&self, node: usize) -> RelayRoutes {
         let now = self.now;
         let controller_count = self.nodes.len();
--- a/src/simulation/fakes/store.rs
+++ b/src/simulation/fakes/store.rs
@@ -216,7 +216,8 @@
             || txn.changes.iter().any(large)
     }
 
-    /// Returns the changes after a revision, as a watch delivers them.
+    /// Returns the changes after a revision to keys that start with `live/`, which are the only keys
+    /// that controllers watch.
     ///
     /// With `earlier_version`, records lack the fields that a controller of the earlier version
     /// does not know.
--- a/src/simulation/fakes/worker.rs
+++ b/src/simulation/fakes/worker.rs
@@ -26,7 +26,8 @@
 /// A heartbeat that has no response yet.
 #[derive(Clone, Copy)]
 pub(in crate::simulation) struct AwaitedResponse {
-    /// The ticket of the heartbeat. Responses with another ticket are dropped.
+    /// The ticket of the heartbeat, a number that the response repeats. Responses with another ticket
+    /// are dropped.
     pub ticket: u64,
     /// When the heartbeat was sent.
     pub sent: MonotonicTime,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Forgets exited tasks without a command from a controller.
+    /// Forgets exited tasks although no controller has commanded it. This happens only in runs with
+    /// `DisabledGuard::ExitedTasksForgottenOnReport`.
     pub(in crate::simulation) fn forget_exited(&mut self) {
         self.tasks.retain(|_, t| t.state != TaskState::Exited);
     }
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -25,7 +25,7 @@
     pub overload: bool,
     /// A controller pauses, possibly for longer than any lease, while its clocks keep running.
     pub controller_pauses: bool,
-    /// A zone, including the controller in it, is cut off from everything outside.
+    /// A zone and one controller in it are cut off from everything outside.
     pub zone_isolation: bool,
     /// Executed requests are delivered a second time, up to several lease durations later.
     pub duplicate_requests: bool,
@@ -38,8 +38,8 @@
     /// The key-value store is slow: transactions time out and are executed later, and the watch
     /// caches lag by seconds.
     pub slow_store: bool,
-    /// The leader stops about every eleven seconds, also during outages, and restarts after a
-    /// random delay.
+    /// The leader stops every 9 to 13 seconds, also during outages of the key-value store, and
+    /// restarts after a random delay. Sometimes an outage of the store begins at the same time.
     pub leader_crashes: bool,
     /// All controllers are down for longer than a lease.
     pub control_plane_outage: bool,
--- a/src/simulation/guards.rs
+++ b/src/simulation/guards.rs
@@ -1,4 +1,5 @@
-//! Guards that tests disable to show that the invariants detect the resulting violations.
+//! Guards that tests disable to show that the invariants detect the resulting violations or, for
+//! `RelayDisabled`, that more tasks are lost.
 
 /// A guard that is deliberately disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,8 +16,8 @@
     DeletedMachinesAcknowledge,
     /// Commands to unreachable machines are reported as executed.
     UnreachableMachinesAcknowledge,
-    /// Users are told of a cancellation as soon as its record is written, without waiting for the
-    /// shard owners to acknowledge it.
+    /// Users are told of a cancellation as soon as its record is written, without waiting until
+    /// the cancellation is complete.
     CancellationConfirmedOnCommit,
     /// Messages and heartbeats are not relayed around a zone partition.
     RelayDisabled,
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Records `DeletedRecordKept` if a record that a late request recreated for a deleted machine
-    /// is not removed in time.
+    /// Records `DeletedRecordKept` if the record of a deleted machine, recreated or never removed,
+    /// still exists after the limit. The check begins once all faults are healed.
     pub(in crate::simulation) fn check_deleted_records_removed(&mut self) {
         if !self.active_faults.healed || self.fleet.is_some() {
             return;
--- a/src/simulation/invariants/starvation.rs
+++ b/src/simulation/invariants/starvation.rs
@@ -14,8 +14,9 @@
 const STARVATION_LIMIT_MS: u64 = 90_000;
 
 impl SimulatedCluster {
-    /// Records `Starved` for jobs that wait for long while a suitable machine has room for one of
-    /// their tasks and their team is under its limit.
+    /// Records `Starved` for jobs without any task on a machine that have waited for longer than the
+    /// limit, while `has_room` found room for them. Jobs with `spread` are not checked, because
+    /// `has_room` looks at single machines and they may have to use several zones.
     pub(in crate::simulation) fn check_no_starvation(&mut self) {
         if !self.active_faults.healed || self.fleet.is_some() {
             return;
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of the size that operators run, with a key-value store that enforces configured rate
-//! limits.
+//! A fleet of the size that operators run, with a limit of the changes per second that each
+//! controller may write to the key-value store.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
@@ -16,13 +16,15 @@
 use crate::store::records::JobRecord;
 use serde_json::json;
 
-/// The fraction of the store's change rate that each controller may use.
+/// The fraction of the store's change rate that each controller may use. The three controllers
+/// together can exceed the store's rate by half.
 const CONTROLLER_CHANGES_FRACTION: f64 = 0.5;
-/// The rate limit of the key-value store, in requests per second.
+/// The rate limit of the key-value store that controllers are configured with, in requests per
+/// second. The simulation does not enforce it.
 const REQUESTS_PER_S: f64 = 200.0;
 /// The number of slots of each machine.
 const SLOTS_PER_MACHINE: u64 = 16;
-/// The time between submissions of two services, in ms.
+/// The time between the submissions of consecutive services, in ms.
 const SERVICE_INTERVAL_MS: u64 = 560;
 /// The minimum and maximum number of tasks of an array.
 const TASKS_PER_ARRAY: (u64, u64) = (20, 220);
@@ -30,8 +32,8 @@
 const MAX_SERVICES: u64 = 200;
 
 impl SimulatedCluster {
-    /// Creates a cluster with hundreds of machines, from `machines.0` to `machines.1`, to which users
-    /// submit an array every `array_interval_ms`.
+    /// Creates a cluster that starts with `machines.0` machines and may grow to `machines.1`. Users
+    /// submit a job array every `array_interval_ms`, and services.
     pub(super) fn with_large_fleet(
         seed: u64,
         machines: (usize, usize),
@@ -54,7 +56,7 @@
         cluster
     }
 
-    /// Boots the machines of a large fleet and applies its rate limits.
+    /// Boots the machines of a large fleet and configures the controllers with its rate limits.
     fn start_large_fleet(&mut self) {
         let Some(fleet) = &self.fleet else { return };
         let changes = fleet.changes_per_s;
--- a/src/simulation/large_fleet_state.rs
+++ b/src/simulation/large_fleet_state.rs
@@ -3,8 +3,8 @@
 use crate::store::rate_limiter::TokenBucket;
 use std::collections::BTreeMap;
 
-/// The state of a large fleet. Transactions beyond the configured rate limits are refused and
-/// counted.
+/// The state of a large fleet. Transactions beyond a controller's limit of changes per second are
+/// refused and counted.
 pub(super) struct LargeFleetState {
     /// The number of machines at the start.
     pub min_machines: usize,
@@ -12,13 +12,13 @@
     pub max_machines: usize,
     /// The number of slots of each machine.
     pub slots: u64,
-    /// The time between submissions of two arrays, in ms.
+    /// The time between the submissions of consecutive job arrays, in ms.
     pub array_interval_ms: u64,
     /// The number of services submitted so far.
     pub services: u64,
     /// The rate limit of the key-value store, in changes per second.
     pub changes_per_s: f64,
-    /// The rate limiter of each controller.
+    /// The limiter of the changes per second of each controller.
     pub limiters: Vec<TokenBucket>,
     /// Counts of the requests to the key-value store so far.
     pub counts: RequestCounts,
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -12,7 +12,8 @@
     pub violations: Vec<Violation>,
     /// The number of launched task attempts.
     pub launches: u64,
-    /// The number of times the fault or coincidence that the test targets occurred.
+    /// The number of occurrences of those faults and coincidences that are counted, summed over all
+    /// kinds in the run. Ordinary crashes, for example, are not counted.
     pub fault_occurrences: u64,
     /// The number of messages and heartbeats relayed around a partition.
     pub relayed_messages: u64,
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -27,7 +27,8 @@
 /// Enables one kind of fault.
 type AddFault = fn(&mut Faults);
 
-/// The name of each single fault, as digest lines print it, and the function that enables it.
+/// The short name of each single fault, and the function that enables it. The output of tests uses
+/// the names, and digests of two versions are compared by them, so they must not change.
 const SINGLE_FAULTS: [(&str, AddFault); 18] = [
     ("crashes", |faults| faults.controller_crashes = true),
     ("lost", |faults| faults.lost_responses = true),
--- a/src/simulation/tests/counted_faults.rs
+++ b/src/simulation/tests/counted_faults.rs
@@ -1,5 +1,5 @@
-//! Simulated runs for faults that matter only if they coincide with other events. The tests assert
-//! a minimum number of such occurrences, and then add further faults.
+//! Simulated runs for faults that might not occur, or might not coincide with the events that they
+//! are meant to hit. The tests assert a minimum number of occurrences, and then add further faults.
 
 use super::{assert_invariants_hold, assert_invariants_hold_on_seeds, run_simulation};
 use crate::simulation::faults::Faults;
@@ -39,8 +39,8 @@
 }
 
 /// Runs a simulation for each seed, asserts that the invariants hold and that the fault occurred at
-/// least `min_occurrences` times. Then repeats the runs with controller crashes, machine failures
-/// and overload.
+/// least `min_occurrences` times in all runs together. Then repeats the runs with controller
+/// crashes, machine failures and overload.
 fn assert_invariants_hold_and_faults_occur(
     name: &str,
     seeds: std::ops::Range<u64>,
--- a/src/simulation/tests/dependent_jobs.rs
+++ b/src/simulation/tests/dependent_jobs.rs
@@ -21,8 +21,9 @@
     ..DEPENDENT_JOBS
 };
 
-/// The simulated time at which these runs end, in ms from the start. Dependent jobs run one after
-/// the other, so the longest chains take some minutes after all faults are healed.
+/// The simulated time at which these runs end, in ms from the start; runs without dependent jobs
+/// end at the earlier `RUN_END_MS` of `tests.rs`. Dependent jobs run one after the other, so the
+/// longest chains take some minutes after all faults are healed.
 const RUN_END_MS: u64 = 340_000;
 
 /// Runs a simulation for long enough that dependent jobs can end as well.
@@ -77,7 +78,8 @@
     assert_eq!(counts.live_at_confirmation, 0);
 }
 
-/// Enables each fault alone, with dependent jobs during the whole run.
+/// Enables each fault alone while users submit dependent jobs. After the faults are healed, users
+/// submit no new jobs, and all jobs must end.
 #[test]
 fn invariants_hold_for_dependent_jobs_under_each_fault() {
     let mut total = DependencyCounts::default();
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -1,5 +1,6 @@
 //! Simulated runs with one guard disabled. They check the invariants themselves: each disabled
-//! guard must lead to a violation.
+//! guard must lead to a violation. `dependent_jobs.rs` tests the guards of dependencies, and
+//! `zone_faults.rs` tests `RelayDisabled`, which leads to lost tasks but to no violation.
 
 use super::run_simulation;
 use crate::simulation::faults::Faults;
--- a/src/simulation/tests/large_fleets.rs
+++ b/src/simulation/tests/large_fleets.rs
@@ -1,6 +1,6 @@
-//! Tests with large fleets, in which the simulated services enforce the rate limits of the
-//! settings. They guard against costs that grow with the size of the fleet. They assert counts
-//! rather than times, so that such growth is always noticed.
+//! Tests with large fleets, in which the changes per second that each controller may write to the
+//! key-value store are limited. They guard against costs that grow with the size of the fleet. They
+//! assert counts rather than times, so that such growth is always noticed.
 
 use crate::simulation::cluster::SimulatedCluster;
 use crate::simulation::large_fleet_state::RequestCounts;
@@ -33,7 +33,7 @@
 }
 
 /// Users submit far more work than the fleet can run. The store's change rate must still be spent
-/// on starting as many tasks as possible, and nothing may be scanned repeatedly.
+/// on starting as many tasks as possible.
 #[test]
 fn overloaded_fleet_writes_few_changes_per_task() {
     let (counts, launches) = run_and_count(
--- a/src/simulation/tests/pairs.rs
+++ b/src/simulation/tests/pairs.rs
@@ -6,7 +6,8 @@
 use crate::simulation::faults::Faults;
 use crate::simulation::guards::DisabledGuard;
 
-/// Returns every pair of faults with its name, as digest lines print it.
+/// Returns every pair of faults and its name, for example "cuts and copies". Test messages and the
+/// digest lines of `digests.rs` print the name.
 pub(super) fn fault_pairs() -> Vec<(String, Faults)> {
     let mut pairs = Vec::new();
     for (i, (first_name, add_first)) in SINGLE_FAULTS.iter().enumerate() {
--- a/src/simulation/tests/upgrades.rs
+++ b/src/simulation/tests/upgrades.rs
@@ -8,7 +8,8 @@
 use crate::simulation::topology::{ClusterSize, FIVE_CONTROLLERS, THREE_CONTROLLERS};
 
 /// Runs an upgrade for each seed and asserts that the invariants hold, that every controller was
-/// upgraded, that the limits were lowered in every run, and that some submission was postponed.
+/// upgraded, that the limits were lowered in every run, and that at least one submission was
+/// postponed in all runs together.
 fn check_upgrades(name: &str, size: ClusterSize, seeds: std::ops::Range<u64>, faults: Faults) {
     let (mut upgraded, mut postponed, mut lowered) = (0, 0, 0);
     let seed_count = seeds.end - seeds.start;
--- a/src/simulation/tests/zone_faults.rs
+++ b/src/simulation/tests/zone_faults.rs
@@ -50,7 +50,8 @@
 
 /// Five controllers run in three zones, two of which can't reach each other. Heartbeats and messages
 /// between the two are relayed through the third zone, so that tasks keep running in all of them.
-/// With relaying disabled, at least three times as many tasks must be lost.
+/// With relaying disabled, at least three times as many tasks must be lost, over all seeds together.
+/// Further runs combine the partition with other faults.
 #[test]
 fn invariants_hold_and_traffic_is_relayed_under_a_zone_partition() {
     let partitioned = Faults {
--- a/src/simulation/topology.rs
+++ b/src/simulation/topology.rs
@@ -25,7 +25,8 @@
 pub(super) const MEMBERS: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 /// The zone that zone isolation cuts off.
 pub(super) const ISOLATED_ZONE: &str = "b";
-/// The controller in the zone that zone isolation cuts off.
+/// The controller that zone isolation cuts off together with the zone. Of five controllers, another
+/// one is in that zone too, but is treated as outside it.
 pub(super) const ISOLATED_ZONE_CONTROLLER: usize = 2;
 
 /// Returns the zone of a controller. Of five controllers, two are in the first zone and two in the
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Configures a controller of the current version with the lowered limits.
+    /// Configures a controller of the current version for the lowered limits, if the store lowers its
+    /// limits in this run.
     fn configure_limits(&mut self, node: usize) {
         if self.faults.lowered_store_limits {
             let limits = &mut self.nodes[node].config.store_limits;
--- a/src/simulation/violations.rs
+++ b/src/simulation/violations.rs
@@ -2,7 +2,8 @@
 
 use crate::ids::MonotonicTime;
 
-/// The kind of a violation. Each kind belongs to one invariant that must hold throughout a run.
+/// The kind of a violation. Each kind belongs to one invariant. Some invariants are checked only in
+/// a part of a run or only under certain faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ViolationKind {
     /// A machine with running tasks was deleted although no machine was faulty.
@@ -31,7 +32,8 @@
     Starved,
     /// A record of a deleted machine was recreated.
     DeletedRecordRecreated,
-    /// A recreated record of a deleted machine was not removed.
+    /// A record of a deleted machine, recreated or never removed, remained long after all faults were
+    /// healed.
     DeletedRecordKept,
     /// The record of a machine that was unreachable for long was not removed.
     UnreachableMachineKept,
