--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -40,7 +40,7 @@
     pub fetch_gb_per_s: f64,
     /// The number of service replicas on the machine.
     pub replicas: usize,
-    /// The resources that these replicas use.
+    /// The resources that the service replicas on the machine use.
     pub replica_usage: Resources,
 }
 
--- a/src/placement/pending_allotment.rs
+++ b/src/placement/pending_allotment.rs
@@ -3,7 +3,8 @@
 use crate::ids::{MachineId, MemberId, Resources, TeamId};
 use crate::peers::Allotment;
 
-/// An allotment to send to a shard owner, and the attributes under which the ledger counts it.
+/// An allotment to send to a shard owner, and the machine, team and resources per task that the
+/// allotment ledger records for it.
 pub(super) struct PendingAllotment {
     /// The shard owner to which the allotment is sent.
     pub owner: MemberId,
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -144,10 +144,10 @@
         stops.into_stops()
     }
 
-    /// Returns the job of an unmet demand if there may be victims for it. These are placed tasks
-    /// whose priority (`lowest` is the lowest of all) is below the job's own. For a job within its
-    /// team's guarantee for which preemption is worthwhile at its age, they are also tasks that
-    /// other teams run beyond their guaranteed quota.
+    /// Returns the job of an unmet demand if there may be victims for it. Victims are placed tasks
+    /// of a lower priority than the job's; `lowest` is the lowest priority of all placed tasks. If
+    /// the job is within its team's guarantee and [`Self::is_worth_preempting`] holds for its age,
+    /// tasks that other teams run beyond their guaranteed quota are victims too.
     fn preemptor<'a>(
         &'a self,
         demand: &'a UnmetDemand,
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Returns the resources that earlier stops will free, so that the same
-    /// demand does not preempt twice.
+    /// Returns the resources that earlier stops will free, so that the same demand does not preempt
+    /// twice.
     fn resources_being_freed(&self) -> Resources {
         let jobs = self.preempted.keys().map(|attempt| &attempt.task.job);
         let stopped = jobs.filter_map(|job| self.cache.jobs.get(job));
@@ -219,7 +219,7 @@
     /// Returns the machine where freeing resources for a task costs the least, and the victims
     /// there for as many of `tasks` as fit. Machines that have the job's image come first, then
     /// those where the victims use the fewest CPUs per task. Only machines that have the image
-    /// count if the demand requires it or the job has `is_guaranteed`.
+    /// count if the demand requires it or the preemptor's `is_guaranteed` is set.
     fn cheapest_victims(
         &self,
         preemptor: &Preemptor<'_>,
@@ -252,9 +252,10 @@
     }
 
     /// Returns the priority of a placed task if the task may be stopped for a job. This is the case
-    /// if the task's priority is lower. For a job with `is_guaranteed` it is also the case if the
-    /// task's priority is equal, its own job is not within a guarantee, and it belongs to another
-    /// team that exceeds its guaranteed quota or has no guarantee for such tasks.
+    /// if the task's priority is lower. If the preemptor's `is_guaranteed` is set, it is also the
+    /// case if the task's priority is equal, its own job is not within a guarantee, and it belongs
+    /// to another team that exceeds its guaranteed quota or whose guarantee covers none of the kinds
+    /// of resource that the task needs.
     fn preemptible_priority(
         &self,
         preemptor: &Preemptor<'_>,
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -17,8 +17,8 @@
 
 /// The parameters of a search for free capacity for a job.
 pub(super) struct CandidateSearch<'a> {
-    /// The number of tasks to place, set while record writes are scarce: machines that can take
-    /// most of these tasks are then preferred.
+    /// The number of tasks to place, set while record writes are scarce: machines that can take the
+    /// largest number of these tasks are then preferred.
     pub tasks_to_pack: Option<u64>,
     /// The indices of the candidates to search; `None` means all.
     pub candidate_subset: Option<&'a [usize]>,
@@ -73,7 +73,7 @@
         };
         let all: Vec<usize>;
         let searched = match self.candidate_subset {
-            Some(among) => among,
+            Some(subset) => subset,
             None => {
                 all = (0..candidates.len()).collect();
                 &all
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -32,18 +32,18 @@
 /// Returns the resource need of the service whose replicas need the most CPUs, and for how many
 /// replicas of that size capacity is reserved. Returns `None` if no service needs any CPU.
 pub(crate) fn reserved_replicas(cache: &WatchCache) -> Option<(Resources, u64)> {
-    let (mut total, mut largest) = (0, Resources::default());
+    let (mut total_milli_cpus, mut largest) = (0, Resources::default());
     for job in cache.jobs.values() {
         if job.spec.kind == JobKind::Service {
             let need = job.spec.need();
-            total += need.milli_cpus * u64::from(job.spec.tasks);
+            total_milli_cpus += need.milli_cpus * u64::from(job.spec.tasks);
             if need.milli_cpus > largest.milli_cpus {
                 largest = need;
             }
         }
     }
-    let spare = (total as f64 * cache.settings().service_spare) as u64;
-    let count = spare
+    let spare_milli_cpus = (total_milli_cpus as f64 * cache.settings().service_spare) as u64;
+    let count = spare_milli_cpus
         .checked_div(largest.milli_cpus)?
         .max(MIN_RESERVED_REPLICAS);
     Some((largest, count))
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -34,7 +34,8 @@
     RaiseShardFence(ShardId),
 }
 
-/// The time after which a preemption that has not freed the task's resources is no longer counted.
+/// The time after which a preempted task that has not ended is no longer expected to free its
+/// resources. It may then be chosen as a victim again.
 const PREEMPTION_TIMEOUT: Millis = Millis(10_000);
 /// The time for which the scheduler remembers that a service waited for a machine with its image.
 /// During that time the service does not wait again.
--- a/src/placement/scheduler/health.rs
+++ b/src/placement/scheduler/health.rs
@@ -70,7 +70,7 @@
         let is_healthy = self.health.get(id).is_some_and(|reported| {
             Some(reported.report.fence) == fence
                 && reported.report.token_confirmed
-                && !self.is_lost(&reported.report)
+                && !self.is_interrupted_or_late(&reported.report)
                 && now.since(reported.received_at) < MAX_REPORT_AGE
         });
         is_healthy && !self.is_cordoned(now, id)
@@ -82,12 +82,13 @@
     /// does a machine that has not been reported yet.
     pub(crate) fn counts_as_capacity(&self, now: MonotonicTime, id: &MachineId) -> bool {
         let reported = self.health.get(id);
-        let is_lost = reported.is_some_and(|r| self.is_lost(&r.report));
-        !is_lost && !self.is_cordoned(now, id)
+        let is_interrupted_or_late =
+            reported.is_some_and(|r| self.is_interrupted_or_late(&r.report));
+        !is_interrupted_or_late && !self.is_cordoned(now, id)
     }
 
     /// Returns whether a machine is about to be interrupted or its heartbeat is late.
-    fn is_lost(&self, health: &MachineHealth) -> bool {
+    fn is_interrupted_or_late(&self, health: &MachineHealth) -> bool {
         health.until_interruption.is_some()
             || health.unresponsive_for >= self.config.heartbeat_interval + HEARTBEAT_TOLERANCE
     }
--- a/src/placement/scheduling_pass/array_capacity.rs
+++ b/src/placement/scheduling_pass/array_capacity.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the free milli-CPUs of a machine that arrays may use.
+/// Returns the free milli-CPUs of a machine beyond the replica reserve.
 fn free_milli_cpus(
     candidates: &[Candidate<'_>],
     replica_reserve: &[Resources],
--- a/src/worker_control/machine_tracker.rs
+++ b/src/worker_control/machine_tracker.rs
@@ -222,7 +222,7 @@
         self.reachability.mark_reached(now);
     }
 
-    /// Records that a direct call was not answered.
+    /// Records that a direct call was not sent or not answered.
     pub(super) fn on_failed_call(&mut self) {
         self.reachability.on_failed_call();
     }
--- a/src/worker_control/machine_tracker/launches.rs
+++ b/src/worker_control/machine_tracker/launches.rs
@@ -110,19 +110,19 @@
 
     /// Returns whether a direct launch of the attempt is in flight.
     pub(super) fn is_pending(&self, attempt: &TaskAttempt) -> bool {
-        self.direct(attempt) == DirectLaunch::Pending
+        self.direct_launch(attempt) == DirectLaunch::Pending
     }
 
     /// Returns whether a direct launch of the attempt ended without an answer.
     pub(super) fn is_unanswered(&self, attempt: &TaskAttempt) -> bool {
-        self.direct(attempt) == DirectLaunch::Unknown
+        self.direct_launch(attempt) == DirectLaunch::Unknown
     }
 
     /// Returns whether no direct launch could start the task again after it was forgotten. A direct
     /// launch without an answer may arrive late, and one that was executed may be repeated.
     /// Launches in heartbeat responses can't, because workers drop late responses.
-    pub(super) fn allow_forgetting(&self, attempt: &TaskAttempt) -> bool {
-        self.direct(attempt) == DirectLaunch::NotExecuted
+    pub(super) fn allows_forgetting(&self, attempt: &TaskAttempt) -> bool {
+        self.direct_launch(attempt) == DirectLaunch::NotExecuted
     }
 
     /// Returns the presence of an attempt that the worker does not list.
@@ -149,7 +149,7 @@
         }
     }
 
-    fn direct(&self, attempt: &TaskAttempt) -> DirectLaunch {
+    fn direct_launch(&self, attempt: &TaskAttempt) -> DirectLaunch {
         self.sent
             .get(attempt)
             .map_or(DirectLaunch::NotExecuted, |launch| launch.direct)
--- a/src/worker_control/machine_tracker/reachability.rs
+++ b/src/worker_control/machine_tracker/reachability.rs
@@ -79,8 +79,8 @@
     }
 
     /// Returns whether to accept a relayed heartbeat. After half a lease of relaying, one is
-    /// rejected so that the machine tries the direct path again while its lease is still valid for
-    /// long enough.
+    /// rejected so that the machine tries the direct path again while enough of its lease remains
+    /// for that.
     pub(super) fn accept_relayed(&mut self, now: MonotonicTime, worker_lease: Millis) -> bool {
         if self.relayed_since.is_none() {
             // Earlier failures were on the direct path, so they don't count any more.
--- a/src/worker_control/machine_tracker/record_writes.rs
+++ b/src/worker_control/machine_tracker/record_writes.rs
@@ -6,7 +6,8 @@
 
 /// Delay before a failed transaction is retried.
 const TXN_RETRY_DELAY: Millis = Millis(250);
-/// Additional time that a retry waits for the watch cache to deliver the conflicting change.
+/// Maximum time beyond the retry delay that a retry waits for the watch cache to deliver the
+/// conflicting change.
 const CACHE_WAIT_LIMIT: Millis = Millis(2000);
 /// Time that ended placements wait for a new placement on their machine before they are written
 /// without one, in milliseconds. It limits the number of writes.
@@ -15,9 +16,10 @@
 /// them. It is shorter than [`ENDS_ONLY_WRITE_DELAY_MS`] because a machine can only be returned to
 /// the cloud once its record is empty.
 const IDLE_MACHINE_WRITE_DELAY_MS: u64 = 700;
-/// Priority of each pending placement. One millisecond of age adds 1.
+/// Contribution of each pending placement to the priority of a record write. Each millisecond of
+/// the changes' age adds 1.
 const PLACEMENT_PRIORITY: u64 = 1000;
-/// Priority of each ended placement.
+/// Contribution of each ended placement to the priority of a record write.
 const END_PRIORITY: u64 = 300;
 
 /// A placement that is proved gone.
@@ -39,7 +41,7 @@
     /// The resources that the ended placements free.
     freed: Resources,
     /// Whether the record will be empty after these changes. Only a machine with an empty record
-    /// can be returned.
+    /// can be returned to the cloud.
     idle: bool,
     /// Whether a user or another decision waits for the changes: those for services, gangs, and
     /// attempts to be retried.
@@ -47,7 +49,7 @@
 }
 
 impl UnwrittenChanges {
-    /// Creates changes that exist since `since` and add `pending` placements.
+    /// Creates changes that were first detected at `since` and that add `pending` placements.
     pub(in crate::worker_control) fn new(since: MonotonicTime, pending: usize) -> Self {
         Self {
             since,
@@ -81,7 +83,7 @@
         self.pending == 0 && self.ended.is_empty()
     }
 
-    /// Returns since when the record lacks changes.
+    /// Returns the time from which the record has been out of date.
     pub(in crate::worker_control) fn since(&self) -> MonotonicTime {
         self.since
     }
@@ -102,13 +104,13 @@
     /// write.
     pub(in crate::worker_control) fn write_priority(&self, now: MonotonicTime) -> u64 {
         let age = now.since(self.since).0;
-        let ended = END_PRIORITY * self.ended.len() as u64;
+        let ended_priority = END_PRIORITY * self.ended.len() as u64;
         if self.pending > 0 {
-            return PLACEMENT_PRIORITY * self.pending as u64 + ended + age;
+            return PLACEMENT_PRIORITY * self.pending as u64 + ended_priority + age;
         }
         let due =
             age >= ENDS_ONLY_WRITE_DELAY_MS || (self.idle && age >= IDLE_MACHINE_WRITE_DELAY_MS);
-        if due { ended + age } else { 0 }
+        if due { ended_priority + age } else { 0 }
     }
 }
 
--- a/src/worker_control/machine_tracker/stops.rs
+++ b/src/worker_control/machine_tracker/stops.rs
@@ -3,7 +3,7 @@
 use crate::ids::{Millis, MonotonicTime, TaskAttempt};
 use std::collections::BTreeMap;
 
-/// Interval at which a stop command is repeated while its task is still alive.
+/// Minimum time between two stop commands for the same stop request.
 const STOP_RETRY_INTERVAL: Millis = Millis(2000);
 
 /// The request to stop one task.
@@ -11,7 +11,7 @@
 struct StopRequest {
     /// Time that the task has to save its progress.
     grace: Millis,
-    /// When the stop command was last sent. `None` if it was not sent yet.
+    /// When the stop command was last sent. `None` if it has not been sent yet.
     sent_at: Option<MonotonicTime>,
 }
 
--- a/src/worker_control/machine_tracker/tasks.rs
+++ b/src/worker_control/machine_tracker/tasks.rs
@@ -34,7 +34,7 @@
     /// Returns whether the worker may forget an exited task: the machine obeys the current token,
     /// and no launch that was sent can start the task again.
     pub(in crate::worker_control) fn may_forget(&self, attempt: &TaskAttempt) -> bool {
-        self.is_confirmed() && self.launches.allow_forgetting(attempt)
+        self.is_confirmed() && self.launches.allows_forgetting(attempt)
     }
 
     /// Returns the number of exited tasks that the worker may only forget after the token was
--- a/src/worker_control/shard_owner.rs
+++ b/src/worker_control/shard_owner.rs
@@ -1,5 +1,5 @@
-//! Decides for all machines of the shards that this controller owns. It does no I/O: it returns
-//! effects, and their outcomes come back as method calls.
+//! The control logic for all machines of the shards that this controller owns. It does no I/O: it
+//! returns effects, and their outcomes come back as method calls.
 
 mod allotments;
 mod calls;
@@ -142,7 +142,7 @@
         cache: &WatchCache,
         out: &mut Vec<Effect>,
     ) {
-        self.note_unwritten(now, id, cache, out);
+        self.update_unwritten(now, id, cache, out);
         self.send_direct_commands(now, id, cache, out);
     }
 }
--- a/src/worker_control/shard_owner/allotments.rs
+++ b/src/worker_control/shard_owner/allotments.rs
@@ -65,8 +65,8 @@
     }
 
     /// Assigns the attempts of an allotment to machines. Attempts that fit on no machine are
-    /// refused, and all are refused if the allotment is not valid for the shard's and the job's
-    /// records.
+    /// refused. All are refused if the allotment does not match the current records of the shard and
+    /// the job.
     fn place(
         &mut self,
         now: MonotonicTime,
--- a/src/worker_control/shard_owner/cancellations.rs
+++ b/src/worker_control/shard_owner/cancellations.rs
@@ -47,12 +47,13 @@
         let mut attempts = machine
             .record
             .attempts()
-            .filter(|(r, _)| r.task.job == *job);
+            .filter(|(attempt, _)| attempt.task.job == *job);
         (cancellation_known && tracker.is_token_current())
             || attempts.all(|(attempt, _)| tracker.is_gone(&attempt))
     }
 
-    /// Returns whether the attempt is proved gone, even if its machine's record still shows it.
+    /// Returns whether the attempt is proved gone and was reported to the leader as ended, while
+    /// its end is not written yet.
     pub(crate) fn is_freed(&self, attempt: &TaskAttempt) -> bool {
         let mut trackers = self.trackers.values();
         trackers.any(|tracker| tracker.placements().is_reported(attempt))
--- a/src/worker_control/shard_owner/commands.rs
+++ b/src/worker_control/shard_owner/commands.rs
@@ -51,7 +51,7 @@
             commands.extend(forget_commands(tracker, machine, room));
         }
         if tracker.is_confirmed() {
-            // A running task without a placement is orphaned.
+            // A task that has not exited and has no placement is orphaned.
             let orphans = tracker
                 .alive_tasks()
                 .filter(|attempt| !machine.record.holds(attempt));
@@ -88,16 +88,16 @@
         if may_raise && needs_token_raise(tracker, machine, cache) && !tracker.raise_token(now) {
             out.push(Effect::RaiseShardFence(id.shard(self.shards)));
         }
-        let take_over = !tracker.is_confirmed();
-        let commands = if take_over {
+        let is_unconfirmed = !tracker.is_confirmed();
+        let commands = if is_unconfirmed {
             Vec::new()
         } else {
             self.due_commands(now, id, cache, CommandRoute::DirectCall)
         };
-        if commands.is_empty() && !probe_due && !take_over {
+        if commands.is_empty() && !probe_due && !is_unconfirmed {
             return;
         }
-        let probe = take_over || probe_due;
+        let probe = is_unconfirmed || probe_due;
         let pause = if probe { CALL_RETRY_DELAY } else { Millis(0) };
         self.send_call(id, commands, now + pause, out);
     }
@@ -195,7 +195,8 @@
 ) -> Option<Command> {
     let may_launch = match tracker.presence(&attempt) {
         TaskPresence::Absent => true,
-        // An earlier direct launch has no answer yet: only a heartbeat response may repeat it.
+        // An earlier direct launch has no answer: only a heartbeat response may repeat it, and only
+        // once the call has ended.
         TaskPresence::MayStart => route == CommandRoute::HeartbeatResponse,
         _ => false,
     };
--- a/src/worker_control/shard_owner/health.rs
+++ b/src/worker_control/shard_owner/health.rs
@@ -9,12 +9,12 @@
 use crate::worker_control::machine_tracker::MachineTracker;
 
 const HEALTH_REPORT_INTERVAL: Millis = Millis(1000);
-/// A machine without a stored record that is unresponsive for this time is dropped, unless a write
-/// of its record is in flight: no task was placed there.
+/// Unresponsive time after which a machine without a stored record is dropped, since no task was
+/// placed there. The machine is kept while a write of its record is in flight.
 const UNRECORDED_MACHINE_TIMEOUT: Millis = Millis(30_000);
 /// Subtracted from the unresponsive time of machines while controllers can't reach each other. It
-/// lets a machine find another controller that relays its heartbeats: two attempts that time out,
-/// with a pause of a second after each.
+/// gives a machine the time to find another controller that relays its heartbeats: two attempts
+/// that time out, each followed by a pause of one second.
 const RELAY_GRACE_PERIOD: Millis = Millis(10_000);
 
 impl ShardOwner {
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -73,7 +73,10 @@
     ) -> Result<Revision, Option<MemberId>> {
         let shard = heartbeat.machine.shard(self.shards);
         let Some(fence) = self.fence(cache, shard) else {
-            let owner = cache.shards.get(&shard).map(|b| b.value.owner.clone());
+            let owner = cache
+                .shards
+                .get(&shard)
+                .map(|record| record.value.owner.clone());
             self.misdirected.insert(heartbeat.machine.clone());
             return Err(owner.filter(|owner| *owner != self.member));
         };
--- a/src/worker_control/shard_owner/records.rs
+++ b/src/worker_control/shard_owner/records.rs
@@ -10,8 +10,8 @@
 };
 
 /// A pending placement that could not be written within this time is refused, unless a write of the
-/// machine's record is in flight. Without an answer, the leader would void the placement by
-/// rewriting the record of the whole shard, and with it everything in progress in that shard.
+/// machine's record is in flight. Without an answer, the leader would rewrite the shard's
+/// record, which voids this placement and everything else in progress in the shard.
 const PLACEMENT_EXPIRY: Millis = Millis(5000);
 
 impl ShardOwner {
@@ -19,7 +19,7 @@
     /// placements, and completed tasks. Also reports rejected placements to the leader, unless a
     /// transaction could still place them. Does neither while a write of the machine's record is in
     /// flight.
-    pub(super) fn note_unwritten(
+    pub(super) fn update_unwritten(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
