--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -213,8 +213,8 @@
         scheduler: &mut Scheduler,
         out: &mut Vec<Effect>,
     ) {
-        // A late heartbeat can recreate the record of a deleted machine, and deleting the record can fail,
-        // so each step checks for such records again.
+        // The record of a deleted machine can still exist, because a late heartbeat can recreate it and
+        // because its deletion can fail. Each call therefore deletes the records that are still cached.
         for id in self.deletions.confirmed() {
             if cache.machines.contains_key(id) {
                 out.push(Effect::DeleteRecord(id.clone()));
--- a/src/cloud/autoscaler/boots.rs
+++ b/src/cloud/autoscaler/boots.rs
@@ -93,8 +93,8 @@
         cache: &WatchCache,
     ) -> impl Iterator<Item = &MachineOffer> {
         let in_time = move |boot: &&Boot| {
-            let late = LATE_BOOT_FACTOR * boot_s(&boot.offer.type_name, cache);
-            now.since(boot.rented_at) < Millis::from_secs(late)
+            let late_after_s = LATE_BOOT_FACTOR * boot_s(&boot.offer.type_name, cache);
+            now.since(boot.rented_at) < Millis::from_secs(late_after_s)
         };
         let boots = self.machines.values().filter(in_time);
         boots.map(|boot| &boot.offer)
@@ -107,11 +107,11 @@
             let boot_s = boot_s(&boot.offer.type_name, cache);
             Millis::from_secs(FAILED_BOOT_FACTOR * boot_s.max(MIN_BOOT_S))
         };
-        let late = self
+        let failed = self
             .machines
             .iter()
             .filter(|(_, boot)| now.since(boot.rented_at) > limit(boot));
-        late.map(|(id, _)| id.clone()).collect()
+        failed.map(|(id, _)| id.clone()).collect()
     }
 }
 
--- a/src/cloud/autoscaler/machine_offer.rs
+++ b/src/cloud/autoscaler/machine_offer.rs
@@ -3,8 +3,8 @@
 use crate::ids::{MachineTypeName, Zone};
 use crate::protocol::{JobSpec, ListedMachine, MachineType, RentRequest};
 
-/// A machine type in one zone, as a spot or an on-demand machine. The cloud has or lacks capacity
-/// for each of these separately.
+/// A machine type in one zone, as a spot or an on-demand machine. The cloud's free capacity differs for each
+/// of these combinations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineOffer {
     /// The machine type, by its name in the catalog.
--- a/src/cloud/autoscaler/scale_in.rs
+++ b/src/cloud/autoscaler/scale_in.rs
@@ -6,7 +6,7 @@
 use crate::placement::{Scheduler, machine_replica_usage, reserved_replicas};
 use crate::store::watch_cache::WatchCache;
 
-/// A round of scale-in may begin to drain one machine, plus one for each multiple of this many candidates.
+/// A round of scale-in may begin to drain one machine, plus one for every this many candidates.
 const CANDIDATES_PER_DRAIN: usize = 50;
 /// The time from a round of scale-in that begins to drain machines to the next round.
 const SCALE_IN_INTERVAL: Millis = Millis(800);
@@ -59,8 +59,8 @@
     let Some(record) = cache.machines.get(id).map(|m| &m.record) else {
         return false;
     };
-    let waiting = scheduler.unmet_demands.iter();
-    let mut jobs = waiting.filter_map(|s| cache.jobs.get(&s.job));
+    let unmet_demands = scheduler.unmet_demands.iter();
+    let mut jobs = unmet_demands.filter_map(|demand| cache.jobs.get(&demand.job));
     jobs.any(|job| {
         job.spec
             .allows(&record.type_name, &record.zone, record.spot)
@@ -94,7 +94,10 @@
         let candidates = self.measure_capacity(now, cache, scheduler);
         let drained = self.drained_machines(now, cache, scheduler);
         if self.load_history.covers_window(now, cache) && now >= self.next_scale_in {
-            let demand_is_unmet = scheduler.unmet_demands.iter().any(|s| s.tasks > 0);
+            let demand_is_unmet = scheduler
+                .unmet_demands
+                .iter()
+                .any(|demand| demand.tasks > 0);
             if !demand_is_unmet {
                 self.drain_idle(now, candidates, scheduler);
             } else if self.has_blocked_demand(cache, scheduler) {
@@ -225,7 +228,7 @@
         let mut concurrent_demands = scheduler
             .unmet_demands
             .iter()
-            .filter(|s| s.must_run_concurrently);
+            .filter(|demand| demand.must_run_concurrently);
         concurrent_demands.any(|unmet_demand| {
             let Some(job) = cache.jobs.get(&unmet_demand.job) else {
                 return false;
--- a/src/cloud/autoscaler/scale_out.rs
+++ b/src/cloud/autoscaler/scale_out.rs
@@ -36,12 +36,12 @@
         if scheduler
             .unmet_demands
             .iter()
-            .any(|s| s.must_run_concurrently)
+            .any(|demand| demand.must_run_concurrently)
             || cpu_shortfall > 0
         {
-            let mut wanted = cpu_shortfall.max(1);
-            self.cancel_drains(&mut wanted, cache, scheduler);
-            cpu_shortfall = cpu_shortfall.min(wanted);
+            let mut cpus_to_recover = cpu_shortfall.max(1);
+            self.cancel_drains(&mut cpus_to_recover, cache, scheduler);
+            cpu_shortfall = cpu_shortfall.min(cpus_to_recover);
         }
         tracing::debug!(load = ?self.load_history.latest(), capacity = self.capacity.total, on_the_way = incoming.unassigned_cpus(), cpu_shortfall, unmet_demands = scheduler.unmet_demands.len(), leaving = scheduler.draining.len(), "scale-out computed the CPU shortfall and the unmet demands");
         for unmet_demand in self.demands_to_rent_for(&incoming, cache, scheduler) {
@@ -81,12 +81,16 @@
     ) -> Vec<UnmetDemand> {
         let mut unmet_demands = scheduler.unmet_demands.clone();
         let on_demand = self.capacity.on_demand + incoming.unassigned_on_demand_cpus();
-        let wanted = self.load_history.latest().services + self.service_reserve;
+        let needed_on_demand = self.load_history.latest().services + self.service_reserve;
         // Spare on-demand capacity is rented in advance, so that new replicas do not wait for a boot.
-        if on_demand < wanted && !unmet_demands.iter().any(|s| s.must_run_concurrently) {
+        if on_demand < needed_on_demand
+            && !unmet_demands
+                .iter()
+                .any(|demand| demand.must_run_concurrently)
+        {
             unmet_demands.extend(one_replica_demand(cache));
         }
-        unmet_demands.sort_by_key(|s| !s.must_run_concurrently);
+        unmet_demands.sort_by_key(|demand| !demand.must_run_concurrently);
         merge_compatible_demands(unmet_demands, cache)
     }
 
@@ -196,7 +200,7 @@
 ) -> Vec<UnmetDemand> {
     let mut merged: Vec<UnmetDemand> = Vec::new();
     for unmet_demand in unmet_demands {
-        let spec = |s: &UnmetDemand| cache.jobs.get(&s.job).map(|j| j.spec.clone());
+        let spec = |demand: &UnmetDemand| cache.jobs.get(&demand.job).map(|j| j.spec.clone());
         let is_mergeable = |other: &&mut UnmetDemand| {
             let same_constraints = match (spec(&unmet_demand), spec(other)) {
                 (Some(a), Some(b)) => {
--- a/src/cloud/autoscaler/unresponsive.rs
+++ b/src/cloud/autoscaler/unresponsive.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
-/// A health report of a shard owner older than this does not count as evidence that a machine is silent.
+/// The maximum age of a shard owner's health report that counts as evidence that a machine is silent.
 const HEALTH_REPORT_EXPIRY: Millis = Millis(3000);
 /// A heartbeat counts as missed after 1.25 heartbeat intervals plus this margin.
 const MISSED_HEARTBEAT_MARGIN_MS: u64 = 500;
 /// The unresponsive timeout is at least 1.25 heartbeat intervals plus this margin.
 const SILENCE_MARGIN_MS: u64 = 2500;
 /// After this multiple of the unresponsive timeout, a machine is decommissioned even if its shard owner is
-/// suspect. Its machines may really have failed, and their tasks would otherwise wait forever.
+/// suspect. The machine may really have failed, and its tasks would otherwise wait forever.
 const SUSPECT_OWNER_TIMEOUT_FACTOR: u64 = 4;
 
 impl Autoscaler {
@@ -38,10 +38,10 @@
         cache: &WatchCache,
         scheduler: &Scheduler,
     ) -> Vec<MachineId> {
-        let mut list: Vec<MachineId> = self.failed_machines.iter().cloned().collect();
-        list.extend(self.boots.failed_machines(now, cache));
-        list.extend(self.silent_machines(now, cache, scheduler));
-        list
+        let mut machines: Vec<MachineId> = self.failed_machines.iter().cloned().collect();
+        machines.extend(self.boots.failed_machines(now, cache));
+        machines.extend(self.silent_machines(now, cache, scheduler));
+        machines
     }
 
     /// Returns the machines that recent health reports show to be unresponsive for at least the timeout.
@@ -58,16 +58,16 @@
         let all = by_owner
             .values()
             .fold(HeartbeatCounts::default(), |all, owner| all + owner.counts);
-        let mut list = Vec::new();
+        let mut machines = Vec::new();
         for owner in by_owner.into_values() {
             let is_suspect = owner.is_owner_suspect(all - owner.counts);
             let unresponsive = owner.silent_machines.into_iter().filter(|id| {
                 let unresponsive_for = scheduler.health[*id].report.unresponsive_for;
                 !is_suspect || unresponsive_for >= Millis(SUSPECT_OWNER_TIMEOUT_FACTOR * timeout.0)
             });
-            list.extend(unresponsive.cloned());
+            machines.extend(unresponsive.cloned());
         }
-        list
+        machines
     }
 
     /// Returns for each shard owner how many machines it reports, how many of these missed a heartbeat, and
@@ -129,7 +129,7 @@
     }
 }
 
-/// The heartbeat counts and the silent machines of one shard owner, by its health reports.
+/// The heartbeat counts and the silent machines of one shard owner, according to its health reports.
 #[derive(Debug, Default)]
 pub(super) struct OwnerHeartbeats<'a> {
     /// The counts over all of its machines.
@@ -139,13 +139,13 @@
 }
 
 impl OwnerHeartbeats<'_> {
-    /// Returns whether the shard owner itself probably fails to receive heartbeats: more than half of its
-    /// machines, and more than one, are silent, or a far larger part of them has missed heartbeats than of
-    /// the other owners' machines. Shards are spread evenly over zones and machine types, so a real outage
-    /// affects all owners alike.
+    /// Returns whether the shard owner itself probably fails to receive heartbeats. This is assumed if more
+    /// than half of its machines, and more than one, are silent, or if the share of its machines that missed
+    /// a heartbeat is far larger than that of the other owners' machines. Shards are spread evenly over zones
+    /// and machine types, so a real outage affects all owners alike.
     ///
-    /// Missed heartbeats are compared because the first machines reach the timeout while most still have time
-    /// left. Comparing silent machines instead would delete many healthy machines before the owner is
+    /// Missed heartbeats are compared because machines reach the unresponsive timeout one after another. If
+    /// silent machines were compared instead, many healthy machines would be deleted before the owner becomes
     /// suspect.
     ///
     /// `others` are the counts over the machines of all other shard owners.
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -11,14 +11,14 @@
 /// The CPU capacity that jobs need at one moment, in thousandths of a CPU.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
-    /// The need of services and gangs, for all their tasks.
+    /// The capacity that all tasks of services and gangs need.
     pub(super) services: u64,
-    /// The need of arrays for finishing by their deadlines.
+    /// The capacity with which arrays finish by their deadlines.
     pub(super) arrays: u64,
 }
 
 impl Load {
-    /// Returns the need of all jobs.
+    /// Returns the capacity that all jobs need.
     pub(super) fn total(self) -> u64 {
         self.services + self.arrays
     }
@@ -39,7 +39,7 @@
     pub(super) due_s: f64,
     /// The CPU capacity that the array can use at once, in thousandths of a CPU.
     pub(super) usable_cpus: f64,
-    /// The predicted time in seconds for which one task takes a slot.
+    /// The predicted time in seconds for which one task occupies a slot.
     pub(super) task_s: f64,
     /// The remaining work in thousandths of a CPU second.
     pub(super) work: f64,
@@ -109,15 +109,15 @@
     required
 }
 
-/// Returns the mean time in seconds for which one task of a job takes a slot, including the time until the
+/// Returns the mean time in seconds for which one task of a job occupies a slot, including the time until the
 /// next task starts. The image's fetch time counts half, because later tasks find the image on the machine.
 pub(super) fn task_time_s(job: &LiveJob, cache: &WatchCache, turnaround_s: f64) -> f64 {
-    let types = cache.catalog.iter().flat_map(|c| &c.value.types);
-    let fetch = types
+    let machine_types = cache.catalog.iter().flat_map(|c| &c.value.types);
+    let fetch_gb_per_s = machine_types
         .map(|t| t.fetch_gb_per_s)
         .fold(1.0, f64::min)
         .max(0.01);
-    predicted_s(job) + turnaround_s + 0.5 * job.spec.image_gb / fetch
+    predicted_s(job) + turnaround_s + 0.5 * job.spec.image_gb / fetch_gb_per_s
 }
 
 /// Returns the time in seconds until an array is due: by its deadline or the deadlines of its dependents,
@@ -154,15 +154,15 @@
             .teams
             .get(&spec.team)
             .map_or(0, |t| t.limit().milli_cpus);
-        let left = spec.tasks.saturating_sub(job.done_count());
-        let running = (job.placed.len() as u32).min(left);
+        let tasks_left = spec.tasks.saturating_sub(job.done_count());
+        let running = (job.placed.len() as u32).min(tasks_left);
         let task_s = task_time_s(job, cache, turnaround_s);
-        let usable_cpus = need.milli_cpus.saturating_mul(left.into()).min(limit) as f64;
+        let usable_cpus = need.milli_cpus.saturating_mul(tasks_left.into()).min(limit) as f64;
         let due_s = due_s(unix_time, job, task_s, config);
         let cpus = need.milli_cpus as f64;
         // Running tasks keep their slots regardless of the queue order. On average, half of each is left.
         running_work += 0.5 * f64::from(running) * cpus * task_s;
-        let work = f64::from(left - running) * cpus * task_s;
+        let work = f64::from(tasks_left - running) * cpus * task_s;
         batches.push(Batch {
             due_s,
             usable_cpus,
--- a/src/config.rs
+++ b/src/config.rs
@@ -17,14 +17,15 @@
 use std::path::Path;
 use validation::{check_name, check_not_negative, check_positive, invalid, parse_address};
 
-/// The size in bytes of a full page of a key-value store list, with room for the enclosing response. Response
-/// limits are not set below it.
+/// The size in bytes of a list response of the key-value store with a full page of records, including a
+/// margin for the text around the records. The size limit for responses is never below it.
 const STORE_PAGE_BYTES: f64 = 1024.0 * 1024.0;
 /// The size limit for a response of the key-value store, as a fraction of the process's memory. A parsed
 /// response takes several times its size, and that must remain a small part of the memory.
 const MAX_RESPONSE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 /// The smallest socket quota that suffices for peers, workers and users.
 const MIN_SOCKETS: usize = 64;
+/// The number of shards of machines for each controller.
 const SHARDS_PER_CONTROLLER: u32 = 2;
 /// The time in seconds for which work within a guaranteed quota may wait if no objective states it.
 const DEFAULT_GUARANTEE_WAIT_S: f64 = 10.0;
@@ -137,15 +138,16 @@
         self.controller_count * SHARDS_PER_CONTROLLER
     }
 
-    /// Returns the number of tasks in one segment record of a completion counter. Four tasks fit into a byte,
-    /// and the rest of the value stays free. The number must be the same in all versions of the program and
-    /// must not depend on later limits, because stored segments are numbered by it.
+    /// Returns the number of tasks in one segment record of a completion counter: one for each byte of the
+    /// present value size limit, from 1024 to 65,536. A hexadecimal digit encodes four tasks, so a segment
+    /// stays well below the limit. The number must be the same in all versions of the program and must not
+    /// depend on later limits, because stored segments are numbered by it.
     pub(crate) fn tasks_per_segment(&self) -> u32 {
         (self.store_limits.present_value_bytes as u32).clamp(1024, 65_536)
     }
 }
 
-/// Checks `others`, the peers of `member`.
+/// Checks `others` and returns the addresses of the peers. `member` is this controller's name.
 fn parse_peers(
     member: &str,
     entries: &[PeerEntry],
@@ -163,7 +165,7 @@
     Ok(peers)
 }
 
-/// Checks `params.teams`.
+/// Checks `params.teams` and returns the quotas.
 fn parse_teams(entries: &[TeamEntry]) -> Result<BTreeMap<TeamId, TeamQuota>, ConfigError> {
     let mut teams = BTreeMap::new();
     for (index, entry) in entries.iter().enumerate() {
@@ -214,7 +216,8 @@
     shortest
 }
 
-/// Returns half of the time within which `params.objectives` requires guarantees to be met.
+/// Returns half of the time within which `params.objectives` requires guarantees to be met, or half of
+/// [`DEFAULT_GUARANTEE_WAIT_S`] without such an objective.
 fn guarantee_preemption_delay(objectives: &[ObjectiveEntry]) -> Millis {
     let within_s = objectives
         .iter()
@@ -223,12 +226,12 @@
     Millis::from_secs(within_s.unwrap_or(DEFAULT_GUARANTEE_WAIT_S) / 2.0)
 }
 
-/// Converts a time in seconds, which must be above 0.
+/// Checks that a time in seconds is above 0 and converts it.
 fn parse_duration(field: &str, seconds: f64) -> Result<Millis, ConfigError> {
     Ok(Millis::from_secs(check_positive(field, seconds)?))
 }
 
-/// Checks `params.cloud.list_lag_s`.
+/// Checks `params.cloud.list_lag_s` and converts it.
 fn parse_list_lag(seconds: f64) -> Result<Millis, ConfigError> {
     let seconds = check_not_negative("params.cloud.list_lag_s", seconds)?;
     Ok(Millis::from_secs(seconds))
--- a/src/config/settings_file.rs
+++ b/src/config/settings_file.rs
@@ -99,11 +99,11 @@
 /// The `params.state` section.
 #[derive(Deserialize)]
 pub(super) struct StateSection {
-    /// The request rate in requests per second.
+    /// The request rate that the key-value store accepts, in requests per second.
     pub(super) rps: f64,
-    /// The write rate in key changes per second.
+    /// The write rate that the key-value store accepts, in key changes per second.
     pub(super) write_rps: f64,
-    /// The size of the largest value in KiB.
+    /// The largest size of a value, in KiB.
     pub(super) value_kb: f64,
     /// The largest number of operations in a transaction.
     pub(super) txn_ops: usize,
@@ -115,20 +115,20 @@
 /// value.
 #[derive(Deserialize)]
 pub(super) struct NextStateSection {
-    /// The request rate in requests per second.
+    /// The request rate after the change.
     pub(super) rps: Option<f64>,
-    /// The write rate in key changes per second.
+    /// The write rate after the change.
     pub(super) write_rps: Option<f64>,
-    /// The size of the largest value in KiB.
+    /// The largest size of a value after the change.
     pub(super) value_kb: Option<f64>,
-    /// The largest number of operations in a transaction.
+    /// The largest number of operations in a transaction after the change.
     pub(super) txn_ops: Option<usize>,
 }
 
 /// The `params.cloud` section.
 #[derive(Deserialize)]
 pub(super) struct CloudSection {
-    /// The request rate in requests per second.
+    /// The request rate that the cloud accepts, in requests per second.
     pub(super) rps: f64,
     /// The largest age of the information in the cloud's list of machines, in seconds.
     pub(super) list_lag_s: f64,
--- a/src/config/store_limits.rs
+++ b/src/config/store_limits.rs
@@ -54,7 +54,7 @@
 }
 
 impl StoreLimits {
-    /// Checks `params.state`.
+    /// Checks `params.state` and returns its limits, combined with those of an upcoming change.
     pub(super) fn from_section(section: &StateSection) -> Result<Self, ConfigError> {
         let rates = StoreRates {
             requests: check_positive("params.state.rps", section.rps)?,
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -3,8 +3,7 @@
 use crate::ids::Resources;
 
 /// A team's guaranteed quota and quota limit: an optional amount for each kind of resource. Without a limit
-/// for a kind, the team may use any amount of it. If a kind has no guarantee, the amount that a job uses of
-/// it does not count: a guarantee of GPUs is not exceeded by the CPUs that tasks with GPUs also need.
+/// for a kind, the team may use any amount of it.
 #[derive(Debug, Clone)]
 pub(crate) struct TeamQuota {
     guarantee: [Option<u64>; 2],
@@ -56,7 +55,8 @@
             .any(|(guarantee, used)| used > guarantee.unwrap_or(0))
     }
 
-    /// Returns whether a sum of needs is within the guarantee. Only kinds with a guarantee are compared.
+    /// Returns whether a sum of needs is within the guarantee. Only kinds with a guarantee are compared: work
+    /// within a guarantee of GPUs stays within it although its tasks also need CPUs.
     pub(crate) fn is_within_guarantee(&self, sum: Resources) -> bool {
         self.guarantee
             .iter()
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -37,7 +37,7 @@
     })
 }
 
-/// Returns the value if it is above 0.
+/// Returns the value if it is above 0 and below [`NUMBER_LIMIT`].
 pub(super) fn check_positive(field: &str, value: f64) -> Result<f64, ConfigError> {
     if value.is_finite() && value > 0.0 && value < NUMBER_LIMIT {
         Ok(value)
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns the value if it is 0 or more.
+/// Returns the value if it is at least 0 and below [`NUMBER_LIMIT`].
 pub(super) fn check_not_negative(field: &str, value: f64) -> Result<f64, ConfigError> {
     if value.is_finite() && (0.0..NUMBER_LIMIT).contains(&value) {
         Ok(value)
--- a/src/episodes.rs
+++ b/src/episodes.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct Episodes<K> {
     open: BTreeMap<K, Episode>,
-    /// The duration from which on an episode is logged.
+    /// The minimum duration of an episode that is logged.
     announce_after: Millis,
     /// The time without an event after which an episode is over.
     quiet_after: Millis,
@@ -75,12 +75,12 @@
     /// Removes the episodes that are over. Returns those whose start was logged.
     pub(crate) fn take_ended(&mut self, now: MonotonicTime) -> Vec<(K, Episode)> {
         let is_over = |episode: &Episode| now.since(episode.last) >= self.quiet_after;
-        let over = self.open.iter().filter(|(_, episode)| is_over(episode));
-        let over: Vec<(K, Episode)> = over.map(|(key, e)| (key.clone(), *e)).collect();
-        for (key, _) in &over {
+        let ended = self.open.iter().filter(|(_, episode)| is_over(episode));
+        let ended: Vec<(K, Episode)> = ended.map(|(key, e)| (key.clone(), *e)).collect();
+        for (key, _) in &ended {
             self.open.remove(key);
         }
-        over.into_iter().filter(|(_, e)| e.announced).collect()
+        ended.into_iter().filter(|(_, e)| e.announced).collect()
     }
 
     /// Returns the start of the oldest open episode.
--- a/src/store/admission.rs
+++ b/src/store/admission.rs
@@ -58,7 +58,8 @@
         self.writes.set_rate(now, rates.writes * self.share);
     }
 
-    /// Empties both buckets and adjusts the rates after the service refused a request because of them.
+    /// Empties both buckets after the service refused a request because its rates were exceeded, and
+    /// selects the rates that apply from then on.
     pub(super) fn on_refused(&mut self, now: MonotonicTime) {
         self.rate_selector.on_refused(now);
         self.requests.drain(now);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -21,9 +21,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most responses arrive within a few ms, some take several hundred.
+/// The timeout of a call. Most responses arrive within a few ms, some take several hundred.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The service refuses larger transactions.
+/// The maximum size of a serialized transaction. The service refuses larger ones.
 const MAX_TXN_BYTES: usize = 64 * 1024;
 /// The number of consecutive failed calls after which the service counts as down.
 const DOWN_AFTER_FAILURES: u32 = 2;
@@ -111,12 +111,12 @@
         self.refusals.borrow_mut().log_ended(self.now());
     }
 
-    /// Returns the delay before the next watch request. It grows up to `longest` as the request
+    /// Returns the delay before the next watch request. It grows up to `max_delay` as the request
     /// tokens are used up. It has a lower bound, because without one the controllers' watches alone
     /// would take nearly half of all requests.
-    pub(crate) fn watch_delay(&self, longest: Duration) -> Duration {
+    pub(crate) fn watch_delay(&self, max_delay: Duration) -> Duration {
         let available = self.admission.borrow_mut().available_fraction(self.now());
-        longest.mul_f64((1.0 - available).clamp(MIN_WATCH_DELAY_FRACTION, 1.0))
+        max_delay.mul_f64((1.0 - available).clamp(MIN_WATCH_DELAY_FRACTION, 1.0))
     }
 
     /// Returns the rates that are assumed to apply to all controllers together, per second.
--- a/src/store/dependency_graph.rs
+++ b/src/store/dependency_graph.rs
@@ -148,8 +148,8 @@
     /// Returns the machines that ran the dependency whose placement group a blocked job shares.
     pub(crate) fn placement_group_machines(&self, id: &JobId) -> &[MachineId] {
         let plan = self.jobs.get(id).and_then(|job| job.plan.as_ref());
-        let parent = plan.and_then(|p| p.placement_group_job.as_ref());
-        let machines = parent.and_then(|p| self.machines_by_job.get(p));
+        let dependency = plan.and_then(|p| p.placement_group_job.as_ref());
+        let machines = dependency.and_then(|p| self.machines_by_job.get(p));
         machines.map_or(&[], Vec::as_slice)
     }
 
@@ -217,7 +217,7 @@
         self.outcomes.contains_key(id) || self.unknown_outcomes.contains(id)
     }
 
-    /// Records that a job is in the watch cache, blocked or not.
+    /// Records that a job, blocked or not, is in the watch cache.
     pub(crate) fn mark_live(&mut self, id: &JobId) {
         self.unknown_outcomes.remove(id);
     }
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Records the machines that ran the tasks of a job which has ended or is about to end.
+    /// Records the machines that ran the tasks of a job, so that its dependents can prefer them. The job has
+    /// ended, or its final record was seen before the deletion of its live record.
     pub(crate) fn record_machines(&mut self, id: &JobId, machines: &[MachineId]) {
         if self.has_dependents(id) && !machines.is_empty() {
             self.machines_by_job.insert(id.clone(), machines.to_vec());
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -74,8 +74,8 @@
 }
 
 /// Returns a text that sorts before the key of the job's final state, with no other final state's key
-/// between them. Job ids end with a digit. The text has the previous character in place of this digit,
-/// then [`DIGIT_SUCCESSOR`].
+/// between them, so that a page that starts behind it begins with this job. Job ids end with a digit. In
+/// the text, the character before this digit replaces it, and [`DIGIT_SUCCESSOR`] is appended.
 pub(crate) fn final_state_predecessor(job: &JobId) -> String {
     let mut key = final_state(job);
     if let Some(last) = key.pop() {
@@ -113,8 +113,8 @@
 }
 
 impl LiveKey {
-    /// Parses a key. Returns `None` if the record is not cached, or if another version of this program
-    /// wrote it.
+    /// Parses a key. Returns `None` if the record is not cached, or if the key has an unknown form, because
+    /// another version of this program wrote it.
     pub(super) fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER => return Some(Self::Leader),
--- a/src/store/live_job.rs
+++ b/src/store/live_job.rs
@@ -32,8 +32,8 @@
     pub spec: Rc<JobSpec>,
     /// The time when the job was accepted.
     pub accepted_at: UnixTime,
-    /// The time from which its tasks may run: its acceptance, or the completion of its last
-    /// dependency. All time spans except the deadline start here.
+    /// The time from which its tasks may run: its acceptance, or its release after all dependencies
+    /// were done. All time spans except the deadline start here.
     pub eligible_at: UnixTime,
     /// The job's own urgency merged with that of the jobs that depend on it.
     pub urgency: Urgency,
@@ -41,8 +41,8 @@
     pub revision: Revision,
     /// The segments of its completion counter by segment number: bitmaps of its done tasks.
     pub segments: BTreeMap<u32, Versioned<Bitmap>>,
-    /// Done tasks that a machine record contains and no segment does yet. A done task stays done, so
-    /// an entry is removed only when a segment contains it.
+    /// Done tasks that are in a machine record but not yet in a segment. A done task stays done, so an
+    /// entry is removed only when a segment contains it.
     pub done_outside_segments: BTreeSet<u32>,
     /// Done tasks that a shard owner reported, whether a record contains them already or not.
     reported_done: BTreeSet<u32>,
@@ -133,13 +133,13 @@
         let is_here = |p: &Placement| p.machine == *machine && p.attempt == attempt;
         if !self.placed.get(&index).is_some_and(is_here) {
             self.earlier_placements
-                .retain(|s| s.index != index || !is_here(&s.placement));
+                .retain(|earlier| earlier.index != index || !is_here(&earlier.placement));
             return;
         }
         self.placed.remove(&index);
         let others = self.earlier_placements.iter().enumerate();
-        let of_task = others.filter(|(_, s)| s.index == index);
-        if let Some((position, _)) = of_task.max_by_key(|(_, s)| s.placement.attempt) {
+        let of_task = others.filter(|(_, earlier)| earlier.index == index);
+        if let Some((position, _)) = of_task.max_by_key(|(_, earlier)| earlier.placement.attempt) {
             let next = self.earlier_placements.swap_remove(position);
             self.placed.insert(index, next.placement);
         }
--- a/src/store/machine_record.rs
+++ b/src/store/machine_record.rs
@@ -8,7 +8,7 @@
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// One part in this many of a record's bytes is reserved for completed tasks.
+/// In a record, 1/n of the maximum value size is reserved for completed tasks, where n is this value.
 const COMPLETIONS_DIVISOR: usize = 4;
 
 /// The tasks of one job on one machine. Their resource needs are recorded here as well, so that the
@@ -64,8 +64,8 @@
     }
 
     fn add(&mut self, first: u32, last: u32) {
-        let at = self.ranges.partition_point(|(f, _)| *f < first);
-        self.ranges.insert(at, (first, last));
+        let position = self.ranges.partition_point(|(f, _)| *f < first);
+        self.ranges.insert(position, (first, last));
         self.ranges.dedup_by(|next, kept| {
             let joined = next.0 <= kept.1.saturating_add(1);
             if joined {
--- a/src/store/machine_record/size.rs
+++ b/src/store/machine_record/size.rs
@@ -20,11 +20,11 @@
 /// Shard owners use the exact size.
 pub(crate) const MAX_TASK_BYTES: usize = PAIR_BASE_BYTES + "99999".len() + "9999999999999999".len();
 
-fn number(value: u64) -> usize {
+fn number_size(value: u64) -> usize {
     value.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
-fn text(text: &str) -> usize {
+fn text_size(text: &str) -> usize {
     let escaped = |byte: u8| match byte {
         b'"' | b'\\' => 2,
         0..0x20 => 6,
@@ -33,11 +33,11 @@
     QUOTES_BYTES + text.bytes().map(escaped).sum::<usize>()
 }
 
-fn need(need: Resources) -> usize {
+fn resources_size(need: Resources) -> usize {
     RESOURCES_BASE_BYTES
-        + number(need.milli_cpus)
-        + number(need.milli_gpus)
-        + number(need.memory_mb)
+        + number_size(need.milli_cpus)
+        + number_size(need.milli_gpus)
+        + number_size(need.memory_mb)
 }
 
 /// Returns the size of a record without placed jobs and done tasks.
@@ -47,18 +47,18 @@
         record.type_name.as_str(),
         record.zone.as_str(),
     ];
-    RECORD_BASE_BYTES + texts.into_iter().map(text).sum::<usize>()
+    RECORD_BASE_BYTES + texts.into_iter().map(text_size).sum::<usize>()
 }
 
 /// Returns the size of a placed job without its tasks.
 pub(crate) fn job(spec: &JobSpec) -> usize {
     let texts = [spec.id.as_str(), spec.team.as_str(), spec.image.as_str()];
-    JOB_BASE_BYTES + need(spec.need()) + texts.into_iter().map(text).sum::<usize>()
+    JOB_BASE_BYTES + resources_size(spec.need()) + texts.into_iter().map(text_size).sum::<usize>()
 }
 
 /// Returns the size of a placed task.
 pub(crate) fn task(index: u32, attempt_number: AttemptNumber) -> usize {
-    PAIR_BASE_BYTES + number(index.into()) + number(attempt_number.0)
+    PAIR_BASE_BYTES + number_size(index.into()) + number_size(attempt_number.0)
 }
 
 /// Returns the size of a placed job with its tasks.
@@ -68,19 +68,19 @@
         placed.team.as_str(),
         placed.image.as_str(),
     ];
-    let names: usize = names.into_iter().map(text).sum();
+    let names: usize = names.into_iter().map(text_size).sum();
     let tasks = placed.tasks.iter();
     let tasks: usize = tasks
         .map(|(index, attempt_number)| task(*index, *attempt_number))
         .sum();
-    JOB_BASE_BYTES + need(placed.need) + names + tasks
+    JOB_BASE_BYTES + resources_size(placed.need) + names + tasks
 }
 
 /// Returns the size of a job's done tasks.
 pub(crate) fn done_tasks(done: &DoneTasks) -> usize {
     let range = |(first, last): &(u32, u32)| {
-        PAIR_BASE_BYTES + number((*first).into()) + number((*last).into())
+        PAIR_BASE_BYTES + number_size((*first).into()) + number_size((*last).into())
     };
     let ranges: usize = done.ranges.iter().map(range).sum();
-    DONE_BASE_BYTES + text(done.job.as_str()) + ranges
+    DONE_BASE_BYTES + text_size(done.job.as_str()) + ranges
 }
--- a/src/store/outcomes.rs
+++ b/src/store/outcomes.rs
@@ -35,7 +35,7 @@
     Unknown,
 }
 
-/// Why a call other than a transaction has no result.
+/// The reason why a call other than a transaction has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum StoreError {
     /// Not sent: this controller's rate limiter did not admit it.
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -3,8 +3,8 @@
 
 use crate::ids::{Millis, MonotonicTime};
 
-/// How long tokens are reserved for a refused request of the class `Accept`. It is retried within
-/// this time: by the leader at once, by users after one second.
+/// The time for which tokens are reserved for a refused request of the class `Accept`. The request is
+/// retried within this time: by the leader at once, by users after one second.
 const RETRY_WINDOW: Millis = Millis(1500);
 
 /// The purpose of a request. Classes are ordered by priority, the highest first. A later class has to
@@ -96,8 +96,8 @@
         self.level
     }
 
-    /// Returns whether a request of this class may take `amount` tokens. A full bucket allows any class
-    /// any amount.
+    /// Returns whether a request of this class may take `amount` tokens. A full bucket allows every
+    /// request, whatever its class and amount.
     pub(crate) fn allows(&mut self, now: MonotonicTime, amount: f64, class: RequestClass) -> bool {
         if amount == 0.0 {
             return true;
@@ -142,7 +142,7 @@
         self.level = (self.level - amount).max(-self.burst);
     }
 
-    /// Takes tokens out if the class is allowed to. Returns whether it did.
+    /// Takes tokens out if the class is allowed to take them. Returns whether they were taken.
     pub(crate) fn try_acquire(
         &mut self,
         now: MonotonicTime,
--- a/src/store/rate_selector.rs
+++ b/src/store/rate_selector.rs
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Switches to the smaller rates after the service refused a request because of its rates, or
-    /// because of a size that only the announced limits refuse.
+    /// Switches to the smaller rates after the service refused a request because its rates were exceeded.
     pub(super) fn on_refused(&mut self, now: MonotonicTime) {
         if self.max_rates == self.min_rates || self.in_lowered_period(now) {
             return;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -44,9 +44,9 @@
     }
 }
 
-/// A version of the controller's program, by the records and requests that it supports. It belongs to
-/// an incarnation: a controller that is restarted with an earlier program writes its record without a
-/// version.
+/// A version of the controller's program. It tells which records and requests the program supports. It
+/// belongs to an incarnation: a controller that is restarted with an earlier program writes its record
+/// without a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct ProgramVersion(pub u32);
@@ -80,8 +80,8 @@
     /// The time when the job was accepted.
     #[serde(rename = "accepted")]
     pub accepted_at: UnixTime,
-    /// The time when the last dependency of the job was done. It is `None` while the job is blocked,
-    /// and for jobs without dependencies.
+    /// The time when the job was released because all its dependencies were done. It is `None` while the
+    /// job is blocked, and for jobs without dependencies.
     #[serde(rename = "released", default, skip_serializing_if = "Option::is_none")]
     pub released_at: Option<UnixTime>,
 }
--- a/src/store/refusals.rs
+++ b/src/store/refusals.rs
@@ -9,7 +9,7 @@
 const MIN_LOGGED_DURATION: Millis = Millis(1000);
 /// The time without a refusal after which an episode has ended.
 const EPISODE_GAP: Millis = Millis(30_000);
-/// The maximum number of open episodes, enough for one of each class and one of the store.
+/// The maximum number of open episodes. It allows one for each request class and one for the store.
 const MAX_EPISODES: usize = 8;
 
 /// The component that refused a request.
--- a/src/store/watch_cache/changes.rs
+++ b/src/store/watch_cache/changes.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the id of a job that ended with this deletion.
+    /// Applies the deletion of a record. If this ends a job, returns the job's id.
     fn delete(&mut self, key: &str, revision: Revision) -> Option<JobId> {
         match LiveKey::parse(key)? {
             LiveKey::Leader => {
--- a/src/store/watch_cache/jobs.rs
+++ b/src/store/watch_cache/jobs.rs
@@ -22,13 +22,13 @@
             .record_outcome(job, JobOutcome::Cancelled);
     }
 
-    /// Returns the revision of the record of a job, blocked or live.
+    /// Returns the revision of the record of a blocked or live job.
     pub(crate) fn job_revision(&self, id: &JobId) -> Option<Revision> {
         let live = self.jobs.get(id).map(|job| job.revision);
         live.or_else(|| self.dependency_graph.get(id).map(|job| job.revision))
     }
 
-    /// Returns the plan of a job, blocked or live.
+    /// Returns the plan of a blocked or live job.
     pub(crate) fn plan(&self, id: &JobId) -> Option<&PlanRecord> {
         match self.jobs.get(id) {
             Some(job) => job.plan.as_ref(),
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Returns the specification of a job, blocked or live.
+    /// Returns the specification of a blocked or live job.
     pub(crate) fn job_spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
         let live = self.jobs.get(id).map(|job| &job.spec);
         live.or_else(|| self.dependency_graph.get(id).map(|job| &job.spec))
     }
 
-    /// Applies the cancellations that are known to the cache which this one replaces.
+    /// Applies the cancellations that are known to `old`, the cache that this one replaces.
     pub(crate) fn copy_cancelled_from(&mut self, old: &Self) {
         for (job, revision) in &old.cancelled {
             self.apply_cancellation(job, *revision);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sets the plan of a job, blocked or live. Returns whether the job is in the cache.
+    /// Sets the plan of a blocked or live job. Returns whether the job is in the cache.
     pub(crate) fn set_plan(&mut self, id: &JobId, plan: PlanRecord) -> bool {
         if let Some(job) = self.jobs.get_mut(id) {
             job.plan = Some(plan);
