--- a/src/cancellation/acknowledgement.rs
+++ b/src/cancellation/acknowledgement.rs
@@ -22,7 +22,7 @@
     /// The revision of the transaction that cancelled the job.
     cancelled_revision: Revision,
     /// For each controller, the shards that it has acknowledged as cleared of the job's tasks, and the
-    /// highest fence of each acknowledgement.
+    /// highest acknowledged fence of each shard.
     acknowledged_fences: BTreeMap<MemberId, BTreeMap<ShardId, Revision>>,
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -165,7 +165,7 @@
         let mut out = Vec::new();
         self.shard_owner
             .on_machines_changed(now, &changed_machines, &self.cache, &mut out);
-        (self.finish(now, out), ended)
+        (self.apply_and_run_due_work(now, out), ended)
     }
 
     /// Handles a heartbeat that a worker sent directly to this controller.
@@ -187,7 +187,7 @@
         let answer = self
             .shard_owner
             .on_heartbeat(now, heartbeat, path, &self.cache, &mut out);
-        (answer, self.finish(now, out))
+        (answer, self.apply_and_run_due_work(now, out))
     }
 
     /// Handles a heartbeat that another controller relayed. Returns `None` as the answer if the worker
@@ -235,7 +235,7 @@
             &self.cache,
             &mut out,
         );
-        self.finish(now, out)
+        self.apply_and_run_due_work(now, out)
     }
 
     /// Handles the outcome of a transaction.
@@ -264,7 +264,7 @@
             TxnRequester::Catalog => self.catalog.on_outcome(now, outcome),
             TxnRequester::Nobody => {}
         }
-        self.finish(now, out)
+        self.apply_and_run_due_work(now, out)
     }
 
     fn on_completion_outcome(&mut self, job: &JobId, outcome: &TxnOutcome) {
@@ -352,7 +352,11 @@
         schedule.min(self.timers.reconcile.next())
     }
 
-    fn finish(&mut self, now: MonotonicTime, out: Vec<worker_control::Effect>) -> Vec<Effect> {
+    fn apply_and_run_due_work(
+        &mut self,
+        now: MonotonicTime,
+        out: Vec<worker_control::Effect>,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.apply_owner_effects(now, out, &mut effects);
         effects.extend(self.run_due_work(now));
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -93,8 +93,8 @@
     }
 
     /// Returns the owned shards in which all tasks of a cancelled job are proved to be gone. Once the
-    /// cancellation timeout has passed, it is enough that the machines with such tasks obey the current token
-    /// of this owner, which knows of the cancellation, so that the user's request is answered.
+    /// cancellation timeout has passed, it is enough that a machine with such tasks obeys the current fencing
+    /// token of this owner, which knows of the cancellation. The user's request can then be answered.
     pub(super) fn cleared_shards(&self, now: MonotonicTime, job: &JobId) -> Vec<ShardFence> {
         let age = self.cancellation.deadlines.age(now, job);
         let is_overdue = age.is_some_and(|age| age >= self.config.cancellation_timeout);
@@ -169,10 +169,10 @@
         }
     }
 
-    /// As a shard owner that is not certainly the leader, deletes owned, unresponsive machines on which tasks
-    /// of a cancelled job did not stop in time. Only jobs that this controller knows to be cancelled count:
-    /// no final records are read. A deletion needs only the cloud and no fencing token. This covers an outage
-    /// of the store, in which no controller can be certain that it is the leader.
+    /// Deletes owned, unresponsive machines on which tasks of a cancelled job did not stop in time. Called
+    /// while this controller can't be certain that it is the leader. During an outage of the store, that is
+    /// true of every controller; a deletion needs only the cloud and no fencing token. Only jobs that this
+    /// controller knows to be cancelled are considered; no final records are read.
     pub(super) fn decommission_owned(
         &mut self,
         now: MonotonicTime,
--- a/src/controller/cleanup.rs
+++ b/src/controller/cleanup.rs
@@ -153,8 +153,8 @@
 pub(super) fn fold_counters(cache: &WatchCache, config: &Config, effects: &mut Vec<Effect>) {
     let value_bytes = config.store_limits.value_bytes;
     let records = cache.machines.values().map(|m| &m.record);
-    let full = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
-    let jobs: BTreeSet<&JobId> = full.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
+    let large = records.filter(|r| r.done_size() > value_bytes / 4 && r.size() > value_bytes / 2);
+    let jobs: BTreeSet<&JobId> = large.flat_map(|r| r.done.iter().map(|d| &d.job)).collect();
     let layout = CounterLayout::new(config);
     for id in jobs.into_iter().take(MAX_JOBS_FOLDED_PER_PASS) {
         let mut txn = Txn::default();
--- a/src/controller/dependents.rs
+++ b/src/controller/dependents.rs
@@ -28,15 +28,15 @@
 const MAX_IN_FLIGHT: usize = 16;
 /// The controller that cancels a job also cancels its dependents, before it answers the user. The leader
 /// waits this long before it cancels the remaining dependents. The wait begins when a cancelled job with
-/// blocked dependents is first seen. Jobs that are cancelled before all of these dependents are gone get no
-/// wait of their own.
+/// blocked dependents is first seen. It is not repeated for jobs that are cancelled before all of these
+/// dependents are gone.
 const CANCELLER_GRACE_PERIOD: Millis = Millis(1500);
 
-/// Queries and releases in flight, with the time at which each may be repeated.
+/// The time at which each query and each release in flight may be repeated.
 #[derive(Debug, Default)]
 pub(super) struct DependentReleases {
-    query_deadlines: BTreeMap<JobId, MonotonicTime>,
-    release_deadlines: BTreeMap<JobId, MonotonicTime>,
+    query_retry_at: BTreeMap<JobId, MonotonicTime>,
+    release_retry_at: BTreeMap<JobId, MonotonicTime>,
     /// When dependents of cancelled jobs are cancelled next.
     cancel_at: Option<MonotonicTime>,
 }
@@ -49,8 +49,8 @@
     }
 
     fn expire(&mut self, now: MonotonicTime) {
-        self.query_deadlines.retain(|_, until| *until > now);
-        self.release_deadlines.retain(|_, until| *until > now);
+        self.query_retry_at.retain(|_, until| *until > now);
+        self.release_retry_at.retain(|_, until| *until > now);
     }
 }
 
@@ -69,13 +69,13 @@
 
     /// Requests reads of the final records of dependencies that are no longer in the watch cache.
     fn query_outcomes(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let available = MAX_IN_FLIGHT.saturating_sub(self.dependents.query_deadlines.len());
+        let available = MAX_IN_FLIGHT.saturating_sub(self.dependents.query_retry_at.len());
         let unqueried = self.cache.dependency_graph.jobs_with_unknown_outcome();
-        let unqueried = unqueried.filter(|id| !self.dependents.query_deadlines.contains_key(*id));
+        let unqueried = unqueried.filter(|id| !self.dependents.query_retry_at.contains_key(*id));
         let ids: Vec<JobId> = unqueried.take(available).cloned().collect();
         for id in ids {
             self.dependents
-                .query_deadlines
+                .query_retry_at
                 .insert(id.clone(), now + RETRY_INTERVAL);
             effects.push(Effect::QueryJobOutcome(id));
         }
@@ -83,13 +83,13 @@
 
     /// Releases jobs whose dependencies are all done, in order of priority and then of deadline.
     fn release_ready(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        let available = MAX_IN_FLIGHT.saturating_sub(self.dependents.release_deadlines.len());
+        let available = MAX_IN_FLIGHT.saturating_sub(self.dependents.release_retry_at.len());
         if available == 0 {
             return;
         }
         let dependency_graph = &self.cache.dependency_graph;
         let ready = dependency_graph.ready();
-        let not_in_flight = ready.filter(|id| !self.dependents.release_deadlines.contains_key(*id));
+        let not_in_flight = ready.filter(|id| !self.dependents.release_retry_at.contains_key(*id));
         let mut ids: Vec<JobId> = not_in_flight.cloned().collect();
         ids.sort_by_cached_key(|id| {
             let urgency = dependency_graph.urgency(id);
@@ -105,7 +105,7 @@
             txn.require(keys::job(&id), revision);
             txn.put(keys::job(&id), &record, None);
             self.dependents
-                .release_deadlines
+                .release_retry_at
                 .insert(id.clone(), now + RETRY_INTERVAL);
             effects.push(Effect::Txn {
                 requester: TxnRequester::DependentRelease(id),
@@ -133,14 +133,14 @@
     ) {
         match outcome {
             TxnOutcome::Committed(revision) => {
-                self.dependents.release_deadlines.remove(id);
+                self.dependents.release_retry_at.remove(id);
                 self.apply_release(id, *revision);
             }
             // The watch cache lags, or another controller has written the record. The next attempt uses the
             // record that the watch cache shows then.
             TxnOutcome::Refused(_) | TxnOutcome::Invalid | TxnOutcome::Failed(..) => {
                 let until = now + NOT_EXECUTED_RETRY_INTERVAL;
-                self.dependents.release_deadlines.insert(id.clone(), until);
+                self.dependents.release_retry_at.insert(id.clone(), until);
             }
             TxnOutcome::Unknown => {}
         }
@@ -183,12 +183,12 @@
             JobState::Cancelled => JobOutcome::Cancelled,
             JobState::Queued | JobState::Running => return,
         };
-        self.dependents.query_deadlines.remove(job);
+        self.dependents.query_retry_at.remove(job);
         self.cache.record_job_outcome(job, outcome);
     }
 
-    /// Cancels dependents that the controller which cancelled the job has not cancelled itself: those of one
-    /// cancelled job at a time.
+    /// Cancels the remaining dependents of one cancelled job, which the controller that cancelled the job has
+    /// not cancelled itself. Dependents of further cancelled jobs follow in later calls.
     fn propagate_cancellations(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         let Some(cancelled) = self.cache.dependency_graph.cancelled().next() else {
             self.dependents.cancel_at = None;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -151,9 +151,9 @@
     deleted
 }
 
-/// A shard owner that can't reach the key-value store deletes machines on which it can't stop the tasks of a
-/// cancelled job. Guards against deleting machines that another owner has taken over in the meantime. These
-/// only seem silent to the old owner, and their deletion also ended healthy replicas (9 machines
+/// A shard owner that can't reach the key-value store deletes unresponsive machines on which tasks of a
+/// cancelled job did not stop, but no machines that another owner has taken over. Such machines only seem
+/// unresponsive to the old owner. Guards against deleting them, which ended healthy replicas (9 machines
 /// within 20 s).
 #[test]
 fn owner_without_a_lease_deletes_only_machines_that_no_other_owner_has_taken_over() {
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -43,7 +43,7 @@
 const MIN_SCHEDULE_INTERVAL: Millis = Millis(15);
 /// The longest time between two scheduling passes.
 const MAX_SCHEDULE_INTERVAL: Millis = Millis(500);
-/// Number of machines for which the next pass is delayed by another millisecond, since a pass over a
+/// The next pass is delayed by one more millisecond per this number of machines, since a pass over a
 /// large fleet takes longer.
 const MACHINES_PER_EXTRA_DELAY_MS: usize = 4;
 
@@ -82,7 +82,7 @@
         due
     }
 
-    /// Returns when the next pass is due, or an estimate if none is requested.
+    /// Returns when the next pass is due, or an upper limit of that time if no pass is requested.
     pub(super) fn next(&self, now: MonotonicTime) -> MonotonicTime {
         match self.is_requested {
             true => self.next,
--- a/src/daemon/cloud_calls.rs
+++ b/src/daemon/cloud_calls.rs
@@ -170,7 +170,7 @@
     /// Deletes machines. Returns `true` if the cloud confirmed that they and everything on them are
     /// gone.
     pub(super) async fn delete(&self, ids: &[MachineId]) -> bool {
-        let names = MachineIds {
+        let request = MachineIds {
             machines: ids.to_vec(),
         };
         let response = self
@@ -178,7 +178,7 @@
                 RequestClass::Lease,
                 Method::Post,
                 path::DELETE_MACHINES,
-                &names,
+                &request,
             )
             .await;
         response.is_ok_and(|response| response.status == 200)
--- a/src/daemon/cloud_calls/tests.rs
+++ b/src/daemon/cloud_calls/tests.rs
@@ -4,8 +4,8 @@
 //! dropped then and restarted at its first page, the leader of a fleet of thousands of machines
 //! would never learn which machines are rented: with 4,500 machines and two calls a second, the
 //! list ended after two calls. At five and at twelve calls a second, with no other calls to the
-//! cloud, it was complete. The cause was that a later one of several dependent reads was not
-//! retried, as it once was with the reads of final job states.
+//! cloud, it was complete. The cause was that a refused page read after the first was not
+//! retried. The reads of final job states once had the same fault.
 
 use super::*;
 use crate::http::Request;
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 
 /// Largest accepted response to a direct command, which is a heartbeat. The size of each of its
-/// lines is bounded, but the number of tasks that it lists is not.
+/// entries is bounded, but the number of tasks that it lists is not.
 const MAX_HEARTBEAT_BYTES: usize = 1024 * 1024;
 /// A refused scale-out request that has not been repeated for this time is considered abandoned.
 const REFUSED_RENTAL_EXPIRY: Millis = Millis(30_000);
--- a/src/daemon/peer_messages.rs
+++ b/src/daemon/peer_messages.rs
@@ -1,5 +1,5 @@
-//! Handles messages from peers. Statuses, relayed messages and forwarded requests are handled here;
-//! all others are inputs of the controller.
+//! Handles messages from peers. Statuses, relayed messages, and forwarded requests with their
+//! responses are handled here; all others are inputs of the controller.
 
 use super::node::Node;
 use super::{heartbeat_endpoint, user_endpoints};
--- a/src/daemon/status_report.rs
+++ b/src/daemon/status_report.rs
@@ -24,7 +24,7 @@
     leader: Option<&'a MemberId>,
     /// All controllers that hold a lease.
     members: Vec<&'a MemberId>,
-    /// Program version of each of them.
+    /// Program version of each controller that holds a lease.
     versions: BTreeMap<&'a MemberId, ProgramVersion>,
     /// The revision of the watch cache.
     revision: Revision,
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -27,7 +27,7 @@
 ) {
     let key = keys::member(&member);
     loop {
-        // Taken before the request is sent, so the lease can't expire earlier than computed from it.
+        // Measured before the request is sent: the lease can't expire before `requested_at + ttl_now`.
         let requested_at = Instant::now();
         let ttl_now = ttl();
         match acquire(&store, &key, incarnation, ttl_now).await {
@@ -98,11 +98,11 @@
                 on_valid_until(renewed_at + ttl);
             }
             Err(StoreError::Gone) => return,
-            // Leases keep their remaining time during an outage of the store, so only a response of the
-            // store tells that one is gone.
+            // Leases keep their remaining time during an outage of the store. Only a response of the store
+            // shows that a lease is gone, so all other errors are retried.
             Err(error) => {
-                // `late` is the time since the last successful renewal, or else the creation of the lease,
-                // was requested.
+                // `late` is the time since the request of the last successful renewal or, if there was none,
+                // since the request that created the lease.
                 tracing::debug!(
                     late = ?renewed_at.elapsed(),
                     %error,
--- a/src/leadership/reachability.rs
+++ b/src/leadership/reachability.rs
@@ -15,15 +15,15 @@
 
 /// An owner counts as unreachable only if more than 1 in 2 of its machines are silent to it.
 const SILENT_SHARE_DIVISOR: usize = 2;
-/// More than 1 in 4 of the silent machines must reach other controllers.
+/// An owner counts as unreachable only if more than 1 in 4 of its silent machines reach other controllers.
 const REACHABLE_ELSEWHERE_SHARE_DIVISOR: usize = 4;
-/// At least 2 machines must reach other controllers: a single machine may have a fault of its own.
+/// At least 2 silent machines must reach other controllers: a single machine may have a fault of its own.
 const MIN_REACHABLE_ELSEWHERE: usize = 2;
 
 /// Finds the shard owners that their machines can't reach, and quarantines them for a limited time.
 pub(crate) struct ReachabilityMonitor {
     heartbeat_interval: Millis,
-    /// How long a quarantined owner gets no shards, since it may stay unreachable for a while.
+    /// How long an unreachable owner gets no shards.
     quarantine_period: Millis,
     /// When each machine last sent a heartbeat to a controller that does not own it.
     misdirected_at: BTreeMap<MachineId, MonotonicTime>,
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnedMachineCounts {
     total: usize,
-    /// Machines whose heartbeats don't reach the owner directly.
+    /// Machines that are unresponsive, or from which the owner gets no direct heartbeats.
     silent: usize,
     /// Silent machines whose heartbeats reach another controller.
     reachable_elsewhere: usize,
@@ -118,7 +118,7 @@
             }
             let machines = owners.entry(&shard_record.value.owner).or_default();
             machines.total += 1;
-            // An owner that gets heartbeats only through other controllers can't send commands.
+            // Relayed heartbeats don't count: an owner that gets only these can't send commands.
             if report.unresponsive_for.max(report.since_direct_heartbeat) >= silence_timeout {
                 machines.silent += 1;
                 let reachable_elsewhere = self.misdirected_at.contains_key(&report.machine);
--- a/src/leadership/reachability/tests.rs
+++ b/src/leadership/reachability/tests.rs
@@ -46,8 +46,9 @@
     }
 }
 
-/// An owner that gets only relayed heartbeats is informed, but can't send commands. Guards against counting
-/// only machines without any heartbeat as silent, which lowered availability from 0.83 to 0.73.
+/// An owner that gets only relayed heartbeats knows the state of its machines, but can't send them commands.
+/// Guards against counting only machines without any heartbeat as silent, which lowered availability from
+/// 0.83 to 0.73.
 #[test]
 fn owner_that_gets_only_relayed_heartbeats_is_quarantined() {
     let (config, cache) = config_and_cache_with_three_owners();
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -65,7 +65,7 @@
     assert_eq!(owners, ["c0", "c0", "c1", "c1", "c2", "c2"]);
     assert_eq!(leadership.established_term(&cache), Some(Revision(10)));
     // The lease is lost and a new one acquired while the watch cache lags. Guards against a leader
-    // that continues its old term: it deleted a third of the fleet, which was silent only to itself.
+    // that continues its old term: it deleted a third of the fleet, which seemed silent only to it.
     leadership.set_lease(None, &cache);
     leadership.set_lease(Some(LeaseId(150)), &cache);
     assert_eq!(leadership.established_term(&cache), None);
--- a/src/peers/messages.rs
+++ b/src/peers/messages.rs
@@ -191,8 +191,8 @@
     /// Time since the last heartbeat that came directly from the machine, not through another
     /// controller.
     pub since_direct_heartbeat: Millis,
-    /// Whether the machine's latest heartbeat shows that it obeys the shard owner's own fencing
-    /// token.
+    /// Whether the machine's latest heartbeat or command response carried the shard owner's current
+    /// fencing token, and the owner knows of no higher token.
     #[serde(rename = "confirmed")]
     pub token_confirmed: bool,
     /// Time until the cloud interrupts the machine, if it has given notice.
--- a/src/planning/cancel_dependents.rs
+++ b/src/planning/cancel_dependents.rs
@@ -1,7 +1,7 @@
 //! Cancellation of dependents: a job that depends on a cancelled one can never run, and is cancelled too.
 //!
-//! Its tasks were never placed, since the cancelled job was never done. So no tasks have to be stopped, and
-//! writing a final record is enough.
+//! The tasks of a dependent are placed only after all its dependencies are done, so a dependent of a
+//! cancelled job has no tasks to stop. Writing its final record is enough.
 
 use crate::ids::JobId;
 use crate::protocol::JobState;
--- a/src/planning/graph/critical_path.rs
+++ b/src/planning/graph/critical_path.rs
@@ -6,7 +6,7 @@
 pub(super) struct Schedule {
     /// The finish time of each job, in seconds.
     finish_s: Vec<f64>,
-    /// The parent of each job that finishes last; `None` for jobs without parents.
+    /// For each job, its parent with the latest finish time; `None` if it has no parents.
     last_parent: Vec<Option<usize>>,
 }
 
--- a/src/planning/graph/tests.rs
+++ b/src/planning/graph/tests.rs
@@ -60,7 +60,7 @@
         nodes.filter(|node| node.parents.contains(&parent)).count()
     }
 
-    /// Returns the parent with the largest output; the first one of several.
+    /// Returns the parent with the largest output; on a tie, the first one.
     fn largest_output(&self, parents: &[usize]) -> usize {
         let count = self.graph.nodes.len();
         let key = |p: usize| (self.graph.nodes[p].output, count - p);
--- a/src/planning/graph/type_downgrade.rs
+++ b/src/planning/graph/type_downgrade.rs
@@ -34,7 +34,7 @@
         .min()
         .unwrap_or(0);
     for weaker in 1..type_count {
-        // The predictions decide, so types with too few samples are skipped.
+        // Predictions from too few samples are not reliable enough to choose a weaker type.
         let is_sampled = |n: &usize| graph.nodes[*n].times[weaker].is_sampled;
         if !members.iter().all(is_sampled) {
             continue;
