--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -21,11 +21,11 @@
             return no_such_job();
         }
         let id = JobId::from(id);
-        let answer = self.cancel_known(&id).await;
+        let answer = self.cancel_valid_id(&id).await;
         self.respond(&id, answer)
     }
 
-    async fn cancel_known(&self, id: &JobId) -> Answer {
+    async fn cancel_valid_id(&self, id: &JobId) -> Answer {
         if let Some(final_state) = self.cached_final_state(id) {
             return self.settled_status(id, final_state, None).await;
         }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -65,8 +65,8 @@
             match self.store.txn(RequestClass::Accept, &txn).await {
                 TxnOutcome::Committed(_) => return Ok(job_status(201, &id, state, None)),
                 TxnOutcome::Failed(failed, _) => {
-                    let own = [keys::job(&id), keys::final_state(&id)];
-                    if failed.iter().any(|key| own.contains(key)) {
+                    let own_keys = [keys::job(&id), keys::final_state(&id)];
+                    if failed.iter().any(|key| own_keys.contains(key)) {
                         return Ok(self.existing_status(&id, &failed).await?);
                     }
                     let dependencies = spec.dependencies.iter();
--- a/src/api/final_state_reader.rs
+++ b/src/api/final_state_reader.rs
@@ -13,7 +13,7 @@
 //! other final states are cached for later requests.
 
 use super::final_state::{FinalState, FinalStateCache};
-use super::read_queue::{MAX_WAIT, ReadQueue, ReadResult};
+use super::read_queue::{MAX_READ_WAIT, ReadQueue, ReadResult};
 use super::retry_reason::RetryReason;
 use crate::ids::{JobId, Millis, MonotonicTime, Revision};
 use crate::protocol::JobState;
@@ -55,7 +55,8 @@
     records: u64,
     /// The number of reads of a page.
     pages: u64,
-    /// The number of times that a read ended the wait of a job's users, with a result or an error.
+    /// The number of jobs whose waiting users were sent the result or the error of a read. A job is
+    /// counted once for each of its reads.
     answered_jobs: u64,
     /// The number of reads that the store has refused because its rate limit was reached.
     refused: u64,
@@ -139,7 +140,7 @@
             return Err(RetryReason::TooManyQuestions);
         }
         self.ensure_dispatching();
-        let result = runtime::timeout(MAX_WAIT.to_duration(), result.get()).await;
+        let result = runtime::timeout(MAX_READ_WAIT.to_duration(), result.get()).await;
         result.flatten().unwrap_or(Err(RetryReason::HeldBack))
     }
 
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -123,11 +123,11 @@
         job_status(200, id, state, Some(counts))
     }
 
-    /// Returns the final response. For a cancelled job, no request gets it before it is confirmed
-    /// that no task is running and all dependents are cancelled. That usually takes some tens of
-    /// milliseconds; if it takes longer, the user has to retry.
+    /// Returns the status of a job that has ended. For a cancelled job, it first waits until it is
+    /// confirmed that no task of the job is running, and until all its dependents are cancelled. That
+    /// usually takes some tens of milliseconds; if it takes too long, the user has to retry.
     ///
-    /// `sent_at` is the time at which this request sent the cancellation, if it did.
+    /// `sent_at` is the time at which this request sent the cancellation; `None` if it did not.
     pub(super) async fn settled_status(
         &self,
         id: &JobId,
--- a/src/api/read_queue.rs
+++ b/src/api/read_queue.rs
@@ -7,9 +7,9 @@
 use crate::runtime::Sender;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time for which a request waits for a read. Users wait two seconds for the answer to a poll, and a
-/// comparison may come before the read.
-pub(super) const MAX_WAIT: Millis = Millis(600);
+/// The time that a request waits for a read before its user is asked to retry. Users wait two seconds for
+/// the answer to a poll, of which a comparison (see the `api` module) before the read may take a part.
+pub(super) const MAX_READ_WAIT: Millis = Millis(600);
 /// The maximum number of queued jobs. Users of further jobs are asked to retry at once.
 const MAX_QUEUED_JOBS: usize = 4000;
 /// The time without requests after which a job at the front of the queue is removed. Its users have
@@ -20,7 +20,7 @@
 /// the reason why it could not be read.
 pub(super) type ReadResult = Result<Option<FinalState>, RetryReason>;
 
-/// The jobs about which there were requests that have not been answered.
+/// The jobs with unanswered requests.
 #[derive(Default)]
 pub(super) struct ReadQueue {
     /// The jobs in the order of the first request about each.
@@ -51,9 +51,9 @@
 }
 
 impl WaitingJob {
-    /// Returns whether a user is still waiting.
+    /// Returns whether a user is still waiting: the latest request arrived less than [`MAX_READ_WAIT`] ago.
     fn has_waiting_user(&self, now: MonotonicTime) -> bool {
-        now.since(self.last_requested_at) < MAX_WAIT
+        now.since(self.last_requested_at) < MAX_READ_WAIT
     }
 }
 
@@ -136,9 +136,9 @@
     }
 
     /// Records the end of a read and returns the requests that its result answers. A final state
-    /// answers all requests. The result that the job has not ended answers only the requests that
-    /// arrived before the read began, since the job may have ended since; the others wait for the
-    /// next read.
+    /// answers all requests. Any other result, which is an error or that no final state is stored,
+    /// answers only the requests that arrived before the read began, since a later read may find a
+    /// final state; the others wait for the next read.
     pub(super) fn finish_read(&mut self, id: &JobId, has_ended: bool) -> Vec<Sender<ReadResult>> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
--- a/src/api/revision_check.rs
+++ b/src/api/revision_check.rs
@@ -1,7 +1,6 @@
 //! Checks in batches whether jobs still have the revision that the watch cache shows, and whether
-//! jobs that it does not show are live or have ended. A transaction without changes evaluates the
-//! conditions of many polls with one request. Such a
-//! transaction is called a comparison.
+//! jobs that it does not show are live or have ended. A comparison, which is a transaction without
+//! changes, evaluates the conditions of many polls with one request.
 
 use super::retries::retry_refused;
 use super::retry_reason::RetryReason;
@@ -12,10 +11,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The time for which checks are collected into a batch. Users can wait for seconds, and with
-/// smaller batches the comparisons would take a large part of the store's request rate.
+/// The time for which checks are collected into a batch, which is one comparison. A shorter time
+/// would give more and smaller batches, which would take a large part of the store's request rate.
+/// Users can wait for seconds.
 const CHECK_BATCH_DELAY: Duration = Duration::from_millis(150);
-/// The maximum number of queued checks. The state is [`StoredJob::Unknown`] for further ones.
+/// The maximum number of queued checks. Further checks return [`StoredJob::Unknown`] at once.
 const MAX_QUEUED_CHECKS: usize = 4000;
 
 /// The state of a job in the store.
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -82,7 +82,7 @@
     }
 
     /// Asks the user of a submission that is not known to be written to retry. Used when a peer has
-    /// responded to the submission, but without an answer for the user.
+    /// responded, and thus has looked the job up already, but its response is not conclusive.
     pub(crate) fn respond_retry_later(&self, unwritten: UnwrittenSubmission) -> Response {
         self.respond(&unwritten.id, Err(unwritten.reason))
     }
--- a/src/api/unanswered.rs
+++ b/src/api/unanswered.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Stops tracking the jobs without requests during the idle timeout, and logs the end for those
-    /// that were logged as unanswered.
+    /// Stops tracking the jobs about which there was no request within the idle timeout, and logs
+    /// those of them that were logged as unanswered.
     pub(super) fn log_ended(&mut self, now: MonotonicTime) {
         for (job, episode) in self.jobs.take_ended(now) {
             tracing::info!(
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -48,8 +48,8 @@
 pub(crate) struct Client {
     /// Idle connections, by server address.
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<TcpStream>>>>,
-    /// Maximum number of addresses with idle connections. If it is lower than the number of servers
-    /// in use, connections are reopened all the time.
+    /// Maximum number of addresses with idle connections. If more servers are in use, idle
+    /// connections are closed to make room and have to be reopened for later calls.
     max_idle_addresses: usize,
     /// Maximum size of a response body, in bytes.
     max_body_bytes: usize,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,9 +19,9 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The number of allowed connections, divided by this, is the minimum number of free ones. With
-/// fewer, each connection is closed after its next response. Clients then take turns, as a cluster
-/// may have more machines than a controller has sockets.
+/// If fewer than one in this many of the allowed connections are free, each connection is closed
+/// after its next response. Clients then take turns, as a cluster may have more machines than a
+/// controller has sockets.
 const KEEP_ALIVE_MIN_FREE_DIVISOR: usize = 4;
 
 /// Accepts connections until it is cancelled, at most `max_connections` at a time, and responds to
@@ -41,11 +41,11 @@
                 let slot = ConnectionSlot::take(&open_count);
                 let handler = handler.clone();
                 runtime::spawn(async move {
-                    let connections_are_scarce = || {
+                    let is_near_limit = || {
                         slot.open_connections() + max_connections / KEEP_ALIVE_MIN_FREE_DIVISOR
                             > max_connections
                     };
-                    serve_connection(stream, handler, connections_are_scarce).await;
+                    serve_connection(stream, handler, is_near_limit).await;
                     drop(slot);
                 });
             }
@@ -171,13 +171,10 @@
     }))
 }
 
-/// Serves one connection until either side closes it. `connections_are_scarce` returns whether the
+/// Serves one connection until either side closes it. `is_near_limit` returns whether the
 /// connection has to be closed after its next response because few are left for other clients.
-async fn serve_connection<F, A>(
-    mut stream: TcpStream,
-    handler: F,
-    connections_are_scarce: impl Fn() -> bool,
-) where
+async fn serve_connection<F, A>(mut stream: TcpStream, handler: F, is_near_limit: impl Fn() -> bool)
+where
     F: Fn(Request) -> A,
     A: Future<Output = Response>,
 {
@@ -194,7 +191,7 @@
                 buffer.drain(..consumed);
                 continue_sent = false;
                 let response = handler(request).await;
-                let close = close || connections_are_scarce();
+                let close = close || is_near_limit();
                 if !write(&mut stream, &encode(&response, close)).await || close {
                     return;
                 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -178,8 +178,8 @@
     commands: Vec<CommandMessage>,
 }
 
-/// Returns the body of a heartbeat response (without `epoch`) or of a direct command request, where
-/// `epoch` is the worker epoch that the commands are meant for.
+/// Returns the body of a message with commands: of a heartbeat response if `epoch` is `None`, or of a
+/// direct command request for the worker epoch `epoch`.
 pub(crate) fn encode_commands(
     token: FencingToken,
     epoch: Option<WorkerEpoch>,
--- a/src/runtime/net.rs
+++ b/src/runtime/net.rs
@@ -16,7 +16,8 @@
             .unwrap_or_else(|| Err(io::Error::other("no event loop on this thread")))
     }
 
-    /// Attempts an operation. Pending until the socket is ready again if the operation would block.
+    /// Attempts an operation. If it would block, the routine is woken once the socket is ready, and
+    /// `Pending` is returned.
     fn poll_operation<T>(
         &self,
         cx: &Context<'_>,
@@ -53,8 +54,7 @@
 
 impl TcpStream {
     fn register(mut socket: mio::net::TcpStream) -> io::Result<Self> {
-        // Messages are small and answered one by one, so waiting to fill packets would only delay
-        // them.
+        // Messages are small and answered one by one, so Nagle's algorithm would only delay them.
         socket.set_nodelay(true).ok();
         let registration = Registration::new(&mut socket)?;
         Ok(Self {
