--- a/src/simulation/dependencies.rs
+++ b/src/simulation/dependencies.rs
@@ -82,11 +82,11 @@
             DisabledGuard::DependenciesIgnored => &CombinedDependencyState::Done,
             _ => dependencies,
         };
-        let (now, ops) = (
+        let (now, max_txn_ops) = (
             UnixTime(self.now.0),
             self.nodes[0].config.store_limits.txn_ops,
         );
-        let Some((txn, state)) = effective_state.acceptance_txn(spec, now, ops) else {
+        let Some((txn, state)) = effective_state.acceptance_txn(spec, now, max_txn_ops) else {
             self.record_violation(
                 ViolationKind::SubmissionNotAccepted,
                 format!("{} {dependencies:?}", spec.id),
@@ -161,12 +161,12 @@
             return;
         }
         let ControllerProcess { node, generation } = due.process;
-        let ops = self.nodes[node].config.store_limits.txn_ops;
+        let max_txn_ops = self.nodes[node].config.store_limits.txn_ops;
         let store_reachable = self.nodes[node].store_cut_until <= self.now;
         let Some(controller) = self.nodes[node].process(generation) else {
             return self.retry_cancellation(due.job);
         };
-        match due.cascade.next(&controller.cache, ops) {
+        match due.cascade.next(&controller.cache, max_txn_ops) {
             CascadeStep::Complete => {
                 self.count_live_dependents(&due.job);
                 self.confirm_cancellation(&due.job);
--- a/src/simulation/effects.rs
+++ b/src/simulation/effects.rs
@@ -195,8 +195,8 @@
         self.with_controller(process, |c| c.on_peer_message(now, &from, delivery.message));
     }
 
-    /// Returns the delay in ms after which the request just executed is delivered again, or `None`
-    /// if it is not duplicated.
+    /// Decides at random whether a request is duplicated. Returns the delay in ms of the second
+    /// delivery, or `None`.
     pub(super) fn duplicate_delay(&mut self) -> Option<u64> {
         let duplicated = self.faults.duplicate_requests && self.chance(DUPLICATE_PERCENT);
         duplicated.then(|| self.pick(200, 4 * SHARD_LEASE_MS))
--- a/src/simulation/fake_services/direct_calls.rs
+++ b/src/simulation/fake_services/direct_calls.rs
@@ -71,10 +71,10 @@
             self.time_out_call(&call);
         }
         let blocked_ms = blocked_until.since(self.now).0;
-        let wait = blocked_ms.max(if lost { LOST_CALL_DELAY_MS } else { 0 });
+        let wait_ms = blocked_ms.max(if lost { LOST_CALL_DELAY_MS } else { 0 });
         call.redeliveries += 1;
         self.schedule_in(
-            wait + REDELIVERY_DELAY_MS,
+            wait_ms + REDELIVERY_DELAY_MS,
             SimulationEvent::DirectCall(call),
         );
     }
--- a/src/simulation/fake_services/heartbeats.rs
+++ b/src/simulation/fake_services/heartbeats.rs
@@ -16,9 +16,9 @@
 const WORKER_TICK_MS: u64 = 100;
 /// The interval between heartbeats, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
-/// The interval until the next heartbeat after a change, in ms.
+/// The delay of the next heartbeat after a response with commands or a higher fencing token, in ms.
 const PROMPT_HEARTBEAT_MS: u64 = 500;
-/// How long a worker waits before it switches to another controller, in ms.
+/// The delay of the next heartbeat after a worker has switched to the next controller, in ms.
 const NEXT_CONTROLLER_MS: u64 = 1000;
 /// The latency of a message between a worker and a controller, in ms.
 const TRANSIT_MS: (u64, u64) = (1, 4);
@@ -152,8 +152,7 @@
             if link_blocked_until == partition.until && !partition.delays_messages {
                 return;
             }
-            // The heartbeat arrives once the link is restored. The worker no longer waits for the
-            // response.
+            // The heartbeat arrives once the link is restored, but the worker gets no response to it.
             let ms = link_blocked_until.since(now).0 + 3;
             let copy = SimulationEvent::DuplicateHeartbeat(node, delivery.heartbeat);
             self.schedule_in(ms, copy);
@@ -218,8 +217,8 @@
 
     /// Delivers the commands in the response to a heartbeat.
     ///
-    /// The worker drops responses that belong to an earlier epoch, arrive too late, carry a lower
-    /// token, or can't reach it.
+    /// The worker drops responses that do not answer its last heartbeat, arrive after the timeout,
+    /// carry a lower fencing token, or arrive while it is unreachable.
     pub(in crate::simulation) fn receive_heartbeat_response(
         &mut self,
         response: HeartbeatResponse,
--- a/src/simulation/fake_services/network.rs
+++ b/src/simulation/fake_services/network.rs
@@ -112,7 +112,8 @@
         member_index(relay_for.as_str())
     }
 
-    /// Relays a heartbeat to the shard owner of its machine, and returns the response.
+    /// Relays a heartbeat to the shard owner of its machine, and returns the response, or `None` if
+    /// the heartbeat was not relayed or the owner gave no response.
     pub(in crate::simulation) fn relay_heartbeat(
         &mut self,
         node: usize,
--- a/src/simulation/fakes/worker.rs
+++ b/src/simulation/fakes/worker.rs
@@ -6,8 +6,9 @@
 use crate::protocol::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
-/// The minimum run time of a task, and the time added per task index, in ms.
+/// The minimum run time of a task, in ms.
 const MIN_TASK_MS: u64 = 2000;
+/// The run time added per task index, in ms.
 const TASK_MS_PER_INDEX: u64 = 700;
 /// The added time is taken modulo this value, in ms.
 const MAX_ADDED_TASK_MS: u64 = 9000;
@@ -19,7 +20,8 @@
     pub state: TaskState,
     /// Why the task has exited; `None` until then.
     pub exit_reason: Option<ExitReason>,
-    /// When a running task ends by itself, or a waiting one stops waiting for its gang.
+    /// When a running array task or gang member is done, or a waiting gang member stops waiting.
+    /// Services run until they are stopped.
     pub until: MonotonicTime,
 }
 
@@ -45,7 +47,8 @@
     pub sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
-    /// Task attempts that no command has told the worker to forget.
+    /// The task attempts that heartbeats report. Exited ones are kept until a command tells the worker
+    /// to forget them.
     pub tasks: BTreeMap<TaskAttempt, WorkerTask>,
     /// The index of the controller that the worker sends heartbeats to.
     pub node: usize,
--- a/src/simulation/fault_injection.rs
+++ b/src/simulation/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Injection of the faults of a simulation run, with one function for each kind.
+//! Injection of crashes, pauses, outages and network cuts, with one function for each kind. Lost and
+//! duplicated messages are simulated where messages are sent.
 
 use super::cluster::SimulatedCluster;
 use super::events::SimulationEvent;
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -5,7 +5,8 @@
 pub(super) struct Faults {
     /// One controller or all of them stop and restart later.
     pub controller_crashes: bool,
-    /// Responses are lost, and requests without a response may be executed much later.
+    /// Responses and messages between controllers are lost, and requests without a response may be
+    /// executed much later.
     pub lost_responses: bool,
     /// Machines are cut off, hang or die.
     pub machine_failures: bool,
@@ -27,7 +28,7 @@
     pub controller_pauses: bool,
     /// A zone and one controller in it are cut off from everything outside.
     pub zone_isolation: bool,
-    /// Executed requests are delivered a second time, up to several lease durations later.
+    /// Requests are delivered a second time, up to several lease durations later.
     pub duplicate_requests: bool,
     /// The key-value store refuses only the leader, users cancel jobs through the other
     /// controllers, and then the store is unavailable to every controller for longer than a
--- a/src/simulation/invariants/cancellations.rs
+++ b/src/simulation/invariants/cancellations.rs
@@ -1,5 +1,5 @@
-//! Jobs are cancelled only on request, and their tasks do not run after the user was told of the
-//! cancellation.
+//! Jobs are cancelled only on request, and their tasks stop within `CANCELLATION_LIMIT_MS` after the
+//! user was told of the cancellation.
 
 use crate::ids::JobId;
 use crate::simulation::cluster::SimulatedCluster;
--- a/src/simulation/invariants/dependencies.rs
+++ b/src/simulation/invariants/dependencies.rs
@@ -29,8 +29,9 @@
         }
     }
 
-    /// Records `OrphanedDependent` for live jobs with a dependency that was cancelled long ago,
-    /// since they would still be reported as queued or running.
+    /// Records `OrphanedDependent` for live jobs with a dependency whose user was told of its
+    /// cancellation more than `CANCELLATION_LIMIT_MS` ago. Such jobs would still be reported as queued
+    /// or running.
     pub(in crate::simulation) fn check_no_orphaned_dependents(&mut self) {
         let live = self.jobs.keys();
         let live = live.filter(|id| self.store.contains(&keys::job(id)));
--- a/src/simulation/invariants/launches.rs
+++ b/src/simulation/invariants/launches.rs
@@ -82,8 +82,9 @@
         }
     }
 
-    /// Records `CancelledTaskRan` or `CancelledTaskLaunched` if the user was told of the
-    /// cancellation too long before the launch.
+    /// Records `CancelledTaskRan` if the user was told of the cancellation more than
+    /// `CANCELLATION_LIMIT_MS` before the launch, and `CancelledTaskLaunched` if the command was just
+    /// sent and the user was told more than `COMMAND_TRANSIT_MS` ago.
     fn check_not_cancelled(&mut self, attempt: &TaskAttempt, just_sent: bool) {
         let job = &attempt.task.job;
         if self.is_past_cancellation_limit(job) {
--- a/src/simulation/large_fleet.rs
+++ b/src/simulation/large_fleet.rs
@@ -59,14 +59,14 @@
     /// Boots the machines of a large fleet and configures the controllers with its rate limits.
     fn start_large_fleet(&mut self) {
         let Some(fleet) = &self.fleet else { return };
-        let changes = fleet.changes_per_s;
+        let changes_per_s = fleet.changes_per_s;
         let missing_machines = fleet.min_machines.saturating_sub(self.workers.len());
         for _ in 0..missing_machines {
             let id = self.new_machine(false);
             self.schedule_in(0, SimulationEvent::MachineBoot(id));
         }
         for node in &mut self.nodes {
-            node.config.store_limits.rates.writes = changes;
+            node.config.store_limits.rates.writes = changes_per_s;
             node.config.store_limits.rates.requests = REQUESTS_PER_S;
             node.config.store_limits.min_rates = node.config.store_limits.rates;
             for team in node.config.teams.values_mut() {
@@ -111,9 +111,9 @@
             return;
         };
         let interval_ms = fleet.array_interval_ms;
-        let service = self.now.0 / SERVICE_INTERVAL_MS > fleet.services;
-        let services = fleet.services + u64::from(service);
-        let spec = self.new_large_fleet_job(service);
+        let is_service = self.now.0 / SERVICE_INTERVAL_MS > fleet.services;
+        let services = fleet.services + u64::from(is_service);
+        let spec = self.new_large_fleet_job(is_service);
         let mut txn = Txn::default();
         let record = JobRecord::new(spec.clone(), UnixTime(self.now.0));
         txn.put(keys::job(&spec.id), &record, None);
@@ -122,7 +122,7 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.services = services;
         }
-        if service && services > MAX_SERVICES {
+        if is_service && services > MAX_SERVICES {
             self.cancel_oldest_service();
         }
         let interval_sum_ms = SERVICE_INTERVAL_MS + interval_ms;
@@ -130,12 +130,12 @@
         self.schedule_in(next.max(1), SimulationEvent::UserTick);
     }
 
-    fn new_large_fleet_job(&mut self, service: bool) -> JobSpec {
+    fn new_large_fleet_job(&mut self, is_service: bool) -> JobSpec {
         let id = format!("job-{:06}", self.jobs.len());
         let mut body = crate::protocol::tests::submission(&id);
         body["crew"] = json!(if self.chance(50) { "red" } else { "blue" });
         body["plate"] = json!(format!("img-{}", self.pick(1, 8)));
-        if service {
+        if is_service {
             body["shape"] = json!("daemon");
             body["precedence"] = json!("high");
             body["sheets"] = json!(1);
--- a/src/simulation/tests/completion_interleavings.rs
+++ b/src/simulation/tests/completion_interleavings.rs
@@ -21,7 +21,7 @@
     Cancellation,
 }
 
-/// The steps of a test case. Each occurs twice, as a late duplicate of a request would.
+/// The steps of a test case. Each occurs twice, since a late duplicate of a request may arrive.
 const ALL_STEPS: [Step; 6] = [
     Step::Submission,
     Step::Submission,
--- a/src/simulation/tests/completion_interleavings/dependent.rs
+++ b/src/simulation/tests/completion_interleavings/dependent.rs
@@ -8,7 +8,9 @@
 };
 use crate::protocol::JobKind;
 
+/// The id of the job that the second job depends on.
 const DEPENDENCY: &str = "job-000001";
+/// The id of the second job.
 const DEPENDENT: &str = "job-000002";
 const MAX_TXN_OPS: usize = 4;
 
--- a/src/simulation/upgrades.rs
+++ b/src/simulation/upgrades.rs
@@ -13,7 +13,8 @@
 const UPGRADE_INTERVAL_MS: (u64, u64) = (3000, 12_000);
 /// How long an upgraded process is down, in ms.
 const RESTART_MS: (u64, u64) = (60, 5000);
-/// When the key-value store lowers its limits, in ms since the start.
+/// The earliest and the latest time at which the key-value store lowers its limits, in ms since the
+/// start.
 const LIMIT_REDUCTION_AT_MS: (u64, u64) = (50_000, 70_000);
 /// The lowered limits, in bytes per value and changes per transaction.
 const LOWERED_VALUE_BYTES: usize = 1024;
@@ -22,20 +23,20 @@
 impl SimulatedCluster {
     /// Schedules the upgrade of each controller and the lowering of the store's limits.
     pub(super) fn schedule_upgrades(&mut self) {
-        let (upgrade, limits) = (
+        let (is_rolling_upgrade, lowers_limits) = (
             self.faults.rolling_upgrade,
             self.faults.lowered_store_limits,
         );
         let mut at = FIRST_UPGRADE_MS;
         for node in 0..self.nodes.len() {
-            if upgrade {
+            if is_rolling_upgrade {
                 self.schedule_in(at, SimulationEvent::Upgrade(node));
                 at += self.pick(UPGRADE_INTERVAL_MS.0, UPGRADE_INTERVAL_MS.1);
             } else {
                 self.configure_limits(node);
             }
         }
-        if limits {
+        if lowers_limits {
             let at = self.pick(LIMIT_REDUCTION_AT_MS.0, LIMIT_REDUCTION_AT_MS.1);
             self.schedule_in(at, SimulationEvent::LowerStoreLimits);
         }
