--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -123,10 +123,7 @@
             complete_count += 1;
         }
     }
-    assert!(
-        rounds.is_complete(round, &view),
-        "{order:?}: never complete"
-    );
+    assert!(rounds.is_complete(round, &view), "{order:?}: incomplete");
     complete_count
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,9 +1,7 @@
 //! The decision logic of one controller. It performs no I/O and reads neither a clock nor randomness.
-//!
-//! Each input is a method call that returns the [`Effect`]s to execute. Outcomes of effects come back as
-//! further method calls. The daemon executes the effects; tests execute them in simulated time. Each
-//! duty, such as scheduling or autoscaling, has its own state. The controller passes messages between
-//! the duties and runs each of them when it is due.
+//! Each input, also the outcome of an effect, is a method call that returns the [`Effect`]s to execute. The
+//! daemon executes them; tests do so in simulated time. Each duty, such as scheduling, has its own state. The
+//! controller passes messages between the duties and, after every input, runs those that are due.
 
 mod cancellation;
 mod catalog;
@@ -43,17 +41,14 @@
 
 /// How often all machine trackers are reconciled with the watch cache.
 const RECONCILE_INTERVAL: Millis = Millis(200);
-/// How often the autoscaler runs.
 const AUTOSCALER_INTERVAL: Millis = Millis(400);
 /// How often machine records are scanned for tasks of jobs that have ended.
 const CANCELLATION_SCAN_INTERVAL: Millis = Millis(1000);
 /// How often the leader scans for records that are no longer needed.
 const CLEANUP_INTERVAL: Millis = Millis(2000);
-/// The time between two writes of history. Each writes the record of one pipeline, the first by name that has
-/// unwritten samples.
+/// Time between history writes. Each writes one pipeline's record: the first by name with unwritten samples.
 const HISTORY_WRITE_INTERVAL: Millis = Millis(5000);
 
-/// The timers of the periodic duties.
 struct Timers {
     reconcile: PeriodicTimer,
     schedule: ScheduleTimer,
@@ -98,7 +93,6 @@
     catalog: CatalogWriter,
     cleanup: RecordCleanup,
     timers: Timers,
-    /// The time until which this controller's lease is certainly valid.
     lease_valid_until: MonotonicTime,
 }
 
@@ -125,10 +119,9 @@
         }
     }
 
-    /// Sets the time until which the lease is certainly valid. After it, another controller may have become
-    /// leader without this one knowing, so this one places and preempts no tasks, and neither rents nor lists
-    /// machines. Of the leader's duties it continues only the assignment of shards, whose transactions have a
-    /// condition on the leader's record.
+    /// Sets the time until which the lease is certainly valid. After it, another controller may lead without
+    /// this one knowing, so this one places and preempts no tasks, and neither rents nor lists machines. It
+    /// continues only to assign shards, as those transactions have a condition on the leader's record.
     pub(crate) fn set_lease_deadline(&mut self, until: MonotonicTime) {
         self.lease_valid_until = until;
     }
@@ -174,7 +167,7 @@
         now: MonotonicTime,
         heartbeat: &Heartbeat,
     ) -> (HeartbeatAnswer, Vec<Effect>) {
-        self.process_heartbeat(now, heartbeat, HeartbeatPath::Direct)
+        self.process_heartbeat(now, heartbeat, HeartbeatPath::DirectFromWorker)
     }
 
     fn process_heartbeat(
@@ -190,8 +183,7 @@
         (answer, self.apply_and_run_due_work(now, out))
     }
 
-    /// Handles a heartbeat that another controller relayed. Returns `None` as the answer if the worker
-    /// should first try to send it to this controller directly.
+    /// Handles a relayed heartbeat. Returns no answer if the worker should first try to send it directly.
     pub(crate) fn on_relayed_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -207,8 +199,7 @@
         (Some(answer), effects)
     }
 
-    /// Returns the machines of owned shards that have sent no direct heartbeat recently and may be unable to
-    /// reach this controller.
+    /// Returns owned machines without recent direct heartbeats. They may be unable to reach this controller.
     pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         self.shard_owner.machines_without_direct_heartbeats(now)
     }
@@ -363,7 +354,6 @@
         effects
     }
 
-    /// Runs all work that is due. Called after every input.
     fn run_due_work(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.reconcile_shards(now, &mut effects);
--- a/src/daemon/cancellation_confirmation.rs
+++ b/src/daemon/cancellation_confirmation.rs
@@ -11,6 +11,7 @@
 /// Limits the wait for a confirmation. It is shorter than the timeout of a request that is
 /// forwarded to a peer, so that the peer can still respond.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between two checks of whether the cancellation round is complete.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Delay before the announcement is sent again. Workers answer most stop commands within this time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
--- a/src/daemon/forwarding.rs
+++ b/src/daemon/forwarding.rs
@@ -9,6 +9,7 @@
 use crate::runtime;
 use std::time::Duration;
 
+/// Limits the wait for a peer's response to a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Forwards a request to a peer that reaches the key-value store and returns its response. Returns
--- a/src/daemon/store_watch.rs
+++ b/src/daemon/store_watch.rs
@@ -12,7 +12,9 @@
 
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_WATCH_DELAY: Duration = Duration::from_millis(120);
+/// Delay after a failed watch request.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Delay after a failed attempt to load a snapshot.
 const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Loads a snapshot and applies all later changes to it. If changes have been missed, it loads a
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -9,6 +9,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// Delay after a failed attempt to acquire or renew the lease.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Number of renewals within the lease's time to live.
 const RENEWALS_PER_TTL: u32 = 3;
--- a/src/planning/completion_counter/tests.rs
+++ b/src/planning/completion_counter/tests.rs
@@ -87,8 +87,8 @@
 }
 
 /// Machines finish the tasks of the largest array in random order and report some twice. The leader
-/// sometimes moves finished tasks into segments, and machines are then deleted. The reference model is a
-/// set of task indices.
+/// sometimes moves finished tasks into segments. All of the job's finished tasks are then in segments of its
+/// counter, so deleting a machine's record loses none. The reference model is a set of task indices.
 #[test]
 fn counter_of_the_largest_array_counts_each_task_once_and_completes_once() {
     let config = sample_config();
@@ -123,8 +123,6 @@
                 }
             }
             assert!(cache.jobs[&id].done_outside_segments.is_empty());
-            // All of the job's finished tasks are now in segments of its counter, so deleting the machine's
-            // record loses none.
             let mut txn = Txn::default();
             txn.delete(keys::machine(&machine));
             assert!(store.run(&txn, &mut cache));
--- a/src/simulation/invariants/deleted_machines.rs
+++ b/src/simulation/invariants/deleted_machines.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 
 /// The time after the heal within which the record of a deleted machine must be removed, in ms. The
-/// limit covers a machine that sends no heartbeats to a suspected shard owner: it is given up only
-/// after four times the usual timeout.
+/// limit covers a machine that sends no heartbeats to a suspected shard owner: it is
+/// decommissioned only after four times the usual timeout.
 const DELETED_RECORD_LIMIT_MS: u64 = 45_000;
 
 impl SimulatedCluster {
--- a/src/simulation/tests/disabled_guards.rs
+++ b/src/simulation/tests/disabled_guards.rs
@@ -48,7 +48,7 @@
         overload: true,
         ..Faults::default()
     };
-    let refusal_then_outage = Faults {
+    let store_outage = Faults {
         store_refusal_then_outage: true,
         ..Faults::default()
     };
@@ -65,10 +65,7 @@
             duplicate_heartbeats,
         ),
         (DisabledGuard::UnreachableMachinesAcknowledge, outbound_only),
-        (
-            DisabledGuard::CancellationConfirmedOnCommit,
-            refusal_then_outage,
-        ),
+        (DisabledGuard::CancellationConfirmedOnCommit, store_outage),
         (DisabledGuard::LaunchesIgnoredAfterHeal, lost_responses),
     ] {
         assert_detected(disabled_guard, faults);
--- a/src/simulation/tests/upgrades.rs
+++ b/src/simulation/tests/upgrades.rs
@@ -64,12 +64,7 @@
         slow_store: true,
         ..UPGRADE
     };
-    check_upgrades(
-        "upgrade and late effects",
-        THREE_CONTROLLERS,
-        660..664,
-        late_effects,
-    );
+    check_upgrades("late effects", THREE_CONTROLLERS, 660..664, late_effects);
     let refusal_then_outage = Faults {
         store_refusal_then_outage: true,
         cancel_at_completion: true,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -30,7 +30,7 @@
 /// The minimum delay between two watch requests, as a fraction of the maximum delay.
 const MIN_WATCH_DELAY_FRACTION: f64 = 0.25;
 
-/// A permit for one read of a record or of a page of records. Its tokens are already spent.
+/// The admission of one read of a record or of a page of records. Its tokens are already spent.
 #[derive(Debug)]
 pub(crate) struct ReadPermit(());
 
@@ -203,8 +203,8 @@
         class: RequestClass,
         key: &str,
     ) -> Result<Option<KeyValue>, StoreError> {
-        let permit = self.admit_read(class).ok_or(StoreError::HeldBack)?;
-        self.get_admitted(permit, key).await
+        let read_permit = self.admit_read(class).ok_or(StoreError::HeldBack)?;
+        self.get_admitted(read_permit, key).await
     }
 
     /// Takes the tokens for one read. Returns `None` if the rate limiter does not admit it.
@@ -212,10 +212,10 @@
         self.try_admit(class, 0).then_some(ReadPermit(()))
     }
 
-    /// Reads one record with a permit. Returns `None` if the key does not exist.
+    /// Reads one record with a [`ReadPermit`]. Returns `None` if the key does not exist.
     pub(crate) async fn get_admitted(
         &self,
-        _permit: ReadPermit,
+        _read_permit: ReadPermit,
         key: &str,
     ) -> Result<Option<KeyValue>, StoreError> {
         let path = key_path(key);
@@ -226,10 +226,10 @@
         }
     }
 
-    /// Reads with a permit at most `max_items` records under a prefix, starting behind the key `after`.
+    /// Reads with a [`ReadPermit`] at most `max_items` records under a prefix, starting behind `after`.
     pub(crate) async fn page_admitted(
         &self,
-        _permit: ReadPermit,
+        _read_permit: ReadPermit,
         prefix: &str,
         after: &str,
         max_items: usize,
--- a/src/worker_control/shard_owner/effects.rs
+++ b/src/worker_control/shard_owner/effects.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatPath {
     /// Sent here by the worker itself.
-    Direct,
+    DirectFromWorker,
     /// Relayed by another controller.
     Relayed,
 }
--- a/src/worker_control/shard_owner/heartbeats.rs
+++ b/src/worker_control/shard_owner/heartbeats.rs
@@ -17,11 +17,11 @@
     /// Returns the owned machines whose direct heartbeats are overdue.
     pub(crate) fn machines_without_direct_heartbeats(&self, now: MonotonicTime) -> Vec<MachineId> {
         let timeout = self.direct_heartbeat_timeout();
-        let overdue = self
+        let overdue_trackers = self
             .trackers
             .iter()
             .filter(|(_, tracker)| tracker.is_direct_heartbeat_overdue(now, timeout));
-        overdue.map(|(id, _)| id.clone()).collect()
+        overdue_trackers.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns whether to accept a heartbeat relayed by another controller. Relayed heartbeats are
@@ -106,7 +106,7 @@
             || heartbeat.until_interruption_s.is_some() != tracker.interruption_at().is_some();
         let newest = tracker.is_newer(heartbeat);
         tracker.apply_heartbeat(heartbeat, StatusSource::Heartbeat, now);
-        if newest && path == HeartbeatPath::Direct {
+        if newest && path == HeartbeatPath::DirectFromWorker {
             tracker.on_direct_heartbeat(now);
         }
         let token = tracker.token();
